--- a/crates/cherrystand/examples/plan.rs
+++ b/crates/cherrystand/examples/plan.rs
@@ -1,8 +1,8 @@
 //! Works out what a configuration would change, without a daemon.
 
 use cherrystand::{
-    BoxId, BoxInfo, DomainId, Fleet, HeldBoxes, PlanId, WorkspaceConfig, WorkspaceRecord, ZoneId,
-    make_plan,
+    BoxId, BoxInfo, BoxesByReplica, DomainId, Fleet, PlanId, WorkspaceConfig, WorkspaceRecord,
+    ZoneId, make_plan,
 };
 
 const CONFIG: &str = r#"
@@ -27,7 +27,7 @@
         checks_orders: true,
     }));
     let record = WorkspaceRecord::empty(config.workspace.clone());
-    let plan = make_plan(PlanId::new("example"), &record, config, &fleet, &HeldBoxes::new())?;
+    let plan = make_plan(PlanId::new("example"), &record, config, &fleet, &BoxesByReplica::new())?;
     for change in &plan.changes {
         println!("{change}");
     }
--- a/crates/cherrystand_core/src/config/settings_error.rs
+++ b/crates/cherrystand_core/src/config/settings_error.rs
@@ -10,9 +10,9 @@
     /// The text is not TOML, a key is unknown or missing, or a value has the wrong type.
     Malformed,
     /// The value has the right type but cannot be.
-    ImpossibleValue,
+    InvalidValue,
     /// Two settings exclude one another.
-    Clash,
+    Conflict,
 }
 
 /// Tells which setting is at fault, where it stands and what is allowed.
--- a/crates/cherrystand_core/src/config/workspace_config.rs
+++ b/crates/cherrystand_core/src/config/workspace_config.rs
@@ -79,7 +79,7 @@
         return Ok(());
     }
     Err(SettingsError::new(
-        SettingsErrorKind::ImpossibleValue,
+        SettingsErrorKind::InvalidValue,
         key,
         name,
         "letters, digits, `-`, `_` and `.`, at least one",
@@ -93,7 +93,7 @@
     let span = group.boxes_per_replica;
     if span == 0 || span > MAX_BOXES_PER_REPLICA {
         return Err(SettingsError::new(
-            SettingsErrorKind::ImpossibleValue,
+            SettingsErrorKind::InvalidValue,
             "boxes_per_replica",
             span,
             "a whole number from 1 to 32",
@@ -101,7 +101,7 @@
     }
     if group.floor.is_some_and(|floor| floor > group.replicas) {
         return Err(SettingsError::new(
-            SettingsErrorKind::Clash,
+            SettingsErrorKind::Conflict,
             "floor",
             group.capacity_floor(),
             "no more than `replicas`",
@@ -116,7 +116,7 @@
         return Ok(());
     }
     Err(SettingsError::new(
-        SettingsErrorKind::ImpossibleValue,
+        SettingsErrorKind::InvalidValue,
         key,
         weight,
         "a finite number, 0 or more",
@@ -128,7 +128,7 @@
     let prefix = &group.path_prefix;
     if !prefix.starts_with('/') || prefix == "/" || prefix.starts_with("/v1/") {
         return Err(SettingsError::new(
-            SettingsErrorKind::ImpossibleValue,
+            SettingsErrorKind::InvalidValue,
             "path_prefix",
             prefix,
             "a path below `/` that does not start with `/v1/`",
@@ -136,7 +136,7 @@
     }
     if group.endpoints.is_empty() {
         return Err(SettingsError::new(
-            SettingsErrorKind::ImpossibleValue,
+            SettingsErrorKind::InvalidValue,
             "endpoints",
             "[]",
             "at least one endpoint",
@@ -144,7 +144,7 @@
     }
     if group.concurrency == 0 {
         return Err(SettingsError::new(
-            SettingsErrorKind::ImpossibleValue,
+            SettingsErrorKind::InvalidValue,
             "concurrency",
             0,
             "a whole number, 1 or more",
@@ -161,7 +161,7 @@
     for value in values {
         if !seen.insert(value) {
             return Err(SettingsError::new(
-                SettingsErrorKind::Clash,
+                SettingsErrorKind::Conflict,
                 key,
                 value,
                 "a value that no other group of the workspace has",
--- a/crates/cherrystand_core/src/control/controller.rs
+++ b/crates/cherrystand_core/src/control/controller.rs
@@ -16,9 +16,9 @@
 };
 use crate::control::orders::orders_of;
 use crate::{
-    BoxId, Desired, DomainRecord, Epoch, Evidence, Fleet, MemberSummary, Millis, Observations,
-    Order, Phase, Prices, RecordFault, Repair, RepairCase, RepairPolicy, RepairRule, ReplicaId,
-    choose_repair,
+    BoxId, DesiredReplica, DomainRecord, Epoch, Evidence, Fleet, MemberSummary, Millis,
+    Observations, Order, Phase, Prices, RecordFault, Repair, RepairCase, RepairPolicy, RepairRule,
+    ReplicaId, choose_repair,
 };
 
 /// How long a draining replica is given for the news to reach every node that may still route to
@@ -36,11 +36,11 @@
 
 /// Holds what a step decides from.
 #[derive(Clone, Copy, Debug)]
-pub struct Situation<'a> {
+pub struct ControllerInput<'a> {
     /// The record as it was last read.
     pub record: &'a DomainRecord,
     /// What the accepted configurations ask for in this domain.
-    pub desired: &'a [Desired],
+    pub desired: &'a [DesiredReplica],
     /// The listed boxes.
     pub fleet: &'a Fleet,
     /// What is known of them.
@@ -53,7 +53,7 @@
 
 /// Holds what a step decided.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Step {
+pub struct ControllerStep {
     /// The record to write, where it changes.
     pub write: Option<DomainRecord>,
     /// The orders to send, which follow from the record as read.
@@ -82,7 +82,7 @@
     }
 
     /// Decides what to write and order now.
-    pub fn step(&mut self, at: Situation<'_>) -> Step {
+    pub fn step(&mut self, at: ControllerInput<'_>) -> ControllerStep {
         self.note_phases(&at);
         self.note_stalled(&at);
         let stalled = self.stalled.keys().cloned().collect();
@@ -98,12 +98,12 @@
         change.start_loads(self.policy.loads_at_once);
         let orders = orders_of(at);
         match change.finish() {
-            Ok(write) => Step { write, orders, fault: None },
-            Err(fault) => Step { write: None, orders, fault: Some(fault) },
+            Ok(write) => ControllerStep { write, orders, fault: None },
+            Err(fault) => ControllerStep { write: None, orders, fault: Some(fault) },
         }
     }
 
-    fn note_phases(&mut self, at: &Situation<'_>) {
+    fn note_phases(&mut self, at: &ControllerInput<'_>) {
         let known = std::mem::take(&mut self.phases);
         for (replica, held) in &at.record.replicas {
             let since = match known.get(replica) {
@@ -118,7 +118,7 @@
     }
 
     /// Gives up on boxes whose loads have taken far longer than they should.
-    fn note_stalled(&mut self, at: &Situation<'_>) {
+    fn note_stalled(&mut self, at: &ControllerInput<'_>) {
         self.stalled.retain(|_, since| at.now.since(*since) < STALLED_FOR);
         for (replica, held) in &at.record.replicas {
             if self.is_overdue(replica, at.now) {
@@ -179,7 +179,7 @@
         }
     }
 
-    fn mend_one(&self, change: &mut DomainChange<'_>, desired: &Desired) {
+    fn mend_one(&self, change: &mut DomainChange<'_>, desired: &DesiredReplica) {
         let Some(assignment) = change.next.replicas.get(&desired.replica).cloned() else {
             return;
         };
@@ -219,7 +219,7 @@
     fn case_of(
         &self,
         change: &DomainChange<'_>,
-        desired: &Desired,
+        desired: &DesiredReplica,
         unusable: &[BoxId],
         free: usize,
     ) -> RepairCase {
--- a/crates/cherrystand_core/src/control/desired.rs
+++ b/crates/cherrystand_core/src/control/desired_replica.rs
@@ -4,7 +4,7 @@
 
 /// States what one replica in the domain should be.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Desired {
+pub struct DesiredReplica {
     /// The replica.
     pub replica: ReplicaId,
     /// What its engines load.
@@ -21,7 +21,7 @@
     pub stranded_weight: f64,
 }
 
-impl Desired {
+impl DesiredReplica {
     /// Tells whether an assignment is of the size asked for.
     pub(crate) fn fits(&self, held: &Assignment) -> bool {
         held.boxes.len() == self.span as usize
--- a/crates/cherrystand_core/src/control/domain_change.rs
+++ b/crates/cherrystand_core/src/control/domain_change.rs
@@ -3,19 +3,19 @@
 use std::collections::BTreeSet;
 
 use crate::{
-    Assignment, BoxId, Desired, DomainRecord, EngineState, Epoch, Evidence, Explanation, Millis,
-    Phase, Prices, RecordFault, RepairPolicy, ReplicaId, Situation, fresh_report,
+    Assignment, BoxId, ControllerInput, DesiredReplica, DomainRecord, EngineState, Epoch, Evidence,
+    Explanation, Millis, Phase, Prices, RecordFault, RepairPolicy, ReplicaId, fresh_report,
 };
 
 /// The share of a domain's listed boxes that may be missing before repairs are held back.
 ///
 /// Beyond it the likelier cause is the observer's own connection or the list.
-pub const HOLD_BACK_SHARE: f64 = 0.5;
+pub const MAX_MISSING_SHARE: f64 = 0.5;
 
 /// Builds the next record from the one that was read.
 pub(crate) struct DomainChange<'a> {
     /// What is decided from.
-    pub(crate) at: Situation<'a>,
+    pub(crate) at: ControllerInput<'a>,
     /// The record as it will be.
     pub(crate) next: DomainRecord,
     changed: bool,
@@ -24,7 +24,7 @@
 
 impl<'a> DomainChange<'a> {
     /// Begins with the record as it was read.
-    pub(crate) fn new(at: Situation<'a>, stalled: BTreeSet<BoxId>) -> Self {
+    pub(crate) fn new(at: ControllerInput<'a>, stalled: BTreeSet<BoxId>) -> Self {
         let next = at.record.clone();
         Self { at, next, changed: false, stalled }
     }
@@ -65,7 +65,7 @@
                 missing += 1.0;
             }
         }
-        missing > all * HOLD_BACK_SHARE
+        missing > all * MAX_MISSING_SHARE
     }
 
     /// Returns those boxes that the list marks as leaving.
@@ -137,8 +137,8 @@
     }
 
     /// Returns what the broken replicas should be.
-    pub(crate) fn broken(&self) -> Vec<Desired> {
-        let is_broken = |desired: &&Desired| {
+    pub(crate) fn broken(&self) -> Vec<DesiredReplica> {
+        let is_broken = |desired: &&DesiredReplica| {
             let held = self.next.replicas.get(&desired.replica);
             held.is_some_and(|held| held.phase == Phase::Broken)
         };
@@ -174,7 +174,7 @@
     /// Gives a replica its boxes under a new epoch and releases those it no longer has.
     pub(crate) fn assign(
         &mut self,
-        desired: &Desired,
+        desired: &DesiredReplica,
         boxes: Vec<BoxId>,
         evidence: Evidence,
         prices: Option<Prices>,
@@ -197,7 +197,7 @@
     /// Puts spares in the places of lost members.
     pub(crate) fn swap(
         &mut self,
-        desired: &Desired,
+        desired: &DesiredReplica,
         assignment: &Assignment,
         lost: &[BoxId],
         free: &[BoxId],
@@ -217,8 +217,12 @@
 
     /// Frees the healthy boxes of one broken replica when they can mend another one and neither
     /// is likely to get its own boxes back soon.
-    pub(crate) fn dissolve_for_another(&mut self, broken: &[Desired], policy: &RepairPolicy) {
-        let still: Vec<&Desired> =
+    pub(crate) fn dissolve_for_another(
+        &mut self,
+        broken: &[DesiredReplica],
+        policy: &RepairPolicy,
+    ) {
+        let still: Vec<&DesiredReplica> =
             broken.iter().filter(|desired| self.is_broken(desired)).collect();
         let (Some(first), Some(last)) = (still.first(), still.last()) else {
             return;
@@ -237,12 +241,12 @@
         }
     }
 
-    fn is_broken(&self, desired: &Desired) -> bool {
+    fn is_broken(&self, desired: &DesiredReplica) -> bool {
         let held = self.next.replicas.get(&desired.replica);
         held.is_some_and(|held| held.phase == Phase::Broken)
     }
 
-    fn unusable_of(&self, desired: &Desired) -> Vec<BoxId> {
+    fn unusable_of(&self, desired: &DesiredReplica) -> Vec<BoxId> {
         let held = self.next.replicas.get(&desired.replica);
         held.map(|held| self.unusable(&held.boxes)).unwrap_or_default()
     }
@@ -304,7 +308,7 @@
 }
 
 /// Picks the planned boxes where they are free, and others for the rest.
-fn pick_boxes(desired: &Desired, free: &[BoxId]) -> Option<Vec<BoxId>> {
+fn pick_boxes(desired: &DesiredReplica, free: &[BoxId]) -> Option<Vec<BoxId>> {
     let span = desired.span as usize;
     if free.len() < span {
         return None;
--- a/crates/cherrystand_core/src/control/domain_record.rs
+++ b/crates/cherrystand_core/src/control/domain_record.rs
@@ -36,7 +36,7 @@
     /// themselves, oldest first; by the boxes' names, since an order that was sent to one life of a box
     /// may be carried out by the next.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
-    pub former: BTreeMap<BoxId, Vec<FormerPlace>>,
+    pub former: BTreeMap<BoxId, Vec<FormerAssignment>>,
     /// The last decisions, oldest first.
     pub explanations: Vec<Explanation>,
     /// The identities of the last writes.
@@ -58,7 +58,7 @@
 
 /// Says where a box was assigned before.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct FormerPlace {
+pub struct FormerAssignment {
     /// The replica.
     pub replica: ReplicaId,
     /// The epoch of that assignment.
@@ -107,7 +107,7 @@
     BoxReleasing(BoxId),
     /// An epoch is above the last one given out, or given out twice.
     #[error("epoch {0} was not given out once")]
-    EpochNotGivenOut(Epoch),
+    InvalidEpoch(Epoch),
 }
 
 impl DomainRecord {
@@ -136,7 +136,7 @@
         let mut epochs = BTreeSet::new();
         for assignment in self.replicas.values() {
             if assignment.epoch > self.last_epoch || !epochs.insert(assignment.epoch) {
-                return Err(RecordFault::EpochNotGivenOut(assignment.epoch));
+                return Err(RecordFault::InvalidEpoch(assignment.epoch));
             }
             for id in &assignment.boxes {
                 if !boxes.insert(id) {
@@ -151,7 +151,7 @@
     }
 
     /// Returns the record with boxes named otherwise that `other` has another id for.
-    pub fn with_boxes_as(mut self, other: impl Fn(&BoxId) -> Option<BoxId>) -> Self {
+    pub fn with_boxes_renamed(mut self, other: impl Fn(&BoxId) -> Option<BoxId>) -> Self {
         let named = |id: &BoxId| other(id).unwrap_or_else(|| id.clone());
         let assigned = self.replicas.values_mut().flat_map(|held| &mut held.boxes);
         assigned.for_each(|id| *id = named(id));
@@ -161,7 +161,7 @@
     }
 
     /// Returns the places that a box, in whichever life, was taken out of and may have come to.
-    pub fn former_places(&self, id: &BoxId) -> impl Iterator<Item = &FormerPlace> {
+    pub fn former_assignments(&self, id: &BoxId) -> impl Iterator<Item = &FormerAssignment> {
         self.former.get(id.name()).into_iter().flatten()
     }
 
--- a/crates/cherrystand_core/src/control/formed.rs
+++ b/crates/cherrystand_core/src/control/formed_replicas.rs
@@ -8,11 +8,11 @@
 ///
 /// A replica that moves is formed in two domains for a while.
 #[derive(Clone, Debug, Default)]
-pub struct Formed {
+pub struct FormedReplicas {
     replicas: BTreeMap<ReplicaId, Vec<(DomainId, Assignment)>>,
 }
 
-impl Formed {
+impl FormedReplicas {
     /// Collects the assignments of some domains.
     pub fn new<'a>(records: impl IntoIterator<Item = &'a DomainRecord>) -> Self {
         let mut formed = Self::default();
--- a/crates/cherrystand_core/src/control/lifecycle.rs
+++ b/crates/cherrystand_core/src/control/lifecycle.rs
@@ -1,7 +1,7 @@
 //! What the members of a replica make of its phase.
 
 use crate::control::domain_change::DomainChange;
-use crate::{Assignment, Desired, Evidence, MemberSummary, Millis, Phase, ReplicaId};
+use crate::{Assignment, DesiredReplica, Evidence, MemberSummary, Millis, Phase, ReplicaId};
 
 /// One replica whose turn it is in a step.
 pub(crate) struct Turn<'a> {
@@ -12,7 +12,7 @@
     /// What its members answered.
     pub(crate) members: MemberSummary,
     /// What it should be, if it is asked for.
-    pub(crate) desired: Option<&'a Desired>,
+    pub(crate) desired: Option<&'a DesiredReplica>,
 }
 
 /// Puts a replica into service once every member acknowledged its epoch.
@@ -20,7 +20,7 @@
     let Some(desired) = turn.desired else {
         return change.remove(turn.replica, Evidence::NotDesired);
     };
-    if let Some(evidence) = turn.members.break_evidence() {
+    if let Some(evidence) = turn.members.failure_evidence() {
         return change.set_phase(turn.replica, Phase::Broken, evidence);
     }
     if !desired.matches(turn.held) {
@@ -37,7 +37,7 @@
 
 /// Takes a replica out of service when members are lost, will leave, or have to load anew.
 pub(crate) fn advance_ready(change: &mut DomainChange<'_>, turn: Turn<'_>) {
-    if let Some(evidence) = turn.members.break_evidence() {
+    if let Some(evidence) = turn.members.failure_evidence() {
         return change.set_phase(turn.replica, Phase::Broken, evidence);
     }
     let leaving = change.leaving(&turn.held.boxes);
@@ -52,7 +52,7 @@
 
 /// Ends the draining of a replica once nothing can be on its way to it and it is idle.
 pub(crate) fn advance_draining(change: &mut DomainChange<'_>, turn: Turn<'_>, waited: bool) {
-    if let Some(evidence) = turn.members.break_evidence() {
+    if let Some(evidence) = turn.members.failure_evidence() {
         return change.set_phase(turn.replica, Phase::Broken, evidence);
     }
     if !waited || turn.members.in_flight > 0 {
--- a/crates/cherrystand_core/src/control/observation.rs
+++ b/crates/cherrystand_core/src/control/observation.rs
@@ -102,7 +102,7 @@
     }
 
     /// Returns why the replica must not serve, if that is so.
-    pub fn break_evidence(&self) -> Option<Evidence> {
+    pub fn failure_evidence(&self) -> Option<Evidence> {
         if !self.lost.is_empty() {
             let boxes = self.lost.clone();
             return Some(Evidence::MembersLost { boxes });
--- a/crates/cherrystand_core/src/control/orders.rs
+++ b/crates/cherrystand_core/src/control/orders.rs
@@ -1,11 +1,11 @@
 //! The orders that follow from a domain's record.
 
 use crate::{
-    Assignment, BoxId, EngineState, Order, Phase, ReplicaId, Situation, Task, fresh_report,
+    Assignment, BoxId, ControllerInput, EngineState, Order, Phase, ReplicaId, Task, fresh_report,
 };
 
 /// Lists the orders that the record calls for and that the boxes have not yet followed.
-pub(crate) fn orders_of(at: Situation<'_>) -> Vec<Order> {
+pub(crate) fn orders_of(at: ControllerInput<'_>) -> Vec<Order> {
     let mut orders = Vec::new();
     for (replica, assignment) in &at.record.replicas {
         match assignment.phase {
@@ -19,7 +19,11 @@
     orders
 }
 
-fn join_orders(at: Situation<'_>, replica: &ReplicaId, assignment: &Assignment) -> Vec<Order> {
+fn join_orders(
+    at: ControllerInput<'_>,
+    replica: &ReplicaId,
+    assignment: &Assignment,
+) -> Vec<Order> {
     let addresses = assignment.boxes.iter().map(|id| at.fleet.get(id).map(|info| info.address));
     let Some(members) = addresses.collect::<Option<Vec<_>>>() else {
         return Vec::new();
@@ -43,14 +47,14 @@
         .collect()
 }
 
-fn drain_order(at: Situation<'_>, assignment: &Assignment) -> Option<Order> {
+fn drain_order(at: ControllerInput<'_>, assignment: &Assignment) -> Option<Order> {
     let leader = assignment.boxes.first()?;
     let report = fresh_report(at.seen, leader, at.now)?;
     let serves = report.epoch == assignment.epoch && report.state == EngineState::Ready;
     serves.then(|| Order { target: leader.clone(), epoch: assignment.epoch, task: Task::Drain })
 }
 
-fn release_orders(at: Situation<'_>) -> Vec<Order> {
+fn release_orders(at: ControllerInput<'_>) -> Vec<Order> {
     let busy = |id: &BoxId| {
         let report = fresh_report(at.seen, id, at.now);
         report.is_some_and(|report| report.state != EngineState::Idle)
@@ -63,7 +67,7 @@
 
 /// Releases engines that act although the record gives their boxes to nobody, as after an order
 /// that arrived long after it was sent.
-fn stray_orders(at: Situation<'_>) -> Vec<Order> {
+fn stray_orders(at: ControllerInput<'_>) -> Vec<Order> {
     let free = at.fleet.of_domain(&at.record.domain).filter(|info| at.record.is_free(&info.id));
     let stray = free.filter_map(|info| {
         let report = fresh_report(at.seen, &info.id, at.now)?;
--- a/crates/cherrystand_core/src/control/placement.rs
+++ b/crates/cherrystand_core/src/control/placement.rs
@@ -6,7 +6,7 @@
 
 /// Says where one replica goes.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Place {
+pub struct Placement {
     /// The domain.
     pub domain: DomainId,
     /// The boxes, in rank order.
@@ -63,13 +63,13 @@
     /// # Errors
     ///
     /// Returns a [`PlacementError`] when no allowed domain has enough free boxes.
-    pub fn place(&mut self, group: &ModelGroup) -> Result<Place, PlacementError> {
+    pub fn place(&mut self, group: &ModelGroup) -> Result<Placement, PlacementError> {
         let span = group.boxes_per_replica as usize;
         let domain = self.best_domain(group, span)?;
         let free = self.free.entry(domain.clone()).or_default();
         let boxes = free.drain(..span).collect();
         self.count_zone(&domain);
-        Ok(Place { domain, boxes })
+        Ok(Placement { domain, boxes })
     }
 
     fn best_domain(&self, group: &ModelGroup, span: usize) -> Result<DomainId, PlacementError> {
--- a/crates/cherrystand_core/src/control/plan.rs
+++ b/crates/cherrystand_core/src/control/plan.rs
@@ -163,11 +163,11 @@
     },
     /// The configuration is the one in force.
     #[error("nothing would change: generation {0} says the same")]
-    NothingChanges(Generation),
+    NoChanges(Generation),
 }
 
 /// Says what boxes are held now, as the domains' records have it.
-pub type HeldBoxes = BTreeMap<ReplicaId, Vec<BoxId>>;
+pub type BoxesByReplica = BTreeMap<ReplicaId, Vec<BoxId>>;
 
 /// Works out what putting `config` in force would change.
 ///
@@ -180,10 +180,10 @@
     record: &WorkspaceRecord,
     config: WorkspaceConfig,
     fleet: &Fleet,
-    held: &HeldBoxes,
+    held: &BoxesByReplica,
 ) -> Result<Plan, PlanError> {
     if record.config == config {
-        return Err(PlanError::NothingChanges(record.generation));
+        return Err(PlanError::NoChanges(record.generation));
     }
     let slots = assign_slots(record, &config, fleet, held)?;
     let changes = list_changes(record, &config, &slots, held);
@@ -196,7 +196,7 @@
     record: &WorkspaceRecord,
     config: &WorkspaceConfig,
     fleet: &Fleet,
-    held: &HeldBoxes,
+    held: &BoxesByReplica,
 ) -> Result<Vec<Slot>, PlanError> {
     let kept: BTreeMap<ReplicaId, &Slot> =
         config.models.iter().flat_map(|group| kept_slots(record, config, group)).collect();
@@ -255,7 +255,7 @@
     record: &WorkspaceRecord,
     config: &WorkspaceConfig,
     slots: &[Slot],
-    held: &HeldBoxes,
+    held: &BoxesByReplica,
 ) -> Vec<Change> {
     let mut changes = removals(record, slots, held);
     for slot in slots {
@@ -266,7 +266,7 @@
     changes
 }
 
-fn removals(record: &WorkspaceRecord, slots: &[Slot], held: &HeldBoxes) -> Vec<Change> {
+fn removals(record: &WorkspaceRecord, slots: &[Slot], held: &BoxesByReplica) -> Vec<Change> {
     let stays = |old: &&Slot| slots.iter().any(|new| new.replica == old.replica);
     let gone = record.slots.iter().filter(|old| !stays(old));
     let removal =
@@ -274,7 +274,7 @@
     gone.map(removal).collect()
 }
 
-fn boxes_of(slot: &Slot, held: &HeldBoxes) -> Vec<BoxId> {
+fn boxes_of(slot: &Slot, held: &BoxesByReplica) -> Vec<BoxId> {
     held.get(&slot.replica).unwrap_or(&slot.planned).clone()
 }
 
@@ -282,7 +282,7 @@
     record: &WorkspaceRecord,
     config: &WorkspaceConfig,
     slot: &Slot,
-    held: &HeldBoxes,
+    held: &BoxesByReplica,
 ) -> Option<Change> {
     let replica = slot.replica.clone();
     let new_group = config.model(&replica.group.name)?;
--- a/crates/cherrystand_core/src/control/settling.rs
+++ b/crates/cherrystand_core/src/control/ready_since.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::{DomainId, Epoch, Formed, Millis, ReplicaId};
+use crate::{DomainId, Epoch, FormedReplicas, Millis, ReplicaId};
 
 /// After this long every node that is in touch has evidence of a replica that has become ready.
 ///
@@ -12,13 +12,13 @@
 
 /// Remembers when replicas were first seen to be ready under their epoch.
 #[derive(Clone, Debug, Default)]
-pub struct Settling {
+pub struct ReadySince {
     since: BTreeMap<(DomainId, ReplicaId), (Epoch, Millis)>,
 }
 
-impl Settling {
+impl ReadySince {
     /// Takes in which replicas are ready now.
-    pub fn observe(&mut self, formed: &Formed, now: Millis) {
+    pub fn observe(&mut self, formed: &FormedReplicas, now: Millis) {
         let mut since = BTreeMap::new();
         for (domain, replica, held) in formed.all_ready() {
             let key = (domain.clone(), replica.clone());
--- a/crates/cherrystand_core/src/control/rollout.rs
+++ b/crates/cherrystand_core/src/control/rollout.rs
@@ -1,22 +1,22 @@
 //! Which replicas a domain should have, and which may go out of service for a rollout.
 
 use crate::{
-    Assignment, Desired, DomainId, Formed, Millis, ModelGroup, ReplicaId, Settling, Slot,
-    WorkspaceRecord,
+    Assignment, DesiredReplica, DomainId, FormedReplicas, Millis, ModelGroup, ReadySince,
+    ReplicaId, Slot, WorkspaceRecord,
 };
 
 /// Holds the replicas formed in all domains and since when they have been ready.
 #[derive(Clone, Copy, Debug)]
-pub struct InService<'a> {
+pub struct ServingState<'a> {
     /// The replicas formed, as this node knows them.
-    pub formed: &'a Formed,
+    pub formed: &'a FormedReplicas,
     /// Since when they have been ready.
-    pub settling: &'a Settling,
+    pub settling: &'a ReadySince,
     /// The time now.
     pub now: Millis,
 }
 
-impl<'a> InService<'a> {
+impl<'a> ServingState<'a> {
     /// Returns the assignments of a replica that every node can route to.
     fn of(self, replica: &ReplicaId) -> impl Iterator<Item = (&'a DomainId, &'a Assignment)> {
         let ready = self.formed.ready(replica);
@@ -35,8 +35,8 @@
 pub fn desired_in_domain(
     workspace: &WorkspaceRecord,
     domain: &DomainId,
-    service: InService<'_>,
-) -> Vec<Desired> {
+    service: ServingState<'_>,
+) -> Vec<DesiredReplica> {
     let mut desired = Vec::new();
     for slot in &workspace.slots {
         let Some(group) = workspace.config.model(&slot.replica.group.name) else {
@@ -52,8 +52,8 @@
     desired
 }
 
-fn desired_of(group: &ModelGroup, slot: &Slot, may_reload: bool) -> Desired {
-    Desired {
+fn desired_of(group: &ModelGroup, slot: &Slot, may_reload: bool) -> DesiredReplica {
+    DesiredReplica {
         replica: slot.replica.clone(),
         load: group.load_spec(),
         span: group.boxes_per_replica,
@@ -65,14 +65,14 @@
 }
 
 /// Tells whether a replica that moves away from `domain` is still needed there.
-fn leaves_later(slot: &Slot, domain: &DomainId, service: InService<'_>) -> bool {
+fn leaves_later(slot: &Slot, domain: &DomainId, service: ServingState<'_>) -> bool {
     let here = service.formed.in_domain(domain).any(|replica| replica == &slot.replica);
     let mut ready = service.of(&slot.replica);
     here && !ready.any(|(at, _)| at == &slot.domain)
 }
 
 /// Tells whether `replica` may go out of service to become what `group` asks for now.
-pub fn may_reload(group: &ModelGroup, replica: &ReplicaId, service: InService<'_>) -> bool {
+pub fn may_reload(group: &ModelGroup, replica: &ReplicaId, service: ServingState<'_>) -> bool {
     let load = group.load_spec();
     let span = group.boxes_per_replica as usize;
     let slot = |number| ReplicaId::new(replica.group.clone(), number);
--- a/crates/cherrystand_core/src/control/workspace_record.rs
+++ b/crates/cherrystand_core/src/control/workspace_record.rs
@@ -27,8 +27,8 @@
     pub slots: Vec<Slot>,
     /// Plans that await confirmation, oldest first.
     pub plans: Vec<Plan>,
-    /// Accepted changes, oldest first.
-    pub history: Vec<Accepted>,
+    /// AcceptedChange changes, oldest first.
+    pub history: Vec<AcceptedChange>,
     /// The identities of the last writes.
     pub writes: RecentWrites,
 }
@@ -46,7 +46,7 @@
 
 /// Remembers one accepted change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Accepted {
+pub struct AcceptedChange {
     /// The generation that the change made.
     pub generation: Generation,
     /// The plan that was confirmed.
@@ -77,7 +77,7 @@
         /// The generation that it was made from.
         base: Generation,
         /// The change that got in first.
-        first: Accepted,
+        first: AcceptedChange,
     },
 }
 
@@ -125,7 +125,7 @@
         next.config = plan.config.clone();
         next.slots = plan.slots.clone();
         next.plans.retain(|other| &other.id != id);
-        next.history.push(Accepted {
+        next.history.push(AcceptedChange {
             generation: next.generation,
             plan: id.clone(),
             operator: operator.to_owned(),
--- a/crates/cherrystand_core/src/lib.rs
+++ b/crates/cherrystand_core/src/lib.rs
@@ -24,22 +24,22 @@
 
 mod control {
     pub(crate) mod controller;
-    pub(crate) mod desired;
+    pub(crate) mod desired_replica;
     pub(crate) mod domain_change;
     pub(crate) mod domain_record;
     pub(crate) mod explanation;
     pub(crate) mod fleet;
-    pub(crate) mod formed;
+    pub(crate) mod formed_replicas;
     pub(crate) mod lifecycle;
     pub(crate) mod observation;
     pub(crate) mod order;
     pub(crate) mod orders;
     pub(crate) mod placement;
     pub(crate) mod plan;
+    pub(crate) mod ready_since;
     pub(crate) mod repair;
     pub(crate) mod repair_policy;
     pub(crate) mod rollout;
-    pub(crate) mod settling;
     pub(crate) mod workspace_record;
 }
 
@@ -101,20 +101,20 @@
     pub(crate) mod chooser_wishes;
     pub(crate) mod cold_lives;
     pub(crate) mod crash_suspects;
-    pub(crate) mod cut_answers;
     pub(crate) mod domain_draft;
     pub(crate) mod domain_places;
     pub(crate) mod domain_spares;
     pub(crate) mod engine_priority;
     pub(crate) mod engine_spec;
     pub(crate) mod evacuations;
-    pub(crate) mod event_cutter;
+    pub(crate) mod event_splitter;
     pub(crate) mod fingerprint;
     pub(crate) mod formation;
     pub(crate) mod homes;
+    pub(crate) mod interrupted_answers;
     pub(crate) mod join_rank;
     pub(crate) mod load_book;
-    pub(crate) mod log_gate;
+    pub(crate) mod log_limiter;
     pub(crate) mod member_order;
     pub(crate) mod model_load;
     pub(crate) mod policy;
@@ -124,7 +124,7 @@
     pub(crate) mod site_box;
     pub(crate) mod site_config;
     pub(crate) mod site_view;
-    pub(crate) mod standstill;
+    pub(crate) mod stall_evidence;
     pub(crate) mod stream_end;
     pub(crate) mod suspect;
     pub(crate) mod suspect_record;
@@ -137,30 +137,30 @@
 pub use config::service_group::{ServiceEndpoint, ServiceGroup};
 pub use config::settings_error::{SettingsError, SettingsErrorKind, settings_from_toml};
 pub use config::workspace_config::{MAX_BOXES_PER_REPLICA, WorkspaceConfig};
-pub use control::controller::{Controller, DRAIN_GRACE, Situation, Step};
-pub use control::desired::Desired;
-pub use control::domain_change::HOLD_BACK_SHARE;
+pub use control::controller::{Controller, ControllerInput, ControllerStep, DRAIN_GRACE};
+pub use control::desired_replica::DesiredReplica;
+pub use control::domain_change::MAX_MISSING_SHARE;
 pub use control::domain_record::{
-    Assignment, DomainRecord, FormerPlace, MAX_EXPLANATIONS, Phase, RecordFault,
+    Assignment, DomainRecord, FormerAssignment, MAX_EXPLANATIONS, Phase, RecordFault,
 };
 pub use control::explanation::{Evidence, Explanation};
 pub use control::fleet::{BoxInfo, Fleet};
-pub use control::formed::Formed;
+pub use control::formed_replicas::FormedReplicas;
 pub use control::observation::{
     EngineReport, EngineState, MISSING_AFTER, MemberSummary, Observation, Observations,
     fresh_report,
 };
 pub use control::order::{Order, Task};
-pub use control::placement::{Place, PlacementError, Placer};
+pub use control::placement::{Placement, PlacementError, Placer};
 pub use control::plan::{
-    CapacityCost, Change, HeldBoxes, Plan, PlanError, ServiceChange, make_plan,
+    BoxesByReplica, CapacityCost, Change, Plan, PlanError, ServiceChange, make_plan,
 };
+pub use control::ready_since::{ReadySince, SETTLED_AFTER};
 pub use control::repair::{Prices, Repair, RepairCase, ReturnModel, choose_repair};
 pub use control::repair_policy::{RepairPolicy, RepairRule};
-pub use control::rollout::{InService, desired_in_domain, may_reload};
-pub use control::settling::{SETTLED_AFTER, Settling};
+pub use control::rollout::{ServingState, desired_in_domain, may_reload};
 pub use control::workspace_record::{
-    Accepted, ConfirmError, MAX_HISTORY, MAX_PENDING_PLANS, Slot, WorkspaceRecord,
+    AcceptedChange, ConfirmError, MAX_HISTORY, MAX_PENDING_PLANS, Slot, WorkspaceRecord,
 };
 pub use counters::{Epoch, Era, Generation, Incarnation, RecentWrites, Revision, WriteId};
 pub use millis::Millis;
@@ -223,17 +223,17 @@
 pub use site::capacity_plan::{CapacityPlan, DomainUse, HomeChange};
 pub use site::chooser::{Ask, Chooser, Expected, TargetKey};
 pub use site::cold_lives::ColdLives;
-pub use site::crash_suspects::{CrashSuspects, REMEMBERED_FOR};
-pub use site::cut_answers::{CutAnswers, CutStep};
+pub use site::crash_suspects::{CrashSuspects, SUSPECT_TTL};
 pub use site::engine_priority::{engine_priority, is_deferred};
 pub use site::engine_spec::{EngineLoad, EngineSpec, ModelSpec};
 pub use site::evacuations::{EmptiedZones, Evacuations};
-pub use site::event_cutter::{EventCutter, LARGEST_EVENT, WholeEvent};
+pub use site::event_splitter::{EventSplitter, MAX_EVENT_BYTES, StreamEvent};
 pub use site::fingerprint::Fingerprint;
 pub use site::formation::{Formation, FormationInput, FormationStep, replica_name};
 pub use site::homes::{home_models, second_models};
+pub use site::interrupted_answers::{CrashCheck, InterruptedAnswers};
 pub use site::load_book::{EndpointLoad, LoadBook, ZoneLoads};
-pub use site::log_gate::LogGate;
+pub use site::log_limiter::LogLimiter;
 pub use site::member_order::{MemberOrder, MemberTask, OrderEnd};
 pub use site::model_load::{ModelLoad, ModelLoads};
 pub use site::policy::{ChoiceRule, Policy};
@@ -243,9 +243,9 @@
 pub use site::site_box::{BoxStart, Member, MemberState, SiteBox};
 pub use site::site_config::{CallerLimits, Route, RouteKind, Service, SiteConfig, Tenant};
 pub use site::site_view::{AssignedBoxes, SiteView};
-pub use site::standstill::{LEAST_SILENCE, PeersTell, Standstill};
+pub use site::stall_evidence::{PeerProgress, STALL_MARGIN, StallEvidence};
 pub use site::stream_end::StreamEnd;
-pub use site::suspect::ENDS_BORNE;
+pub use site::suspect::MAX_CRASHES;
 pub use site::suspect_record::{SuspectEntry, SuspectRecord};
 pub use site::target::TargetSpec;
 pub use site::time_model::TimeModel;
--- a/crates/cherrystand_core/src/names.rs
+++ b/crates/cherrystand_core/src/names.rs
@@ -46,7 +46,7 @@
 }
 
 /// Stands between a box's name and the start of one of its lives; no name holds it.
-const LIFE_MARK: char = '@';
+const INCARNATION_SEPARATOR: char = '@';
 
 impl BoxId {
     /// Names one life of the box that this names: the one that started at `start`, in Unix
@@ -54,8 +54,8 @@
     ///
     /// A box that starts again under its name holds and knows nothing of before. Whatever is
     /// remembered of a box is kept by its life, so that a new one is a box that nobody knows yet.
-    pub fn in_life(&self, start: u64) -> Self {
-        Self::new(format!("{}{LIFE_MARK}{start}", self.name()))
+    pub fn with_incarnation(&self, start: u64) -> Self {
+        Self::new(format!("{}{INCARNATION_SEPARATOR}{start}", self.name()))
     }
 
     /// Returns the box's own name, whatever its life.
@@ -75,7 +75,7 @@
     }
 
     /// Tells whether both name the same box in different lives.
-    pub fn is_other_life_of(&self, other: &Self) -> bool {
+    pub fn is_other_incarnation_of(&self, other: &Self) -> bool {
         let starts = self.start().zip(other.start());
         starts.is_some_and(|(one, two)| one != two) && self.is_same_box(other)
     }
@@ -84,13 +84,14 @@
     pub fn is_name(text: &str) -> bool {
         /// The longest name, in bytes.
         const LONGEST: usize = 128;
-        let is_plain =
-            |byte: u8| byte.is_ascii_graphic() && byte != b'/' && byte != LIFE_MARK as u8;
+        let is_plain = |byte: u8| {
+            byte.is_ascii_graphic() && byte != b'/' && byte != INCARNATION_SEPARATOR as u8
+        };
         !text.is_empty() && text.len() <= LONGEST && text.bytes().all(is_plain)
     }
 
     fn split_life(&self) -> Option<(&str, u64)> {
-        let (name, start) = self.0.rsplit_once(LIFE_MARK)?;
+        let (name, start) = self.0.rsplit_once(INCARNATION_SEPARATOR)?;
         Some((name, start.parse().ok()?))
     }
 }
--- a/crates/cherrystand_core/src/site/box_lives.rs
+++ b/crates/cherrystand_core/src/site/box_lives.rs
@@ -80,7 +80,7 @@
     /// Returns the life that an entry tells of; nothing where it names no box to use.
     pub fn life_of(&self, known: &SiteBox) -> Option<BoxId> {
         match (self.are_told(&known.service), known.start) {
-            (true, BoxStart::At(start)) => Some(known.id.in_life(start)),
+            (true, BoxStart::At(start)) => Some(known.id.with_incarnation(start)),
             (true, _) => None,
             (false, _) => Some(BoxId::new(known.id.name())),
         }
--- a/crates/cherrystand_core/src/site/crash_suspects.rs
+++ b/crates/cherrystand_core/src/site/crash_suspects.rs
@@ -12,7 +12,7 @@
 
 /// For how long a request is remembered after it last ended a box or was refused: one that comes more
 /// seldom costs three replicas an hour.
-pub const REMEMBERED_FOR: Millis = Millis(3_600_000);
+pub const SUSPECT_TTL: Millis = Millis(3_600_000);
 
 /// How many requests are remembered at the most, 300 bytes each.
 const MOST_REMEMBERED: usize = 4_096;
@@ -276,7 +276,7 @@
         if self.held.contains_key(&request) || self.held.len() < MOST_REMEMBERED {
             return;
         }
-        self.held.retain(|_, suspect| now.since(suspect.last) < REMEMBERED_FOR);
+        self.held.retain(|_, suspect| now.since(suspect.last) < SUSPECT_TTL);
         if self.held.len() < MOST_REMEMBERED {
             return;
         }
@@ -288,7 +288,7 @@
 
     /// Forgets requests that came no more for long.
     pub fn forget(&mut self, now: Millis) {
-        self.held.retain(|_, suspect| now.since(suspect.last) < REMEMBERED_FOR);
+        self.held.retain(|_, suspect| now.since(suspect.last) < SUSPECT_TTL);
     }
 
     /// Returns how many requests are refused.
--- a/crates/cherrystand_core/src/site/domain_draft.rs
+++ b/crates/cherrystand_core/src/site/domain_draft.rs
@@ -79,7 +79,8 @@
     /// where it is cut off from the store, and nobody found it silent.
     fn may_be_there(&self, id: &BoxId) -> bool {
         let counts = self.at.policy.serve_unlisted;
-        let started_again = || self.at.boxes.iter().any(|known| known.id.is_other_life_of(id));
+        let started_again =
+            || self.at.boxes.iter().any(|known| known.id.is_other_incarnation_of(id));
         counts && self.find(id).is_none() && !self.at.silent.contains(id) && !started_again()
     }
 
--- a/crates/cherrystand_core/src/site/domain_places.rs
+++ b/crates/cherrystand_core/src/site/domain_places.rs
@@ -5,7 +5,7 @@
 use crate::site::domain_draft::DomainDraft;
 use crate::site::domain_spares::spare_prefix;
 use crate::site::formation::replica_name;
-use crate::{BoxId, Epoch, FormerPlace, Member, MemberState, MemberTask, ReplicaId, SiteBox};
+use crate::{BoxId, Epoch, FormerAssignment, Member, MemberState, MemberTask, ReplicaId, SiteBox};
 
 /// How many places of one box may be open at a time; one with more leaves some before it is used.
 const MOST_OPEN_PLACES: usize = 6;
@@ -19,7 +19,7 @@
     /// out of it where it was.
     fn has_ended(&self, id: &BoxId, member: &Member) -> bool {
         let key = (member.replica.clone(), member.epoch);
-        let places = self.at.record.former_places(id);
+        let places = self.at.record.former_assignments(id);
         let closed = places.filter(|place| place.epoch == member.epoch);
         let closed_at = closed.map(|place| place.closed_at).max().unwrap_or_default();
         self.at.ended.get(&key).is_some_and(|as_of| *as_of >= closed_at)
@@ -55,14 +55,14 @@
 
     /// Returns a place that a box was taken out of and may have come to after all, since what it
     /// tells of itself is older.
-    pub(crate) fn may_be_in(&self, known: &SiteBox) -> Option<&'a FormerPlace> {
-        let mut places = self.at.record.former_places(&known.id);
+    pub(crate) fn may_be_in(&self, known: &SiteBox) -> Option<&'a FormerAssignment> {
+        let mut places = self.at.record.former_assignments(&known.id);
         places.find(|place| self.is_open(known, place))
     }
 
     /// Tells whether few enough places of a box are open that the record can hold one more.
     pub(crate) fn is_placeable(&self, known: &SiteBox) -> bool {
-        let places = self.next.former_places(&known.id);
+        let places = self.next.former_assignments(&known.id);
         places.filter(|place| self.is_open(known, place)).count() < MOST_OPEN_PLACES
     }
 
@@ -81,14 +81,14 @@
     }
 
     /// Tells whether a box may be in a place as far as what it tells of itself goes.
-    fn is_open(&self, known: &SiteBox, place: &FormerPlace) -> bool {
+    fn is_open(&self, known: &SiteBox, place: &FormerAssignment) -> bool {
         told_epoch(known) < place.epoch && !self.has_left(known, place)
     }
 
     /// Tells whether a box left a place after it was taken out of it.
     ///
     /// What it left before that, a late order may have brought it back to.
-    fn has_left(&self, known: &SiteBox, place: &FormerPlace) -> bool {
+    fn has_left(&self, known: &SiteBox, place: &FormerAssignment) -> bool {
         let left = self.at.left.get(&(known.id.clone(), place.epoch));
         left.is_some_and(|as_of| *as_of >= place.closed_at)
     }
@@ -101,7 +101,7 @@
         let mut former = std::mem::take(&mut self.next.former);
         let closed_at = self.next.take_epoch();
         for id in held.boxes {
-            let place = FormerPlace { replica: replica.clone(), epoch: held.epoch, closed_at };
+            let place = FormerAssignment { replica: replica.clone(), epoch: held.epoch, closed_at };
             former.entry(BoxId::new(id.name())).or_default().push(place);
         }
         former.retain(|id, places| {
--- a/crates/cherrystand_core/src/site/event_cutter.rs
+++ b/crates/cherrystand_core/src/site/event_splitter.rs
@@ -3,11 +3,11 @@
 use bytes::{Bytes, BytesMut};
 
 /// The largest event that is held until it is whole, in bytes.
-pub const LARGEST_EVENT: usize = 1 << 20;
+pub const MAX_EVENT_BYTES: usize = 1 << 20;
 
 /// One whole event, its closing blank line included.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct WholeEvent {
+pub struct StreamEvent {
     /// The bytes as they came.
     pub bytes: Bytes,
     /// Its id, where it has a number for one.
@@ -18,24 +18,24 @@
 ///
 /// Only whole events go to a caller, so that a stream that breaks off can go on elsewhere.
 #[derive(Debug, Default)]
-pub struct EventCutter {
+pub struct EventSplitter {
     held: BytesMut,
     searched: usize,
 }
 
-impl EventCutter {
+impl EventSplitter {
     /// Takes in bytes.
     pub fn push(&mut self, bytes: &[u8]) {
         self.held.extend_from_slice(bytes);
     }
 
     /// Returns the next whole event, if there is one.
-    pub fn next_event(&mut self) -> Option<WholeEvent> {
+    pub fn next_event(&mut self) -> Option<StreamEvent> {
         let end = self.find_end()?;
         let bytes = self.held.split_to(end).freeze();
         self.searched = 0;
         let id = event_id(&bytes);
-        Some(WholeEvent { bytes, id })
+        Some(StreamEvent { bytes, id })
     }
 
     /// Returns how many bytes of an unfinished event are held.
--- a/crates/cherrystand_core/src/site/cut_answers.rs
+++ b/crates/cherrystand_core/src/site/interrupted_answers.rs
@@ -14,13 +14,13 @@
 
 /// Says what follows from an answer that broke off.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum CutStep {
+pub enum CrashCheck {
     /// Whether its box is there is to be found out.
-    Ask,
+    Start,
     /// That is being found out.
-    Wait,
+    Pending,
     /// Its box has ended.
-    Ended,
+    Crashed,
 }
 
 /// Requests whose answers one box cut, not long ago.
@@ -37,26 +37,26 @@
 /// An answer also breaks off since a box garbles it, a connection is reset or a link is cut: only a box
 /// that ended says something of the requests that it was working on.
 #[derive(Clone, Debug, Default)]
-pub struct CutAnswers {
+pub struct InterruptedAnswers {
     undecided: BTreeMap<BoxId, Undecided>,
     ended: BTreeMap<BoxId, Millis>,
 }
 
-impl CutAnswers {
+impl InterruptedAnswers {
     /// Takes in that the answer of a box to a request broke off.
-    pub fn cut(&mut self, life: &BoxId, request: Fingerprint, now: Millis) -> CutStep {
+    pub fn cut(&mut self, life: &BoxId, request: Fingerprint, now: Millis) -> CrashCheck {
         self.forget(now);
         if self.ended.contains_key(life) {
-            return CutStep::Ended;
+            return CrashCheck::Crashed;
         }
         let is_asked = self.undecided.get(life).is_some_and(|held| !held.accepts);
         let held = self.undecided.entry(life.clone()).or_default();
         held.requests.insert(request);
         if is_asked {
-            return CutStep::Wait;
+            return CrashCheck::Pending;
         }
         (held.since, held.accepts) = (now, false);
-        CutStep::Ask
+        CrashCheck::Start
     }
 
     /// Takes in that somebody accepts connections where a box is: it cut the answers and lives, or what
--- a/crates/cherrystand_core/src/site/log_gate.rs
+++ b/crates/cherrystand_core/src/site/log_limiter.rs
@@ -7,14 +7,14 @@
 
 /// Lets a bounded number of lines through each second, and counts the rest.
 #[derive(Clone, Copy, Debug)]
-pub struct LogGate {
+pub struct LogLimiter {
     most: u32,
     since: Millis,
     passed: u32,
     left_out: u32,
 }
 
-impl LogGate {
+impl LogLimiter {
     /// Creates a gate that lets `most` lines through each second.
     pub fn new(most: u32) -> Self {
         Self { most, since: Millis(0), passed: 0, left_out: 0 }
--- a/crates/cherrystand_core/src/site/site_view.rs
+++ b/crates/cherrystand_core/src/site/site_view.rs
@@ -186,8 +186,8 @@
             return false;
         }
         // The lives of one box follow each other, beginning with the least.
-        let mut lives = self.boxes.range(id.in_life(0)..).map(|(listed, _)| listed);
-        lives.next().is_some_and(|listed| listed.is_other_life_of(id))
+        let mut lives = self.boxes.range(id.with_incarnation(0)..).map(|(listed, _)| listed);
+        lives.next().is_some_and(|listed| listed.is_other_incarnation_of(id))
     }
 
     /// Returns how many members of a replica are listed no more and may still do their work, since
--- a/crates/cherrystand_core/src/site/standstill.rs
+++ b/crates/cherrystand_core/src/site/stall_evidence.rs
@@ -3,7 +3,7 @@
 use crate::Millis;
 
 /// A silence this much longer than the engine's longest tells that a replica stands still.
-pub const LEAST_SILENCE: Millis = Millis(100);
+pub const STALL_MARGIN: Millis = Millis(100);
 
 /// A node that hears neither peers nor any other replica takes itself for held up no longer than
 /// this; a link of 20 Mbit/s is full that long with 3.7 MB.
@@ -11,27 +11,27 @@
 
 /// Says what peers tell of the progress of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum PeersTell {
+pub enum PeerProgress {
     /// One of them saw some.
-    Progress,
+    Seen,
     /// They were asked just now.
-    NotYet,
+    AskedJustNow,
     /// Some answered, and none saw any.
-    NoProgress,
+    NotSeen,
     /// No peer answered: there is none, or what they say does not arrive here.
-    Unheard,
+    NoAnswer,
     /// They are not asked, by the settings.
     NotAsked,
 }
 
-impl PeersTell {
+impl PeerProgress {
     /// Returns the name that logs use.
     pub fn as_str(self) -> &'static str {
         match self {
-            Self::Progress => "progress",
-            Self::NotYet => "asked-just-now",
-            Self::NoProgress => "no-progress",
-            Self::Unheard => "unheard",
+            Self::Seen => "progress",
+            Self::AskedJustNow => "asked-just-now",
+            Self::NotSeen => "no-progress",
+            Self::NoAnswer => "unheard",
             Self::NotAsked => "not-asked",
         }
     }
@@ -39,13 +39,13 @@
 
 /// Holds what is known of a replica that has brought nothing for longer than its engine can take.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Standstill {
+pub struct StallEvidence {
     /// For how long nothing of it came, with any request of this node.
     pub silence: Millis,
-    /// The longest silence that its engine is predicted to make, with [`LEAST_SILENCE`].
+    /// The longest silence that its engine is predicted to make, with [`STALL_MARGIN`].
     pub longest: Millis,
     /// What peers tell of it.
-    pub peers: PeersTell,
+    pub peers: PeerProgress,
     /// How long ago any peer last answered such a question; nothing where none ever did.
     pub peers_age: Option<Millis>,
     /// Whether another replica made progress with a request of this node meanwhile; nothing where no
@@ -53,14 +53,14 @@
     pub others: Option<bool>,
 }
 
-impl Standstill {
+impl StallEvidence {
     /// Tells whether the replica stands still, as far as this node can know.
     pub fn is_certain(&self) -> bool {
         match self.peers {
-            PeersTell::Progress | PeersTell::NotYet => false,
-            PeersTell::NoProgress | PeersTell::NotAsked => true,
+            PeerProgress::Seen | PeerProgress::AskedJustNow => false,
+            PeerProgress::NotSeen | PeerProgress::NotAsked => true,
             // Nobody says anything here: unless another replica does, it is this node that is held up.
-            PeersTell::Unheard => self.silence > HELD_UP_AT_MOST || self.others.unwrap_or(true),
+            PeerProgress::NoAnswer => self.silence > HELD_UP_AT_MOST || self.others.unwrap_or(true),
         }
     }
 
--- a/crates/cherrystand_core/src/site/stream_end.rs
+++ b/crates/cherrystand_core/src/site/stream_end.rs
@@ -42,12 +42,12 @@
     /// Endpoints bear an answer that nobody reads for some seconds only, and what they had sent before arrives
     /// first. Such an end says nothing of the endpoint, and another one would do the same work for the same
     /// caller.
-    pub fn is_by_slow_caller(held_up: Option<Millis>, now: Millis) -> bool {
+    pub fn is_caused_by_slow_caller(held_up: Option<Millis>, now: Millis) -> bool {
         held_up.is_some_and(|at| now.since(at) < EXPLAINS_FOR)
     }
 
     /// Tells whether a caller that took so long for what it was given holds its answer up.
-    pub fn holds_up(took: Millis) -> bool {
+    pub fn is_caller_stall(took: Millis) -> bool {
         took >= HELD_UP
     }
 
--- a/crates/cherrystand_core/src/site/suspect.rs
+++ b/crates/cherrystand_core/src/site/suspect.rs
@@ -8,7 +8,7 @@
 ///
 /// Fewer would refuse requests that met the losses of other causes: a request whose replica is lost is
 /// sent to a second one, which may be lost by chance as well.
-pub const ENDS_BORNE: usize = 3;
+pub const MAX_CRASHES: usize = 3;
 
 /// Boxes that end within this time have ended at one moment: a cause of another kind, as the loss of a rack, ends
 /// several at once, and so do copies of one request. Daemons hear of one end within 20 ms of each other.
@@ -97,7 +97,7 @@
     }
 
     pub(crate) fn is_refused(&self) -> bool {
-        self.ends() >= ENDS_BORNE
+        self.ends() >= MAX_CRASHES
     }
 
     /// Tells whether it is refused and comes yet.
--- a/crates/cherrystand_core/src/site/suspect_record.rs
+++ b/crates/cherrystand_core/src/site/suspect_record.rs
@@ -4,14 +4,14 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::{BoxId, Fingerprint, REMEMBERED_FOR};
+use crate::{BoxId, Fingerprint, SUSPECT_TTL};
 
 /// How many requests the record holds at the most, some 200 bytes each; it goes to every daemon.
 const MOST_RECORDED: usize = 128;
 
 /// A time is written anew only once it is this much later, so that a request that keeps coming costs
 /// one call of the store in half an hour.
-const RENEWED_AFTER_MS: u64 = REMEMBERED_FOR.0 / 2;
+const RENEWED_AFTER_MS: u64 = SUSPECT_TTL.0 / 2;
 
 /// Trials that daemons tell of within this time are one, as their clocks and rounding have it.
 const SAME_TRIAL_MS: u64 = 500;
@@ -46,7 +46,7 @@
 impl SuspectEntry {
     /// Tells whether it counts yet at the Unix time `unix_ms`.
     pub(crate) fn is_fresh(&self, unix_ms: u64) -> bool {
-        unix_ms.saturating_sub(self.at) < REMEMBERED_FOR.0
+        unix_ms.saturating_sub(self.at) < SUSPECT_TTL.0
     }
 
     /// Adds what a daemon knows beside, and tells whether that says anything new.
--- a/crates/cherrystand_core/tests/assignment_safety.rs
+++ b/crates/cherrystand_core/tests/assignment_safety.rs
@@ -237,13 +237,13 @@
             name: "an epoch twice",
             replicas: &[(&[1], 1), (&[2], 1)],
             releasing: &[],
-            fault: Some(|_| RecordFault::EpochNotGivenOut(Epoch(1))),
+            fault: Some(|_| RecordFault::InvalidEpoch(Epoch(1))),
         },
         Case {
             name: "an epoch never given out",
             replicas: &[(&[1], 9)],
             releasing: &[],
-            fault: Some(|_| RecordFault::EpochNotGivenOut(Epoch(9))),
+            fault: Some(|_| RecordFault::InvalidEpoch(Epoch(9))),
         },
     ];
     for case in cases {
--- a/crates/cherrystand_core/tests/box_lives.rs
+++ b/crates/cherrystand_core/tests/box_lives.rs
@@ -64,14 +64,15 @@
 
 #[test]
 fn a_life_names_its_box() {
-    let (first, second) = (BoxId::new("i-1").in_life(5), BoxId::new("i-1").in_life(6));
+    let (first, second) =
+        (BoxId::new("i-1").with_incarnation(5), BoxId::new("i-1").with_incarnation(6));
     assert_eq!((first.name(), first.start()), ("i-1", Some(5)));
-    assert_eq!(first.in_life(6), second);
-    assert!(first.is_other_life_of(&second) && first.is_same_box(&second));
+    assert_eq!(first.with_incarnation(6), second);
+    assert!(first.is_other_incarnation_of(&second) && first.is_same_box(&second));
     let plain = BoxId::new("i-1");
     assert_eq!((plain.name(), plain.start()), ("i-1", None));
-    assert!(plain.is_same_box(&first) && !plain.is_other_life_of(&first));
-    assert!(!BoxId::new("i-2").in_life(5).is_other_life_of(&second));
+    assert!(plain.is_same_box(&first) && !plain.is_other_incarnation_of(&first));
+    assert!(!BoxId::new("i-2").with_incarnation(5).is_other_incarnation_of(&second));
     // A name with the mark and no number after it stays a name.
     assert_eq!(BoxId::new("i@x").name(), "i@x");
 }
--- a/crates/cherrystand_core/tests/configuration.rs
+++ b/crates/cherrystand_core/tests/configuration.rs
@@ -3,8 +3,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use cherrystand_core::{
-    BoxId, BoxInfo, DomainId, Fleet, HeldBoxes, Incarnation, ModelGroup, NodeId, Placer, PlanId,
-    WorkspaceConfig, WorkspaceId, WorkspaceRecord, WriteId, ZoneId, make_plan,
+    BoxId, BoxInfo, BoxesByReplica, DomainId, Fleet, Incarnation, ModelGroup, NodeId, Placer,
+    PlanId, WorkspaceConfig, WorkspaceId, WorkspaceRecord, WriteId, ZoneId, make_plan,
 };
 use proptest::prelude::*;
 
@@ -39,7 +39,8 @@
 /// Puts a configuration in force at once.
 fn in_force(record: &WorkspaceRecord, config: WorkspaceConfig, fleet: &Fleet) -> WorkspaceRecord {
     let id = PlanId::new(format!("photo.{}", record.generation));
-    let plan = make_plan(id.clone(), record, config, fleet, &HeldBoxes::new()).expect("a plan");
+    let plan =
+        make_plan(id.clone(), record, config, fleet, &BoxesByReplica::new()).expect("a plan");
     let planned = record.clone().with_plan(plan, write(0));
     planned.confirm(&id, "huda", 0, write(1)).expect("accepted")
 }
@@ -81,7 +82,7 @@
     let fleet = fleet(&[("a", 4), ("b", 4)]);
     let empty = WorkspaceRecord::empty(WorkspaceId::new("photo"));
     let first = in_force(&empty, config(2, 2, "1"), &fleet);
-    let held: HeldBoxes =
+    let held: BoxesByReplica =
         first.slots.iter().map(|slot| (slot.replica.clone(), slot.planned.clone())).collect();
     let changes = [
         ("more replicas", config(3, 2, "1")),
--- a/crates/cherrystand_core/tests/crash_suspects.rs
+++ b/crates/cherrystand_core/tests/crash_suspects.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 
 use cherrystand_core::{
-    BoxId, CrashSuspects, ENDS_BORNE, Fingerprint, Millis, REMEMBERED_FOR, Seed, SuspectRecord,
+    BoxId, CrashSuspects, Fingerprint, MAX_CRASHES, Millis, SUSPECT_TTL, Seed, SuspectRecord,
 };
 use proptest::prelude::*;
 
@@ -92,7 +92,7 @@
         Case {
             name: "long ago",
             events: &[Ends(1, 0), Ends(2, 500), Ends(3, 1_000)],
-            comes: 1_001 + REMEMBERED_FOR.0,
+            comes: 1_001 + SUSPECT_TTL.0,
             refused: false,
         },
     ];
@@ -132,7 +132,7 @@
         assert_eq!(record.with(&own, UNIX), None);
     }
     let mut long_after = CrashSuspects::default();
-    long_after.take_record(&record, UNIX + REMEMBERED_FOR.0, Millis(0));
+    long_after.take_record(&record, UNIX + SUSPECT_TTL.0, Millis(0));
     assert!(!long_after.refuses(REQUEST, Millis(0)));
 }
 
@@ -211,7 +211,7 @@
         let ends: BTreeSet<u64> = told.iter().map(|(number, _)| *number).collect();
         for daemon in &mut daemons {
             daemon.take_record(&record, UNIX, Millis(at));
-            prop_assert_eq!(daemon.refuses(REQUEST, Millis(at)), ends.len() >= ENDS_BORNE);
+            prop_assert_eq!(daemon.refuses(REQUEST, Millis(at)), ends.len() >= MAX_CRASHES);
         }
     }
 }
--- a/crates/cherrystand_core/tests/crash_trials.rs
+++ b/crates/cherrystand_core/tests/crash_trials.rs
@@ -219,7 +219,7 @@
         if held.back_at > now {
             return;
         }
-        let life = BoxId::new(format!("i-{replica}")).in_life(held.life);
+        let life = BoxId::new(format!("i-{replica}")).with_incarnation(held.life);
         held.life += 1;
         held.back_at = now + MENDED_IN;
         let (lost, rest) = std::mem::take(&mut self.flights)
--- a/crates/cherrystand_core/tests/endpoint_limits.rs
+++ b/crates/cherrystand_core/tests/endpoint_limits.rs
@@ -99,7 +99,8 @@
 /// A life that ended names nothing, and what is known of others by peers holds as if heard by this node.
 #[test]
 fn peers_tell_what_endpoints_name() {
-    let (first, second) = (BoxId::new("i-1").in_life(7), BoxId::new("i-1").in_life(8));
+    let (first, second) =
+        (BoxId::new("i-1").with_incarnation(7), BoxId::new("i-1").with_incarnation(8));
     let mut limits = EndpointLimits::default();
     let told = |limit, age| LimitNews::Heard(LimitWord { limit, age, cold: None });
     limits.hear(peer(1), &first, told(Some(rate(3.5)), Millis(100)), NOW);
@@ -229,7 +230,7 @@
 fn all_who_see_the_same_daemons_name_one_keeper() {
     use Standing::{Alive, Dead, Suspect};
     let names = ["n1", "n2", "n3", "n4"];
-    let id = BoxId::new("i-1").in_life(7);
+    let id = BoxId::new("i-1").with_incarnation(7);
     let seen = |states: [(bool, Standing); 4]| {
         let all = names.iter().zip(states).enumerate();
         all.map(|(port, (name, (serving, standing)))| member(name, port as u16, serving, standing))
--- a/crates/cherrystand_core/tests/endpoint_wishes.rs
+++ b/crates/cherrystand_core/tests/endpoint_wishes.rs
@@ -9,7 +9,7 @@
 const NOW: Millis = Millis(50_000);
 
 fn first_life() -> BoxId {
-    BoxId::new("i-1").in_life(7)
+    BoxId::new("i-1").with_incarnation(7)
 }
 
 #[test]
@@ -49,7 +49,8 @@
 
 #[test]
 fn a_wish_binds_one_life_of_a_box_and_no_other() {
-    let (next_life, another) = (BoxId::new("i-1").in_life(8), BoxId::new("i-2").in_life(7));
+    let (next_life, another) =
+        (BoxId::new("i-1").with_incarnation(8), BoxId::new("i-2").with_incarnation(7));
     let mut wishes = EndpointWishes::default();
     wishes.hear_rest(&first_life(), Millis(60_000), 1, NOW);
     assert!(wishes.hear_leaving(&another));
--- a/crates/cherrystand_core/tests/cut_answers.rs
+++ b/crates/cherrystand_core/tests/interrupted_answers.rs
@@ -5,13 +5,13 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-use cherrystand_core::{BoxId, CutAnswers, CutStep, Fingerprint, Millis, SiteView};
+use cherrystand_core::{BoxId, CrashCheck, Fingerprint, InterruptedAnswers, Millis, SiteView};
 
 const ONE: Fingerprint = Fingerprint(1);
 const TWO: Fingerprint = Fingerprint(2);
 
 fn life() -> BoxId {
-    BoxId::new("i-1").in_life(7)
+    BoxId::new("i-1").with_incarnation(7)
 }
 
 #[test]
@@ -22,34 +22,44 @@
         ends: Option<(bool, u64)>,
         /// When another answer of it breaks off.
         later: u64,
-        expected: (Vec<Fingerprint>, CutStep),
+        expected: (Vec<Fingerprint>, CrashCheck),
     }
     let cases = [
         Case {
             name: "it ended; what breaks off later counts at once",
             ends: Some((false, 5)),
             later: 400,
-            expected: (vec![ONE, TWO], CutStep::Ended),
+            expected: (vec![ONE, TWO], CrashCheck::Crashed),
         },
         Case {
             name: "it is there; the next one is found out anew",
             ends: Some((true, 5)),
             later: 400,
-            expected: (vec![], CutStep::Ask),
+            expected: (vec![], CrashCheck::Start),
+        },
+        Case {
+            name: "not known yet",
+            ends: None,
+            later: 400,
+            expected: (vec![], CrashCheck::Pending),
+        },
+        Case {
+            name: "never known",
+            ends: None,
+            later: 6_100,
+            expected: (vec![], CrashCheck::Start),
         },
-        Case { name: "not known yet", ends: None, later: 400, expected: (vec![], CutStep::Wait) },
-        Case { name: "never known", ends: None, later: 6_100, expected: (vec![], CutStep::Ask) },
         Case {
             name: "it ended long ago",
             ends: Some((false, 5)),
             later: 31_000,
-            expected: (vec![ONE, TWO], CutStep::Ask),
+            expected: (vec![ONE, TWO], CrashCheck::Start),
         },
     ];
     for case in cases {
-        let mut cut = CutAnswers::default();
-        assert_eq!(cut.cut(&life(), ONE, Millis(0)), CutStep::Ask, "{}", case.name);
-        assert_eq!(cut.cut(&life(), TWO, Millis(1)), CutStep::Wait, "{}", case.name);
+        let mut cut = InterruptedAnswers::default();
+        assert_eq!(cut.cut(&life(), ONE, Millis(0)), CrashCheck::Start, "{}", case.name);
+        assert_eq!(cut.cut(&life(), TWO, Millis(1)), CrashCheck::Pending, "{}", case.name);
         assert_eq!(cut.undecided_of(ONE), 1, "{}", case.name);
         let counted = match case.ends {
             Some((true, _)) => {
@@ -91,14 +101,14 @@
         there,
     ];
     for case in cases {
-        let mut cut = CutAnswers::default();
+        let mut cut = InterruptedAnswers::default();
         cut.cut(&life(), ONE, Millis(0));
         if case.accepts {
             cut.accepts(&life());
         }
         let mut boxes = BTreeMap::new();
         if let Some(start) = case.listed {
-            let known = support::site_box(life().in_life(start).as_str(), "models");
+            let known = support::site_box(life().with_incarnation(start).as_str(), "models");
             boxes.insert(known.id.clone(), Arc::new(known));
         }
         let silent = if case.silent { BTreeSet::from([life()]) } else { BTreeSet::new() };
--- a/crates/cherrystand_core/tests/replica_life.rs
+++ b/crates/cherrystand_core/tests/replica_life.rs
@@ -272,7 +272,7 @@
     }
     let fleet = cherrystand_core::Fleet::default();
     let step =
-        cherrystand_core::Controller::new(quick_policy()).step(cherrystand_core::Situation {
+        cherrystand_core::Controller::new(quick_policy()).step(cherrystand_core::ControllerInput {
             record: &domain.record,
             desired: &domain.desired,
             fleet: &fleet,
--- a/crates/cherrystand_core/tests/rollouts.rs
+++ b/crates/cherrystand_core/tests/rollouts.rs
@@ -3,8 +3,8 @@
 mod support;
 
 use cherrystand_core::{
-    Assignment, DomainId, DomainRecord, Epoch, Formed, GroupId, InService, Millis, Phase,
-    ReplicaId, SETTLED_AFTER, Settling, Slot, WorkspaceConfig, WorkspaceId, WorkspaceRecord,
+    Assignment, DomainId, DomainRecord, Epoch, FormedReplicas, GroupId, Millis, Phase, ReadySince,
+    ReplicaId, SETTLED_AFTER, ServingState, Slot, WorkspaceConfig, WorkspaceId, WorkspaceRecord,
     desired_in_domain, may_reload,
 };
 
@@ -15,7 +15,7 @@
 /// One formed replica: its domain, slot, phase and version.
 type Have = (&'static str, u32, Phase, &'static str);
 
-fn formed(have: &[Have]) -> Formed {
+fn formed(have: &[Have]) -> FormedReplicas {
     let records: Vec<DomainRecord> = have
         .iter()
         .map(|(domain, slot, phase, version)| {
@@ -30,21 +30,21 @@
             record
         })
         .collect();
-    Formed::new(&records)
+    FormedReplicas::new(&records)
 }
 
 /// The time of all decisions here.
 const NOW: Millis = Millis(100_000);
 
 /// Returns that all that is ready has been so for just long enough.
-fn settled(formed: &Formed) -> Settling {
-    let mut settling = Settling::default();
+fn settled(formed: &FormedReplicas) -> ReadySince {
+    let mut settling = ReadySince::default();
     settling.observe(formed, NOW - SETTLED_AFTER);
     settling
 }
 
-fn in_service<'a>(formed: &'a Formed, settling: &'a Settling) -> InService<'a> {
-    InService { formed, settling, now: NOW }
+fn in_service<'a>(formed: &'a FormedReplicas, settling: &'a ReadySince) -> ServingState<'a> {
+    ServingState { formed, settling, now: NOW }
 }
 
 fn config(replicas: u32, version: &str, floor: u32) -> WorkspaceConfig {
@@ -168,7 +168,7 @@
         Case { ready_for: SETTLED_AFTER - Millis(1), second_may: false },
     ];
     for case in cases {
-        let mut settling = Settling::default();
+        let mut settling = ReadySince::default();
         settling.observe(&formed, NOW - case.ready_for);
         settling.observe(&formed, NOW);
         let service = in_service(&formed, &settling);
--- a/crates/cherrystand_core/tests/site_requests.rs
+++ b/crates/cherrystand_core/tests/site_requests.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 
 use cherrystand_core::{
-    Ask, BoxId, BoxStart, CallerLimits, Chooser, DomainId, EngineLoad, EventCutter, LogGate,
+    Ask, BoxId, BoxStart, CallerLimits, Chooser, DomainId, EngineLoad, EventSplitter, LogLimiter,
     Millis, NotAllowed, RequestHomes, RetryBounds, RetryShare, Route, RouteKind, RouteTable, Seed,
     ServiceName, SiteBox, SiteConfig, TargetSpec, Tenant, ZoneId, home_models,
 };
@@ -170,7 +170,7 @@
         };
         let events: Vec<Vec<u8>> = events.iter().enumerate().map(whole).collect();
         let bytes = events.concat();
-        let mut cutter = EventCutter::default();
+        let mut cutter = EventSplitter::default();
         let (mut from, mut out) = (0, Vec::new());
         for cut in cuts.iter().cycle() {
             let to = (from + cut).min(bytes.len());
@@ -193,7 +193,7 @@
 
 #[test]
 fn an_event_that_broke_off_is_held_back() {
-    let mut cutter = EventCutter::default();
+    let mut cutter = EventSplitter::default();
     cutter.push(b"id: 1\ndata: a\n\nid: 2\ndata: b\n");
     assert_eq!(cutter.next_event().and_then(|event| event.id), Some(1));
     assert_eq!(cutter.next_event(), None);
@@ -490,7 +490,7 @@
 
 #[test]
 fn a_log_gets_so_many_lines_a_second_and_learns_how_many_were_left_out() {
-    let mut gate = LogGate::new(2);
+    let mut gate = LogLimiter::new(2);
     let at = |ms| NOW + Millis(ms);
     let passed = [0, 1, 2, 3, 1_100, 1_101, 1_102].map(|ms| gate.pass(at(ms)));
     assert_eq!(passed, [Some(0), Some(0), None, None, Some(2), Some(0), None]);
--- a/crates/cherrystand_core/tests/standstill.rs
+++ b/crates/cherrystand_core/tests/stall_evidence.rs
@@ -1,12 +1,12 @@
 //! Whether a replica that brings nothing stands still.
 
-use cherrystand_core::{Millis, PeersTell, Standstill, StreamEnd};
+use cherrystand_core::{Millis, PeerProgress, StallEvidence, StreamEnd};
 
 #[test]
 fn a_replica_stands_still_only_if_others_bear_it_out() {
     struct Case {
         name: &'static str,
-        peers: PeersTell,
+        peers: PeerProgress,
         others: Option<bool>,
         silence: u64,
         stands_still: bool,
@@ -16,63 +16,63 @@
     let cases = [
         Case {
             name: "a peer saw progress",
-            peers: PeersTell::Progress,
+            peers: PeerProgress::Seen,
             others: Some(true),
             silence: long,
             stands_still: false,
         },
         Case {
             name: "peers have yet to answer",
-            peers: PeersTell::NotYet,
+            peers: PeerProgress::AskedJustNow,
             others: Some(true),
             silence: short,
             stands_still: false,
         },
         Case {
             name: "peers saw none",
-            peers: PeersTell::NoProgress,
+            peers: PeerProgress::NotSeen,
             others: Some(true),
             silence: short,
             stands_still: true,
         },
         Case {
             name: "peers are not asked",
-            peers: PeersTell::NotAsked,
+            peers: PeerProgress::NotAsked,
             others: Some(false),
             silence: short,
             stands_still: true,
         },
         Case {
             name: "no peer is heard, another replica goes on",
-            peers: PeersTell::Unheard,
+            peers: PeerProgress::NoAnswer,
             others: Some(true),
             silence: short,
             stands_still: true,
         },
         Case {
             name: "no peer is heard, no other replica has a request",
-            peers: PeersTell::Unheard,
+            peers: PeerProgress::NoAnswer,
             others: None,
             silence: short,
             stands_still: true,
         },
         Case {
             name: "nothing at all is heard here",
-            peers: PeersTell::Unheard,
+            peers: PeerProgress::NoAnswer,
             others: Some(false),
             silence: short,
             stands_still: false,
         },
         Case {
             name: "nothing at all is heard here for long",
-            peers: PeersTell::Unheard,
+            peers: PeerProgress::NoAnswer,
             others: Some(false),
             silence: long,
             stands_still: true,
         },
     ];
     for case in cases {
-        let still = Standstill {
+        let still = StallEvidence {
             silence: Millis(case.silence),
             longest: Millis(250),
             peers: case.peers,
@@ -105,8 +105,8 @@
         case,
     ];
     for case in cases {
-        let held_up = StreamEnd::holds_up(Millis(case.took)).then_some(Millis(case.at));
-        let explained = StreamEnd::is_by_slow_caller(held_up, Millis(case.cut));
+        let held_up = StreamEnd::is_caller_stall(Millis(case.took)).then_some(Millis(case.at));
+        let explained = StreamEnd::is_caused_by_slow_caller(held_up, Millis(case.cut));
         assert_eq!(explained, case.explained, "{}", case.name);
     }
 }
--- a/crates/cherrystand_core/tests/support/mod.rs
+++ b/crates/cherrystand_core/tests/support/mod.rs
@@ -2,7 +2,7 @@
 #![allow(dead_code, reason = "each area uses its own part")]
 
 use cherrystand_core::{
-    BoxId, BoxStart, Desired, EngineSpec, GroupId, Heartbeat, Incarnation, LoadSpec, Millis,
+    BoxId, BoxStart, DesiredReplica, EngineSpec, GroupId, Heartbeat, Incarnation, LoadSpec, Millis,
     ModelSpec, NodeId, RepairPolicy, ReplicaId, ServiceName, SiteBox, WorkspaceId, ZoneId,
 };
 use cherrystand_testkit::{DomainSetup, FakeDomain};
@@ -59,8 +59,8 @@
     }
 }
 
-pub(crate) fn desired(slot: u32, span: u32, version: &str) -> Desired {
-    Desired {
+pub(crate) fn desired(slot: u32, span: u32, version: &str) -> DesiredReplica {
+    DesiredReplica {
         replica: replica(slot),
         load: load(version),
         span,
--- a/crates/cherrystand_peer/tests/any_bytes.rs
+++ b/crates/cherrystand_peer/tests/any_bytes.rs
@@ -6,7 +6,7 @@
 
 fn sound() -> Vec<u8> {
     let loads = (0..20).map(|number| EndpointLoad {
-        id: BoxId::new(format!("i-{number}")).in_life(1_790_000_000_000),
+        id: BoxId::new(format!("i-{number}")).with_incarnation(1_790_000_000_000),
         requests: number,
         unread: 1_000,
         silent_ms: 12,
--- a/crates/cherrystand_testkit/src/domain/fake_domain.rs
+++ b/crates/cherrystand_testkit/src/domain/fake_domain.rs
@@ -8,8 +8,9 @@
 use std::net::SocketAddr;
 
 use cherrystand_core::{
-    BoxId, BoxInfo, Controller, Desired, DomainId, DomainRecord, EngineState, Epoch, Fleet, Millis,
-    Observation, Observations, Order, Phase, RepairPolicy, ReplicaId, Revision, Situation, ZoneId,
+    BoxId, BoxInfo, Controller, ControllerInput, DesiredReplica, DomainId, DomainRecord,
+    EngineState, Epoch, Fleet, Millis, Observation, Observations, Order, Phase, RepairPolicy,
+    ReplicaId, Revision, ZoneId,
 };
 
 use crate::FakeBox;
@@ -88,7 +89,7 @@
     /// The controllers.
     pub controllers: Vec<FakeController>,
     /// What is asked for.
-    pub desired: Vec<Desired>,
+    pub desired: Vec<DesiredReplica>,
     /// Whether the record's service is down.
     pub service_down: bool,
     /// How many of the next writes take effect without an answer.
@@ -302,7 +303,7 @@
         let fleet = &self.listed.1;
         let controller = &mut self.controllers[index];
         let (expected, record) = controller.known.clone();
-        let step = controller.controller.step(Situation {
+        let step = controller.controller.step(ControllerInput {
             record: &record,
             desired: &self.desired,
             fleet,
--- a/crates/cherrystand_testkit/src/domain/repair_script.rs
+++ b/crates/cherrystand_testkit/src/domain/repair_script.rs
@@ -1,8 +1,8 @@
 //! Failure scripts by which repair rules are compared.
 
 use cherrystand_core::{
-    BoxId, Desired, GroupId, LoadSpec, Millis, RepairPolicy, RepairRule, ReplicaId, ReturnModel,
-    Seed, WorkspaceId,
+    BoxId, DesiredReplica, GroupId, LoadSpec, Millis, RepairPolicy, RepairRule, ReplicaId,
+    ReturnModel, Seed, WorkspaceId,
 };
 
 use crate::{DomainSetup, FakeDomain, Losses};
@@ -118,7 +118,7 @@
         };
         let mut domain = FakeDomain::new(setup, &[policy]);
         let group = GroupId::new(WorkspaceId::new("w"), "g");
-        let wanted = (0..REPLICAS).map(|slot| Desired {
+        let wanted = (0..REPLICAS).map(|slot| DesiredReplica {
             replica: ReplicaId::new(group.clone(), slot),
             load: LoadSpec {
                 model: "m".to_owned(),
--- a/crates/cherrystand_testkit/src/site/fake_site_domain.rs
+++ b/crates/cherrystand_testkit/src/site/fake_site_domain.rs
@@ -173,7 +173,7 @@
 
     /// Returns the id under which a box is listed.
     fn id_of(&self, name: &BoxId, held: &FakeMember) -> BoxId {
-        if self.tells_starts { name.in_life(held.start) } else { name.clone() }
+        if self.tells_starts { name.with_incarnation(held.start) } else { name.clone() }
     }
 
     fn nth(&mut self, number: usize) -> Option<&mut FakeMember> {
--- a/crates/cherrystandd/benches/slopes.rs
+++ b/crates/cherrystandd/benches/slopes.rs
@@ -7,10 +7,10 @@
 use std::time::Instant;
 
 use cherrystand_core::{
-    Assignment, BoxId, BoxInfo, ChangesSince, Controller, Desired, Digest, Document, DomainId,
-    DomainRecord, EngineReport, EngineState, Epoch, EvidenceTable, Fleet, GroupId, Heartbeat,
-    Incarnation, LoadSpec, Membership, Millis, NodeId, Observation, Observations, Phase,
-    RepairPolicy, ReplicaEvidence, ReplicaId, Revision, Situation, Slot, WorkspaceId,
+    Assignment, BoxId, BoxInfo, ChangesSince, Controller, ControllerInput, DesiredReplica, Digest,
+    Document, DomainId, DomainRecord, EngineReport, EngineState, Epoch, EvidenceTable, Fleet,
+    GroupId, Heartbeat, Incarnation, LoadSpec, Membership, Millis, NodeId, Observation,
+    Observations, Phase, RepairPolicy, ReplicaEvidence, ReplicaId, Revision, Slot, WorkspaceId,
     WorkspaceRecord, ZoneId,
 };
 use cherrystand_peer::{BatchSpan, ChangeBatches, News, PackedBatch, Reply, encode};
@@ -181,8 +181,8 @@
         leaving: false,
         checks_orders: true,
     }));
-    let desired: Vec<Desired> = (0..replicas)
-        .map(|slot| Desired {
+    let desired: Vec<DesiredReplica> = (0..replicas)
+        .map(|slot| DesiredReplica {
             replica: replica(slot),
             load: load(),
             span: SPAN,
@@ -207,7 +207,7 @@
     }
     let mut controller = Controller::new(RepairPolicy::default());
     micros(50, || {
-        let step = controller.step(Situation {
+        let step = controller.step(ControllerInput {
             record: &record,
             desired: &desired,
             fleet: &fleet,
--- a/crates/cherrystandd/src/duties/controller.rs
+++ b/crates/cherrystandd/src/duties/controller.rs
@@ -8,8 +8,8 @@
 use std::time::Duration;
 
 use cherrystand_core::{
-    Controller, Document, DomainId, DomainRecord, InService, Millis, Order, Revision, Settling,
-    Situation, desired_in_domain, ranked,
+    Controller, ControllerInput, Document, DomainId, DomainRecord, Millis, Order, ReadySince,
+    Revision, ServingState, desired_in_domain, ranked,
 };
 use cherrystand_platform::{EngineClient, KeyValue, Lease, PlatformClient, PlatformError, Swap};
 
@@ -57,7 +57,7 @@
     platform: Counted<PlatformClient>,
     engines: EngineClient,
     domains: BTreeMap<DomainId, Watched>,
-    settling: Settling,
+    settling: ReadySince,
     asked: Option<Millis>,
 }
 
@@ -76,7 +76,7 @@
             platform: Counted::new(&cx, "controller"),
             engines: EngineClient::default(),
             domains: BTreeMap::new(),
-            settling: Settling::default(),
+            settling: ReadySince::default(),
             asked: None,
             cx,
         }
@@ -151,11 +151,11 @@
         let (revision, record) = record_of(view, &domain);
         let seen = self.prober.seen();
         let formed = view.formed();
-        let service = InService { formed: &formed, settling: &self.settling, now };
+        let service = ServingState { formed: &formed, settling: &self.settling, now };
         let workspaces = view.workspaces.values();
         let desired: Vec<_> =
             workspaces.flat_map(|held| desired_in_domain(&held.record, &domain, service)).collect();
-        let situation = Situation {
+        let situation = ControllerInput {
             record: &record,
             desired: &desired,
             fleet: &view.fleet,
--- a/crates/cherrystandd/src/operator/api.rs
+++ b/crates/cherrystandd/src/operator/api.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use cherrystand_core::{Document, HeldBoxes, PlanId, ReplicaId, WorkspaceConfig};
+use cherrystand_core::{BoxesByReplica, Document, PlanId, ReplicaId, WorkspaceConfig};
 use cherrystand_platform::PlatformClient;
 use http_body_util::{BodyExt, Limited};
 use hyper::body::Incoming;
@@ -81,7 +81,7 @@
     fn change<'a>(
         &'a self,
         view: &'a View,
-        held: &'a HeldBoxes,
+        held: &'a BoxesByReplica,
     ) -> WorkspaceChange<'a, Counted<PlatformClient>> {
         let write = writer::next_write(view);
         WorkspaceChange { service: &self.platform, write, fleet: &view.fleet, held }
--- a/crates/cherrystandd/src/operator/change.rs
+++ b/crates/cherrystandd/src/operator/change.rs
@@ -3,8 +3,8 @@
 use std::sync::Arc;
 
 use cherrystand_core::{
-    Accepted, Document, Fleet, HeldBoxes, Plan, PlanId, Revision, WorkspaceConfig, WorkspaceId,
-    WorkspaceRecord, WriteId, hash_bytes, make_plan,
+    AcceptedChange, BoxesByReplica, Document, Fleet, Plan, PlanId, Revision, WorkspaceConfig,
+    WorkspaceId, WorkspaceRecord, WriteId, hash_bytes, make_plan,
 };
 use cherrystand_platform::{KeyValue, PlatformError, Swap};
 
@@ -23,7 +23,7 @@
     /// The listed boxes.
     pub fleet: &'a Fleet,
     /// The boxes held now.
-    pub held: &'a HeldBoxes,
+    pub held: &'a BoxesByReplica,
 }
 
 /// A record that was written, and what it was written for.
@@ -61,7 +61,7 @@
         &self,
         id: &PlanId,
         operator: &str,
-    ) -> Result<Written<Accepted>, OperatorError> {
+    ) -> Result<Written<AcceptedChange>, OperatorError> {
         let workspace = workspace_of(id)?;
         for _ in 0..TRIES {
             let (revision, record) = self.read(&workspace).await?;
--- a/crates/cherrystandd/src/settings.rs
+++ b/crates/cherrystandd/src/settings.rs
@@ -333,7 +333,7 @@
         let twice = all[0] == all[1] || all[0] == all[2] || all[1] == all[2];
         if twice && all.iter().all(|address| address.port() != 0) {
             return Err(SettingsError::new(
-                SettingsErrorKind::Clash,
+                SettingsErrorKind::Conflict,
                 "operators",
                 listen.operators,
                 "three different addresses for `callers`, `operators` and `peers`",
@@ -385,7 +385,7 @@
         }
         if site.grace_ms <= self.stop.linger_ms {
             return Err(SettingsError::new(
-                SettingsErrorKind::Clash,
+                SettingsErrorKind::Conflict,
                 "grace_ms",
                 site.grace_ms,
                 "more than `stop.linger_ms`",
@@ -401,7 +401,7 @@
         }
         if limits.consent_requests >= limits.requests {
             return Err(SettingsError::new(
-                SettingsErrorKind::Clash,
+                SettingsErrorKind::Conflict,
                 "consent_requests",
                 limits.consent_requests,
                 "less than `requests`",
@@ -445,7 +445,7 @@
 }
 
 fn impossible(key: &str, value: impl std::fmt::Display, allowed: &str) -> SettingsError {
-    SettingsError::new(SettingsErrorKind::ImpossibleValue, key, value, allowed)
+    SettingsError::new(SettingsErrorKind::InvalidValue, key, value, allowed)
 }
 
 fn check_word(key: &str, word: &str) -> Result<(), SettingsError> {
--- a/crates/cherrystandd/src/site/box_entries.rs
+++ b/crates/cherrystandd/src/site/box_entries.rs
@@ -118,12 +118,13 @@
     /// Lists a box under a life that it was not listed under.
     fn list_life(&mut self, name: BoxId, known: &mut SiteBox) {
         self.assigned.take();
-        let departed = self.departed.keys().filter(|departed| departed.is_other_life_of(&known.id));
+        let departed =
+            self.departed.keys().filter(|departed| departed.is_other_incarnation_of(&known.id));
         for before in departed.cloned().collect::<Vec<_>>() {
             self.end_life(before);
         }
         match self.listed_lives.insert(name, known.id.clone()) {
-            Some(before) if before.is_other_life_of(&known.id) => self.end_life(before),
+            Some(before) if before.is_other_incarnation_of(&known.id) => self.end_life(before),
             // Told apart otherwise, it is the same box as before.
             Some(before) => {
                 if let Some(held) = Arc::make_mut(&mut self.boxes).remove(&before) {
--- a/crates/cherrystandd/src/site/box_notes.rs
+++ b/crates/cherrystandd/src/site/box_notes.rs
@@ -1,6 +1,6 @@
 //! Lines for boxes that come and go, by whose word they do.
 
-use cherrystand_core::{BoxId, LogGate, Millis, Revision};
+use cherrystand_core::{BoxId, LogLimiter, Millis, Revision};
 
 use crate::site::teller::Teller;
 
@@ -33,11 +33,11 @@
 
 /// Writes these lines, a bounded number of them.
 #[derive(Debug)]
-pub(super) struct BoxNotes(LogGate);
+pub(super) struct BoxNotes(LogLimiter);
 
 impl Default for BoxNotes {
     fn default() -> Self {
-        Self(LogGate::new(LOGGED))
+        Self(LogLimiter::new(LOGGED))
     }
 }
 
--- a/crates/cherrystandd/src/site/crash_watch.rs
+++ b/crates/cherrystandd/src/site/crash_watch.rs
@@ -9,8 +9,8 @@
 use std::time::Duration;
 
 use cherrystand_core::{
-    BoxId, CrashSuspects, CutAnswers, CutStep, ENDS_BORNE, Fingerprint, Millis, ServiceName,
-    SiteView, SuspectRecord,
+    BoxId, CrashCheck, CrashSuspects, Fingerprint, InterruptedAnswers, MAX_CRASHES, Millis,
+    ServiceName, SiteView, SuspectRecord,
 };
 use cherrystand_peer::LoadNews;
 use tokio::net::TcpStream;
@@ -41,7 +41,7 @@
 pub(crate) struct CrashWatch {
     pub(super) cx: DutyContext,
     loads: Rc<LoadExchange>,
-    pub(super) cut: RefCell<CutAnswers>,
+    pub(super) cut: RefCell<InterruptedAnswers>,
     pub(super) suspects: RefCell<CrashSuspects>,
     /// The store's record as it was last taken over.
     recorded: RefCell<Arc<SuspectRecord>>,
@@ -84,7 +84,7 @@
     /// Tells whether a request that has `open` attempts may be sent once more.
     ///
     /// Each open attempt, and each box that is not yet known to have ended, may turn out to be one end
-    /// more: so no daemon sends it where it could end more than [`ENDS_BORNE`].
+    /// more: so no daemon sends it where it could end more than [`MAX_CRASHES`].
     pub(crate) fn may_send(&self, req: &SiteRequest, open: u32) -> bool {
         if self.is_idle() {
             return true;
@@ -92,7 +92,7 @@
         let request = req.fingerprint();
         let undecided = self.cut.borrow().undecided_of(request);
         let ends = self.suspects.borrow().ends_of(request);
-        ends + undecided + (open as usize) < ENDS_BORNE
+        ends + undecided + (open as usize) < MAX_CRASHES
     }
 
     /// Takes in that a request was served whole, so that what ended before did not end by it.
@@ -101,7 +101,7 @@
         self.note_served(&req.service, now);
         let ends = self.suspects.borrow().ends_of(request);
         if self.suspects.borrow_mut().served(request, now) {
-            if ends >= ENDS_BORNE {
+            if ends >= MAX_CRASHES {
                 log::info!(
                     fingerprint = request.to_string();
                     "a refused request was served and is refused no more"
@@ -161,9 +161,9 @@
         }
         let step = self.cut.borrow_mut().cut(life, request, self.cx.clock.now());
         match step {
-            CutStep::Ask => self.ask(front, life),
-            CutStep::Wait => {}
-            CutStep::Ended => self.found(life, vec![request]),
+            CrashCheck::Start => self.ask(front, life),
+            CrashCheck::Pending => {}
+            CrashCheck::Crashed => self.found(life, vec![request]),
         }
     }
 
@@ -246,10 +246,10 @@
             let mut suspects = self.suspects.borrow_mut();
             let before = suspects.ends_of(*request);
             let ends = suspects.ended(life, *request, now);
-            if before < ENDS_BORNE && ends >= ENDS_BORNE {
+            if before < MAX_CRASHES && ends >= MAX_CRASHES {
                 log::warn!(
                     fingerprint = request.to_string();
-                    "a request is refused from now on: it was at the ends of {ENDS_BORNE} boxes"
+                    "a request is refused from now on: it was at the ends of {MAX_CRASHES} boxes"
                 );
                 self.call_off_soon(*request);
             }
--- a/crates/cherrystandd/src/site/event_stream.rs
+++ b/crates/cherrystandd/src/site/event_stream.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use cherrystand_core::{AttemptEnd, Millis, Standstill, StreamEnd};
+use cherrystand_core::{AttemptEnd, Millis, StallEvidence, StreamEnd};
 use cherrystand_platform::EventSender;
 
 use crate::site::attempt::Begun;
@@ -45,7 +45,7 @@
 #[derive(Clone, Copy, Default)]
 struct LastSeen {
     heard: Millis,
-    standstill: Option<Standstill>,
+    standstill: Option<StallEvidence>,
 }
 
 /// Passes one answer on to a caller, who learns by the cut connection where it is not whole.
@@ -151,7 +151,7 @@
                     }
                     let taken = self.front.now();
                     if let Some(run) = current.as_mut()
-                        && StreamEnd::holds_up(taken.since(handed))
+                        && StreamEnd::is_caller_stall(taken.since(handed))
                     {
                         run.held_up = Some(taken);
                     }
--- a/crates/cherrystandd/src/site/failure_log.rs
+++ b/crates/cherrystandd/src/site/failure_log.rs
@@ -2,7 +2,7 @@
 
 use std::cell::RefCell;
 
-use cherrystand_core::{AttemptEnd, BoxId, LogGate, Millis, Standstill, StreamEnd};
+use cherrystand_core::{AttemptEnd, BoxId, LogLimiter, Millis, StallEvidence, StreamEnd};
 
 use crate::Clock;
 use crate::site::request::SiteRequest;
@@ -23,7 +23,7 @@
     /// For how long the stream itself had brought nothing.
     pub(crate) silent: Millis,
     /// What was known of its replica's silence, where that stood still.
-    pub(crate) standstill: Option<Standstill>,
+    pub(crate) standstill: Option<StallEvidence>,
     /// At how many further boxes its route lets it run.
     pub(crate) attempts_left: u32,
     /// Whether this node had a repeat left.
@@ -33,13 +33,13 @@
 /// Writes failed requests down.
 pub(crate) struct FailureLog {
     clock: Clock,
-    gate: RefCell<LogGate>,
+    gate: RefCell<LogLimiter>,
 }
 
 impl FailureLog {
     /// Creates a log that has room.
     pub(crate) fn new(clock: Clock) -> Self {
-        Self { clock, gate: RefCell::new(LogGate::new(FAILURES_LOGGED)) }
+        Self { clock, gate: RefCell::new(LogLimiter::new(FAILURES_LOGGED)) }
     }
 
     /// Writes down that no endpoint serves what a request asks for.
--- a/crates/cherrystandd/src/site/flight.rs
+++ b/crates/cherrystandd/src/site/flight.rs
@@ -3,7 +3,9 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-use cherrystand_core::{BoxId, Expected, Fingerprint, Millis, SendPermit, Standstill, TargetKey};
+use cherrystand_core::{
+    BoxId, Expected, Fingerprint, Millis, SendPermit, StallEvidence, TargetKey,
+};
 
 use tokio::sync::Notify;
 
@@ -40,7 +42,7 @@
     /// When it was last told that the endpoint stands still; nothing since something last came.
     stall_told: Cell<Option<Millis>>,
     /// What was known of its silence at the last look, where it stood still.
-    standstill: Cell<Option<Standstill>>,
+    standstill: Cell<Option<StallEvidence>>,
     /// Wakes the attempt once its answer cannot come any more.
     lost: Notify,
     /// Whether it is known to end its replica.
@@ -152,12 +154,12 @@
     }
 
     /// Notes what is known of the endpoint's silence, where it stands still.
-    pub(crate) fn note_standstill(&self, standstill: Option<Standstill>) {
+    pub(crate) fn note_standstill(&self, standstill: Option<StallEvidence>) {
         self.standstill.set(standstill);
     }
 
     /// Returns what was known of the endpoint's silence at the last look, where it stood still.
-    pub(crate) fn standstill(&self) -> Option<Standstill> {
+    pub(crate) fn standstill(&self) -> Option<StallEvidence> {
         self.standstill.get()
     }
 
--- a/crates/cherrystandd/src/site/front.rs
+++ b/crates/cherrystandd/src/site/front.rs
@@ -8,8 +8,8 @@
 use std::time::Duration;
 
 use cherrystand_core::{
-    AttemptEnd, BoxId, Chooser, EngineLoad, Expected, LEAST_SILENCE, LogGate, Millis, Outcome,
-    PeersTell, Route, Seed, ServiceName, SiteView, Standstill, StreamEnd, engine_priority,
+    AttemptEnd, BoxId, Chooser, EngineLoad, Expected, LogLimiter, Millis, Outcome, PeerProgress,
+    Route, STALL_MARGIN, Seed, ServiceName, SiteView, StallEvidence, StreamEnd, engine_priority,
     kept_connections,
 };
 use cherrystand_platform::{EndpointPool, HeldBytes};
@@ -79,7 +79,7 @@
     /// Where failed requests are written down.
     pub(crate) failures: FailureLog,
     pub(super) wish_notes: WishNotes,
-    old_news: RefCell<LogGate>,
+    old_news: RefCell<LogLimiter>,
     /// Requests that were at boxes as these ended.
     pub(crate) crashes: Rc<CrashWatch>,
     /// What peers have in flight.
@@ -104,7 +104,7 @@
             repeats: RetryShares::new(cx.clone(), loads.clone()),
             failures: FailureLog::new(cx.clock),
             wish_notes: WishNotes::new(cx.clock, cx.metrics.clone()),
-            old_news: RefCell::new(LogGate::new(OLD_NEWS_LOGGED)),
+            old_news: RefCell::new(LogLimiter::new(OLD_NEWS_LOGGED)),
             crashes,
             seed: Cell::new(Seed::new(clock::unix_millis())),
             loads,
@@ -256,13 +256,18 @@
     /// Returns what is known of the silence of the replica that a request is at, where neither the
     /// request nor any other one there, on this node, has made progress for longer than its engine
     /// can take.
-    fn standstill(&self, req: &SiteRequest, flight: &Flight, heard: Millis) -> Option<Standstill> {
+    fn standstill(
+        &self,
+        req: &SiteRequest,
+        flight: &Flight,
+        heard: Millis,
+    ) -> Option<StallEvidence> {
         let now = self.now();
         let progress = self.chooser.borrow().last_progress(flight.key);
         let progress = progress.unwrap_or_default().max(heard);
         let silence = now.since(progress);
         // Most looks end here, and need not know what peers have in flight.
-        if silence <= LEAST_SILENCE {
+        if silence <= STALL_MARGIN {
             return None;
         }
         self.loads.hand_over(&mut self.chooser.borrow_mut());
@@ -273,11 +278,11 @@
         }
         let peers = match self.cx.settings.policy.ask_peers {
             true => self.loads.peers_tell(&flight.target, now - longest, now),
-            false => PeersTell::NotAsked,
+            false => PeerProgress::NotAsked,
         };
         let others = chooser.others_progress(flight.key, now - longest);
         let peers_age = self.loads.peers_age(now);
-        Some(Standstill { silence, longest, peers, peers_age, others })
+        Some(StallEvidence { silence, longest, peers, peers_age, others })
     }
 
     fn longest_silence(&self, req: &SiteRequest, load: EngineLoad) -> Millis {
@@ -288,7 +293,7 @@
             let model = engine.model(model?)?;
             Some(engine.longest_silence(model, load))
         });
-        LEAST_SILENCE + Millis(predicted.unwrap_or_default() as u64)
+        STALL_MARGIN + Millis(predicted.unwrap_or_default() as u64)
     }
 
     /// Looks at the replica of an open attempt, from which it was last `heard`.
@@ -300,7 +305,7 @@
         if flight.is_called_off() {
             return ReplicaLook::Lost;
         }
-        let still = self.standstill(req, flight, heard).filter(Standstill::is_certain);
+        let still = self.standstill(req, flight, heard).filter(StallEvidence::is_certain);
         flight.note_standstill(still);
         let Some(still) = still else {
             return ReplicaLook::GoesOn;
--- a/crates/cherrystandd/src/site/known_boxes.rs
+++ b/crates/cherrystandd/src/site/known_boxes.rs
@@ -19,7 +19,7 @@
     /// Boxes stand in it as they are listed now: a record of an earlier version names no lives.
     pub(crate) fn record(&self, domain: &DomainId) -> (Revision, DomainRecord) {
         let (revision, record) = self.records.get(domain);
-        (revision, record.with_boxes_as(|id| self.as_listed(id)))
+        (revision, record.with_boxes_renamed(|id| self.as_listed(id)))
     }
 
     /// Tells whether the store lost a domain's record, which is held here.
--- a/crates/cherrystandd/src/site/load_exchange.rs
+++ b/crates/cherrystandd/src/site/load_exchange.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use cherrystand_core::{
-    BoxId, Chooser, EndpointLimits, EndpointLoad, Heartbeat, LoadBook, Millis, PeersTell,
+    BoxId, Chooser, EndpointLimits, EndpointLoad, Heartbeat, LoadBook, Millis, PeerProgress,
     RetryBounds, ServiceName, is_relay, relays_elsewhere, spread,
 };
 use cherrystand_peer::{LoadNews, decode, encode};
@@ -122,22 +122,22 @@
     /// Says what peers tell of the progress of an endpoint since `since`, asking them first.
     ///
     /// Silence on this node alone says little: its own requests may all wait for others.
-    pub(crate) fn peers_tell(&self, id: &BoxId, since: Millis, now: Millis) -> PeersTell {
+    pub(crate) fn peers_tell(&self, id: &BoxId, since: Millis, now: Millis) -> PeerProgress {
         if self.book.borrow().seen(id).is_some_and(|seen| seen > since) {
-            return PeersTell::Progress;
+            return PeerProgress::Seen;
         }
         let asked = self.asked.borrow().get(id).copied();
         match asked.filter(|asked| now.since(*asked) < ASKED_FOR) {
-            Some(asked) if now.since(asked) < ANSWERED_WITHIN => PeersTell::NotYet,
+            Some(asked) if now.since(asked) < ANSWERED_WITHIN => PeerProgress::AskedJustNow,
             Some(asked) if self.answered.get().is_some_and(|at| at >= asked) => {
-                PeersTell::NoProgress
+                PeerProgress::NotSeen
             }
-            Some(_) => PeersTell::Unheard,
+            Some(_) => PeerProgress::NoAnswer,
             None => {
                 self.asked.borrow_mut().insert(id.clone(), now);
                 self.to_ask.borrow_mut().push(id.clone());
                 self.urgent.notify_one();
-                PeersTell::NotYet
+                PeerProgress::AskedJustNow
             }
         }
     }
--- a/crates/cherrystandd/src/site/stream_run.rs
+++ b/crates/cherrystandd/src/site/stream_run.rs
@@ -3,7 +3,9 @@
 use std::rc::Rc;
 
 use bytes::Bytes;
-use cherrystand_core::{AttemptEnd, EventCutter, LARGEST_EVENT, Millis, StreamEnd, WholeEvent};
+use cherrystand_core::{
+    AttemptEnd, EventSplitter, MAX_EVENT_BYTES, Millis, StreamEnd, StreamEvent,
+};
 use cherrystand_platform::PooledBody;
 use http_body_util::BodyExt;
 use hyper::StatusCode;
@@ -31,7 +33,7 @@
     body: PooledBody,
     /// Counts the request at the replica.
     pub(crate) flight: Rc<Flight>,
-    cutter: EventCutter,
+    cutter: EventSplitter,
     /// When anything of it last came.
     pub(crate) heard: Millis,
     /// When the caller last took something that it had held up for long.
@@ -43,7 +45,7 @@
     pub(crate) fn new(front: Rc<Front>, begun: Begun) -> Self {
         let heard = front.now();
         let Begun { body, flight, .. } = begun;
-        let cutter = EventCutter::default();
+        let cutter = EventSplitter::default();
         Self { front, body, flight, cutter, heard, held_up: None }
     }
 
@@ -54,7 +56,9 @@
         loop {
             match self.body.frame().await {
                 None => return self.end(),
-                Some(Err(_)) if StreamEnd::is_by_slow_caller(self.held_up, self.front.now()) => {
+                Some(Err(_))
+                    if StreamEnd::is_caused_by_slow_caller(self.held_up, self.front.now()) =>
+                {
                     return RunStep::LeftUnread;
                 }
                 Some(Err(_)) => {
@@ -86,7 +90,7 @@
                 return Some(RunStep::Broken(AttemptEnd::AnswerCut));
             }
         }
-        if self.cutter.held() > LARGEST_EVENT {
+        if self.cutter.held() > MAX_EVENT_BYTES {
             return Some(RunStep::Broken(AttemptEnd::AnswerCut));
         }
         match out.len() {
@@ -107,7 +111,7 @@
 }
 
 /// Tells whether an event is the next one after `last`.
-fn follows(event: &WholeEvent, last: Option<u64>) -> bool {
+fn follows(event: &StreamEvent, last: Option<u64>) -> bool {
     match (event.id, last) {
         (Some(id), Some(last)) => id == last + 1,
         _ => true,
--- a/crates/cherrystandd/src/site/wish_notes.rs
+++ b/crates/cherrystandd/src/site/wish_notes.rs
@@ -3,7 +3,7 @@
 use std::cell::RefCell;
 use std::sync::Arc;
 
-use cherrystand_core::{BoxId, LogGate, Millis, RequestRate};
+use cherrystand_core::{BoxId, LogLimiter, Millis, RequestRate};
 use cherrystand_platform::{AnswerFacts, AskedRest};
 
 use crate::{Clock, Metrics};
@@ -15,13 +15,13 @@
 pub(crate) struct WishNotes {
     clock: Clock,
     metrics: Arc<Metrics>,
-    gate: RefCell<LogGate>,
+    gate: RefCell<LogLimiter>,
 }
 
 impl WishNotes {
     /// Creates notes that have room.
     pub(crate) fn new(clock: Clock, metrics: Arc<Metrics>) -> Self {
-        Self { clock, metrics, gate: RefCell::new(LogGate::new(WISHES_LOGGED)) }
+        Self { clock, metrics, gate: RefCell::new(LogLimiter::new(WISHES_LOGGED)) }
     }
 
     /// Writes down that a replica turned a request away, and what rest it asked for.
--- a/crates/cherrystandd/src/state/view.rs
+++ b/crates/cherrystandd/src/state/view.rs
@@ -4,8 +4,8 @@
 use std::sync::Arc;
 
 use cherrystand_core::{
-    Document, DomainRecord, Fleet, Formed, Heartbeat, Incarnation, Millis, Revision, ServeBy,
-    Standing, WorkspaceRecord,
+    Document, DomainRecord, Fleet, FormedReplicas, Heartbeat, Incarnation, Millis, Revision,
+    ServeBy, Standing, WorkspaceRecord,
 };
 
 use crate::state::RouteGroup;
@@ -72,8 +72,8 @@
     }
 
     /// Returns the assignments of all domains.
-    pub(crate) fn formed(&self) -> Formed {
-        Formed::new(self.domains.values().map(|held| &held.record))
+    pub(crate) fn formed(&self) -> FormedReplicas {
+        FormedReplicas::new(self.domains.values().map(|held| &held.record))
     }
 
     /// Returns the heartbeats of the daemons that are alive.
--- a/crates/cherrystandd/tests/operators.rs
+++ b/crates/cherrystandd/tests/operators.rs
@@ -3,8 +3,8 @@
 mod support;
 
 use cherrystand_core::{
-    Fleet, Generation, HeldBoxes, Incarnation, NodeId, PlanId, WorkspaceConfig, WorkspaceRecord,
-    WriteId,
+    BoxesByReplica, Fleet, Generation, Incarnation, NodeId, PlanId, WorkspaceConfig,
+    WorkspaceRecord, WriteId,
 };
 use cherrystand_testkit::{CallFault, FakeKeyValue};
 use cherrystandd::{OperatorError, WorkspaceChange};
@@ -40,7 +40,7 @@
 }
 
 async fn change(service: &FakeKeyValue, operator: usize, number: u64) -> Told {
-    let (fleet, held) = (Fleet::default(), HeldBoxes::new());
+    let (fleet, held) = (Fleet::default(), BoxesByReplica::new());
     let write = |sequence| WriteId {
         node: NodeId::new(format!("n{operator}")),
         incarnation: Incarnation(1),
@@ -118,7 +118,7 @@
 #[test]
 fn of_two_who_race_one_wins_and_the_other_is_told_who() {
     let service = FakeKeyValue::default();
-    let (fleet, held) = (Fleet::default(), HeldBoxes::new());
+    let (fleet, held) = (Fleet::default(), BoxesByReplica::new());
     let make = |sequence| WorkspaceChange {
         service: &service,
         write: WriteId { node: NodeId::new("n"), incarnation: Incarnation(1), sequence },
