--- a/crates/cherrystandd/src/news_heard.rs
+++ b/crates/cherrystandd/src/news_heard.rs
@@ -5,7 +5,7 @@
 
 use cherrystand_core::Millis;
 
-use crate::site::Teller;
+use crate::site::ChangeSource;
 
 /// Holds as of when everything that the store told is known here, and from whom it came last.
 ///
@@ -15,12 +15,12 @@
 pub(crate) struct NewsHeard {
     /// In milliseconds on the daemon's clock; 0 before anything is known.
     as_of: AtomicU64,
-    teller: Mutex<Teller>,
+    teller: Mutex<ChangeSource>,
 }
 
 impl NewsHeard {
     /// Notes that everything is known as of a time, and who told it.
-    pub(crate) fn told(&self, as_of: Millis, teller: &Teller) {
+    pub(crate) fn told(&self, as_of: Millis, teller: &ChangeSource) {
         self.as_of.store(as_of.0, Ordering::Relaxed);
         // A teller is whole before it is noted; one who panicked left nothing half done.
         let mut held = self.teller.lock().unwrap_or_else(PoisonError::into_inner);
@@ -35,7 +35,7 @@
     }
 
     /// Returns who told it.
-    pub(crate) fn teller(&self) -> Teller {
+    pub(crate) fn teller(&self) -> ChangeSource {
         self.teller.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 }
--- a/crates/cherrystandd/src/site/box_entries.rs
+++ b/crates/cherrystandd/src/site/box_entries.rs
@@ -9,11 +9,11 @@
 use cherrystand_platform::{FormatError, SiteDriver};
 
 use crate::site::Driver;
-use crate::site::box_notes::BoxTurn;
-use crate::site::known::{Departed, Known};
+use crate::site::box_log::BoxTransition;
 use crate::site::refused_values::RefusedKind;
+use crate::site::site_state::{DepartedBox, SiteState};
 
-impl Known {
+impl SiteState {
     pub(super) fn take_entry(&mut self, entry: &Document, now: Millis) {
         let name = BoxId::new(entry.key.strip_prefix(Driver::BOXES).unwrap_or_default());
         if let Some(held) = self.entries.get(&name).filter(|held| self.is_of_copy(held, entry)) {
@@ -68,7 +68,7 @@
         }
         let departed = self.departed.remove(&id).map(|gone| gone.known);
         if departed.is_some() {
-            self.note_box(BoxTurn::TakenBack, &id, now);
+            self.note_box(BoxTransition::TakenBack, &id, now);
         }
         let departed = departed.filter(|_| !self.ended_lives.contains(&id));
         if let Some(earlier) = self.boxes.get(&id).or(departed.as_ref()) {
@@ -82,7 +82,7 @@
             self.grew = now;
         }
         if known.leaving && self.boxes.get(&id).is_some_and(|held| !held.leaving) {
-            self.note_box(BoxTurn::Leaves, &id, now);
+            self.note_box(BoxTransition::Leaves, &id, now);
         }
         let held = self.boxes.get(&id);
         if !is_cold_news && held.is_some_and(|held| **held == known) {
@@ -166,7 +166,7 @@
         let id = self.listed_lives.get(name).filter(|id| self.boxes.contains_key(*id));
         match id.filter(|_| self.outage.keeps(now)).cloned() {
             Some(id) => {
-                self.note_box(BoxTurn::Kept, &id, now);
+                self.note_box(BoxTransition::Kept, &id, now);
                 self.unlisted.insert(id);
             }
             None => self.take_departure(name, as_of, now),
@@ -202,8 +202,8 @@
         if known.member.is_some() && !self.silent.contains_key(&id) {
             self.unasked.push(SiteBox::clone(&known));
         }
-        self.note_box(BoxTurn::TakenOut, &id, now);
-        self.departed.insert(id, Departed { known, at: now });
+        self.note_box(BoxTransition::TakenOut, &id, now);
+        self.departed.insert(id, DepartedBox { known, at: now });
         true
     }
 
--- a/crates/cherrystandd/src/site/box_notes.rs
+++ b/crates/cherrystandd/src/site/box_log.rs
@@ -2,14 +2,14 @@
 
 use cherrystand_core::{BoxId, LogLimiter, Millis, Revision};
 
-use crate::site::teller::Teller;
+use crate::site::change_source::ChangeSource;
 
 /// How many lines are written each second; a loss of many boxes needs no line for each.
 const LOGGED: u32 = 20;
 
 /// Says what became of a box in the list that a node keeps.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum BoxTurn {
+pub(super) enum BoxTransition {
     /// It is listed no more, and kept, as the store may only have lost its entry.
     Kept,
     /// It is listed no more, and taken out.
@@ -20,7 +20,7 @@
     Leaves,
 }
 
-impl BoxTurn {
+impl BoxTransition {
     fn as_str(self) -> &'static str {
         match self {
             Self::Kept => "kept",
@@ -33,21 +33,21 @@
 
 /// Writes these lines, a bounded number of them.
 #[derive(Debug)]
-pub(super) struct BoxNotes(LogLimiter);
+pub(super) struct BoxLog(LogLimiter);
 
-impl Default for BoxNotes {
+impl Default for BoxLog {
     fn default() -> Self {
         Self(LogLimiter::new(LOGGED))
     }
 }
 
-impl BoxNotes {
+impl BoxLog {
     /// Writes down what became of a box as of a revision of the store, and by whose word.
     pub(super) fn note(
         &mut self,
-        turn: BoxTurn,
+        turn: BoxTransition,
         id: &BoxId,
-        teller: &Teller,
+        teller: &ChangeSource,
         as_of: Revision,
         now: Millis,
     ) {
--- a/crates/cherrystandd/src/site/known_boxes.rs
+++ b/crates/cherrystandd/src/site/box_queries.rs
@@ -5,9 +5,9 @@
 
 use cherrystand_core::{BoxId, DomainId, DomainRecord, Millis, Revision, SiteBox};
 
-use crate::site::known::Known;
+use crate::site::site_state::SiteState;
 
-impl Known {
+impl SiteState {
     /// Returns the domains of the listed boxes and of the records.
     pub(crate) fn domains(&self) -> BTreeSet<DomainId> {
         let listed = self.boxes.values().filter_map(|known| known.domain.clone());
--- a/crates/cherrystandd/src/site/capacity.rs
+++ b/crates/cherrystandd/src/site/capacity.rs
@@ -8,7 +8,7 @@
 };
 
 use crate::site::control::Control;
-use crate::site::known::Known;
+use crate::site::site_state::SiteState;
 use crate::state::View;
 
 /// What the daemon that plans is chosen by, among those that decide for domains.
@@ -20,7 +20,7 @@
 
 /// Which model each domain is for, and which one its hosts are to hold besides.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Homes {
+pub(super) struct HomeModels {
     /// The model that each domain is for.
     pub(super) first: BTreeMap<DomainId, String>,
     /// The model that hosts are to hold besides, where loads are free or it is worth them.
@@ -29,10 +29,10 @@
 
 impl Control {
     /// Returns which models the domains are for.
-    pub(super) fn homes(&self, known: &Known, engine: &EngineSpec) -> Homes {
+    pub(super) fn homes(&self, known: &SiteState, engine: &EngineSpec) -> HomeModels {
         let policy = self.cx.settings.policy;
         if !policy.home_models {
-            return Homes::default();
+            return HomeModels::default();
         }
         let first = home_models(engine, &known.by_domain(), &known.homes());
         let free = self.is_first_start() && self.now() < SECOND_WITHIN && self.is_unused();
@@ -44,7 +44,7 @@
         if policy.follow_demand && free {
             second.extend(second_models(engine, &first));
         }
-        Homes { first, second }
+        HomeModels { first, second }
     }
 
     /// Tells whether no model has any request in flight.
@@ -131,7 +131,7 @@
 
 /// Describes the domains of a service to the plan; boxes of emptied zones count for nothing.
 fn domains_of(
-    known: &Known,
+    known: &SiteState,
     service: &ServiceName,
     homes: &BTreeMap<DomainId, String>,
 ) -> Vec<DomainUse> {
--- a/crates/cherrystandd/src/site/change_sharing.rs
+++ b/crates/cherrystandd/src/site/change_sharing.rs
@@ -16,7 +16,7 @@
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 
-use crate::site::Teller;
+use crate::site::ChangeSource;
 use crate::site::control::{Control, duration};
 
 /// How long an answer may take that waits for nothing.
@@ -190,7 +190,7 @@
 
 /// How far a node has read at a peer.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct PlaceAtPeer {
+pub(crate) struct PeerPosition {
     /// The place in the peer's changes.
     pub(crate) cursor: ChangeCursor,
     /// The revision after which the store itself can be read on, where it can.
@@ -203,7 +203,7 @@
     node: &NodeId,
     peer: SocketAddr,
     cursor: Option<ChangeCursor>,
-) -> Result<PlaceAtPeer, ChangesError> {
+) -> Result<PeerPosition, ChangesError> {
     let asked = control.now();
     let within = control.budget.peer_given_up_after();
     let wait = control.budget.wait();
@@ -226,12 +226,12 @@
     let mut changes = news.whole || !batch.is_empty();
     control.timed(|| {
         changes |= control.take_packed_config(news.config.as_deref());
-        let teller = Teller::Peer(node.clone());
+        let teller = ChangeSource::Peer(node.clone());
         control.known.borrow_mut().take_news(teller, &news, &batch, now);
     });
-    control.learned(&Teller::Peer(node.clone()), age, changes);
+    control.learned(&ChangeSource::Peer(node.clone()), age, changes);
     let store = (!news.keeps_unlisted).then_some(news.revision);
-    Ok(PlaceAtPeer { cursor: news.cursor, store })
+    Ok(PeerPosition { cursor: news.cursor, store })
 }
 
 /// Takes over what a peer knew last, while neither the store nor a reader of it answers this node.
@@ -248,7 +248,7 @@
     let now = control.now();
     control.take_packed_config(news.config.as_deref());
     let batch = news.batch.unpack()?;
-    let teller = Teller::Peer(node);
+    let teller = ChangeSource::Peer(node);
     control.known.borrow_mut().take_copy(teller, &batch.records, news.revision, now);
     control.spread_news();
     Ok(())
@@ -270,7 +270,7 @@
         let batch = news.batch.unpack()?;
         let mut known = control.known.borrow_mut();
         known.store_was_there();
-        known.take_copy(Teller::Peer(node), &batch.records, news.revision, control.now());
+        known.take_copy(ChangeSource::Peer(node), &batch.records, news.revision, control.now());
         drop(known);
         control.spread_news();
     }
--- a/crates/cherrystandd/src/site/teller.rs
+++ b/crates/cherrystandd/src/site/change_source.rs
@@ -6,7 +6,7 @@
 
 /// Says who told.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub(crate) enum Teller {
+pub(crate) enum ChangeSource {
     /// The store itself.
     #[default]
     Store,
@@ -14,7 +14,7 @@
     Peer(NodeId),
 }
 
-impl fmt::Display for Teller {
+impl fmt::Display for ChangeSource {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Store => f.write_str("the store"),
--- a/crates/cherrystandd/src/site/control.rs
+++ b/crates/cherrystandd/src/site/control.rs
@@ -20,12 +20,12 @@
 use crate::settings::SiteSettings;
 use crate::site::box_calls::{ask_unlisted, follow_hints};
 use crate::site::change_sharing::share_changes;
-use crate::site::known::Known;
-use crate::site::peer_choice::PeerChoice;
+use crate::site::peer_selector::PeerSelector;
 use crate::site::reader_notes::keep_note;
+use crate::site::site_state::SiteState;
+use crate::site::store_watch::{follow_operators, follow_store, stay_awake};
 use crate::site::suspect_notes::keep_suspects;
-use crate::site::watching::{follow_operators, follow_store, stay_awake};
-use crate::site::{Driver, RefusedKind, Teller};
+use crate::site::{ChangeSource, Driver, RefusedKind};
 use crate::state::{StateEvent, View};
 use crate::{DutyContext, DutyError, StopPhase, keys};
 
@@ -76,7 +76,7 @@
     /// The store.
     pub(crate) store: Counted<<Driver as SiteDriver>::Store>,
     /// What is known of the site.
-    pub(crate) known: RefCell<Known>,
+    pub(crate) known: RefCell<SiteState>,
     /// What was passed on of it last.
     pub(super) batches: RefCell<ChangeBatches>,
     /// Connections to boxes and peers.
@@ -105,7 +105,7 @@
     /// Whether what changed in the configuration did not fit the one held.
     wants_whole: Cell<bool>,
     /// Which peers it reads from and asks.
-    pub(crate) peers: PeerChoice,
+    pub(crate) peers: PeerSelector,
     /// Tells how many changes there have been, to peers that wait for one.
     pub(crate) changed: watch::Sender<u64>,
 }
@@ -133,7 +133,7 @@
             newest_passed: Cell::default(),
             reading_took: Cell::default(),
             wants_whole: Cell::default(),
-            peers: PeerChoice::new(cx.clone()),
+            peers: PeerSelector::new(cx.clone()),
             changed: watch::channel(0).0,
             cx,
         }
@@ -168,7 +168,7 @@
     }
 
     /// Takes note of news that the store gave `age` ago and `teller` passed on, and has it looked at.
-    pub(crate) fn learned(&self, teller: &Teller, age: Millis, changes: bool) {
+    pub(crate) fn learned(&self, teller: &ChangeSource, age: Millis, changes: bool) {
         let at = self.now() - age;
         self.cx.news_heard.told(at, teller);
         self.update_reach(|reach| reach.told(at));
--- a/crates/cherrystandd/src/site/domain_records.rs
+++ b/crates/cherrystandd/src/site/domain_records.rs
@@ -9,7 +9,7 @@
 
 /// A domain's record and the copy that peers get.
 #[derive(Clone, Debug)]
-struct HeldDomain {
+struct HeldRecord {
     record: DomainRecord,
     /// Its revision is the one at which the store holds the record, or an earlier one of it.
     copy: Document,
@@ -17,7 +17,7 @@
     is_lost: bool,
 }
 
-impl HeldDomain {
+impl HeldRecord {
     /// Tells whether it is newer than a record of a later era, which a store that came back from a copy may have held
     /// before that.
     fn is_newer_than(&self, record: &DomainRecord, is_old: bool) -> bool {
@@ -29,7 +29,7 @@
 /// Keeps the latest record of each domain, and which boxes the records give to which replica.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct DomainRecords {
-    held: BTreeMap<DomainId, HeldDomain>,
+    held: BTreeMap<DomainId, HeldRecord>,
     /// Shared with the published view; only what a new record changes is worked out anew.
     assigned: Arc<AssignedBoxes>,
 }
@@ -68,7 +68,7 @@
         assigned.extend(assigned_in(&record));
         self.held.insert(
             record.domain.clone(),
-            HeldDomain { record, copy: copy.clone(), is_lost: false },
+            HeldRecord { record, copy: copy.clone(), is_lost: false },
         );
         Ok(true)
     }
--- a/crates/cherrystandd/src/site/emptied_zones.rs
+++ b/crates/cherrystandd/src/site/evacuation_state.rs
@@ -12,12 +12,12 @@
 
 use crate::keys;
 use crate::site::Driver;
-use crate::site::known::Known;
 use crate::site::refused_values::RefusedKind;
+use crate::site::site_state::SiteState;
 
 /// Keeps the zones, since when each is empty, and when others were taken back.
 #[derive(Default)]
-pub(super) struct EmptiedZonesHeld {
+pub(super) struct EvacuationState {
     held: Evacuations,
     /// Since when, on this node's clock.
     since: Arc<BTreeMap<ZoneId, Millis>>,
@@ -25,7 +25,7 @@
     taken_back: BTreeMap<ZoneId, Revision>,
 }
 
-impl EmptiedZonesHeld {
+impl EvacuationState {
     /// Returns the zones, and since when each is empty.
     pub(super) fn since(&self) -> Arc<BTreeMap<ZoneId, Millis>> {
         self.since.clone()
@@ -71,7 +71,7 @@
     (!zone.is_empty()).then(|| ZoneId::new(zone))
 }
 
-impl Known {
+impl SiteState {
     /// Takes in what changed of what operators wrote, and tells whether anything is new.
     pub(crate) fn take_operators(&mut self, changes: &Changes, now: Millis) -> bool {
         let mut is_new = self.take_zone_changes(changes, now);
--- a/crates/cherrystandd/src/site/peer_choice.rs
+++ b/crates/cherrystandd/src/site/peer_selector.rs
@@ -15,13 +15,13 @@
 const FAR_COPY_EVERY: usize = 3;
 
 /// Chooses them from the newest view.
-pub(crate) struct PeerChoice {
+pub(crate) struct PeerSelector {
     cx: DutyContext,
     sources: RefCell<SourceChooser>,
     seed: Cell<Seed>,
 }
 
-impl PeerChoice {
+impl PeerSelector {
     pub(crate) fn new(cx: DutyContext) -> Self {
         let seed = Cell::new(Seed::new(clock::unix_millis()));
         Self { cx, sources: RefCell::default(), seed }
--- a/crates/cherrystandd/src/site/reader_notes.rs
+++ b/crates/cherrystandd/src/site/reader_notes.rs
@@ -8,7 +8,7 @@
 use futures_util::future::select_all;
 
 use crate::keys;
-use crate::site::change_sharing::{PlaceAtPeer, read_changes};
+use crate::site::change_sharing::{PeerPosition, read_changes};
 use crate::site::control::Control;
 
 /// How often a daemon looks whether the note is to be written.
@@ -86,7 +86,7 @@
     /// The reader.
     pub(crate) reader: NotedReader,
     /// How far.
-    pub(crate) place: PlaceAtPeer,
+    pub(crate) place: PeerPosition,
 }
 
 /// Says what the note leaves a daemon to do that starts.
--- a/crates/cherrystandd/src/site/known.rs
+++ b/crates/cherrystandd/src/site/site_state.rs
@@ -14,13 +14,13 @@
 
 use crate::keys;
 use crate::site::Driver;
-use crate::site::box_notes::{BoxNotes, BoxTurn};
+use crate::site::box_log::{BoxLog, BoxTransition};
+use crate::site::change_source::ChangeSource;
 use crate::site::domain_records::DomainRecords;
-use crate::site::emptied_zones::EmptiedZonesHeld;
+use crate::site::evacuation_state::EvacuationState;
 use crate::site::held_suspects::HeldSuspects;
 use crate::site::refused_values::{RefusedKind, RefusedValues};
-use crate::site::store_eras::StoreReturn;
-use crate::site::teller::Teller;
+use crate::site::store_restore::StoreRestore;
 
 /// For how long a box that is listed no more is remembered.
 const DEPARTED_FOR: Millis = Millis(12_000);
@@ -31,14 +31,14 @@
 
 /// A box that is listed no more.
 #[derive(Clone, Debug)]
-pub(super) struct Departed {
+pub(super) struct DepartedBox {
     pub(super) known: Arc<SiteBox>,
     pub(super) at: Millis,
 }
 
 /// Keeps what one node knows of the site; it does no I/O.
 #[derive(Default)]
-pub(crate) struct Known {
+pub(crate) struct SiteState {
     /// The configuration in force; its revision is its version.
     config: Option<Document>,
     /// The revision of the last one that the store told, whether it is in force or not.
@@ -65,8 +65,8 @@
     /// Until when boxes are cold.
     pub(super) cold: Arc<ColdLives>,
     /// Which availability zones operators have emptied.
-    pub(super) zones: EmptiedZonesHeld,
-    pub(super) departed: BTreeMap<BoxId, Departed>,
+    pub(super) zones: EvacuationState,
+    pub(super) departed: BTreeMap<BoxId, DepartedBox>,
     pub(super) records: DomainRecords,
     pub(super) suspects: HeldSuspects,
     pub(super) silent: BTreeMap<BoxId, Millis>,
@@ -82,7 +82,7 @@
     pub(super) left: BTreeMap<(BoxId, Epoch), Epoch>,
     listed: bool,
     pub(super) outage: StoreOutage,
-    pub(super) store_return: StoreReturn,
+    pub(super) store_return: StoreRestore,
     /// When a box last came that was not known.
     pub(super) grew: Millis,
     /// Boxes that are kept though they are listed no more.
@@ -90,13 +90,13 @@
     /// The revision up to which the entries are known.
     revision: Revision,
     /// Who tells what is being taken in.
-    pub(super) teller: Teller,
-    box_notes: BoxNotes,
+    pub(super) teller: ChangeSource,
+    box_notes: BoxLog,
     /// What changed lately, for peers that read from this node.
     pub(super) log: ChangeLog,
 }
 
-impl Known {
+impl SiteState {
     /// Takes in a peer's copy of the configuration, whose revision is its version.
     ///
     /// Only a later one counts, whoever brings it.
@@ -136,7 +136,7 @@
 
     /// Takes in what changed in the store.
     pub(crate) fn take_changes(&mut self, changes: &Changes, now: Millis) {
-        self.teller = Teller::Store;
+        self.teller = ChangeSource::Store;
         self.outage.answered(now);
         self.take_zone_changes(changes, now);
         for record in &changes.records {
@@ -152,7 +152,7 @@
 
     /// Takes in all boxes that are listed now.
     pub(crate) fn take_list(&mut self, list: &[Document], revision: Revision, now: Millis) {
-        self.teller = Teller::Store;
+        self.teller = ChangeSource::Store;
         self.outage.answered(now);
         for name in self.not_in(list) {
             self.unlist(&name, revision, now);
@@ -163,7 +163,7 @@
     /// Takes in a peer's copy of all boxes, which says nothing of whether the store answers.
     pub(crate) fn take_copy(
         &mut self,
-        teller: Teller,
+        teller: ChangeSource,
         list: &[Document],
         revision: Revision,
         now: Millis,
@@ -181,7 +181,7 @@
     /// The peer has judged which boxes to keep after an outage of the store.
     pub(crate) fn take_news(
         &mut self,
-        teller: Teller,
+        teller: ChangeSource,
         news: &ChangeNews,
         batch: &ChangesSince,
         now: Millis,
@@ -224,7 +224,7 @@
     }
 
     /// Writes down what became of a box by what is being taken in.
-    pub(super) fn note_box(&mut self, turn: BoxTurn, id: &BoxId, now: Millis) {
+    pub(super) fn note_box(&mut self, turn: BoxTransition, id: &BoxId, now: Millis) {
         self.box_notes.note(turn, id, &self.teller, self.revision, now);
     }
 
--- a/crates/cherrystandd/src/site/known_tests.rs
+++ b/crates/cherrystandd/src/site/site_state_tests.rs
@@ -10,8 +10,8 @@
 
 use crate::keys;
 use crate::site::Driver;
-use crate::site::known::Known;
-use crate::site::teller::Teller;
+use crate::site::change_source::ChangeSource;
+use crate::site::site_state::SiteState;
 
 /// A box and the revision of its entry.
 type Entry = (&'static str, u64);
@@ -86,9 +86,9 @@
         },
     ];
     for case in cases {
-        let mut known = Known::default();
+        let mut known = SiteState::default();
         let now = Millis(100);
-        let peer = Teller::Peer(NodeId::new("n1"));
+        let peer = ChangeSource::Peer(NodeId::new("n1"));
         for told in case.told {
             match told {
                 Listed(all, at) => known.take_list(&entries(all), Revision::new(*at), now),
@@ -112,7 +112,7 @@
 }
 
 /// What the store lists in an era, as of a number.
-fn list_in_era(known: &mut Known, era: u64, listed: &[Document], number: u64, now: Millis) {
+fn list_in_era(known: &mut SiteState, era: u64, listed: &[Document], number: u64, now: Millis) {
     let in_era = |document: &Document| {
         let revision = Revision::in_era(Era(era), document.revision.number());
         Document { revision, ..document.clone() }
@@ -183,7 +183,7 @@
         },
     ];
     for case in cases {
-        let mut known = Known::default();
+        let mut known = SiteState::default();
         let now = Millis(10_000);
         let leaving = |entry: &Entry| leaving_entry(&self::entry(entry));
         known.take_list(&entries(&[("stays", 50), ("gone", 52)]), Revision::new(52), now);
@@ -243,7 +243,7 @@
             revision,
             body: Arc::from(serde_json::to_string(&record(last_epoch)).expect("a record")),
         };
-        let mut known = Known::default();
+        let mut known = SiteState::default();
         let now = Millis(10_000);
         known.take_list(&[], Revision::new(60), now);
         known.take_domain(&document(5, Revision::new(50)));
--- a/crates/cherrystandd/src/site/store_eras.rs
+++ b/crates/cherrystandd/src/site/store_restore.rs
@@ -9,21 +9,21 @@
 use cherrystand_platform::{Changes, SiteDriver};
 
 use crate::site::Driver;
-use crate::site::known::Known;
+use crate::site::site_state::SiteState;
 
 /// By this time after it came back operators and boxes have written theirs again, which the copy lacks.
 const WRITTEN_AGAIN_WITHIN: Millis = Millis(2_500);
 
 /// What a daemon keeps of the store's last return.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct StoreReturn {
+pub(super) struct StoreRestore {
     /// Up to which revision of the era the copy was listed; what was written before that is no news.
     copy: Revision,
     /// When everything is listed once more.
     list_again: Option<Millis>,
 }
 
-impl Known {
+impl SiteState {
     /// Takes note of the era that a list of the store is of, before the list is taken in.
     pub(crate) fn enter_era(&mut self, listed: Revision, now: Millis) {
         if !self.is_listed() || listed.era() <= self.revision().era() {
@@ -37,7 +37,7 @@
         let entries = &self.entries;
         self.absences.renew(listed, |name| entries.contains_key(name));
         self.store_return =
-            StoreReturn { copy: listed, list_again: Some(now + WRITTEN_AGAIN_WITHIN) };
+            StoreRestore { copy: listed, list_again: Some(now + WRITTEN_AGAIN_WITHIN) };
     }
 
     /// Tells whether the store held a record as it came back from a copy.
--- a/crates/cherrystandd/src/site/watching.rs
+++ b/crates/cherrystandd/src/site/store_watch.rs
@@ -12,11 +12,11 @@
 
 use crate::keys;
 use crate::site::change_sharing::{
-    ChangesError, PlaceAtPeer, ask_witness, read_changes, read_copy,
+    ChangesError, PeerPosition, ask_witness, read_changes, read_copy,
 };
 use crate::site::control::{Control, duration};
 use crate::site::reader_notes::{Start, start_by_note};
-use crate::site::{Driver, Teller};
+use crate::site::{ChangeSource, Driver};
 
 /// The least time between two watches or questions.
 const LEAST_BETWEEN: Duration = Duration::from_millis(NewsBudget::BETWEEN_WATCHES.0);
@@ -70,7 +70,7 @@
     /// In the store, up to a revision.
     Store(Revision),
     /// At a peer.
-    Peer(NodeId, PlaceAtPeer),
+    Peer(NodeId, PeerPosition),
 }
 
 /// Reads the store, or a peer that reads it, for as long as the duty runs.
@@ -227,7 +227,7 @@
 
 async fn read_store(control: &Control, place: Option<&Place>) -> Result<Revision, PlatformError> {
     match place {
-        Some(Place::Store(after) | Place::Peer(_, PlaceAtPeer { store: Some(after), .. })) => {
+        Some(Place::Store(after) | Place::Peer(_, PeerPosition { store: Some(after), .. })) => {
             watch_once(control, *after).await
         }
         // A peer may have kept boxes that the store lists no more.
@@ -300,7 +300,7 @@
     known.take_list(&boxes.records, boxes.revision, now);
     drop(known);
     control.store_reached();
-    control.learned(&Teller::Store, Millis(0), true);
+    control.learned(&ChangeSource::Store, Millis(0), true);
     // The first of the three reads counts: what changed after it comes again.
     Ok(records.revision)
 }
@@ -333,7 +333,7 @@
     control.store_reached();
     // Most answers of a watch hold heartbeats that say nothing new.
     let news = control.known.borrow().changes() != before;
-    control.learned(&Teller::Store, Millis(0), news);
+    control.learned(&ChangeSource::Store, Millis(0), news);
     // Orders that failed are sent again, and closings run out, without any news of boxes.
     control.wake.notify_one();
     Ok(revision)
