--- a/crates/cherrystand_core/src/site/event_splitter.rs
+++ b/crates/cherrystand_core/src/site/event_splitter.rs
@@ -19,42 +19,42 @@
 /// Only whole events go to a caller, so that a stream that breaks off can go on elsewhere.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
-    held: BytesMut,
-    searched: usize,
+    buffer: BytesMut,
+    scanned: usize,
 }
 
 impl EventSplitter {
     /// Takes in bytes.
     pub fn push(&mut self, bytes: &[u8]) {
-        self.held.extend_from_slice(bytes);
+        self.buffer.extend_from_slice(bytes);
     }
 
     /// Returns the next whole event, if there is one.
     pub fn next_event(&mut self) -> Option<StreamEvent> {
-        let end = self.find_end()?;
-        let bytes = self.held.split_to(end).freeze();
-        self.searched = 0;
+        let end = self.find_event_end()?;
+        let bytes = self.buffer.split_to(end).freeze();
+        self.scanned = 0;
         let id = event_id(&bytes);
         Some(StreamEvent { bytes, id })
     }
 
     /// Returns how many bytes of an unfinished event are held.
-    pub fn held(&self) -> usize {
-        self.held.len()
+    pub fn buffered_bytes(&self) -> usize {
+        self.buffer.len()
     }
 
     /// Gives up an unfinished event.
     pub fn clear(&mut self) {
-        self.held.clear();
-        self.searched = 0;
+        self.buffer.clear();
+        self.scanned = 0;
     }
 
-    fn find_end(&mut self) -> Option<usize> {
-        let from = self.searched.saturating_sub(3);
-        let held = &self.held[from..];
-        let ends = held.iter().enumerate().filter(|(_, byte)| **byte == b'\n');
-        for (at, _) in ends {
-            let rest = &held[at + 1..];
+    fn find_event_end(&mut self) -> Option<usize> {
+        let from = self.scanned.saturating_sub(3);
+        let unscanned = &self.buffer[from..];
+        let newlines = unscanned.iter().enumerate().filter(|(_, byte)| **byte == b'\n');
+        for (at, _) in newlines {
+            let rest = &unscanned[at + 1..];
             if rest.starts_with(b"\n") {
                 return Some(from + at + 2);
             }
@@ -62,7 +62,7 @@
                 return Some(from + at + 3);
             }
         }
-        self.searched = self.held.len();
+        self.scanned = self.buffer.len();
         None
     }
 }
--- a/crates/cherrystand_core/src/site/stall_evidence.rs
+++ b/crates/cherrystand_core/src/site/stall_evidence.rs
@@ -7,7 +7,7 @@
 
 /// A node that hears neither peers nor any other replica takes itself for held up no longer than
 /// this; a link of 20 Mbit/s is full that long with 3.7 MB.
-const HELD_UP_AT_MOST: Millis = Millis(1_500);
+const MAX_NODE_PAUSE: Millis = Millis(1_500);
 
 /// Says what peers tell of the progress of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -43,24 +43,26 @@
     /// For how long nothing of it came, with any request of this node.
     pub silence: Millis,
     /// The longest silence that its engine is predicted to make, with [`STALL_MARGIN`].
-    pub longest: Millis,
+    pub longest_expected: Millis,
     /// What peers tell of it.
     pub peers: PeerProgress,
     /// How long ago any peer last answered such a question; nothing where none ever did.
     pub peers_age: Option<Millis>,
     /// Whether another replica made progress with a request of this node meanwhile; nothing where no
     /// other has any.
-    pub others: Option<bool>,
+    pub others_progressed: Option<bool>,
 }
 
 impl StallEvidence {
     /// Tells whether the replica stands still, as far as this node can know.
-    pub fn is_certain(&self) -> bool {
+    pub fn is_stalled(&self) -> bool {
         match self.peers {
             PeerProgress::Seen | PeerProgress::AskedJustNow => false,
             PeerProgress::NotSeen | PeerProgress::NotAsked => true,
             // Nobody says anything here: unless another replica does, it is this node that is held up.
-            PeerProgress::NoAnswer => self.silence > HELD_UP_AT_MOST || self.others.unwrap_or(true),
+            PeerProgress::NoAnswer => {
+                self.silence > MAX_NODE_PAUSE || self.others_progressed.unwrap_or(true)
+            }
         }
     }
 
@@ -68,7 +70,7 @@
     ///
     /// A machine that stops all processes for 150 ms is likelier than the loss of all replicas at once,
     /// and to ask others beside them then spends the repeats of all nodes and helps nobody.
-    pub fn is_common(&self) -> bool {
-        self.others == Some(false) && self.silence <= HELD_UP_AT_MOST
+    pub fn is_node_wide_pause(&self) -> bool {
+        self.others_progressed == Some(false) && self.silence <= MAX_NODE_PAUSE
     }
 }
--- a/crates/cherrystand_core/src/site/stream_end.rs
+++ b/crates/cherrystand_core/src/site/stream_end.rs
@@ -3,10 +3,10 @@
 use crate::Millis;
 
 /// The least time for which a caller has to have held its answer up where that explains why it broke off.
-const HELD_UP: Millis = Millis(1_000);
+const MIN_CALLER_STALL: Millis = Millis(1_000);
 
 /// For how long after that it does.
-const EXPLAINS_FOR: Millis = Millis(5_000);
+const CALLER_STALL_EFFECT: Millis = Millis(5_000);
 
 /// Says how a stream ended for its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -37,18 +37,18 @@
     ];
 
     /// Tells whether an endpoint broke an answer off since its caller had taken nothing of it for a while;
-    /// `held_up` is when the caller last took something after so long.
+    /// `stalled_at` is when the caller last took something after so long.
     ///
     /// Endpoints bear an answer that nobody reads for some seconds only, and what they had sent before arrives
     /// first. Such an end says nothing of the endpoint, and another one would do the same work for the same
     /// caller.
-    pub fn is_caused_by_slow_caller(held_up: Option<Millis>, now: Millis) -> bool {
-        held_up.is_some_and(|at| now.since(at) < EXPLAINS_FOR)
+    pub fn is_caused_by_slow_caller(stalled_at: Option<Millis>, now: Millis) -> bool {
+        stalled_at.is_some_and(|at| now.since(at) < CALLER_STALL_EFFECT)
     }
 
     /// Tells whether a caller that took so long for what it was given holds its answer up.
     pub fn is_caller_stall(took: Millis) -> bool {
-        took >= HELD_UP
+        took >= MIN_CALLER_STALL
     }
 
     /// Returns the name that metrics and logs use.
--- a/crates/cherrystand_core/tests/crash_suspects.rs
+++ b/crates/cherrystand_core/tests/crash_suspects.rs
@@ -100,12 +100,17 @@
         let mut suspects = CrashSuspects::default();
         for event in case.events {
             match *event {
-                Ends(number, at) => _ = suspects.ended(&life(number), REQUEST, Millis(at)),
-                Served(at) => _ = suspects.served(REQUEST, Millis(at)),
+                Ends(number, at) => _ = suspects.record_crash(&life(number), REQUEST, Millis(at)),
+                Served(at) => _ = suspects.record_served(REQUEST, Millis(at)),
             }
         }
-        suspects.forget(Millis(case.comes));
-        assert_eq!(suspects.refuses(REQUEST, Millis(case.comes)), case.refused, "{}", case.name);
+        suspects.remove_expired(Millis(case.comes));
+        assert_eq!(
+            suspects.check_refused(REQUEST, Millis(case.comes)),
+            case.refused,
+            "{}",
+            case.name
+        );
     }
 }
 
@@ -114,26 +119,26 @@
 fn what_daemons_know_adds_up_in_the_record() {
     let mut daemons: Vec<CrashSuspects> = (0..3).map(|_| CrashSuspects::default()).collect();
     for (number, daemon) in daemons.iter_mut().enumerate() {
-        daemon.ended(&life(number as u64), REQUEST, Millis(1_000 * number as u64));
+        daemon.record_crash(&life(number as u64), REQUEST, Millis(1_000 * number as u64));
     }
     let mut record = SuspectRecord::default();
     for daemon in &daemons {
         let own = daemon.to_record(&record, true, UNIX, Millis(3_000));
-        record = record.with(&own, UNIX).expect("it says more");
+        record = record.merged_with(&own, UNIX).expect("it says more");
     }
     let text = serde_json::to_string(&record).expect("text");
     assert_eq!(record, serde_json::from_str(&text).expect("a record"));
     let mut later = CrashSuspects::default();
     for daemon in daemons.iter_mut().chain([&mut later]) {
-        daemon.take_record(&record, UNIX, Millis(3_000));
-        assert!(daemon.refuses(REQUEST, Millis(3_000)));
+        daemon.merge_record(&record, UNIX, Millis(3_000));
+        assert!(daemon.check_refused(REQUEST, Millis(3_000)));
         // Nothing is left to write.
         let own = daemon.to_record(&record, true, UNIX, Millis(3_001));
-        assert_eq!(record.with(&own, UNIX), None);
+        assert_eq!(record.merged_with(&own, UNIX), None);
     }
     let mut long_after = CrashSuspects::default();
-    long_after.take_record(&record, UNIX + SUSPECT_TTL.0, Millis(0));
-    assert!(!long_after.refuses(REQUEST, Millis(0)));
+    long_after.merge_record(&record, UNIX + SUSPECT_TTL.0, Millis(0));
+    assert!(!long_after.check_refused(REQUEST, Millis(0)));
 }
 
 /// A request that many callers send alike is freed everywhere once one daemon served it.
@@ -141,20 +146,20 @@
 fn a_request_that_was_served_is_freed_by_the_record() {
     let (mut one, mut other) = (CrashSuspects::default(), CrashSuspects::default());
     for number in 0..3 {
-        other.ended(&life(number), REQUEST, Millis(1_000 * number));
+        other.record_crash(&life(number), REQUEST, Millis(1_000 * number));
     }
     let own = other.to_record(&SuspectRecord::default(), false, UNIX, Millis(3_000));
-    let record = SuspectRecord::default().with(&own, UNIX).expect("it is refused");
+    let record = SuspectRecord::default().merged_with(&own, UNIX).expect("it is refused");
     // The other one met two of the ends, and served it before it read the record.
-    one.ended(&life(0), REQUEST, Millis(0));
-    one.ended(&life(1), REQUEST, Millis(1_000));
-    assert!(one.served(REQUEST, Millis(1_500)));
-    one.take_record(&record, UNIX, Millis(3_000));
-    assert!(!one.refuses(REQUEST, Millis(3_000)));
+    one.record_crash(&life(0), REQUEST, Millis(0));
+    one.record_crash(&life(1), REQUEST, Millis(1_000));
+    assert!(one.record_served(REQUEST, Millis(1_500)));
+    one.merge_record(&record, UNIX, Millis(3_000));
+    assert!(!one.check_refused(REQUEST, Millis(3_000)));
     let own = one.to_record(&record, false, UNIX, Millis(3_000));
-    let record = record.with(&own, UNIX).expect("two ends count no more");
-    other.take_record(&record, UNIX, Millis(3_100));
-    assert!(!other.refuses(REQUEST, Millis(3_100)));
+    let record = record.merged_with(&own, UNIX).expect("two ends count no more");
+    other.merge_record(&record, UNIX, Millis(3_100));
+    assert!(!other.check_refused(REQUEST, Millis(3_100)));
 }
 
 /// Story of the load: boxes end by themselves, and requests that are cut go to another box. Each has
@@ -173,17 +178,17 @@
         let at = Millis(number as u64 * 5);
         let mut sent = 0;
         while sent < 4 {
-            if suspects.refuses(request, at) {
+            if suspects.check_refused(request, at) {
                 refused += 1;
                 break;
             }
             sent += 1;
             if seed.below(1_000) >= ENDS_UNDER_IT {
-                suspects.served(request, at);
+                suspects.record_served(request, at);
                 break;
             }
             let ended = life((number * 4 + sent) as u64);
-            suspects.ended(&ended, request, at + Millis(500 * sent as u64));
+            suspects.record_crash(&ended, request, at + Millis(500 * sent as u64));
         }
     }
     // Three ends by chance are 2.2 in a million.
@@ -201,17 +206,17 @@
         let mut at = 0;
         for (number, to) in &told {
             at += 150;
-            daemons[*to].ended(&life(*number), REQUEST, Millis(at));
+            daemons[*to].record_crash(&life(*number), REQUEST, Millis(at));
         }
         let mut record = SuspectRecord::default();
         for daemon in &daemons {
             let own = daemon.to_record(&record, true, UNIX, Millis(at));
-            record = record.with(&own, UNIX).unwrap_or(record);
+            record = record.merged_with(&own, UNIX).unwrap_or(record);
         }
         let ends: BTreeSet<u64> = told.iter().map(|(number, _)| *number).collect();
         for daemon in &mut daemons {
-            daemon.take_record(&record, UNIX, Millis(at));
-            prop_assert_eq!(daemon.refuses(REQUEST, Millis(at)), ends.len() >= MAX_CRASHES);
+            daemon.merge_record(&record, UNIX, Millis(at));
+            prop_assert_eq!(daemon.check_refused(REQUEST, Millis(at)), ends.len() >= MAX_CRASHES);
         }
     }
 }
@@ -221,38 +226,38 @@
 fn a_refused_request_is_tried_seldom() {
     let mut suspects = CrashSuspects::default();
     for number in 0..3 {
-        suspects.ended(&life(number), REQUEST, Millis(1_000 * number));
+        suspects.record_crash(&life(number), REQUEST, Millis(1_000 * number));
     }
     let trials: Vec<u64> = (2_000..140_000)
         .step_by(500)
         .filter(|at| {
             // It is tried as it comes and is refused.
-            assert!(suspects.refuses(REQUEST, Millis(*at)));
-            let tried = suspects.takes_trial(REQUEST, false, Millis(*at));
+            assert!(suspects.check_refused(REQUEST, Millis(*at)));
+            let tried = suspects.try_start_trial(REQUEST, false, Millis(*at));
             if tried {
-                suspects.ended(&life(*at), REQUEST, Millis(at + 100));
+                suspects.record_crash(&life(*at), REQUEST, Millis(at + 100));
             }
             tried
         })
         .collect();
     assert_eq!(trials, [8_000, 68_500]);
-    assert!(suspects.refuses(REQUEST, Millis(140_000)));
-    suspects.served(REQUEST, Millis(140_000));
-    assert!(!suspects.refuses(REQUEST, Millis(140_001)));
+    assert!(suspects.check_refused(REQUEST, Millis(140_000)));
+    suspects.record_served(REQUEST, Millis(140_000));
+    assert!(!suspects.check_refused(REQUEST, Millis(140_001)));
 }
 
 /// What a peer served counts for a minute and is not told on.
 #[test]
 fn what_a_peer_served_ends_no_box_for_a_minute() {
     let mut suspects = CrashSuspects::default();
-    suspects.ended(&life(1), REQUEST, Millis(0));
-    suspects.served_by_peer(REQUEST, Millis(100));
-    assert_eq!(suspects.ended(&life(2), REQUEST, Millis(200)), 0);
-    assert!(!suspects.served_lately_here(REQUEST, Millis(200)));
-    suspects.served_by_peer(REQUEST, Millis(50_000));
-    assert_eq!(suspects.ended(&life(2), REQUEST, Millis(60_200)), 1);
-    suspects.served(REQUEST, Millis(70_000));
-    assert!(suspects.served_lately_here(REQUEST, Millis(70_001)));
+    suspects.record_crash(&life(1), REQUEST, Millis(0));
+    suspects.record_served_by_peer(REQUEST, Millis(100));
+    assert_eq!(suspects.record_crash(&life(2), REQUEST, Millis(200)), 0);
+    assert!(!suspects.was_served_here_recently(REQUEST, Millis(200)));
+    suspects.record_served_by_peer(REQUEST, Millis(50_000));
+    assert_eq!(suspects.record_crash(&life(2), REQUEST, Millis(60_200)), 1);
+    suspects.record_served(REQUEST, Millis(70_000));
+    assert!(suspects.was_served_here_recently(REQUEST, Millis(70_001)));
 }
 
 /// Requests that are served are remembered up to a bound.
@@ -260,11 +265,11 @@
 fn any_number_of_served_requests_is_borne() {
     let mut suspects = CrashSuspects::default();
     for number in 0..10_000_u128 {
-        suspects.served(Fingerprint(number), Millis(1));
+        suspects.record_served(Fingerprint(number), Millis(1));
     }
     assert!(suspects.is_empty());
-    assert!(!suspects.was_served_lately(Fingerprint(0), Millis(1)));
-    assert!(suspects.was_served_lately(Fingerprint(9_999), Millis(1)));
+    assert!(!suspects.was_served_recently(Fingerprint(0), Millis(1)));
+    assert!(suspects.was_served_recently(Fingerprint(9_999), Millis(1)));
 }
 
 /// Memory stays bounded whatever peers tell.
@@ -272,13 +277,13 @@
 fn any_number_of_requests_is_borne() {
     let mut suspects = CrashSuspects::default();
     for number in 0..6_000_u128 {
-        suspects.ended(&life((number % 97) as u64), Fingerprint(number), Millis(1));
+        suspects.record_crash(&life((number % 97) as u64), Fingerprint(number), Millis(1));
     }
     let own = suspects.to_record(&SuspectRecord::default(), true, UNIX, Millis(2));
     assert!(own.requests.len() <= 4_096);
-    let record = SuspectRecord::default().with(&own, UNIX).expect("some");
+    let record = SuspectRecord::default().merged_with(&own, UNIX).expect("some");
     assert!(record.requests.len() <= 128);
-    assert_eq!(record.with(&own, UNIX), None);
+    assert_eq!(record.merged_with(&own, UNIX), None);
 }
 
 /// Copies under way are called off only of what nothing else can have caused: an innocent request that is always where
@@ -315,12 +320,12 @@
             let now = Millis::from_secs(second);
             for (request, ends) in [(REQUEST, case.ends), (OTHER, case.others_ends)] {
                 if ends.contains(&second) {
-                    suspects.ended(&life(second), request, now);
+                    suspects.record_crash(&life(second), request, now);
                 }
             }
         }
         if case.other_served {
-            suspects.served(OTHER, Millis::from_secs(5));
+            suspects.record_served(OTHER, Millis::from_secs(5));
         }
         assert_eq!(suspects.is_sole_cause(REQUEST), case.sole, "{}", case.name);
     }
--- a/crates/cherrystand_core/tests/crash_trials.rs
+++ b/crates/cherrystand_core/tests/crash_trials.rs
@@ -153,16 +153,16 @@
     /// Sends a request where that is allowed, and tells whether it was; nothing where no replica is
     /// there.
     fn send(&mut self, node: usize, request: Fingerprint, now: Millis) -> Option<bool> {
-        let refused = self.nodes[node].refuses(request, now);
+        let refused = self.nodes[node].check_refused(request, now);
         // One daemon of all tries what is refused.
         let is_out = now.since(self.last_served) >= OUT_AFTER;
-        let is_trial = refused && node == 0 && self.nodes[0].takes_trial(request, is_out, now);
+        let is_trial = refused && node == 0 && self.nodes[0].try_start_trial(request, is_out, now);
         if refused && !is_trial {
             return Some(false);
         }
         let Some(replica) = self.choose(is_trial, now) else {
             // Nobody serves now.
-            self.nodes[node].trial_over(request, false);
+            self.nodes[node].end_trial(request, false);
             return None;
         };
         if is_guilty(request) {
@@ -181,7 +181,7 @@
 
     /// Draws a replica; a trial goes where no other suspect is, and nothing else to where one is.
     fn choose(&mut self, is_trial: bool, now: Millis) -> Option<usize> {
-        let suspected = |flight: &&Flight| self.nodes[0].ends_of(flight.request) > 0;
+        let suspected = |flight: &&Flight| self.nodes[0].crash_count(flight.request) > 0;
         let taken: Vec<usize> = self
             .flights
             .iter()
@@ -207,8 +207,10 @@
             if flight.node == 0 {
                 self.last_served = now;
             }
-            if self.nodes[flight.node].served(flight.request, now) {
-                self.nodes.iter_mut().for_each(|node| node.served_by_peer(flight.request, now));
+            if self.nodes[flight.node].record_served(flight.request, now) {
+                self.nodes
+                    .iter_mut()
+                    .for_each(|node| node.record_served_by_peer(flight.request, now));
             }
         }
     }
@@ -227,12 +229,13 @@
             .partition::<Vec<_>, _>(|flight| flight.replica == replica);
         self.flights = rest;
         for flight in lost {
-            let served = self.nodes.iter().any(|node| node.served_lately_here(flight.request, now));
+            let served =
+                self.nodes.iter().any(|node| node.was_served_here_recently(flight.request, now));
             for node in &mut self.nodes {
                 if served {
-                    node.served_by_peer(flight.request, now);
+                    node.record_served_by_peer(flight.request, now);
                 }
-                node.ended(&life, flight.request, now);
+                node.record_crash(&life, flight.request, now);
             }
         }
     }
@@ -317,18 +320,18 @@
     for case in cases {
         let mut suspects = CrashSuspects::default();
         for life in 0..3 {
-            suspects.ended(&BoxId::new(format!("i-{life}")), guilty, Millis(1_000 * life));
+            suspects.record_crash(&BoxId::new(format!("i-{life}")), guilty, Millis(1_000 * life));
         }
         let (mut trials, mut told) = (0, Vec::new());
         for at in (5_000..25_000).step_by(50) {
             let now = Millis(at);
             if told.first().is_some_and(|due| *due <= now) {
                 told.remove(0);
-                suspects.ended(&BoxId::new(format!("late-{at}")), guilty, now);
+                suspects.record_crash(&BoxId::new(format!("late-{at}")), guilty, now);
             }
-            if suspects.refuses(guilty, now) && suspects.takes_trial(guilty, false, now) {
+            if suspects.check_refused(guilty, now) && suspects.try_start_trial(guilty, false, now) {
                 trials += 1;
-                suspects.trial_over(guilty, case.may_have_run);
+                suspects.end_trial(guilty, case.may_have_run);
                 if case.may_have_run {
                     told.push(now + Millis(1_200));
                 }
--- a/crates/cherrystand_core/tests/interrupted_answers.rs
+++ b/crates/cherrystand_core/tests/interrupted_answers.rs
@@ -58,19 +58,19 @@
     ];
     for case in cases {
         let mut cut = InterruptedAnswers::default();
-        assert_eq!(cut.cut(&life(), ONE, Millis(0)), CrashCheck::Start, "{}", case.name);
-        assert_eq!(cut.cut(&life(), TWO, Millis(1)), CrashCheck::Pending, "{}", case.name);
-        assert_eq!(cut.undecided_of(ONE), 1, "{}", case.name);
+        assert_eq!(cut.record(&life(), ONE, Millis(0)), CrashCheck::Start, "{}", case.name);
+        assert_eq!(cut.record(&life(), TWO, Millis(1)), CrashCheck::Pending, "{}", case.name);
+        assert_eq!(cut.pending_checks(ONE), 1, "{}", case.name);
         let counted = match case.ends {
             Some((true, _)) => {
-                cut.accepts(&life());
-                assert_eq!(cut.undecided_of(ONE), 0, "{}", case.name);
+                cut.record_accepting(&life());
+                assert_eq!(cut.pending_checks(ONE), 0, "{}", case.name);
                 Vec::new()
             }
-            Some((false, at)) => cut.ended(&life(), Millis(at)),
+            Some((false, at)) => cut.record_crash(&life(), Millis(at)),
             None => Vec::new(),
         };
-        let later = cut.cut(&life(), ONE, Millis(case.later));
+        let later = cut.record(&life(), ONE, Millis(case.later));
         assert_eq!((counted, later), case.expected, "{}", case.name);
     }
 }
@@ -102,9 +102,9 @@
     ];
     for case in cases {
         let mut cut = InterruptedAnswers::default();
-        cut.cut(&life(), ONE, Millis(0));
+        cut.record(&life(), ONE, Millis(0));
         if case.accepts {
-            cut.accepts(&life());
+            cut.record_accepting(&life());
         }
         let mut boxes = BTreeMap::new();
         if let Some(start) = case.listed {
@@ -114,6 +114,6 @@
         let silent = if case.silent { BTreeSet::from([life()]) } else { BTreeSet::new() };
         let view = SiteView { boxes: Arc::new(boxes), silent, ..SiteView::default() };
         let expected = if case.ended { vec![life()] } else { Vec::new() };
-        assert_eq!(cut.ended_by(&view), expected, "{}", case.name);
+        assert_eq!(cut.crashed_boxes(&view), expected, "{}", case.name);
     }
 }
--- a/crates/cherrystand_core/tests/site_requests.rs
+++ b/crates/cherrystand_core/tests/site_requests.rs
@@ -187,7 +187,7 @@
         prop_assert_eq!(ids, (0..events.len() as u64).map(Some).collect::<Vec<_>>());
         let out: Vec<Vec<u8>> = out.into_iter().map(|event| event.bytes.to_vec()).collect();
         prop_assert_eq!(out, events);
-        prop_assert_eq!(cutter.held(), 0);
+        prop_assert_eq!(cutter.buffered_bytes(), 0);
     }
 }
 
@@ -197,9 +197,9 @@
     cutter.push(b"id: 1\ndata: a\n\nid: 2\ndata: b\n");
     assert_eq!(cutter.next_event().and_then(|event| event.id), Some(1));
     assert_eq!(cutter.next_event(), None);
-    assert!(cutter.held() > 0);
+    assert!(cutter.buffered_bytes() > 0);
     cutter.clear();
-    assert_eq!(cutter.held(), 0);
+    assert_eq!(cutter.buffered_bytes(), 0);
 }
 
 fn target(id: &str, model: Option<&str>) -> TargetSpec {
@@ -492,6 +492,6 @@
 fn a_log_gets_so_many_lines_a_second_and_learns_how_many_were_left_out() {
     let mut gate = LogLimiter::new(2);
     let at = |ms| NOW + Millis(ms);
-    let passed = [0, 1, 2, 3, 1_100, 1_101, 1_102].map(|ms| gate.pass(at(ms)));
+    let passed = [0, 1, 2, 3, 1_100, 1_101, 1_102].map(|ms| gate.admit(at(ms)));
     assert_eq!(passed, [Some(0), Some(0), None, None, Some(2), Some(0), None]);
 }
--- a/crates/cherrystand_core/tests/stall_evidence.rs
+++ b/crates/cherrystand_core/tests/stall_evidence.rs
@@ -74,14 +74,14 @@
     for case in cases {
         let still = StallEvidence {
             silence: Millis(case.silence),
-            longest: Millis(250),
+            longest_expected: Millis(250),
             peers: case.peers,
             peers_age: None,
-            others: case.others,
+            others_progressed: case.others,
         };
-        assert_eq!(still.is_certain(), case.stands_still, "{}", case.name);
+        assert_eq!(still.is_stalled(), case.stands_still, "{}", case.name);
         let common = case.others == Some(false) && case.silence == short;
-        assert_eq!(still.is_common(), common, "{}", case.name);
+        assert_eq!(still.is_node_wide_pause(), common, "{}", case.name);
     }
 }
 
--- a/crates/cherrystandd/src/site/attempt_cancellation.rs
+++ b/crates/cherrystandd/src/site/attempt_cancellation.rs
@@ -43,7 +43,7 @@
 
     fn call_off(&self, request: Fingerprint) {
         let suspects = self.suspects.borrow();
-        if !suspects.is_sole_cause(request) || suspects.is_tried(request) {
+        if !suspects.is_sole_cause(request) || suspects.is_trial_request(request) {
             return;
         }
         drop(suspects);
--- a/crates/cherrystandd/src/site/box_log.rs
+++ b/crates/cherrystandd/src/site/box_log.rs
@@ -51,7 +51,7 @@
         as_of: Revision,
         now: Millis,
     ) {
-        let Some(left_out) = self.0.pass(now) else { return };
+        let Some(left_out) = self.0.admit(now) else { return };
         log::info!(
             target_box = id.as_str(), turn = turn.as_str(), told_by = teller.to_string(),
             as_of = as_of.to_string(), left_out = left_out;
--- a/crates/cherrystandd/src/site/crash_watch.rs
+++ b/crates/cherrystandd/src/site/crash_watch.rs
@@ -90,8 +90,8 @@
             return true;
         }
         let request = req.fingerprint();
-        let undecided = self.cut.borrow().undecided_of(request);
-        let ends = self.suspects.borrow().ends_of(request);
+        let undecided = self.cut.borrow().pending_checks(request);
+        let ends = self.suspects.borrow().crash_count(request);
         ends + undecided + (open as usize) < MAX_CRASHES
     }
 
@@ -99,8 +99,8 @@
     pub(crate) fn served(&self, req: &SiteRequest) {
         let (request, now) = (req.fingerprint(), self.cx.clock.now());
         self.note_served(&req.service, now);
-        let ends = self.suspects.borrow().ends_of(request);
-        if self.suspects.borrow_mut().served(request, now) {
+        let ends = self.suspects.borrow().crash_count(request);
+        if self.suspects.borrow_mut().record_served(request, now) {
             if ends >= MAX_CRASHES {
                 log::info!(
                     fingerprint = request.to_string();
@@ -128,7 +128,7 @@
     }
 
     fn count_refused(&self) {
-        let refused = self.suspects.borrow().refused();
+        let refused = self.suspects.borrow().refused_count();
         self.cx.metrics.requests_refused_for_ends.set(refused as i64);
     }
 
@@ -140,7 +140,8 @@
         self.note(life, requests);
         let now = self.cx.clock.now();
         let suspects = self.suspects.borrow();
-        let served = requests.iter().filter(|request| suspects.served_lately_here(**request, now));
+        let served =
+            requests.iter().filter(|request| suspects.was_served_here_recently(**request, now));
         served.copied().collect()
     }
 
@@ -148,7 +149,7 @@
     pub(crate) fn peer_served(&self, requests: &[Fingerprint]) {
         let now = self.cx.clock.now();
         let mut suspects = self.suspects.borrow_mut();
-        requests.iter().for_each(|request| suspects.served_by_peer(*request, now));
+        requests.iter().for_each(|request| suspects.record_served_by_peer(*request, now));
         drop(suspects);
         self.count_refused();
     }
@@ -159,7 +160,7 @@
         if front.is_leaving(life) {
             return;
         }
-        let step = self.cut.borrow_mut().cut(life, request, self.cx.clock.now());
+        let step = self.cut.borrow_mut().record(life, request, self.cx.clock.now());
         match step {
             CrashCheck::Start => self.ask(front, life),
             CrashCheck::Pending => {}
@@ -173,7 +174,7 @@
         tokio::task::spawn_local(async move {
             match accepts(address).await {
                 Some(true) => {
-                    front.crashes.cut.borrow_mut().accepts(&life);
+                    front.crashes.cut.borrow_mut().record_accepting(&life);
                     front.crashes.box_lives();
                 }
                 Some(false) => front.crashes.ended(&life),
@@ -185,14 +186,14 @@
 
     /// Takes in by the newest view which boxes ended that cut answers, and the store's record.
     pub(crate) fn follow(&self, view: &SiteView) {
-        let ended = self.cut.borrow().ended_by(view);
+        let ended = self.cut.borrow().crashed_boxes(view);
         ended.iter().for_each(|life| self.ended(life));
         if !Arc::ptr_eq(&view.suspects, &self.recorded.borrow()) {
             self.recorded.replace(view.suspects.clone());
             let now = self.cx.clock.now();
             let mut suspects = self.suspects.borrow_mut();
-            suspects.forget(now);
-            suspects.take_record(&view.suspects, clock::unix_millis(), now);
+            suspects.remove_expired(now);
+            suspects.merge_record(&view.suspects, clock::unix_millis(), now);
             drop(suspects);
             self.count_refused();
             if self.found.get().is_some_and(|at| now.since(at) < WRITES_FOR) {
@@ -203,7 +204,7 @@
 
     /// Takes in that a box ended.
     fn ended(&self, life: &BoxId) {
-        let requests = self.cut.borrow_mut().ended(life, self.cx.clock.now());
+        let requests = self.cut.borrow_mut().record_crash(life, self.cx.clock.now());
         if !requests.is_empty() {
             self.found(life, requests);
         }
@@ -218,7 +219,7 @@
         self.log_end(life, &requests);
         let now = self.cx.clock.now();
         let suspects = self.suspects.borrow();
-        let told = requests.into_iter().filter(|one| !suspects.was_served_lately(*one, now));
+        let told = requests.into_iter().filter(|one| !suspects.was_served_recently(*one, now));
         let told: Vec<Fingerprint> = told.collect();
         drop(suspects);
         if !told.is_empty() {
@@ -229,9 +230,9 @@
     /// Writes down how often requests were at the ends of boxes, now that another one ended.
     fn log_end(&self, life: &BoxId, requests: &[Fingerprint]) {
         let suspects = self.suspects.borrow();
-        let ends = |request: &Fingerprint| (suspects.ends_of(*request), *request);
+        let ends = |request: &Fingerprint| (suspects.crash_count(*request), *request);
         let Some((most, request)) = requests.iter().map(ends).max() else { return };
-        let again = requests.iter().filter(|request| suspects.ends_of(**request) > 1).count();
+        let again = requests.iter().filter(|request| suspects.crash_count(**request) > 1).count();
         log::warn!(
             target_box = life.as_str(), requests = requests.len(), at_earlier_ends = again,
             most_ends = most, fingerprint = request.to_string();
@@ -244,8 +245,8 @@
         let now = self.cx.clock.now();
         for request in requests {
             let mut suspects = self.suspects.borrow_mut();
-            let before = suspects.ends_of(*request);
-            let ends = suspects.ended(life, *request, now);
+            let before = suspects.crash_count(*request);
+            let ends = suspects.record_crash(life, *request, now);
             if before < MAX_CRASHES && ends >= MAX_CRASHES {
                 log::warn!(
                     fingerprint = request.to_string();
--- a/crates/cherrystandd/src/site/failure_log.rs
+++ b/crates/cherrystandd/src/site/failure_log.rs
@@ -53,7 +53,7 @@
         closed_until: impl FnOnce() -> Option<Millis>,
     ) {
         let now = self.clock.now();
-        let Some(left_out) = self.gate.borrow_mut().pass(now) else {
+        let Some(left_out) = self.gate.borrow_mut().admit(now) else {
             return;
         };
         let closed_until = closed_until();
@@ -74,7 +74,7 @@
     /// Writes down how the last attempt of a request ended and what its caller was told.
     pub(crate) fn failed(&self, req: &SiteRequest, tried: &[BoxId], end: &str, told: &str) {
         let now = self.clock.now();
-        let Some(left_out) = self.gate.borrow_mut().pass(now) else {
+        let Some(left_out) = self.gate.borrow_mut().admit(now) else {
             return;
         };
         let tried: Vec<&str> = tried.iter().map(BoxId::as_str).collect();
@@ -90,7 +90,7 @@
     /// Writes down why a stream ended before it was whole, and what was left to it.
     pub(crate) fn unfinished(&self, stream: &UnfinishedStream<'_>) {
         let now = self.clock.now();
-        let Some(left_out) = self.gate.borrow_mut().pass(now) else {
+        let Some(left_out) = self.gate.borrow_mut().admit(now) else {
             return;
         };
         let told = match stream.end {
@@ -112,10 +112,10 @@
             stream = stream.end.as_str(), end = stream.attempt.map_or("", AttemptEnd::as_str),
             left_ms = stream.req.deadline.since(now).0, silent_ms = stream.silent.0,
             replica_silent_ms = age(still.map(|still| still.silence)),
-            longest_ms = age(still.map(|still| still.longest)),
+            longest_ms = age(still.map(|still| still.longest_expected)),
             peers = still.map_or("", |still| still.peers.as_str()),
             peers_age_ms = age(still.and_then(|still| still.peers_age)),
-            others_progress = still.and_then(|still| still.others).map_or(-1, i64::from),
+            others_progress = still.and_then(|still| still.others_progressed).map_or(-1, i64::from),
             attempts_left = stream.attempts_left, repeat_left = stream.repeat_left,
             left_out = left_out;
             "a request failed: {told}"
--- a/crates/cherrystandd/src/site/front.rs
+++ b/crates/cherrystandd/src/site/front.rs
@@ -239,7 +239,7 @@
         if age < OLD_NEWS {
             return;
         }
-        let Some(left_out) = self.old_news.borrow_mut().pass(self.now()) else { return };
+        let Some(left_out) = self.old_news.borrow_mut().admit(self.now()) else { return };
         log::info!(
             target_box = target.as_str(), request = req.facts.id.as_deref(), age_ms = age.0,
             told_by = self.cx.news_heard.teller().to_string(), left_out = left_out;
@@ -282,7 +282,13 @@
         };
         let others = chooser.others_progress(flight.key, now - longest);
         let peers_age = self.loads.peers_age(now);
-        Some(StallEvidence { silence, longest, peers, peers_age, others })
+        Some(StallEvidence {
+            silence,
+            longest_expected: longest,
+            peers,
+            peers_age,
+            others_progressed: others,
+        })
     }
 
     fn longest_silence(&self, req: &SiteRequest, load: EngineLoad) -> Millis {
@@ -305,7 +311,7 @@
         if flight.is_called_off() {
             return ReplicaLook::Lost;
         }
-        let still = self.standstill(req, flight, heard).filter(StallEvidence::is_certain);
+        let still = self.standstill(req, flight, heard).filter(StallEvidence::is_stalled);
         flight.note_standstill(still);
         let Some(still) = still else {
             return ReplicaLook::GoesOn;
@@ -317,7 +323,7 @@
             || self.loads.ended_since(&flight.target, flight.sent);
         match lost {
             true => ReplicaLook::Lost,
-            false if still.is_common() => ReplicaLook::Pauses,
+            false if still.is_node_wide_pause() => ReplicaLook::Pauses,
             false => ReplicaLook::StandsStill,
         }
     }
--- a/crates/cherrystandd/src/site/stream_run.rs
+++ b/crates/cherrystandd/src/site/stream_run.rs
@@ -90,7 +90,7 @@
                 return Some(RunStep::Broken(AttemptEnd::AnswerCut));
             }
         }
-        if self.cutter.held() > MAX_EVENT_BYTES {
+        if self.cutter.buffered_bytes() > MAX_EVENT_BYTES {
             return Some(RunStep::Broken(AttemptEnd::AnswerCut));
         }
         match out.len() {
@@ -101,7 +101,7 @@
     }
 
     fn end(&self) -> RunStep {
-        if self.cutter.held() > 0 {
+        if self.cutter.buffered_bytes() > 0 {
             self.flight.cut();
             return RunStep::Broken(AttemptEnd::AnswerCut);
         }
--- a/crates/cherrystandd/src/site/suspect_notes.rs
+++ b/crates/cherrystandd/src/site/suspect_notes.rs
@@ -23,7 +23,7 @@
         loop {
             let told = own.borrow_and_update().clone();
             let (revision, stands) = control.known.borrow().suspects();
-            let Some(next) = stands.with(&told, clock::unix_millis()) else { break };
+            let Some(next) = stands.merged_with(&told, clock::unix_millis()) else { break };
             if !write(&control, revision, &next).await {
                 tokio::time::sleep(control.peers.jittered(FAILURE_PAUSE)).await;
             }
--- a/crates/cherrystandd/src/site/trials.rs
+++ b/crates/cherrystandd/src/site/trials.rs
@@ -55,7 +55,7 @@
             return Permission::Send;
         }
         let (request, now) = (req.fingerprint(), self.cx.clock.now());
-        let refused = self.suspects.borrow_mut().refuses(request, now);
+        let refused = self.suspects.borrow_mut().check_refused(request, now);
         match refused {
             true if self.begins_trial(req, now) => Permission::Try(Trial {
                 watch: self.clone(),
@@ -73,7 +73,8 @@
         if now.since(self.published.get()) >= TOLD_ANEW_AFTER {
             self.publish();
         }
-        let tries = self.is_judge() && self.suspects.borrow_mut().takes_trial(request, is_out, now);
+        let tries =
+            self.is_judge() && self.suspects.borrow_mut().try_start_trial(request, is_out, now);
         if tries {
             self.publish();
             log::info!(fingerprint = request.to_string(); "a refused request is tried once");
@@ -89,14 +90,14 @@
 
     /// Takes in that a trial is over; where it is not yet known whether its box ended, that is waited for.
     fn trial_over(&self, request: Fingerprint, may_have_run: bool) {
-        if self.cut.borrow().undecided_of(request) == 0 {
-            self.suspects.borrow_mut().trial_over(request, may_have_run);
+        if self.cut.borrow().pending_checks(request) == 0 {
+            self.suspects.borrow_mut().end_trial(request, may_have_run);
         }
     }
 
     /// Takes in that a box lives whose answers broke off: a trial whose answer was among them is over.
     pub(super) fn box_lives(&self) {
-        let Some(request) = self.suspects.borrow().tried() else { return };
+        let Some(request) = self.suspects.borrow().trial_request() else { return };
         let is_at_a_box = self.under_way.borrow().iter().any(|(_, held)| *held == request);
         if !is_at_a_box {
             self.trial_over(request, true);
@@ -124,7 +125,7 @@
 
     fn is_suspected(&self, request: Fingerprint) -> bool {
         let suspects = self.suspects.borrow();
-        suspects.ends_of(request) > 0 || suspects.is_tried(request)
+        suspects.crash_count(request) > 0 || suspects.is_trial_request(request)
     }
 
     /// Lists the boxes that a request keeps away from while there are others: a trial from those that have
@@ -135,10 +136,10 @@
             return Vec::new();
         }
         let (request, suspects) = (req.fingerprint(), self.suspects.borrow());
-        let is_trial = suspects.is_tried(request);
+        let is_trial = suspects.is_trial_request(request);
         let under_way = self.under_way.borrow();
         let others = under_way.iter().filter(|(_, held)| *held != request);
-        let apart = others.filter(|(_, held)| is_trial || suspects.is_tried(*held));
+        let apart = others.filter(|(_, held)| is_trial || suspects.is_trial_request(*held));
         apart.map(|(target, _)| target.clone()).collect()
     }
 }
--- a/crates/cherrystandd/src/site/wish_notes.rs
+++ b/crates/cherrystandd/src/site/wish_notes.rs
@@ -74,7 +74,7 @@
 
     /// Returns how many lines were left out before the next one, where that may be written.
     fn pass(&self) -> Option<u32> {
-        self.gate.borrow_mut().pass(self.clock.now())
+        self.gate.borrow_mut().admit(self.clock.now())
     }
 
     /// Writes down that a replica leaves.
