--- a/crates/cherrystandd/src/site/attempt_cancellation.rs
+++ b/crates/cherrystandd/src/site/attempt_cancellation.rs
@@ -12,16 +12,16 @@
 
 /// How long after the third end copies are called off: until then peers have told which others of their requests were
 /// at the same ends and may be the cause as well.
-const DECIDED_AFTER: Duration = Duration::from_millis(50);
+const CANCEL_DELAY: Duration = Duration::from_millis(50);
 
 /// From this many attempts on, those that have ended are forgotten.
-const FORGOTTEN_FROM: usize = 64;
+const PRUNE_THRESHOLD: usize = 64;
 
 impl CrashWatch {
     /// Follows an attempt for as long as it is under way.
-    pub(crate) fn follow_copy(&self, flight: &Rc<Flight>) {
+    pub(crate) fn track_attempt(&self, flight: &Rc<Flight>) {
         let mut copies = self.copies.borrow_mut();
-        if copies.len() >= FORGOTTEN_FROM && copies.len() == copies.capacity() {
+        if copies.len() >= PRUNE_THRESHOLD && copies.len() == copies.capacity() {
             copies.retain(|copy| copy.strong_count() > 0);
         }
         copies.push(Rc::downgrade(flight));
@@ -31,17 +31,17 @@
     ///
     /// They would end their replicas: where a tenth of the requests of a kind was one that does, two to five replicas
     /// ended after the third, up to a second later. What others explain as well is left alone: it may be innocent.
-    pub(super) fn call_off_soon(&self, request: Fingerprint) {
+    pub(super) fn cancel_attempts_soon(&self, request: Fingerprint) {
         let own = self.own.clone();
         tokio::task::spawn_local(async move {
-            tokio::time::sleep(DECIDED_AFTER).await;
+            tokio::time::sleep(CANCEL_DELAY).await;
             if let Some(own) = own.upgrade() {
-                own.call_off(request);
+                own.cancel_attempts(request);
             }
         });
     }
 
-    fn call_off(&self, request: Fingerprint) {
+    fn cancel_attempts(&self, request: Fingerprint) {
         let suspects = self.suspects.borrow();
         if !suspects.is_sole_cause(request) || suspects.is_trial_request(request) {
             return;
--- a/crates/cherrystandd/src/site/box_calls.rs
+++ b/crates/cherrystandd/src/site/box_calls.rs
@@ -11,7 +11,7 @@
 use cherrystand_platform::{Answer, BoxCall, CallError, SendError, SiteDriver, call_with};
 
 use crate::site::change_sharing::ping;
-use crate::site::control::{Control, owns, readers_in};
+use crate::site::control::{Control, owns_domain, readers_in};
 use crate::site::{Driver, Hint};
 
 /// How long a box may take to answer an order.
@@ -35,17 +35,17 @@
         match end {
             OrderEnd::Taken | OrderEnd::Unfit if order.task == MemberTask::Leave => {
                 // A box that says that the order does not fit is not in the replica.
-                self.known.borrow_mut().left(&order);
+                self.known.borrow_mut().mark_left(&order);
                 self.wake.notify_one();
             }
             // It is listed for seconds yet, but it is not there.
             OrderEnd::Refused | OrderEnd::OtherBox => {
-                self.known.borrow_mut().heard(&order.target, false, self.now());
-                self.spread_news();
+                self.known.borrow_mut().record_answer(&order.target, false, self.now());
+                self.publish_and_wake();
             }
             // It may carry the order out later, or not be there at all, or this daemon is held up.
             OrderEnd::Dark | OrderEnd::Silent => {
-                let known = self.known.borrow().find(&order.target);
+                let known = self.known.borrow().listed_box(&order.target);
                 if let Some(known) = known {
                     self.ask(known, Doubt::NoAnswer).await;
                 }
@@ -61,9 +61,9 @@
     /// Takes in that a box leaves, which is planned for at once; by the store alone it is known only
     /// once the box's entry says so or is gone.
     pub(super) fn leaves(&self, id: &BoxId) {
-        if self.known.borrow_mut().leaves(id) {
+        if self.known.borrow_mut().mark_leaving(id) {
             log::info!(target_box = id.as_str(); "a box leaves, by its own answer");
-            self.spread_news();
+            self.publish_and_wake();
         }
     }
 
@@ -85,7 +85,7 @@
         };
         let is_there = matches!(end, OrderEnd::Taken | OrderEnd::Unfit | OrderEnd::Fenced);
         if is_there {
-            self.known.borrow_mut().heard(&order.target, true, self.now());
+            self.known.borrow_mut().record_answer(&order.target, true, self.now());
         }
         if let Some(answer) = sent.as_ref().ok().filter(|_| is_there) {
             self.read_leaving(&order.target, answer);
@@ -154,7 +154,7 @@
     fn decides_for(&self, known: &SiteBox) -> bool {
         let view = self.cx.view_now();
         let domain = known.domain.as_ref();
-        domain.is_none_or(|domain| owns(&view, &readers_in(&view), domain))
+        domain.is_none_or(|domain| owns_domain(&view, &readers_in(&view), domain))
     }
 
     /// Tells whether a box was not asked just now for the same reason, and notes that it is.
@@ -196,7 +196,7 @@
                 Ok(answer) => {
                     self.count_probe("answered");
                     self.read_leaving(&known.id, answer);
-                    return self.known.borrow_mut().heard(&known.id, true, self.now());
+                    return self.known.borrow_mut().record_answer(&known.id, true, self.now());
                 }
                 Err(CallError::Send(SendError::Connect { .. })) => SilenceCheck::refused(doubt),
                 Err(_) => check.unanswered(begun, self.now(), &self.calls.borrow()),
@@ -207,8 +207,8 @@
                 SilenceVerdict::AskAgain => {}
                 SilenceVerdict::Undecided => return,
                 SilenceVerdict::Silent => {
-                    self.known.borrow_mut().heard(&known.id, false, self.now());
-                    return self.spread_news();
+                    self.known.borrow_mut().record_answer(&known.id, false, self.now());
+                    return self.publish_and_wake();
                 }
             }
         }
@@ -224,7 +224,7 @@
         self.witness_asked.set(Some(now));
         for _ in 0..WITNESSES {
             let control = self.clone();
-            match self.peers.near() {
+            match self.peers.nearby_peer() {
                 Some(peer) => {
                     tokio::task::spawn_local(async move {
                         // Only whether it is answered counts, which the call book keeps.
@@ -232,7 +232,7 @@
                     });
                 }
                 None => {
-                    let Some(other) = self.known.borrow().any_other(doubted) else { return };
+                    let Some(other) = self.known.borrow().pick_witness(doubted) else { return };
                     tokio::task::spawn_local(async move {
                         let report = Driver::report_call(&other.id);
                         let within = Duration::from_millis(SilenceCheck::default().within().0);
@@ -267,19 +267,19 @@
                 continue;
             }
         };
-        let mut members = control.known.borrow().members_with(&id);
+        let mut members = control.known.borrow().replica_members(&id);
         if !members.iter().all(|member| control.decides_for(member)) {
             continue;
         }
         // What is lost together is found together, spares among it that would take the places.
-        members.extend(control.known.borrow().spares_beside(&id));
+        members.extend(control.known.borrow().domain_spares(&id));
         ask_each(&control, members, Doubt::NoAnswer);
-        let unknown = control.known.borrow().members_unknown(&id);
+        let unknown = control.known.borrow().unknown_members(&id);
         for member in &unknown {
-            control.known.borrow_mut().heard(member, false, control.now());
+            control.known.borrow_mut().record_answer(member, false, control.now());
         }
         if !unknown.is_empty() {
-            control.spread_news();
+            control.publish_and_wake();
         }
     }
 }
@@ -287,7 +287,7 @@
 /// Asks members of replicas whose entries went whether they are there: one that is only cut off
 /// from the store works on.
 pub(super) fn ask_unlisted(control: &Rc<Control>) {
-    let mut unlisted = control.known.borrow_mut().take_unasked();
+    let mut unlisted = control.known.borrow_mut().take_unverified();
     unlisted.retain(|known| control.decides_for(known));
     ask_each(control, unlisted, Doubt::NotListed);
 }
--- a/crates/cherrystandd/src/site/box_log.rs
+++ b/crates/cherrystandd/src/site/box_log.rs
@@ -5,7 +5,7 @@
 use crate::site::change_source::ChangeSource;
 
 /// How many lines are written each second; a loss of many boxes needs no line for each.
-const LOGGED: u32 = 20;
+const MAX_LINES_PER_S: u32 = 20;
 
 /// Says what became of a box in the list that a node keeps.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -13,20 +13,20 @@
     /// It is listed no more, and kept, as the store may only have lost its entry.
     Kept,
     /// It is listed no more, and taken out.
-    TakenOut,
+    Removed,
     /// It was taken out before and is listed again.
-    TakenBack,
+    Relisted,
     /// Its entry says that it leaves.
-    Leaves,
+    Leaving,
 }
 
 impl BoxTransition {
     fn as_str(self) -> &'static str {
         match self {
             Self::Kept => "kept",
-            Self::TakenOut => "taken out",
-            Self::TakenBack => "taken back",
-            Self::Leaves => "leaves",
+            Self::Removed => "taken out",
+            Self::Relisted => "taken back",
+            Self::Leaving => "leaves",
         }
     }
 }
@@ -37,13 +37,13 @@
 
 impl Default for BoxLog {
     fn default() -> Self {
-        Self(LogLimiter::new(LOGGED))
+        Self(LogLimiter::new(MAX_LINES_PER_S))
     }
 }
 
 impl BoxLog {
     /// Writes down what became of a box as of a revision of the store, and by whose word.
-    pub(super) fn note(
+    pub(super) fn log(
         &mut self,
         turn: BoxTransition,
         id: &BoxId,
--- a/crates/cherrystandd/src/site/box_queries.rs
+++ b/crates/cherrystandd/src/site/box_queries.rs
@@ -19,32 +19,32 @@
     /// Boxes stand in it as they are listed now: a record of an earlier version names no lives.
     pub(crate) fn record(&self, domain: &DomainId) -> (Revision, DomainRecord) {
         let (revision, record) = self.records.get(domain);
-        (revision, record.with_boxes_renamed(|id| self.as_listed(id)))
+        (revision, record.with_boxes_renamed(|id| self.listed_id_for(id)))
     }
 
     /// Tells whether the store lost a domain's record, which is held here.
-    pub(crate) fn lost_record(&self, domain: &DomainId) -> bool {
+    pub(crate) fn is_record_lost(&self, domain: &DomainId) -> bool {
         self.records.is_lost(domain)
     }
 
     /// Returns the model that each domain is for, as far as the records say.
-    pub(crate) fn homes(&self) -> BTreeMap<DomainId, String> {
-        self.records.homes()
+    pub(crate) fn home_models(&self) -> BTreeMap<DomainId, String> {
+        self.records.home_models()
     }
 
     /// Returns the model that each domain's hosts are to hold besides, as far as the records say.
-    pub(crate) fn seconds(&self) -> BTreeMap<DomainId, String> {
-        self.records.seconds()
+    pub(crate) fn second_models(&self) -> BTreeMap<DomainId, String> {
+        self.records.second_models()
     }
 
     /// Returns the boxes of a domain that are listed.
-    pub(crate) fn boxes_of(&self, domain: &DomainId) -> Vec<&SiteBox> {
+    pub(crate) fn boxes_in(&self, domain: &DomainId) -> Vec<&SiteBox> {
         let all = self.boxes.values().map(Arc::as_ref);
         all.filter(|known| known.domain.as_ref() == Some(domain)).collect()
     }
 
     /// Returns the boxes that are listed, by domain.
-    pub(crate) fn by_domain(&self) -> BTreeMap<DomainId, Vec<&SiteBox>> {
+    pub(crate) fn boxes_by_domain(&self) -> BTreeMap<DomainId, Vec<&SiteBox>> {
         let mut all: BTreeMap<DomainId, Vec<&SiteBox>> = BTreeMap::new();
         for known in self.boxes.values() {
             if let Some(domain) = &known.domain {
@@ -55,24 +55,24 @@
     }
 
     /// Returns the boxes of a domain that were listed lately.
-    pub(crate) fn departed_of(&self, domain: &DomainId) -> Vec<&SiteBox> {
+    pub(crate) fn departed_in(&self, domain: &DomainId) -> Vec<&SiteBox> {
         let all = self.departed.values().map(|gone| gone.known.as_ref());
         all.filter(|known| known.domain.as_ref() == Some(domain)).collect()
     }
 
     /// Returns for how long no box has come that was not known.
-    pub(crate) fn settled_for(&self, now: Millis) -> Millis {
+    pub(crate) fn time_since_new_box(&self, now: Millis) -> Millis {
         now.since(self.grew)
     }
 
     /// Returns a box that is listed.
-    pub(crate) fn find(&self, id: &BoxId) -> Option<SiteBox> {
+    pub(crate) fn listed_box(&self, id: &BoxId) -> Option<SiteBox> {
         self.boxes.get(id).map(|known| SiteBox::clone(known))
     }
 
     /// Returns a box that is listed and not silent, other than the members of the replica of
     /// `doubted`.
-    pub(crate) fn any_other(&self, doubted: &SiteBox) -> Option<Arc<SiteBox>> {
+    pub(crate) fn pick_witness(&self, doubted: &SiteBox) -> Option<Arc<SiteBox>> {
         let replica = |known: &SiteBox| known.member.as_ref().map(|member| member.replica.clone());
         let is_other = |known: &&Arc<SiteBox>| {
             known.id != doubted.id
@@ -83,18 +83,18 @@
     }
 
     /// Returns the boxes of a box's domain that belong to no replica.
-    pub(crate) fn spares_beside(&self, id: &BoxId) -> Vec<SiteBox> {
+    pub(crate) fn domain_spares(&self, id: &BoxId) -> Vec<SiteBox> {
         let domain = self.boxes.get(id).and_then(|known| known.domain.clone());
         let Some(domain) = domain else {
             return Vec::new();
         };
         let (_, record) = self.record(&domain);
-        let boxes = self.boxes_of(&domain).into_iter();
+        let boxes = self.boxes_in(&domain).into_iter();
         boxes.filter(|known| record.is_free(&known.id)).cloned().collect()
     }
 
     /// Returns the members of the replica that a box leads, itself among them, listed or not.
-    pub(crate) fn members_with(&self, id: &BoxId) -> Vec<SiteBox> {
+    pub(crate) fn replica_members(&self, id: &BoxId) -> Vec<SiteBox> {
         let Some(known) = self.boxes.get(id) else {
             return Vec::new();
         };
@@ -108,7 +108,7 @@
 
     /// Returns the members of the replica that a box leads of which nothing but their names is
     /// known, so that nobody here can ask them.
-    pub(crate) fn members_unknown(&self, leader: &BoxId) -> Vec<BoxId> {
+    pub(crate) fn unknown_members(&self, leader: &BoxId) -> Vec<BoxId> {
         let member = self.boxes.get(leader).and_then(|known| known.member.as_ref());
         let members = member.and_then(|member| {
             let key = (member.replica.clone(), member.epoch);
@@ -125,7 +125,7 @@
     }
 
     /// Returns the boxes that went silent, and those whose life is over.
-    pub(crate) fn silent(&self) -> BTreeSet<BoxId> {
+    pub(crate) fn silent_boxes(&self) -> BTreeSet<BoxId> {
         self.silent.keys().chain(&self.ended_lives).cloned().collect()
     }
 }
--- a/crates/cherrystandd/src/site/capacity.rs
+++ b/crates/cherrystandd/src/site/capacity.rs
@@ -12,11 +12,11 @@
 use crate::state::View;
 
 /// What the daemon that plans is chosen by, among those that decide for domains.
-const PLAN: &str = "capacity";
+const PLANNER_KEY: &str = "capacity";
 
 /// For how long after the first start of all daemons hosts are given a second model: their loads
 /// cost nothing before the first request.
-const SECOND_WITHIN: Millis = Millis(8_500);
+const FREE_LOAD_PERIOD: Millis = Millis(8_500);
 
 /// Which model each domain is for, and which one its hosts are to hold besides.
 #[derive(Clone, Debug, Default)]
@@ -29,15 +29,15 @@
 
 impl Control {
     /// Returns which models the domains are for.
-    pub(super) fn homes(&self, known: &SiteState, engine: &EngineSpec) -> HomeModels {
+    pub(super) fn choose_home_models(&self, known: &SiteState, engine: &EngineSpec) -> HomeModels {
         let policy = self.cx.settings.policy;
         if !policy.home_models {
             return HomeModels::default();
         }
-        let first = home_models(engine, &known.by_domain(), &known.homes());
-        let free = self.is_first_start() && self.now() < SECOND_WITHIN && self.is_unused();
+        let first = home_models(engine, &known.boxes_by_domain(), &known.home_models());
+        let free = self.is_first_start() && self.now() < FREE_LOAD_PERIOD && self.is_idle();
         let mut second = match policy.follow_demand {
-            true => known.seconds(),
+            true => known.second_models(),
             false => BTreeMap::new(),
         };
         second.retain(|domain, model| first.get(domain) != Some(model));
@@ -48,18 +48,18 @@
     }
 
     /// Tells whether no model has any request in flight.
-    fn is_unused(&self) -> bool {
+    fn is_idle(&self) -> bool {
         let loads = self.cx.model_loads.borrow();
         loads.values().flat_map(BTreeMap::values).all(|load| load.requests == 0.0)
     }
 
     /// Gives a domain to another model where the requests in flight want that; one daemon plans.
     pub(super) async fn plan_capacity(&self, view: &View, readers: &[&Heartbeat]) {
-        let plans = owner_of(PLAN, readers.iter().copied()) == Some(&view.own.node);
+        let plans = owner_of(PLANNER_KEY, readers.iter().copied()) == Some(&view.own.node);
         if !plans || !self.cx.settings.policy.follow_demand {
             return;
         }
-        for change in self.changes_of_homes() {
+        for change in self.home_changes() {
             let busy = self.busy_replicas();
             log::info!(
                 domain = change.domain.as_str(), busy = busy.as_str();
@@ -68,9 +68,9 @@
             let (revision, mut record) = self.known.borrow().record(&change.domain);
             record.home = Some(change.home);
             record.second = None;
-            self.write(&change.domain, revision, record).await;
+            self.write_record(&change.domain, revision, record).await;
         }
-        for change in self.domains_to_prepare() {
+        for change in self.preload_changes() {
             let busy = self.busy_replicas();
             log::info!(
                 domain = change.domain.as_str(), busy = busy.as_str();
@@ -78,7 +78,7 @@
             );
             let (revision, mut record) = self.known.borrow().record(&change.domain);
             record.second = Some(change.home);
-            self.write(&change.domain, revision, record).await;
+            self.write_record(&change.domain, revision, record).await;
         }
     }
 
@@ -90,25 +90,26 @@
         busy.join(", ")
     }
 
-    fn changes_of_homes(&self) -> Vec<HomeChange> {
+    fn home_changes(&self) -> Vec<HomeChange> {
         let now = self.now();
         let loads = self.cx.model_loads.borrow().clone();
-        let planned = self.by_service(|plan, service, engine, domains| match loads.get(service) {
-            Some(loads) => plan.step(now, engine, loads, domains),
-            None => Vec::new(),
-        });
+        let planned =
+            self.with_each_plan(|plan, service, engine, domains| match loads.get(service) {
+                Some(loads) => plan.step(now, engine, loads, domains),
+                None => Vec::new(),
+            });
         planned.concat()
     }
 
-    fn domains_to_prepare(&self) -> Vec<HomeChange> {
+    fn preload_changes(&self) -> Vec<HomeChange> {
         let now = self.now();
         let planned =
-            self.by_service(|plan, _, engine, domains| plan.prepare(now, engine, domains));
+            self.with_each_plan(|plan, _, engine, domains| plan.prepare(now, engine, domains));
         planned.into_iter().flatten().collect()
     }
 
     /// Asks the plan of each service with an engine that requests are in flight for.
-    fn by_service<T>(
+    fn with_each_plan<T>(
         &self,
         mut ask: impl FnMut(&mut CapacityPlan, &ServiceName, &EngineSpec, &[DomainUse]) -> T,
     ) -> Vec<T> {
@@ -116,12 +117,12 @@
         let Some(table) = known.table() else {
             return Vec::new();
         };
-        let homes = known.homes();
+        let homes = known.home_models();
         let mut plans = self.plans.borrow_mut();
         let services: Vec<ServiceName> = self.cx.model_loads.borrow().keys().cloned().collect();
         let asked = services.iter().filter_map(|service| {
             let engine = table.config().engine(service)?;
-            let domains = domains_of(&known, service, &homes);
+            let domains = domain_uses(&known, service, &homes);
             let plan = plans.entry(service.clone()).or_default();
             Some(ask(plan, service, engine, &domains))
         });
@@ -130,24 +131,29 @@
 }
 
 /// Describes the domains of a service to the plan; boxes of emptied zones count for nothing.
-fn domains_of(
+fn domain_uses(
     known: &SiteState,
     service: &ServiceName,
     homes: &BTreeMap<DomainId, String>,
 ) -> Vec<DomainUse> {
-    let by_domain = known.by_domain();
-    let (emptied, seconds) = (known.zones.since(), known.seconds());
+    let by_domain = known.boxes_by_domain();
+    let (emptied, seconds) = (known.zones.since(), known.second_models());
     let described = homes.iter().filter_map(|(id, home)| {
         let boxes = by_domain.get(id)?;
         let serves = |known: &&&SiteBox| !emptied.contains_key(&known.zone);
         let boxes: Vec<&SiteBox> = boxes.iter().filter(serves).copied().collect();
         let of_service = boxes.first().is_some_and(|known| &known.service == service);
-        of_service.then(|| describe(id, home, seconds.get(id), &boxes))
+        of_service.then(|| describe_domain(id, home, seconds.get(id), &boxes))
     });
     described.collect()
 }
 
-fn describe(id: &DomainId, home: &str, second: Option<&String>, boxes: &[&SiteBox]) -> DomainUse {
+fn describe_domain(
+    id: &DomainId,
+    home: &str,
+    second: Option<&String>,
+    boxes: &[&SiteBox],
+) -> DomainUse {
     let mut held: BTreeMap<String, usize> = BTreeMap::new();
     for known in boxes.iter().filter(|known| !known.leaving) {
         let models: BTreeSet<&String> = known.staged.iter().chain(&known.loaded).collect();
--- a/crates/cherrystandd/src/site/change_sharing.rs
+++ b/crates/cherrystandd/src/site/change_sharing.rs
@@ -17,19 +17,19 @@
 use tokio::sync::watch;
 
 use crate::site::ChangeSource;
-use crate::site::control::{Control, duration};
+use crate::site::control::{Control, to_duration};
 
 /// How long an answer may take that waits for nothing.
-const ANSWER_WITHIN: Duration = Duration::from_millis(NewsBudget::PEER_ANSWERS_WITHIN.0);
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(NewsBudget::PEER_ANSWERS_WITHIN.0);
 
 /// The age of what a daemon has from a peer's copy alone.
-const NEVER_HEARD: Millis = Millis(u64::MAX);
+const UNKNOWN_AGE: Millis = Millis(u64::MAX);
 
 /// The longest wait that a peer may ask for.
-const LONGEST_WAIT: Millis = Millis(5_000);
+const MAX_WAIT: Millis = Millis(5_000);
 
 /// The largest question, in bytes.
-const LARGEST_QUESTION: usize = 256;
+const MAX_QUESTION_BYTES: usize = 256;
 
 /// Tells why a peer's changes could not be read.
 #[derive(Debug, thiserror::Error)]
@@ -45,22 +45,22 @@
     Malformed(#[from] CodecError),
     /// This daemon stood still meanwhile, which says nothing of the peer.
     #[error("this daemon stood still while it waited")]
-    StoodStill,
+    Paused,
     /// The answer is too old, or the store last answered the peer too long ago.
     #[error("the answer is too old; the store had answered the peer {} ms before", .0.0)]
     Stale(Millis),
 }
 
 /// Answers peers for as long as the duty runs.
-pub(crate) async fn share_changes(control: Rc<Control>, listener: TcpListener) {
+pub(crate) async fn serve_changes(control: Rc<Control>, listener: TcpListener) {
     let (_running, stop) = watch::channel(false);
-    let handle = move |req| answer(control.clone(), req);
+    let handle = move |req| handle(control.clone(), req);
     serve_http(listener, handle, stop).await;
 }
 
-async fn answer(control: Rc<Control>, req: Request<Incoming>) -> Response<Full<Bytes>> {
-    let told = match read_question(req).await {
-        Ok(question) => tell(&control, question).await,
+async fn handle(control: Rc<Control>, req: Request<Incoming>) -> Response<Full<Bytes>> {
+    let told = match read_request(req).await {
+        Ok(question) => respond(&control, question).await,
         Err(status) => Err(status),
     };
     match told {
@@ -73,65 +73,68 @@
     }
 }
 
-async fn read_question(req: Request<Incoming>) -> Result<ChangeQuestion, StatusCode> {
-    let body = Limited::new(req.into_body(), LARGEST_QUESTION).collect().await;
+async fn read_request(req: Request<Incoming>) -> Result<ChangeQuestion, StatusCode> {
+    let body = Limited::new(req.into_body(), MAX_QUESTION_BYTES).collect().await;
     let body = body.map_err(|_| StatusCode::BAD_REQUEST)?.to_bytes();
     decode(&body).map_err(|_| StatusCode::BAD_REQUEST)
 }
 
-async fn tell(control: &Control, question: ChangeQuestion) -> Result<Bytes, StatusCode> {
+async fn respond(control: &Control, question: ChangeQuestion) -> Result<Bytes, StatusCode> {
     let news = match question {
         ChangeQuestion::After { cursor, wait, config } => {
-            news_after(control, cursor, wait, config).await?
+            changes_after(control, cursor, wait, config).await?
+        }
+        ChangeQuestion::Copy { newer_than, config } => {
+            snapshot_newer_than(control, newer_than, config)?
         }
-        ChangeQuestion::Copy { newer_than, config } => copy_of(control, newer_than, config)?,
         ChangeQuestion::Ping => return Ok(Bytes::new()),
     };
-    let bytes = encode(&news).map_err(not_written)?;
+    let bytes = encode(&news).map_err(encoding_failed)?;
     control.count_changes("out", &news, bytes.len());
     Ok(Bytes::from(bytes))
 }
 
-fn not_written(err: CodecError) -> StatusCode {
+fn encoding_failed(err: CodecError) -> StatusCode {
     log::error!("changes cannot be written: {err}");
     StatusCode::INTERNAL_SERVER_ERROR
 }
 
 /// Waits for a change after a cursor and makes the news of it, where the store's state is known
 /// freshly.
-async fn news_after(
+async fn changes_after(
     control: &Control,
     cursor: Option<ChangeCursor>,
     wait: Millis,
     config: Revision,
 ) -> Result<ChangeNews, StatusCode> {
-    let life = control.life();
+    let life = control.incarnation();
     let after = cursor.filter(|cursor| cursor.life == life).map(|cursor| cursor.count);
     let asked = control.now();
-    let until = asked + wait.min(LONGEST_WAIT);
+    let until = asked + wait.min(MAX_WAIT);
     // One that asks the store itself has the answer soon, and the asker would go to the store as
     // well; one that asks a peer in turn would only add to the wait.
-    if fresh_age(control).is_none() && control.peers.source().is_some() {
+    if fresh_store_age(control).is_none() && control.peers.source().is_some() {
         return Err(StatusCode::SERVICE_UNAVAILABLE);
     }
-    await_change(control, after, until).await;
-    let store_age = fresh_age(control).ok_or(StatusCode::SERVICE_UNAVAILABLE)?;
+    wait_for_change(control, after, until).await;
+    let store_age = fresh_store_age(control).ok_or(StatusCode::SERVICE_UNAVAILABLE)?;
     let held = control.now().since(asked);
-    Ok(ChangeNews { held, ..news_of(control, after, store_age, config)? })
+    Ok(ChangeNews { held, ..build_news(control, after, store_age, config)? })
 }
 
 /// Waits until there is a change after the first `after`, until a time, or until what is known here is no longer fresh:
 /// the asker has to look elsewhere then.
-async fn await_change(control: &Control, after: Option<u64>, until: Millis) {
+async fn wait_for_change(control: &Control, after: Option<u64>, until: Millis) {
     let mut changed = control.changed.subscribe();
-    let is_due = |count: &u64| fresh_age(control).is_some() && after.is_none_or(|at| *count > at);
+    let is_due =
+        |count: &u64| fresh_store_age(control).is_some() && after.is_none_or(|at| *count > at);
     loop {
-        let was_fresh = fresh_age(control);
+        let was_fresh = fresh_store_age(control);
         let left = until.since(control.now());
         let fresh_for = was_fresh.map(|age| control.budget.fresh_for().since(age) + Millis(1));
-        let look = duration(fresh_for.map_or(left, |fresh_for| fresh_for.min(left)));
+        let look = to_duration(fresh_for.map_or(left, |fresh_for| fresh_for.min(left)));
         let came = tokio::time::timeout(look, changed.wait_for(is_due)).await.is_ok();
-        let is_old = was_fresh.is_some() && fresh_age(control).is_none();
+        let is_old = was_fresh.is_some() && fresh_store_age(control).is_none();
         if came || is_old || control.now() >= until {
             return;
         }
@@ -139,13 +142,13 @@
 }
 
 /// Returns how long ago the store told this node how it stands, where that is fresh.
-fn fresh_age(control: &Control) -> Option<Millis> {
+fn fresh_store_age(control: &Control) -> Option<Millis> {
     let is_listed = control.known.borrow().is_listed();
     control.store_age().filter(|age| *age <= control.budget.fresh_for() && is_listed)
 }
 
 /// Makes a copy of everything, where it is newer than what the asker has.
-fn copy_of(
+fn snapshot_newer_than(
     control: &Control,
     newer_than: Revision,
     config: Revision,
@@ -154,14 +157,14 @@
     if !known.is_listed() || known.revision() <= newer_than {
         return Err(StatusCode::SERVICE_UNAVAILABLE);
     }
-    let store_age = control.store_age().unwrap_or(NEVER_HEARD);
+    let store_age = control.store_age().unwrap_or(UNKNOWN_AGE);
     drop(known);
-    news_of(control, None, store_age, config)
+    build_news(control, None, store_age, config)
 }
 
 /// Returns the news after the first `after` changes, or of everything, for a peer that holds a
 /// configuration.
-fn news_of(
+fn build_news(
     control: &Control,
     after: Option<u64>,
     store_age: Millis,
@@ -169,14 +172,14 @@
 ) -> Result<ChangeNews, StatusCode> {
     let known = control.known.borrow();
     let after = after.filter(|after| known.keeps_changes_since(*after));
-    let span = BatchSpan { after, until: known.changes() };
+    let span = BatchSpan { after, until: known.change_count() };
     let make = || match after.and_then(|after| known.changes_since(after)) {
         Some(since) => since,
-        None => ChangesSince { records: known.everything(), gone: Vec::new() },
+        None => ChangesSince { records: known.snapshot(), gone: Vec::new() },
     };
-    let batch = control.batches.borrow_mut().get_or_pack(span, make).map_err(not_written)?;
+    let batch = control.batches.borrow_mut().get_or_pack(span, make).map_err(encoding_failed)?;
     Ok(ChangeNews {
-        cursor: ChangeCursor { life: control.life(), count: known.changes() },
+        cursor: ChangeCursor { life: control.incarnation(), count: known.change_count() },
         store_age,
         steady_for: known.steady_for(control.now()),
         held: Millis(0),
@@ -207,12 +210,12 @@
     let asked = control.now();
     let within = control.budget.peer_given_up_after();
     let wait = control.budget.wait();
-    let question = ChangeQuestion::After { cursor, wait, config: control.config_held() };
-    let answer = ask(control, peer, &question, duration(within)).await;
+    let question = ChangeQuestion::After { cursor, wait, config: control.held_config_revision() };
+    let answer = request_news(control, peer, &question, to_duration(within)).await;
     let now = control.now();
     // An answer that lay unread while this process stood still says nothing of now.
     if now.since(asked) > within + AwakeTime::UNNOTICED {
-        return Err(ChangesError::StoodStill);
+        return Err(ChangesError::Paused);
     }
     let news = answer?;
     if news.store_age > control.budget.fresh_for() {
@@ -224,12 +227,12 @@
     old.observe(age.as_secs_f64());
     let batch = news.batch.unpack()?;
     let mut changes = news.whole || !batch.is_empty();
-    control.timed(|| {
-        changes |= control.take_packed_config(news.config.as_deref());
+    control.time_apply(|| {
+        changes |= control.apply_packed_config(news.config.as_deref());
         let teller = ChangeSource::Peer(node.clone());
-        control.known.borrow_mut().take_news(teller, &news, &batch, now);
+        control.known.borrow_mut().apply_peer_changes(teller, &news, &batch, now);
     });
-    control.learned(&ChangeSource::Peer(node.clone()), age, changes);
+    control.record_update(&ChangeSource::Peer(node.clone()), age, changes);
     let store = (!news.keeps_unlisted).then_some(news.revision);
     Ok(PeerPosition { cursor: news.cursor, store })
 }
@@ -237,20 +240,20 @@
 /// Takes over what a peer knew last, while neither the store nor a reader of it answers this node.
 ///
 /// That says nothing of how the store stands now, and this node decides nothing by it.
-pub(crate) async fn read_copy(
+pub(crate) async fn read_snapshot(
     control: &Control,
     node: NodeId,
     peer: SocketAddr,
 ) -> Result<(), ChangesError> {
     let newer_than = control.known.borrow().revision();
-    let question = ChangeQuestion::Copy { newer_than, config: control.config_held() };
-    let news = ask(control, peer, &question, ANSWER_WITHIN).await?;
+    let question = ChangeQuestion::Copy { newer_than, config: control.held_config_revision() };
+    let news = request_news(control, peer, &question, ANSWER_TIMEOUT).await?;
     let now = control.now();
-    control.take_packed_config(news.config.as_deref());
+    control.apply_packed_config(news.config.as_deref());
     let batch = news.batch.unpack()?;
     let teller = ChangeSource::Peer(node);
-    control.known.borrow_mut().take_copy(teller, &batch.records, news.revision, now);
-    control.spread_news();
+    control.known.borrow_mut().apply_snapshot(teller, &batch.records, news.revision, now);
+    control.publish_and_wake();
     Ok(())
 }
 
@@ -263,16 +266,21 @@
     silence: Millis,
 ) -> Result<bool, ChangesError> {
     let question =
-        ChangeQuestion::Copy { newer_than: Revision::NONE, config: control.config_held() };
-    let news = ask(control, peer, &question, ANSWER_WITHIN).await?;
+        ChangeQuestion::Copy { newer_than: Revision::NONE, config: control.held_config_revision() };
+    let news = request_news(control, peer, &question, ANSWER_TIMEOUT).await?;
     let was_none = news.store_age <= control.budget.fresh_for() && news.steady_for > silence;
     if was_none {
         let batch = news.batch.unpack()?;
         let mut known = control.known.borrow_mut();
-        known.store_was_there();
-        known.take_copy(ChangeSource::Peer(node), &batch.records, news.revision, control.now());
+        known.dismiss_outage();
+        known.apply_snapshot(
+            ChangeSource::Peer(node),
+            &batch.records,
+            news.revision,
+            control.now(),
+        );
         drop(known);
-        control.spread_news();
+        control.publish_and_wake();
     }
     Ok(was_none)
 }
@@ -283,11 +291,11 @@
 ///
 /// Returns a [`ChangesError`] where none comes.
 pub(crate) async fn ping(control: &Control, peer: SocketAddr) -> Result<(), ChangesError> {
-    post(control, peer, &ChangeQuestion::Ping, ANSWER_WITHIN).await?;
+    post(control, peer, &ChangeQuestion::Ping, ANSWER_TIMEOUT).await?;
     Ok(())
 }
 
-async fn ask(
+async fn request_news(
     control: &Control,
     peer: SocketAddr,
     question: &ChangeQuestion,
--- a/crates/cherrystandd/src/site/control.rs
+++ b/crates/cherrystandd/src/site/control.rs
@@ -19,27 +19,27 @@
 use crate::kernel::{Duty, Serves};
 use crate::settings::SiteSettings;
 use crate::site::box_calls::{ask_unlisted, follow_hints};
-use crate::site::change_sharing::share_changes;
+use crate::site::change_sharing::serve_changes;
 use crate::site::peer_selector::PeerSelector;
-use crate::site::reader_notes::keep_note;
+use crate::site::reader_notes::maintain_reader_note;
 use crate::site::site_state::SiteState;
-use crate::site::store_watch::{follow_operators, follow_store, stay_awake};
+use crate::site::store_watch::{follow_store, track_awake_time, watch_operator_keys};
 use crate::site::suspect_notes::keep_suspects;
 use crate::site::{ChangeSource, Driver, RefusedKind};
 use crate::state::{StateEvent, View};
 use crate::{DutyContext, DutyError, StopPhase, keys};
 
 /// The time between two steps where nothing happens.
-const STEP: Duration = Duration::from_millis(250);
+const STEP_INTERVAL: Duration = Duration::from_millis(250);
 
 /// The time that news gathers before a step.
-const GATHER: Duration = Duration::from_millis(4);
+const COALESCE_DELAY: Duration = Duration::from_millis(4);
 
 /// How many times as long as it took to take news in nothing more is read.
-const REST_FOR_READING: u32 = 3;
+const READ_PAUSE_FACTOR: u32 = 3;
 
 /// How often peers are given the newest configuration, which they compare first.
-const PASS_ON_EVERY: Millis = Millis(1_000);
+const PASS_ON_INTERVAL: Millis = Millis(1_000);
 
 inventory::submit! {
     Duty { name: "site-control", serves: Serves::Routes, run }
@@ -55,15 +55,15 @@
         let listener = TcpListener::bind(address)
             .await
             .map_err(|source| DutyError::Listen { address, source })?;
-        tokio::task::spawn_local(share_changes(control.clone(), listener));
+        tokio::task::spawn_local(serve_changes(control.clone(), listener));
         tokio::task::spawn_local(follow_store(control.clone()));
-        tokio::task::spawn_local(stay_awake(control.clone()));
-        tokio::task::spawn_local(follow_operators(control.clone()));
+        tokio::task::spawn_local(track_awake_time(control.clone()));
+        tokio::task::spawn_local(watch_operator_keys(control.clone()));
         tokio::task::spawn_local(follow_hints(control.clone()));
-        tokio::task::spawn_local(keep_note(control.clone()));
+        tokio::task::spawn_local(maintain_reader_note(control.clone()));
         tokio::task::spawn_local(keep_suspects(control.clone()));
         tokio::select! {
-            () = control.clone().steps() => {}
+            () = control.clone().run_steps() => {}
             () = cx.stopping(StopPhase::Stopped) => {}
         }
         Ok(())
@@ -152,33 +152,33 @@
     }
 
     /// Notes that the store answered this node itself.
-    pub(crate) fn store_reached(&self) {
+    pub(crate) fn record_store_answer(&self) {
         self.update_reach(StoreReach::reached);
     }
 
     /// Tells whether the store did not answer this node the last time.
-    pub(crate) fn is_turned_away(&self) -> bool {
+    pub(crate) fn is_store_unreachable(&self) -> bool {
         self.reach.get().fails()
     }
 
     /// Notes that the store does not answer this node itself, which reads from a peer.
-    pub(crate) fn store_missed(&self) {
+    pub(crate) fn record_store_miss(&self) {
         self.update_reach(StoreReach::missed);
         self.wake.notify_one();
     }
 
     /// Takes note of news that the store gave `age` ago and `teller` passed on, and has it looked at.
-    pub(crate) fn learned(&self, teller: &ChangeSource, age: Millis, changes: bool) {
+    pub(crate) fn record_update(&self, teller: &ChangeSource, age: Millis, changes: bool) {
         let at = self.now() - age;
         self.cx.news_heard.told(at, teller);
         self.update_reach(|reach| reach.told(at));
         if changes {
-            self.spread_news();
+            self.publish_and_wake();
         }
     }
 
     /// Hands what is known now to the request path and to peers, and has it looked at.
-    pub(crate) fn spread_news(&self) {
+    pub(crate) fn publish_and_wake(&self) {
         self.publish();
         self.wake.notify_one();
     }
@@ -195,7 +195,7 @@
     }
 
     /// Returns the number of this life of the process.
-    pub(crate) fn life(&self) -> u64 {
+    pub(crate) fn incarnation(&self) -> u64 {
         self.cx.view.borrow().own.incarnation.0
     }
 
@@ -210,25 +210,25 @@
         self.cx.metrics.store_era.set(known.revision().era().0 as i64);
         self.cx.metrics.endpoints_cold.set(view.cold.iter().count() as i64);
         self.cx.publish_site.send_replace(Arc::new(view));
-        self.changed.send_replace(known.changes());
+        self.changed.send_replace(known.change_count());
     }
 
-    async fn steps(self: Rc<Self>) {
+    async fn run_steps(self: Rc<Self>) {
         loop {
-            let woken = tokio::time::timeout(STEP, self.wake.notified()).await.is_ok();
+            let woken = tokio::time::timeout(STEP_INTERVAL, self.wake.notified()).await.is_ok();
             if woken {
-                tokio::time::sleep(GATHER).await;
+                tokio::time::sleep(COALESCE_DELAY).await;
             }
             let view = self.cx.view_now();
-            let forgot = self.known.borrow_mut().forget(self.now());
+            let forgot = self.known.borrow_mut().remove_expired(self.now());
             // The share of the repeats that a node may make hangs on how many there are.
             if forgot || self.cx.site.borrow().nodes != view.alive().count() {
                 self.publish();
             }
             ask_unlisted(&self);
-            self.count_refused();
-            self.say_whether_it_decides();
-            self.exchange_with_peers(&view);
+            self.count_refused_values();
+            self.announce_decides();
+            self.exchange_documents(&view);
             if self.cx.stop_phase() == StopPhase::Running
                 && self.update_reach(|reach| reach.may_decide(self.now()))
             {
@@ -238,23 +238,23 @@
     }
 
     /// Takes in what peers passed on, and hands out what the store told.
-    fn exchange_with_peers(&self, view: &View) {
+    fn exchange_documents(&self, view: &View) {
         let now = self.now();
         let mut known = self.known.borrow_mut();
         let mut news = false;
         for document in &view.passed_on {
             news |= match &*document.key {
-                keys::SITE_CONFIG => known.take_config(document),
-                keys::EMPTIED_ZONES => known.take_emptied_zones(document, now),
+                keys::SITE_CONFIG => known.apply_config(document),
+                keys::EMPTIED_ZONES => known.apply_evacuation_document(document, now),
                 _ => false,
             };
         }
-        let due = now.since(self.passed_on.get()) >= PASS_ON_EVERY;
-        let newest = known.operators_state();
+        let due = now.since(self.passed_on.get()) >= PASS_ON_INTERVAL;
+        let newest = known.operator_revisions();
         if due || newest != self.newest_passed.get() {
             self.passed_on.set(now);
             self.newest_passed.set(newest);
-            self.cx.tell_state(StateEvent::Records(known.copies_to_pass_on()));
+            self.cx.tell_state(StateEvent::Records(known.operator_documents()));
         }
         drop(known);
         if news {
@@ -263,18 +263,18 @@
     }
 
     /// Lets peers decide for this node's domains while the store does not answer it.
-    fn say_whether_it_decides(&self) {
-        let decides = !self.is_turned_away();
+    fn announce_decides(&self) {
+        let decides = !self.is_store_unreachable();
         if self.said_decides.replace(decides) != decides {
             self.cx.tell_state(StateEvent::Decides(decides));
         }
     }
 
     /// Notes that the store failed this node, and tells whether that says anything of the store.
-    pub(crate) fn store_failed(&self) -> bool {
-        let failed = self.known.borrow_mut().store_failed(self.now());
+    pub(crate) fn record_store_failure(&self) -> bool {
+        let failed = self.known.borrow_mut().record_store_failure(self.now());
         if failed {
-            self.store_missed();
+            self.record_store_miss();
         }
         failed
     }
@@ -286,7 +286,7 @@
 
     /// Returns the revision of the configuration that peers may tell changes against; 0 where the
     /// whole is wanted.
-    pub(crate) fn config_held(&self) -> Revision {
+    pub(crate) fn held_config_revision(&self) -> Revision {
         match self.wants_whole.get() {
             true => Revision::NONE,
             false => self.cx.config_versions.newest(),
@@ -295,18 +295,18 @@
 
     /// Takes in a configuration that a peer passed on, and tells whether it is a new one; one that
     /// does not fit is asked for whole the next time, and the one in force stays.
-    pub(crate) fn take_packed_config(&self, packed: Option<&PackedBody>) -> bool {
+    pub(crate) fn apply_packed_config(&self, packed: Option<&PackedBody>) -> bool {
         let mut known = self.known.borrow_mut();
         let Some(packed) = packed.filter(|packed| packed.revision > known.config_revision()) else {
             return false;
         };
         let unpacked = self.cx.config_versions.unpack(Driver::CONFIG_KEY, packed);
         self.wants_whole.set(unpacked.is_err());
-        unpacked.is_ok_and(|config| known.take_config(&config))
+        unpacked.is_ok_and(|config| known.apply_config(&config))
     }
 
     /// Reads a configuration by `read`, keeping how long that takes.
-    pub(crate) fn timed<T>(&self, read: impl FnOnce() -> T) -> T {
+    pub(crate) fn time_apply<T>(&self, read: impl FnOnce() -> T) -> T {
         let began = since_boot();
         let out = read();
         self.reading_took.set(since_boot().saturating_sub(began));
@@ -316,13 +316,13 @@
     /// Returns how long to wait before more is read: `least`, or longer after what took long, so
     /// that a storm of large configurations leaves the processor to orders and requests. Versions
     /// that come meanwhile arrive as one.
-    pub(crate) fn rest_after_reading(&self, least: Duration) -> Duration {
-        let rest = self.reading_took.take() * REST_FOR_READING;
-        rest.min(duration(self.budget.longest_rest())).max(least)
+    pub(crate) fn read_pause(&self, least: Duration) -> Duration {
+        let rest = self.reading_took.take() * READ_PAUSE_FACTOR;
+        rest.min(to_duration(self.budget.longest_rest())).max(least)
     }
 
     /// Counts values of the store that could not be used.
-    fn count_refused(&self) {
+    fn count_refused_values(&self) {
         let eras = self.store.take_refused_eras();
         if eras > 0 {
             log::warn!(answers = eras; "the store told eras that are none, or earlier than known");
@@ -349,7 +349,7 @@
 }
 
 /// Returns a span of the decisions as timers take it.
-pub(super) fn duration(span: Millis) -> Duration {
+pub(super) fn to_duration(span: Millis) -> Duration {
     Duration::from_millis(span.0)
 }
 
@@ -360,6 +360,6 @@
 }
 
 /// Tells whether this node, among the readers, decides for a domain.
-pub(super) fn owns(view: &View, readers: &[&Heartbeat], domain: &DomainId) -> bool {
+pub(super) fn owns_domain(view: &View, readers: &[&Heartbeat], domain: &DomainId) -> bool {
     owner_of(domain.as_str(), readers.iter().copied()) == Some(&view.own.node)
 }
--- a/crates/cherrystandd/src/site/crash_watch.rs
+++ b/crates/cherrystandd/src/site/crash_watch.rs
@@ -252,7 +252,7 @@
                     fingerprint = request.to_string();
                     "a request is refused from now on: it was at the ends of {MAX_CRASHES} boxes"
                 );
-                self.call_off_soon(*request);
+                self.cancel_attempts_soon(*request);
             }
         }
         self.count_refused();
--- a/crates/cherrystandd/src/site/domain_control.rs
+++ b/crates/cherrystandd/src/site/domain_control.rs
@@ -10,18 +10,18 @@
 use cherrystand_platform::{Changes, KeyValue, Swap};
 
 use crate::keys;
-use crate::site::control::{Control, owns, readers_in};
+use crate::site::control::{Control, owns_domain, readers_in};
 use crate::state::View;
 
 /// The window over which loads are counted.
 const LOAD_WINDOW: Millis = Millis(5_000);
 
 /// For how long after its first start a site loads without bounds, since nothing is asked yet.
-const EARLY_FOR: Millis = Millis(8_500);
+const UNLIMITED_LOAD_PERIOD: Millis = Millis(8_500);
 
 /// Nothing is formed in a domain that never formed any before no box has come for this long, so
 /// that all nodes see the same boxes and give each domain the same home.
-const SETTLED_AFTER: Millis = Millis(500);
+const SETTLE_TIME: Millis = Millis(500);
 
 impl Control {
     /// Decides for each domain that this node owns.
@@ -33,7 +33,7 @@
         }
         self.plan_capacity(view, &readers).await;
         let mut domains = self.known.borrow().domains();
-        domains.retain(|domain| owns(view, &readers, domain));
+        domains.retain(|domain| owns_domain(view, &readers, domain));
         for domain in domains {
             self.step_domain(&domain).await;
         }
@@ -59,24 +59,24 @@
             });
         }
         if let Some(next) = step.write {
-            self.write(domain, revision, next).await;
+            self.write_record(domain, revision, next).await;
         }
     }
 
     fn decide(&self, domain: &DomainId) -> Option<(Revision, FormationStep)> {
         let known = self.known.borrow();
-        let boxes = known.boxes_of(domain);
-        let service = service_of(&boxes)?;
+        let boxes = known.boxes_in(domain);
+        let service = service_of_boxes(&boxes)?;
         let engine = known.table()?.config().engine(&service)?.clone();
         let (revision, record) = known.record(domain);
-        if record.last_epoch == Epoch(0) && known.settled_for(self.now()) < SETTLED_AFTER {
+        if record.last_epoch == Epoch(0) && known.time_since_new_box(self.now()) < SETTLE_TIME {
             return None;
         }
-        let silent = known.silent();
-        let departed = known.departed_of(domain);
+        let silent = known.silent_boxes();
+        let departed = known.departed_in(domain);
         let domains = known.domains().len();
         let policy = self.cx.settings.policy;
-        let homes = self.homes(&known, &engine);
+        let homes = self.choose_home_models(&known, &engine);
         let input = FormationInput {
             now: self.now(),
             domain,
@@ -88,7 +88,7 @@
             silent: &silent,
             asked: &self.asking.borrow(),
             ended: known.ended_replicas(),
-            left: known.epochs_left(),
+            left: known.left_epochs(),
             loads_allowed: self.loads_allowed(domain, engine.loads_per_s, domains),
             home: homes.first.get(domain).map(String::as_str),
             second: homes.second.get(domain).map(String::as_str),
@@ -96,7 +96,9 @@
         };
         let mut formations = self.formations.borrow_mut();
         let mut step = formations.entry(domain.clone()).or_default().step(input);
-        if step.write.is_none() && (known.names_otherwise(domain) || known.lost_record(domain)) {
+        if step.write.is_none()
+            && (known.has_outdated_box_ids(domain) || known.is_record_lost(domain))
+        {
             // A box that starts again is told from its life before only where the record names that. What the store
             // lost is written again by the one that decides.
             step.write = Some(record);
@@ -107,7 +109,7 @@
     /// Returns how many loads a domain may begin now: its even part of the store's rate.
     fn loads_allowed(&self, domain: &DomainId, per_s: f64, domains: usize) -> u32 {
         let now = self.now();
-        if self.is_first_start() && now < EARLY_FOR {
+        if self.is_first_start() && now < UNLIMITED_LOAD_PERIOD {
             return u32::MAX;
         }
         let share = (per_s * LOAD_WINDOW.as_secs_f64() / domains.max(1) as f64).max(1.0) as u32;
@@ -121,19 +123,29 @@
     ///
     /// Where the store holds what was decided from, at another revision, it is written at that one: so it is after the
     /// store came back from a copy, and orders that follow from the decision are on their way.
-    pub(super) async fn write(&self, domain: &DomainId, expected: Revision, next: DomainRecord) {
+    pub(super) async fn write_record(
+        &self,
+        domain: &DomainId,
+        expected: Revision,
+        next: DomainRecord,
+    ) {
         let decided_from = self.known.borrow().record(domain).1;
-        if self.write_at(domain, expected, &next).await {
+        if self.try_write_record(domain, expected, &next).await {
             return;
         }
         let (revision, stands) = self.known.borrow().record(domain);
         if revision != expected && stands == decided_from {
-            self.write_at(domain, revision, &next).await;
+            self.try_write_record(domain, revision, &next).await;
         }
     }
 
     /// Writes a record, or reads what stands there, and tells whether there is nothing left to do.
-    async fn write_at(&self, domain: &DomainId, expected: Revision, next: &DomainRecord) -> bool {
+    async fn try_write_record(
+        &self,
+        domain: &DomainId,
+        expected: Revision,
+        next: &DomainRecord,
+    ) -> bool {
         let body = match serde_json::to_string(next) {
             Ok(body) => body,
             Err(err) => {
@@ -145,35 +157,35 @@
         match self.store.swap(&key, expected, &body).await {
             Ok(Swap::Done(revision)) => {
                 let copy = Document { key: Arc::from(key), revision, body: Arc::from(body) };
-                self.known.borrow_mut().take_domain(&copy);
-                self.spread_news();
+                self.known.borrow_mut().apply_domain_record(&copy);
+                self.publish_and_wake();
                 true
             }
             Ok(Swap::Conflict(_)) => {
-                self.read_back(&key).await;
+                self.reread_record(&key).await;
                 false
             }
             Err(err) => {
                 log::warn!(domain = domain.as_str(); "a record may not be written: {err}");
-                self.read_back(&key).await;
+                self.reread_record(&key).await;
                 false
             }
         }
     }
 
-    async fn read_back(&self, key: &str) {
+    async fn reread_record(&self, key: &str) {
         match self.store.get(key).await {
             Ok(Some(record)) => {
                 let changes =
                     Changes { revision: Revision::NONE, records: vec![record], gone: Vec::new() };
-                self.known.borrow_mut().take_changes(&changes, self.now());
+                self.known.borrow_mut().apply_changes(&changes, self.now());
             }
-            Ok(None) => self.known.borrow_mut().record_is_missing(key),
+            Ok(None) => self.known.borrow_mut().mark_record_lost(key),
             Err(err) => log::warn!("a record could not be read back: {err}"),
         }
     }
 }
 
-fn service_of(boxes: &[&SiteBox]) -> Option<ServiceName> {
+fn service_of_boxes(boxes: &[&SiteBox]) -> Option<ServiceName> {
     boxes.first().map(|known| known.service.clone())
 }
--- a/crates/cherrystandd/src/site/domain_records.rs
+++ b/crates/cherrystandd/src/site/domain_records.rs
@@ -20,7 +20,7 @@
 impl HeldRecord {
     /// Tells whether it is newer than a record of a later era, which a store that came back from a copy may have held
     /// before that.
-    fn is_newer_than(&self, record: &DomainRecord, is_old: bool) -> bool {
+    fn supersedes(&self, record: &DomainRecord, is_old: bool) -> bool {
         let (held, told) = (self.record.last_epoch, record.last_epoch);
         held > told || (held == told && is_old)
     }
@@ -41,7 +41,7 @@
     /// # Errors
     ///
     /// Returns why it is malformed; the one held stays.
-    pub(crate) fn take(
+    pub(crate) fn apply(
         &mut self,
         copy: &Document,
         is_old: bool,
@@ -53,7 +53,7 @@
         }
         if let Some(held) = self.held.get_mut(&record.domain)
             && held.copy.revision.era() < copy.revision.era()
-            && held.is_newer_than(&record, is_old)
+            && held.supersedes(&record, is_old)
         {
             // Boxes follow the epochs of the record held, which are not given out again.
             held.is_lost = held.record != record;
@@ -62,10 +62,10 @@
         }
         let held = self.held.get(&record.domain);
         let assigned = Arc::make_mut(&mut self.assigned);
-        for (key, _) in held.iter().flat_map(|held| assigned_in(&held.record)) {
+        for (key, _) in held.iter().flat_map(|held| replica_boxes(&held.record)) {
             assigned.remove(&key);
         }
-        assigned.extend(assigned_in(&record));
+        assigned.extend(replica_boxes(&record));
         self.held.insert(
             record.domain.clone(),
             HeldRecord { record, copy: copy.clone(), is_lost: false },
@@ -74,7 +74,7 @@
     }
 
     /// Has records written again that the store no longer holds, by the copies that are held of them.
-    pub(crate) fn restore(&mut self, is_missing: impl Fn(&Document) -> bool) {
+    pub(crate) fn mark_lost(&mut self, is_missing: impl Fn(&Document) -> bool) {
         for held in self.held.values_mut().filter(|held| is_missing(&held.copy)) {
             (held.copy.revision, held.is_lost) = (Revision::NONE, true);
         }
@@ -99,20 +99,20 @@
     }
 
     /// Returns the boxes that a domain's record gives to replicas.
-    pub(crate) fn boxes_of(&self, domain: &DomainId) -> impl Iterator<Item = &BoxId> {
+    pub(crate) fn assigned_boxes(&self, domain: &DomainId) -> impl Iterator<Item = &BoxId> {
         let record = self.held.get(domain).map(|held| &held.record);
         record.into_iter().flat_map(|record| record.replicas.values()).flat_map(|held| &held.boxes)
     }
 
     /// Returns the model that each domain is for, where its record names one.
-    pub(crate) fn homes(&self) -> BTreeMap<DomainId, String> {
+    pub(crate) fn home_models(&self) -> BTreeMap<DomainId, String> {
         let named =
             self.held.iter().filter_map(|(id, held)| Some((id.clone(), held.record.home.clone()?)));
         named.collect()
     }
 
     /// Returns the model that each domain's hosts are to hold besides, where its record names one.
-    pub(crate) fn seconds(&self) -> BTreeMap<DomainId, String> {
+    pub(crate) fn second_models(&self) -> BTreeMap<DomainId, String> {
         let named = self.held.iter();
         named.filter_map(|(id, held)| Some((id.clone(), held.record.second.clone()?))).collect()
     }
@@ -123,7 +123,7 @@
     }
 
     /// Returns the boxes of each replica, those named otherwise that `as_listed` has another id for.
-    pub(crate) fn assigned_as(
+    pub(crate) fn assigned_with_listed_ids(
         &self,
         as_listed: impl Fn(&BoxId) -> Option<BoxId>,
     ) -> Arc<AssignedBoxes> {
@@ -141,19 +141,19 @@
     }
 
     /// Tells whether any record names a box.
-    pub(crate) fn name(&self, id: &BoxId) -> bool {
+    pub(crate) fn names_box(&self, id: &BoxId) -> bool {
         let mut records = self.held.values().map(|held| &held.record);
         records.any(|record| !record.is_free(id))
     }
 
     /// Returns the records as they stand in the store.
-    pub(crate) fn copies(&self) -> impl Iterator<Item = &Document> {
+    pub(crate) fn documents(&self) -> impl Iterator<Item = &Document> {
         self.held.values().map(|held| &held.copy)
     }
 }
 
 /// Returns the boxes of each replica of one domain.
-fn assigned_in(record: &DomainRecord) -> AssignedBoxes {
+fn replica_boxes(record: &DomainRecord) -> AssignedBoxes {
     let replicas = record.replicas.iter();
     let named = replicas
         .map(|(id, held)| ((replica_name(&record.domain, id), held.epoch), held.boxes.clone()));
--- a/crates/cherrystandd/src/site/evacuation_state.rs
+++ b/crates/cherrystandd/src/site/evacuation_state.rs
@@ -32,12 +32,12 @@
     }
 
     /// Returns the revision of the last change; 0 while nothing is known.
-    pub(super) fn changed(&self) -> Revision {
+    pub(super) fn changed_at(&self) -> Revision {
         self.held.changed()
     }
 
     /// Returns the copy that peers get, once anything is known.
-    pub(super) fn copy(&self) -> Option<Document> {
+    pub(super) fn document(&self) -> Option<Document> {
         let revision = self.held.changed();
         let body = serde_json::to_string(&self.held.copy());
         let body = body.inspect_err(|err| log::error!("emptied zones cannot be written: {err}"));
@@ -46,12 +46,12 @@
     }
 
     /// Tells whether a zone was taken back later than by a revision.
-    pub(super) fn taken_back_since(&self, zone: &ZoneId, revision: Revision) -> bool {
+    pub(super) fn returned_after(&self, zone: &ZoneId, revision: Revision) -> bool {
         self.taken_back.get(zone).is_some_and(|at| *at > revision)
     }
 
     /// Follows the zones held, and returns those that were taken back.
-    fn follow(&mut self, now: Millis) -> Vec<ZoneId> {
+    fn sync(&mut self, now: Millis) -> Vec<ZoneId> {
         let (zones, changed) = (self.held.zones(), self.held.changed());
         let back: Vec<ZoneId> =
             self.since.keys().filter(|zone| !zones.contains(*zone)).cloned().collect();
@@ -73,32 +73,37 @@
 
 impl SiteState {
     /// Takes in what changed of what operators wrote, and tells whether anything is new.
-    pub(crate) fn take_operators(&mut self, changes: &Changes, now: Millis) -> bool {
-        let mut is_new = self.take_zone_changes(changes, now);
+    pub(crate) fn apply_operator_changes(&mut self, changes: &Changes, now: Millis) -> bool {
+        let mut is_new = self.apply_zone_changes(changes, now);
         for record in changes.records.iter().filter(|record| &*record.key == Driver::CONFIG_KEY) {
-            is_new |= self.take_written_config(record);
+            is_new |= self.apply_stored_config(record);
         }
         is_new
     }
 
     /// Takes in all that operators wrote.
-    pub(crate) fn list_operators(&mut self, list: &Changes, now: Millis) {
+    pub(crate) fn apply_operator_list(&mut self, list: &Changes, now: Millis) {
         for record in list.records.iter().filter(|record| &*record.key == Driver::CONFIG_KEY) {
-            self.take_written_config(record);
+            self.apply_stored_config(record);
         }
-        let mut zones = self.zones_named(list);
-        if self.may_lack_operators() {
+        let mut zones = self.evacuated_zones_in(list);
+        if self.may_lack_operator_writes() {
             // A copy may lack that a zone was emptied; sending nothing there for a moment more harms less.
             zones.extend(self.zones.held.zones().iter().cloned());
         }
-        self.take_zones(zones, list.revision, now);
+        self.apply_evacuated_zones(zones, list.revision, now);
     }
 
     /// Takes in all zones that are emptied as of a revision; tells whether any was emptied or taken back.
-    fn take_zones(&mut self, zones: BTreeSet<ZoneId>, as_of: Revision, now: Millis) -> bool {
+    fn apply_evacuated_zones(
+        &mut self,
+        zones: BTreeSet<ZoneId>,
+        as_of: Revision,
+        now: Millis,
+    ) -> bool {
         let is_new = self.zones.held.take_all(zones, as_of);
         if is_new {
-            self.follow_zones(now);
+            self.sync_zones(now);
         }
         is_new
     }
@@ -106,17 +111,17 @@
     /// Takes in which zones were emptied or taken back; tells whether any was.
     ///
     /// The key counts, whatever its value holds.
-    pub(super) fn take_zone_changes(&mut self, changes: &Changes, now: Millis) -> bool {
-        let emptied = self.zones_named(changes);
+    pub(super) fn apply_zone_changes(&mut self, changes: &Changes, now: Millis) -> bool {
+        let emptied = self.evacuated_zones_in(changes);
         let back = changes.gone.iter().filter_map(|key| zone_of(key));
         let is_new = self.zones.held.take_changes(emptied, back, changes.revision);
         if is_new {
-            self.follow_zones(now);
+            self.sync_zones(now);
         }
         is_new
     }
 
-    fn zones_named(&mut self, changes: &Changes) -> BTreeSet<ZoneId> {
+    fn evacuated_zones_in(&mut self, changes: &Changes) -> BTreeSet<ZoneId> {
         let mut zones = BTreeSet::new();
         let below = |record: &&Document| record.key.starts_with(Driver::EVACUATED);
         for record in changes.records.iter().filter(below) {
@@ -125,7 +130,7 @@
                 None => {
                     let reason = "its key names no availability zone".to_owned();
                     let err = FormatError { key: record.key.to_string(), reason };
-                    self.refused.note(record, RefusedKind::EmptiedZones, &err);
+                    self.refused.record(record, RefusedKind::EvacuatedZones, &err);
                 }
             }
         }
@@ -133,23 +138,35 @@
     }
 
     /// Takes in a peer's copy of the zones; tells whether anything is new.
-    pub(crate) fn take_emptied_zones(&mut self, copy: &Document, now: Millis) -> bool {
-        self.take_copy_as_of(copy, copy.revision, now)
+    pub(crate) fn apply_evacuation_document(&mut self, copy: &Document, now: Millis) -> bool {
+        self.apply_evacuation_document_as_of(copy, copy.revision, now)
     }
 
     /// Takes in the zones of a peer's copy of everything as of a revision.
-    pub(super) fn take_copy_of_zones(&mut self, list: &[Document], as_of: Revision, now: Millis) {
+    pub(super) fn apply_zones_from_snapshot(
+        &mut self,
+        list: &[Document],
+        as_of: Revision,
+        now: Millis,
+    ) {
         match list.iter().find(|copy| &*copy.key == keys::EMPTIED_ZONES) {
-            Some(copy) => _ = self.take_copy_as_of(copy, copy.revision.max(as_of), now),
-            None => _ = self.take_zones(BTreeSet::new(), as_of, now),
+            Some(copy) => {
+                _ = self.apply_evacuation_document_as_of(copy, copy.revision.max(as_of), now)
+            }
+            None => _ = self.apply_evacuated_zones(BTreeSet::new(), as_of, now),
         }
     }
 
-    fn take_copy_as_of(&mut self, copy: &Document, as_of: Revision, now: Millis) -> bool {
+    fn apply_evacuation_document_as_of(
+        &mut self,
+        copy: &Document,
+        as_of: Revision,
+        now: Millis,
+    ) -> bool {
         match serde_json::from_str::<EmptiedZones>(&copy.body) {
-            Ok(emptied) => self.take_zones(emptied.zones, as_of, now),
+            Ok(emptied) => self.apply_evacuated_zones(emptied.zones, as_of, now),
             Err(err) => {
-                self.refused.note(copy, RefusedKind::EmptiedZones, &err);
+                self.refused.record(copy, RefusedKind::EvacuatedZones, &err);
                 false
             }
         }
@@ -159,11 +176,12 @@
     /// on.
     ///
     /// They may have turned cold shortly before, and their entries tell of it some time later.
-    fn follow_zones(&mut self, now: Millis) {
-        for zone in self.zones.follow(now) {
+    fn sync_zones(&mut self, now: Millis) {
+        for zone in self.zones.sync(now) {
             log::info!(zone = zone.as_str(); "an availability zone is taken back");
             let boxes = self.boxes.values().filter(|known| known.zone == zone);
-            let cold = boxes.map(|known| (known.id.clone(), self.cold_start_of(&known.service)));
+            let cold =
+                boxes.map(|known| (known.id.clone(), self.cold_start_duration(&known.service)));
             let cold: Vec<_> = cold.filter(|(_, lasts)| *lasts > Millis(0)).collect();
             for (id, lasts) in cold {
                 Arc::make_mut(&mut self.cold).assume(&id, lasts, now);
@@ -171,13 +189,13 @@
         }
         let zones: Vec<&str> = self.zones.held.zones().iter().map(ZoneId::as_str).collect();
         log::info!(zones = zones.join(", ").as_str(); "the availability zones that get nothing changed");
-        if let Some(copy) = self.zones.copy() {
+        if let Some(copy) = self.zones.document() {
             self.log.record(copy);
         }
     }
 
     /// Returns how long a service's endpoints are cold after a start, where they bear less then.
-    pub(super) fn cold_start_of(&self, service: &ServiceName) -> Millis {
+    pub(super) fn cold_start_duration(&self, service: &ServiceName) -> Millis {
         let table = self.table();
         let service = table.and_then(|table| table.config().service(service));
         service.and_then(|service| service.cold).map_or(Millis(0), |cold| cold.lasts)
--- a/crates/cherrystandd/src/site/flow.rs
+++ b/crates/cherrystandd/src/site/flow.rs
@@ -16,7 +16,7 @@
 use crate::site::flight::Flight;
 use crate::site::front::{Front, ReplicaLook, Urgency};
 use crate::site::open_attempts::{LOOK_EVERY, OpenAttempts};
-use crate::site::pages::plain;
+use crate::site::pages::empty_response;
 use crate::site::request::{AllowedBy, SiteRequest, allow, head_bytes, read_body};
 use crate::site::trials::Permission;
 use crate::site::tries::Tries;
@@ -34,7 +34,7 @@
         Ok(answer) => return answer,
         Err(refused) => {
             front.count_refusal(refused.reason);
-            let mut answer = plain(refused.status);
+            let mut answer = empty_response(refused.status);
             if let Some(after) = refused.come_back {
                 Driver::write_retry_after(answer.headers_mut(), after);
             }
--- a/crates/cherrystandd/src/site/front.rs
+++ b/crates/cherrystandd/src/site/front.rs
@@ -227,7 +227,7 @@
         let flight =
             Flight::start(permit, self.clone(), req.clone(), key, target, expected, priority);
         let flight = Rc::new(flight);
-        self.crashes.follow_copy(&flight);
+        self.crashes.track_attempt(&flight);
         Some(flight)
     }
 
--- a/crates/cherrystandd/src/site/front_duty.rs
+++ b/crates/cherrystandd/src/site/front_duty.rs
@@ -44,8 +44,8 @@
     tokio::task::spawn_local(exchange);
     let front = Rc::new(Front::new(cx.clone(), chooser, loads, crashes));
     let (stop, stopped) = watch::channel(false);
-    serve_pages(ready, cx.clone(), pages::ready, stopped.clone());
-    serve_pages(operators, cx.clone(), pages::counters, stopped.clone());
+    serve_pages(ready, cx.clone(), pages::readiness, stopped.clone());
+    serve_pages(operators, cx.clone(), pages::operator_pages, stopped.clone());
     let serving = serve_http(callers, move |req| handle(front.clone(), req), stopped);
     let stopping = async {
         cx.stopping(StopPhase::Draining).await;
--- a/crates/cherrystandd/src/site/pages.rs
+++ b/crates/cherrystandd/src/site/pages.rs
@@ -22,7 +22,7 @@
 }
 
 /// Tells the balancer whether this node takes requests.
-pub(super) fn ready(cx: &DutyContext, req: &Request<Incoming>) -> Response<CallerBody> {
+pub(super) fn readiness(cx: &DutyContext, req: &Request<Incoming>) -> Response<CallerBody> {
     let view = cx.site.borrow();
     let running = cx.stop_phase() == StopPhase::Running;
     let ready = running && view.table.is_some() && view.listed;
@@ -31,11 +31,11 @@
         Driver::READY_PATH => StatusCode::SERVICE_UNAVAILABLE,
         _ => StatusCode::NOT_FOUND,
     };
-    plain(status)
+    empty_response(status)
 }
 
 /// Tells operators which zones are emptied and which endpoints are cold, as this daemon knows it.
-fn zones(cx: &DutyContext) -> Value {
+fn zones_json(cx: &DutyContext) -> Value {
     let (view, now) = (cx.site.borrow(), cx.clock.now());
     let evacuated = view.evacuated.iter().map(|(zone, since)| {
         let known = view.boxes.values().filter(|known| &known.zone == zone).count();
@@ -55,23 +55,23 @@
 }
 
 /// Answers operators, who read the daemon's counters.
-pub(super) fn counters(cx: &DutyContext, req: &Request<Incoming>) -> Response<CallerBody> {
+pub(super) fn operator_pages(cx: &DutyContext, req: &Request<Incoming>) -> Response<CallerBody> {
     match req.uri().path() {
-        "/livez" => plain(StatusCode::OK),
-        "/operator/zones" => Response::new(CallerBody::whole(zones(cx).to_string())),
+        "/livez" => empty_response(StatusCode::OK),
+        "/operator/zones" => Response::new(CallerBody::whole(zones_json(cx).to_string())),
         "/metrics" => match cx.metrics.render() {
             Ok(text) => Response::new(CallerBody::whole(text)),
             Err(err) => {
                 log::error!("the counters cannot be written: {err}");
-                plain(StatusCode::INTERNAL_SERVER_ERROR)
+                empty_response(StatusCode::INTERNAL_SERVER_ERROR)
             }
         },
-        _ => plain(StatusCode::NOT_FOUND),
+        _ => empty_response(StatusCode::NOT_FOUND),
     }
 }
 
 /// Makes an answer without a body.
-pub(super) fn plain(status: StatusCode) -> Response<CallerBody> {
+pub(super) fn empty_response(status: StatusCode) -> Response<CallerBody> {
     let mut answer = Response::new(CallerBody::whole(""));
     *answer.status_mut() = status;
     answer
--- a/crates/cherrystandd/src/site/peer_selector.rs
+++ b/crates/cherrystandd/src/site/peer_selector.rs
@@ -12,7 +12,7 @@
 use crate::{DutyContext, clock};
 
 /// One copy of this many is asked of a peer anywhere, so that a zone that knows nothing learns.
-const FAR_COPY_EVERY: usize = 3;
+const ANY_ZONE_ONE_IN: usize = 3;
 
 /// Chooses them from the newest view.
 pub(crate) struct PeerSelector {
@@ -29,11 +29,11 @@
 
     /// Tells whether this node is a reader of its zone.
     pub(crate) fn is_reader(&self) -> bool {
-        self.by_alive(is_reader)
+        self.with_alive(is_reader)
     }
 
     /// Answers by this node's heartbeat and those of all that are alive.
-    fn by_alive<T>(&self, ask: impl FnOnce(&Heartbeat, &[&Heartbeat]) -> T) -> T {
+    fn with_alive<T>(&self, ask: impl FnOnce(&Heartbeat, &[&Heartbeat]) -> T) -> T {
         let view = self.cx.view_now();
         let alive: Vec<&Heartbeat> = view.alive().collect();
         ask(&view.own, &alive)
@@ -45,25 +45,25 @@
             return None;
         }
         let now = self.cx.clock.now();
-        self.by_alive(|own, alive| match self.sources.borrow_mut().choose(own, alive, now) {
+        self.with_alive(|own, alive| match self.sources.borrow_mut().choose(own, alive, now) {
             Source::Store => None,
             Source::Peer(peer) => peer.changes.map(|address| (peer.node.clone(), address)),
         })
     }
 
     /// Returns how long a reader of the store leaves between two watches.
-    pub(crate) fn between_watches(&self) -> Duration {
-        Duration::from_millis(self.by_alive(|_, alive| between_watches(alive)).0)
+    pub(crate) fn watch_interval(&self) -> Duration {
+        Duration::from_millis(self.with_alive(|_, alive| between_watches(alive)).0)
     }
 
     /// Returns how long this node leaves between two questions to the peer that it reads from.
-    pub(crate) fn between_questions(&self) -> Duration {
-        let between = self.by_alive(between_questions_of);
+    pub(crate) fn poll_interval(&self) -> Duration {
+        let between = self.with_alive(between_questions_of);
         Duration::from_millis(between.0)
     }
 
     /// Notes that a peer failed as a source, or that it answered that it knows nothing fresh.
-    pub(crate) fn source_failed(&self, peer: &NodeId, answered: bool) {
+    pub(crate) fn record_source_failure(&self, peer: &NodeId, answered: bool) {
         let mut sources = self.sources.borrow_mut();
         match answered {
             true => sources.knows_nothing(peer, self.cx.clock.now()),
@@ -72,33 +72,33 @@
     }
 
     /// Returns any peer of this zone, or of another where there is none.
-    pub(crate) fn near(&self) -> Option<SocketAddr> {
-        self.draw(false).map(|(_, address)| address)
+    pub(crate) fn nearby_peer(&self) -> Option<SocketAddr> {
+        self.pick_peer(false).map(|(_, address)| address)
     }
 
     /// Returns any peer, the near ones more often.
-    pub(crate) fn any(&self) -> Option<(NodeId, SocketAddr)> {
-        let far = self.below(FAR_COPY_EVERY) == 0;
-        self.draw(far)
+    pub(crate) fn random_peer(&self) -> Option<(NodeId, SocketAddr)> {
+        let far = self.random_below(ANY_ZONE_ONE_IN) == 0;
+        self.pick_peer(far)
     }
 
     /// Returns a time between half of a pause and one and a half, by chance.
     pub(crate) fn jittered(&self, pause: Duration) -> Duration {
-        pause / 2 + Duration::from_millis(self.below(pause.as_millis() as usize) as u64)
+        pause / 2 + Duration::from_millis(self.random_below(pause.as_millis() as usize) as u64)
     }
 
-    fn draw(&self, far: bool) -> Option<(NodeId, SocketAddr)> {
+    fn pick_peer(&self, far: bool) -> Option<(NodeId, SocketAddr)> {
         let view = self.cx.view_now();
         let others = view.alive().filter(|beat| beat.node != view.own.node);
         let others: Vec<&Heartbeat> = others.filter(|beat| beat.changes.is_some()).collect();
         let near = others.iter().copied().filter(|beat| beat.zone == view.own.zone);
         let near: Vec<&Heartbeat> = near.collect();
         let from = if far || near.is_empty() { others } else { near };
-        let drawn = from.get(self.below(from.len()))?;
+        let drawn = from.get(self.random_below(from.len()))?;
         Some((drawn.node.clone(), drawn.changes?))
     }
 
-    fn below(&self, bound: usize) -> usize {
+    fn random_below(&self, bound: usize) -> usize {
         let mut seed = self.seed.get();
         let drawn = seed.below(bound);
         self.seed.set(seed);
--- a/crates/cherrystandd/src/site/reader_notes.rs
+++ b/crates/cherrystandd/src/site/reader_notes.rs
@@ -12,33 +12,33 @@
 use crate::site::control::Control;
 
 /// How often a daemon looks whether the note is to be written.
-const LOOK_EVERY: Duration = Duration::from_millis(500);
+const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
 /// How long a daemon that starts waits for the readers noted, which may be starting as well; then
 /// it reads the store itself.
-const ANSWERED_WITHIN: Duration = Duration::from_millis(900);
+const READERS_TIMEOUT: Duration = Duration::from_millis(900);
 
 /// How long it waits before it asks one again that does not listen yet; daemons that lose power
 /// together start within 300 ms of each other.
-const ASK_AGAIN_AFTER: Duration = Duration::from_millis(40);
+const RETRY_DELAY: Duration = Duration::from_millis(40);
 
 /// Keeps the note of this node's zone for as long as the duty runs, where there are readers.
-pub(crate) async fn keep_note(control: Rc<Control>) {
+pub(crate) async fn maintain_reader_note(control: Rc<Control>) {
     if !control.cx.settings.policy.readers {
         return;
     }
     let mut keeper = NoteKeeper::default();
     loop {
-        tokio::time::sleep(LOOK_EVERY).await;
+        tokio::time::sleep(CHECK_INTERVAL).await;
         let view = control.cx.view_now();
         let alive: Vec<&Heartbeat> = view.alive().collect();
-        let listed = alive.len() as u64 * control.known.borrow().boxes_listed() as u64;
+        let listed = alive.len() as u64 * control.known.borrow().box_count() as u64;
         if listed < control.cx.settings.policy.note_readers_from {
             continue;
         }
         let note = ReaderNote::of_zone(&view.own, &alive);
         if let Some(note) = keeper.due(&view.own.node, note, control.now()) {
-            match write(&control, &note).await {
+            match write_note(&control, &note).await {
                 Ok(true) => keeper.written(note),
                 // Somebody else wrote it just now: the next look reads what.
                 Ok(false) => keeper.failed(control.now()),
@@ -52,7 +52,7 @@
 }
 
 /// Writes the note unless it stands there already, and tells whether it stands there now.
-async fn write(control: &Control, note: &ReaderNote) -> Result<bool, PlatformError> {
+async fn write_note(control: &Control, note: &ReaderNote) -> Result<bool, PlatformError> {
     let key = keys::readers(&control.cx.settings.zone);
     let held = control.store.get(&key).await?;
     if held.as_ref().and_then(|held| read_note(&held.body)).as_ref() == Some(note) {
@@ -82,7 +82,7 @@
 }
 
 /// A reader that a daemon started by, and how far it has read there.
-pub(crate) struct Started {
+pub(crate) struct StartupSource {
     /// The reader.
     pub(crate) reader: NotedReader,
     /// How far.
@@ -90,19 +90,19 @@
 }
 
 /// Says what the note leaves a daemon to do that starts.
-pub(crate) enum Start {
+pub(crate) enum StartupOutcome {
     /// A reader told it everything.
-    Told(Started),
+    ReadFromPeer(StartupSource),
     /// It is the one to read the store, or those that are do not answer.
-    ReadsStore,
+    ReadStore,
     /// There is no note: it may learn of peers that read the store.
     NoNote,
 }
 
 /// Reads everything from the readers that the note names, whichever answers first.
-pub(crate) async fn start_by_note(control: &Control) -> Start {
+pub(crate) async fn start_from_noted_readers(control: &Control) -> StartupOutcome {
     if !control.cx.settings.policy.readers {
-        return Start::NoNote;
+        return StartupOutcome::NoNote;
     }
     let key = keys::readers(&control.cx.settings.zone);
     let note = match control.store.get(&key).await {
@@ -113,21 +113,21 @@
         }
     };
     let Some(note) = note else {
-        return Start::NoNote;
+        return StartupOutcome::NoNote;
     };
     let started = match note.asked_by(&control.cx.settings.node) {
         [] => None,
         // The second reader reads the store where the first is not there, so that one of the two
         // can tell the others soon.
-        [first] => ask_once(control, first).await,
-        asked => ask_until_answered(control, asked).await,
+        [first] => read_from(control, first).await,
+        asked => read_from_first(control, asked).await,
     };
-    started.map_or(Start::ReadsStore, Start::Told)
+    started.map_or(StartupOutcome::ReadStore, StartupOutcome::ReadFromPeer)
 }
 
-async fn ask_once(control: &Control, reader: &NotedReader) -> Option<Started> {
+async fn read_from(control: &Control, reader: &NotedReader) -> Option<StartupSource> {
     match read_changes(control, &reader.node, reader.changes, None).await {
-        Ok(place) => Some(Started { reader: reader.clone(), place }),
+        Ok(place) => Some(StartupSource { reader: reader.clone(), place }),
         Err(err) => {
             log::debug!(reader = reader.node.as_str(); "no source of changes yet: {err}");
             None
@@ -135,20 +135,20 @@
     }
 }
 
-async fn ask_until_answered(control: &Control, asked: &[NotedReader]) -> Option<Started> {
+async fn read_from_first(control: &Control, asked: &[NotedReader]) -> Option<StartupSource> {
     let ask = |reader: &NotedReader| {
         let reader = reader.clone();
         Box::pin(async move {
             loop {
-                if let Some(started) = ask_once(control, &reader).await {
+                if let Some(started) = read_from(control, &reader).await {
                     return started;
                 }
-                tokio::time::sleep(ASK_AGAIN_AFTER).await;
+                tokio::time::sleep(RETRY_DELAY).await;
             }
         })
     };
     let first = select_all(asked.iter().map(ask));
-    match tokio::time::timeout(ANSWERED_WITHIN, first).await {
+    match tokio::time::timeout(READERS_TIMEOUT, first).await {
         Ok((started, _, _)) => Some(started),
         Err(_) => {
             log::warn!("the readers noted do not answer; the store is read instead");
--- a/crates/cherrystandd/src/site/site_state.rs
+++ b/crates/cherrystandd/src/site/site_state.rs
@@ -23,11 +23,11 @@
 use crate::site::store_restore::StoreRestore;
 
 /// For how long a box that is listed no more is remembered.
-const DEPARTED_FOR: Millis = Millis(12_000);
+const DEPARTED_RETENTION: Millis = Millis(12_000);
 
 /// For how long a box counts as silent after it did not answer; the entry of one that is dead goes
 /// sooner.
-const SILENT_FOR: Millis = Millis(4_500);
+const SILENCE_RETENTION: Millis = Millis(4_500);
 
 /// A box that is listed no more.
 #[derive(Clone, Debug)]
@@ -100,12 +100,12 @@
     /// Takes in a peer's copy of the configuration, whose revision is its version.
     ///
     /// Only a later one counts, whoever brings it.
-    pub(crate) fn take_config(&mut self, document: &Document) -> bool {
+    pub(crate) fn apply_config(&mut self, document: &Document) -> bool {
         if document.revision <= self.config_revision() {
             return false;
         }
         match Driver::read_config(&document.body) {
-            Ok(config) => self.put_in_force(config, document.clone()),
+            Ok(config) => self.activate_config(config, document.clone()),
             Err(err) => {
                 self.refuse_config(document, &err);
                 false
@@ -114,7 +114,7 @@
     }
 
     /// Puts a configuration in force, unless a later one is, and tells whether it did.
-    pub(super) fn put_in_force(&mut self, config: SiteConfig, document: Document) -> bool {
+    pub(super) fn activate_config(&mut self, config: SiteConfig, document: Document) -> bool {
         let held = self.table.as_ref().map(|table| table.config().version);
         if held.is_some_and(|held| held >= config.version) {
             log::info!(
@@ -131,37 +131,37 @@
     }
 
     pub(super) fn refuse_config(&mut self, document: &Document, err: &FormatError) {
-        self.refused.note(document, RefusedKind::Configuration, err);
+        self.refused.record(document, RefusedKind::Configuration, err);
     }
 
     /// Takes in what changed in the store.
-    pub(crate) fn take_changes(&mut self, changes: &Changes, now: Millis) {
+    pub(crate) fn apply_changes(&mut self, changes: &Changes, now: Millis) {
         self.teller = ChangeSource::Store;
         self.outage.answered(now);
-        self.take_zone_changes(changes, now);
+        self.apply_zone_changes(changes, now);
         for record in &changes.records {
-            self.take_record(record, now);
+            self.apply_record(record, now);
         }
         for key in &changes.gone {
             if let Some(name) = key.strip_prefix(Driver::BOXES) {
-                self.unlist(&BoxId::new(name), changes.revision, now);
+                self.delist(&BoxId::new(name), changes.revision, now);
             }
         }
         self.revision = self.revision.max(changes.revision);
     }
 
     /// Takes in all boxes that are listed now.
-    pub(crate) fn take_list(&mut self, list: &[Document], revision: Revision, now: Millis) {
+    pub(crate) fn apply_list(&mut self, list: &[Document], revision: Revision, now: Millis) {
         self.teller = ChangeSource::Store;
         self.outage.answered(now);
-        for name in self.not_in(list) {
-            self.unlist(&name, revision, now);
+        for name in self.missing_from(list) {
+            self.delist(&name, revision, now);
         }
-        self.take_all(list, revision, now);
+        self.apply_records(list, revision, now);
     }
 
     /// Takes in a peer's copy of all boxes, which says nothing of whether the store answers.
-    pub(crate) fn take_copy(
+    pub(crate) fn apply_snapshot(
         &mut self,
         teller: ChangeSource,
         list: &[Document],
@@ -169,17 +169,17 @@
         now: Millis,
     ) {
         self.teller = teller;
-        for name in self.not_in(list) {
-            self.take_departure(&name, revision, now);
+        for name in self.missing_from(list) {
+            self.remove_box(&name, revision, now);
         }
-        self.take_copy_of_zones(list, revision, now);
-        self.take_all(list, revision, now);
+        self.apply_zones_from_snapshot(list, revision, now);
+        self.apply_records(list, revision, now);
     }
 
     /// Takes in what a peer that reads the store passes on.
     ///
     /// The peer has judged which boxes to keep after an outage of the store.
-    pub(crate) fn take_news(
+    pub(crate) fn apply_peer_changes(
         &mut self,
         teller: ChangeSource,
         news: &ChangeNews,
@@ -189,51 +189,51 @@
         let steady_since = now - news.steady_for;
         self.outage.answered_peer(now - news.store_age, steady_since, now);
         if news.whole {
-            return self.take_copy(teller, &batch.records, news.revision, now);
+            return self.apply_snapshot(teller, &batch.records, news.revision, now);
         }
         self.teller = teller;
         for record in &batch.records {
-            self.take_record(record, now);
+            self.apply_record(record, now);
         }
         for name in &batch.gone {
-            self.take_departure(name, news.revision, now);
+            self.remove_box(name, news.revision, now);
         }
         self.revision = self.revision.max(news.revision);
     }
 
-    fn take_all(&mut self, list: &[Document], revision: Revision, now: Millis) {
+    fn apply_records(&mut self, list: &[Document], revision: Revision, now: Millis) {
         for entry in list {
-            self.take_record(entry, now);
+            self.apply_record(entry, now);
         }
         self.listed = true;
         self.revision = self.revision.max(revision);
     }
 
-    fn take_record(&mut self, record: &Document, now: Millis) {
+    fn apply_record(&mut self, record: &Document, now: Millis) {
         if &*record.key == Driver::CONFIG_KEY {
-            self.take_written_config(record);
+            self.apply_stored_config(record);
         } else if record.key.starts_with(Driver::BOXES) {
-            self.take_entry(record, now);
+            self.apply_entry(record, now);
         } else if record.key.starts_with(keys::DOMAINS) {
-            self.take_domain(record);
+            self.apply_domain_record(record);
         } else if &*record.key == keys::SUSPECTS {
-            self.take_suspects(record);
+            self.apply_suspects(record);
         } else if &*record.key == keys::EMPTIED_ZONES {
-            self.take_emptied_zones(record, now);
+            self.apply_evacuation_document(record, now);
         }
     }
 
     /// Writes down what became of a box by what is being taken in.
-    pub(super) fn note_box(&mut self, turn: BoxTransition, id: &BoxId, now: Millis) {
-        self.box_notes.note(turn, id, &self.teller, self.revision, now);
+    pub(super) fn log_box_transition(&mut self, turn: BoxTransition, id: &BoxId, now: Millis) {
+        self.box_notes.log(turn, id, &self.teller, self.revision, now);
     }
 
     /// Takes in the record of requests that end replicas, unless a later one is held.
-    pub(crate) fn take_suspects(&mut self, copy: &Document) {
-        match self.suspects.take(copy, self.is_from_copy(copy)) {
+    pub(crate) fn apply_suspects(&mut self, copy: &Document) {
+        match self.suspects.take(copy, self.is_restored(copy)) {
             Ok(true) => self.log.record(copy.clone()),
             Ok(false) => {}
-            Err(err) => self.refused.note(copy, RefusedKind::Suspects, &err),
+            Err(err) => self.refused.record(copy, RefusedKind::Suspects, &err),
         }
     }
 
@@ -243,22 +243,22 @@
     }
 
     /// Notes that the store does not answer, and tells whether that says anything of the store.
-    pub(crate) fn store_failed(&mut self, now: Millis) -> bool {
+    pub(crate) fn record_store_failure(&mut self, now: Millis) -> bool {
         self.outage.failed(now)
     }
 
     /// Notes that the daemon is awake.
-    pub(crate) fn awake(&mut self, now: Millis) {
+    pub(crate) fn record_awake(&mut self, now: Millis) {
         self.outage.awake(now);
     }
 
     /// Returns for how long the store was silent, where a peer is to be asked whether it was out.
-    pub(crate) fn take_doubt(&mut self) -> Option<Millis> {
+    pub(crate) fn take_unconfirmed_outage(&mut self) -> Option<Millis> {
         self.keeps_unlisted().then(|| self.outage.take_doubt()).flatten()
     }
 
     /// Notes that the store answered others while it was silent here: what it lists no more is gone.
-    pub(crate) fn store_was_there(&mut self) {
+    pub(crate) fn dismiss_outage(&mut self) {
         self.outage.was_none();
     }
 
@@ -268,14 +268,14 @@
     }
 
     /// Takes in a domain's record, unless a later one is held.
-    pub(crate) fn take_domain(&mut self, copy: &Document) {
-        match self.records.take(copy, self.is_from_copy(copy)) {
+    pub(crate) fn apply_domain_record(&mut self, copy: &Document) {
+        match self.records.apply(copy, self.is_restored(copy)) {
             Ok(true) => {
                 self.assigned.take();
                 self.log.record(copy.clone());
             }
             Ok(false) => {}
-            Err(err) => self.refused.note(copy, RefusedKind::DomainRecord, &err),
+            Err(err) => self.refused.record(copy, RefusedKind::DomainRecord, &err),
         }
     }
 
@@ -285,7 +285,7 @@
     }
 
     /// Notes that a box did not answer, or that it did.
-    pub(crate) fn heard(&mut self, id: &BoxId, answered: bool, now: Millis) {
+    pub(crate) fn record_answer(&mut self, id: &BoxId, answered: bool, now: Millis) {
         if answered {
             self.silent.remove(id);
         } else {
@@ -294,7 +294,7 @@
     }
 
     /// Takes in that a box said in an answer that it leaves, and tells whether that is new.
-    pub(crate) fn leaves(&mut self, id: &BoxId) -> bool {
+    pub(crate) fn mark_leaving(&mut self, id: &BoxId) -> bool {
         if !self.leaving.add(id) {
             return false;
         }
@@ -309,12 +309,12 @@
 
     /// Returns the members of replicas whose entries went since the last call; whether they are
     /// there has to be asked of them.
-    pub(crate) fn take_unasked(&mut self) -> Vec<SiteBox> {
+    pub(crate) fn take_unverified(&mut self) -> Vec<SiteBox> {
         std::mem::take(&mut self.unasked)
     }
 
     /// Notes that a box followed an order to leave; what it tells of itself follows.
-    pub(crate) fn left(&mut self, order: &MemberOrder) {
+    pub(crate) fn mark_left(&mut self, order: &MemberOrder) {
         let (id, replica, epoch) = (&order.target, &order.replica, order.epoch);
         if self.boxes.contains_key(id) {
             let as_of = self.left.entry((id.clone(), epoch)).or_default();
@@ -337,27 +337,29 @@
     }
 
     /// Forgets what is too old, and tells whether boxes are gone by that.
-    pub(crate) fn forget(&mut self, now: Millis) -> bool {
-        let changes = self.changes();
+    pub(crate) fn remove_expired(&mut self, now: Millis) -> bool {
+        let changes = self.change_count();
         if !self.outage.keeps(now) {
             for id in std::mem::take(&mut self.unlisted) {
-                self.take_departure(&BoxId::new(id.name()), self.revision, now);
+                self.remove_box(&BoxId::new(id.name()), self.revision, now);
             }
         }
-        self.forget_ended_lives();
+        self.expire_ended_incarnations();
         if !self.cold.is_empty() {
             Arc::make_mut(&mut self.cold).forget(now);
         }
-        self.departed.retain(|_, gone| now.since(gone.at) < DEPARTED_FOR);
-        self.forget_ended();
+        self.departed.retain(|_, gone| now.since(gone.at) < DEPARTED_RETENTION);
+        self.expire_ended_replicas();
         let boxes = &self.boxes;
-        let life = |id: &BoxId| if boxes.contains_key(id) { SILENT_FOR } else { DEPARTED_FOR };
+        let life = |id: &BoxId| {
+            if boxes.contains_key(id) { SILENCE_RETENTION } else { DEPARTED_RETENTION }
+        };
         self.silent.retain(|id, since| now.since(*since) < life(id));
-        self.changes() != changes
+        self.change_count() != changes
     }
 
     /// Forgets the end of replicas that no box tells of any more.
-    fn forget_ended(&mut self) {
+    fn expire_ended_replicas(&mut self) {
         if self.ended.is_empty() {
             return;
         }
@@ -373,7 +375,7 @@
     }
 
     /// Returns the epochs that boxes said they left.
-    pub(crate) fn epochs_left(&self) -> &BTreeMap<(BoxId, Epoch), Epoch> {
+    pub(crate) fn left_epochs(&self) -> &BTreeMap<(BoxId, Epoch), Epoch> {
         &self.left
     }
 
@@ -388,7 +390,7 @@
     }
 
     /// Returns how many changes there have been.
-    pub(crate) fn changes(&self) -> u64 {
+    pub(crate) fn change_count(&self) -> u64 {
         self.log.count()
     }
 
@@ -407,10 +409,10 @@
     }
 
     /// Returns the domains' records and all entries as they stand.
-    pub(crate) fn everything(&self) -> Vec<Document> {
-        let domains = self.records.copies();
+    pub(crate) fn snapshot(&self) -> Vec<Document> {
+        let domains = self.records.documents();
         let kept = domains.chain(self.entries.values()).chain(self.suspects.copy());
-        kept.cloned().chain(self.zones.copy()).collect()
+        kept.cloned().chain(self.zones.document()).collect()
     }
 
     /// Tells whether boxes are kept that the store lists no more.
@@ -419,7 +421,7 @@
     }
 
     /// Returns how many boxes are listed.
-    pub(crate) fn boxes_listed(&self) -> usize {
+    pub(crate) fn box_count(&self) -> usize {
         self.boxes.len()
     }
 
@@ -439,22 +441,23 @@
     }
 
     /// Returns the copies of what operators wrote that peers are to have.
-    pub(crate) fn copies_to_pass_on(&self) -> Vec<Document> {
+    pub(crate) fn operator_documents(&self) -> Vec<Document> {
         let config = self.config.iter().map(|held| Document {
             key: Arc::from(keys::SITE_CONFIG),
             revision: held.revision,
             body: held.body.clone(),
         });
-        config.chain(self.zones.copy()).collect()
+        config.chain(self.zones.document()).collect()
     }
 
     /// Returns what tells one state of all that operators wrote from another.
-    pub(crate) fn operators_state(&self) -> (Revision, Revision) {
-        (self.config_revision(), self.zones.changed())
+    pub(crate) fn operator_revisions(&self) -> (Revision, Revision) {
+        (self.config_revision(), self.zones.changed_at())
     }
 
     fn assigned(&self) -> &Arc<AssignedBoxes> {
-        self.assigned.get_or_init(|| self.records.assigned_as(|id| self.as_listed(id)))
+        self.assigned
+            .get_or_init(|| self.records.assigned_with_listed_ids(|id| self.listed_id_for(id)))
     }
 
     /// Returns all of it as one value; `serve_unlisted` says whether members that are listed no more
@@ -463,7 +466,7 @@
         SiteView {
             table: self.table.clone(),
             boxes: self.boxes.clone(),
-            silent: self.silent(),
+            silent: self.silent_boxes(),
             assigned: match serve_unlisted {
                 true => self.assigned().clone(),
                 false => Arc::default(),
--- a/crates/cherrystandd/src/site/site_state_tests.rs
+++ b/crates/cherrystandd/src/site/site_state_tests.rs
@@ -91,18 +91,18 @@
         let peer = ChangeSource::Peer(NodeId::new("n1"));
         for told in case.told {
             match told {
-                Listed(all, at) => known.take_list(&entries(all), Revision::new(*at), now),
+                Listed(all, at) => known.apply_list(&entries(all), Revision::new(*at), now),
                 Changed(one) => {
                     let (revision, records) = (Revision::new(one.1), vec![entry(one)]);
-                    known.take_changes(&Changes { revision, records, gone: Vec::new() }, now);
+                    known.apply_changes(&Changes { revision, records, gone: Vec::new() }, now);
                 }
                 Gone(id, at) => {
                     let gone = vec![Driver::box_key(&BoxId::new(*id))];
                     let revision = Revision::new(*at);
-                    known.take_changes(&Changes { revision, records: Vec::new(), gone }, now);
+                    known.apply_changes(&Changes { revision, records: Vec::new(), gone }, now);
                 }
                 Copied(all, at) => {
-                    known.take_copy(peer.clone(), &entries(all), Revision::new(*at), now);
+                    known.apply_snapshot(peer.clone(), &entries(all), Revision::new(*at), now);
                 }
             }
         }
@@ -120,7 +120,7 @@
     let listed: Vec<Document> = listed.iter().map(in_era).collect();
     let as_of = Revision::in_era(Era(era), number);
     known.enter_era(as_of, now);
-    known.take_list(&listed, as_of, now);
+    known.apply_list(&listed, as_of, now);
 }
 
 /// Story: a store that came back from a copy listed boxes that had left, lacked some that served, and held older words of
@@ -186,12 +186,12 @@
         let mut known = SiteState::default();
         let now = Millis(10_000);
         let leaving = |entry: &Entry| leaving_entry(&self::entry(entry));
-        known.take_list(&entries(&[("stays", 50), ("gone", 52)]), Revision::new(52), now);
+        known.apply_list(&entries(&[("stays", 50), ("gone", 52)]), Revision::new(52), now);
         let changes =
             |records, gone, number| Changes { revision: Revision::new(number), records, gone };
-        known.take_changes(&changes(vec![leaving(&("leaves", 55))], Vec::new(), 55), now);
+        known.apply_changes(&changes(vec![leaving(&("leaves", 55))], Vec::new(), 55), now);
         let gone = vec![Driver::box_key(&BoxId::new("gone"))];
-        known.take_changes(&changes(Vec::new(), gone, 60), now);
+        known.apply_changes(&changes(Vec::new(), gone, 60), now);
         let copy = case.copy.iter().map(|one| match case.leaves_in_copy.contains(&one.0) {
             true => leaving(one),
             false => entry(one),
@@ -200,9 +200,9 @@
         for one in case.written {
             let revision = Revision::in_era(Era(1), one.1);
             let records = vec![Document { revision, ..entry(one) }];
-            known.take_changes(&Changes { revision, records, gone: Vec::new() }, now + Millis(5));
+            known.apply_changes(&Changes { revision, records, gone: Vec::new() }, now + Millis(5));
         }
-        known.forget(now + Millis(case.after));
+        known.remove_expired(now + Millis(case.after));
         let there: BTreeSet<&str> = known.boxes.keys().map(BoxId::as_str).collect();
         assert_eq!(there, case.there.iter().copied().collect(), "{}", case.name);
         let leave = known.boxes.values().filter(|known| known.leaving);
@@ -245,17 +245,17 @@
         };
         let mut known = SiteState::default();
         let now = Millis(10_000);
-        known.take_list(&[], Revision::new(60), now);
-        known.take_domain(&document(5, Revision::new(50)));
+        known.apply_list(&[], Revision::new(60), now);
+        known.apply_domain_record(&document(5, Revision::new(50)));
         let as_of = Revision::in_era(Era(1), 40);
         let records = case.copy.map(|epoch| document(epoch, Revision::in_era(Era(1), 30)));
         let listed =
             Changes { revision: as_of, records: records.into_iter().collect(), gone: Vec::new() };
         known.enter_era(as_of, now);
-        known.restore_records(&listed);
-        known.take_changes(&listed, now);
+        known.mark_missing_records_lost(&listed);
+        known.apply_changes(&listed, now);
         let (_, held) = known.record(&domain);
         assert_eq!(held.last_epoch, Epoch(case.last_epoch), "{}", case.name);
-        assert_eq!(known.lost_record(&domain), case.is_lost, "{}", case.name);
+        assert_eq!(known.is_record_lost(&domain), case.is_lost, "{}", case.name);
     }
 }
--- a/crates/cherrystandd/src/site/store_restore.rs
+++ b/crates/cherrystandd/src/site/store_restore.rs
@@ -12,7 +12,7 @@
 use crate::site::site_state::SiteState;
 
 /// By this time after it came back operators and boxes have written theirs again, which the copy lacks.
-const WRITTEN_AGAIN_WITHIN: Millis = Millis(2_500);
+const REWRITE_PERIOD: Millis = Millis(2_500);
 
 /// What a daemon keeps of the store's last return.
 #[derive(Clone, Copy, Debug, Default)]
@@ -36,30 +36,29 @@
         self.outage.came_back(now);
         let entries = &self.entries;
         self.absences.renew(listed, |name| entries.contains_key(name));
-        self.store_return =
-            StoreRestore { copy: listed, list_again: Some(now + WRITTEN_AGAIN_WITHIN) };
+        self.store_return = StoreRestore { copy: listed, list_again: Some(now + REWRITE_PERIOD) };
     }
 
     /// Tells whether the store held a record as it came back from a copy.
-    pub(super) fn is_from_copy(&self, record: &Document) -> bool {
+    pub(super) fn is_restored(&self, record: &Document) -> bool {
         record.revision <= self.store_return.copy
     }
 
     /// Tells whether an entry is what the copy holds of a box that is known from before; what says that its box
     /// leaves counts whenever it was written, as no life takes that back.
-    pub(super) fn is_of_copy(&self, held: &Document, entry: &Document) -> bool {
-        let is_older = held.revision.era() < entry.revision.era() && self.is_from_copy(entry);
+    pub(super) fn is_stale_restored_entry(&self, held: &Document, entry: &Document) -> bool {
+        let is_older = held.revision.era() < entry.revision.era() && self.is_restored(entry);
         is_older && !Driver::read_box(&entry.key, &entry.body).is_ok_and(|told| told.leaving)
     }
 
     /// Takes in that the record of requests that end replicas is not in the store.
-    pub(crate) fn suspects_are_missing(&mut self) {
+    pub(crate) fn mark_suspects_missing(&mut self) {
         self.suspects.restore();
     }
 
     /// Tells whether everything is to be listed once more, as what the copy lacked is written again by now; it is told
     /// once.
-    pub(crate) fn take_list_again(&mut self, now: Millis) -> bool {
+    pub(crate) fn take_relist_due(&mut self, now: Millis) -> bool {
         let is_due = self.store_return.list_again.is_some_and(|at| now >= at);
         if is_due {
             self.store_return.list_again = None;
@@ -68,26 +67,26 @@
     }
 
     /// Tells whether the store's copy may lack what operators wrote.
-    pub(super) fn may_lack_operators(&self) -> bool {
+    pub(super) fn may_lack_operator_writes(&self) -> bool {
         self.store_return.list_again.is_some()
     }
 
     /// Has records of domains that a list lacks written again.
-    pub(crate) fn restore_records(&mut self, list: &Changes) {
+    pub(crate) fn mark_missing_records_lost(&mut self, list: &Changes) {
         let is_listed = |key: &str| list.records.iter().any(|record| &*record.key == key);
         self.records
-            .restore(|held| held.revision.era() < list.revision.era() && !is_listed(&held.key));
+            .mark_lost(|held| held.revision.era() < list.revision.era() && !is_listed(&held.key));
     }
 
     /// Takes in that a record is not in the store, though it is held here.
-    pub(crate) fn record_is_missing(&mut self, key: &str) {
-        self.records.restore(|held| &*held.key == key);
+    pub(crate) fn mark_record_lost(&mut self, key: &str) {
+        self.records.mark_lost(|held| &*held.key == key);
     }
 
     /// Takes in a configuration as operators wrote it.
     ///
     /// Its own version says which is the later one: a copy of the store holds an older one at a later revision.
-    pub(crate) fn take_written_config(&mut self, written: &Document) -> bool {
+    pub(crate) fn apply_stored_config(&mut self, written: &Document) -> bool {
         if written.revision <= self.config_written {
             return false;
         }
@@ -95,7 +94,7 @@
         match Driver::read_config(&written.body) {
             Ok(config) => {
                 let revision = Revision::new(config.version);
-                self.put_in_force(config, Document { revision, ..written.clone() })
+                self.activate_config(config, Document { revision, ..written.clone() })
             }
             Err(err) => {
                 self.refuse_config(written, &err);
--- a/crates/cherrystandd/src/site/suspect_notes.rs
+++ b/crates/cherrystandd/src/site/suspect_notes.rs
@@ -44,8 +44,8 @@
     if let Ok(Swap::Done(revision)) = swapped {
         let key = keys::SUSPECTS.into();
         let copy = Document { key, revision, body: body.into() };
-        control.known.borrow_mut().take_suspects(&copy);
-        control.spread_news();
+        control.known.borrow_mut().apply_suspects(&copy);
+        control.publish_and_wake();
         return true;
     }
     if let Err(err) = &swapped {
@@ -53,12 +53,12 @@
     }
     match control.store.get(keys::SUSPECTS).await {
         Ok(Some(record)) => {
-            control.known.borrow_mut().take_suspects(&record);
-            control.spread_news();
+            control.known.borrow_mut().apply_suspects(&record);
+            control.publish_and_wake();
             swapped.is_ok()
         }
         Ok(None) => {
-            control.known.borrow_mut().suspects_are_missing();
+            control.known.borrow_mut().mark_suspects_missing();
             swapped.is_ok()
         }
         Err(err) => {
