--- a/crates/cherrystand_core/benches/node_costs.rs
+++ b/crates/cherrystand_core/benches/node_costs.rs
@@ -11,7 +11,7 @@
 
 use cherrystand_core::{
     BoxId, BoxStart, CallerLimits, Digest, DomainId, EndpointLoad, EngineSpec, Epoch, Heartbeat,
-    Incarnation, LoadBook, Member, MemberState, Membership, Millis, ModelSpec, NodeId, RouteTable,
+    Incarnation, Member, MemberState, Membership, Millis, ModelSpec, NodeId, PeerLoads, RouteTable,
     Service, ServiceName, SiteBox, SiteConfig, SiteView, ZoneId,
 };
 
@@ -123,53 +123,53 @@
 }
 
 fn loads(size: &Size) {
-    let mut book = LoadBook::default();
+    let mut book = PeerLoads::default();
     let replicas = size.boxes / SPAN;
     let near = (0..size.nodes).filter(|number| number % ZONES == 0);
     let near: Vec<usize> = near.collect();
     for number in &near {
         let told = busy(*number, replicas);
-        book.hear_node(heartbeat(*number, 1).node, zone(0), told, Millis(0));
+        book.record_node(heartbeat(*number, 1).node, zone(0), told, Millis(0));
     }
     let mut turn = 0;
     report("a telling of loads taken in", || {
         turn += 1;
         let number = near[turn % near.len()];
         let told = busy(number, replicas);
-        book.hear_node(heartbeat(number, 1).node, zone(0), told, Millis(0));
+        book.record_node(heartbeat(number, 1).node, zone(0), told, Millis(0));
     });
     report("a telling of loads taken in and summed", || {
         turn += 1;
         let number = near[turn % near.len()];
         let told = busy(number, replicas);
-        book.hear_node(heartbeat(number, 1).node, zone(0), told, Millis(0));
-        black_box(book.sums());
+        book.record_node(heartbeat(number, 1).node, zone(0), told, Millis(0));
+        black_box(book.totals());
     });
 }
 
 fn engine() -> EngineSpec {
     EngineSpec {
         slots: 22,
-        stride: 11,
+        steps_per_pass: 11,
         step_ms: 5.95,
         per_request_ms: 0.0445,
         context_ms_per_k: 0.008,
-        chunk: 2_048,
-        read_per_s: 50_700.0,
-        pairs_ms_per_m: 0.368,
-        far_factor: 2.5,
-        form: Millis(300),
+        prefill_chunk: 2_048,
+        prefill_tokens_per_s: 50_700.0,
+        attention_ms_per_m_pairs: 0.368,
+        cross_domain_factor: 2.5,
+        formation_time: Millis(300),
         loads_per_s: 10.0,
         loads_at_once: 20,
-        usual_prompt: 900.0,
-        usual_answer: 200.0,
+        typical_prompt_tokens: 900.0,
+        typical_answer_tokens: 200.0,
         models: vec![ModelSpec {
             name: "m1".to_owned(),
             span: SPAN as u32,
-            pace: 0.6,
-            load: Millis(12_000),
-            warm: Millis(1_100),
-            share: 1.0,
+            time_factor: 0.6,
+            load_time: Millis(12_000),
+            host_load_time: Millis(1_100),
+            work_share: 1.0,
         }],
     }
 }
@@ -181,14 +181,14 @@
     let address: SocketAddr = ([10, 1, (number / 250) as u8, (number % 250) as u8], 8_000).into();
     SiteBox {
         id: BoxId::new(format!("i-{number:08x}")),
-        start: BoxStart::Untold,
+        start: BoxStart::Unreported,
         orders_taken: 0,
         service: ServiceName::new("captions"),
         address,
         zone: zone(number / 73),
         slots: 22,
         leaving: false,
-        cold_left: None,
+        cold_remaining: None,
         domain: Some(DomainId::new(format!("d{}", number / 73))),
         staged: vec!["m1".to_owned()],
         loaded: vec!["m1".to_owned()],
@@ -208,7 +208,7 @@
         connections: None,
         cold: None,
     };
-    let limits = CallerLimits { head_bytes: 8_192, body_bytes: 1 << 20 };
+    let limits = CallerLimits { header_bytes: 8_192, body_bytes: 1 << 20 };
     let config = SiteConfig {
         version: 1,
         routes: Vec::new(),
--- a/crates/cherrystand_core/benches/routing.rs
+++ b/crates/cherrystand_core/benches/routing.rs
@@ -5,8 +5,8 @@
 use std::time::Instant;
 
 use cherrystand_core::{
-    Ask, AttemptEnd, BoxId, ChoiceRule, Chooser, EndpointKey, EndpointSpec, EngineSpec, GroupKey,
-    Millis, ModelSpec, Policy, RequestHomes, Router, Seed, ServiceName, TargetSpec,
+    AllowedRegions, AttemptEnd, BoxId, ChoiceRule, EndpointKey, EndpointSpec, EngineSpec, GroupKey,
+    LoadBalancer, Millis, ModelSpec, Policy, RequestSpec, Router, Seed, ServiceName, TargetSpec,
 };
 
 /// How many choices are timed.
@@ -56,32 +56,32 @@
     let model = ModelSpec {
         name: "m".to_owned(),
         span: 8,
-        pace: 1.0,
-        share: 1.0,
-        load: Millis(16_000),
-        warm: Millis(1_600),
+        time_factor: 1.0,
+        work_share: 1.0,
+        load_time: Millis(16_000),
+        host_load_time: Millis(1_600),
     };
     EngineSpec {
         slots: 34,
-        stride: 5,
+        steps_per_pass: 5,
         step_ms: 6.0,
         per_request_ms: 0.24,
         context_ms_per_k: 0.005,
-        chunk: 2_048,
-        read_per_s: 46_000.0,
-        pairs_ms_per_m: 0.7,
-        far_factor: 2.5,
-        form: Millis(300),
+        prefill_chunk: 2_048,
+        prefill_tokens_per_s: 46_000.0,
+        attention_ms_per_m_pairs: 0.7,
+        cross_domain_factor: 2.5,
+        formation_time: Millis(300),
         loads_per_s: 4.0,
         loads_at_once: 6,
-        usual_prompt: 1_000.0,
-        usual_answer: 130.0,
+        typical_prompt_tokens: 1_000.0,
+        typical_answer_tokens: 130.0,
         models: vec![model],
     }
 }
 
-fn chooser(rule: ChoiceRule, replicas: usize) -> Chooser {
-    let mut chooser = Chooser::new(Policy { choice: rule, ..Policy::default() });
+fn balancer(rule: ChoiceRule, replicas: usize) -> LoadBalancer {
+    let mut balancer = LoadBalancer::new(Policy { choice: rule, ..Policy::default() });
     let target = |number: usize| TargetSpec {
         id: BoxId::new(format!("box-{number}")),
         service: ServiceName::new("models"),
@@ -92,8 +92,8 @@
         evacuated: None,
         cold: None,
     };
-    chooser.follow((0..replicas).map(target).collect());
-    chooser
+    balancer.set_targets((0..replicas).map(target).collect());
+    balancer
 }
 
 fn cost_by_rule() {
@@ -106,25 +106,25 @@
     ];
     let (engine, service) = (engine(), ServiceName::new("models"));
     let objective = Millis(300);
-    let ask = Ask {
+    let ask = RequestSpec {
         service: &service,
         model: Some("m"),
         prompt: 700.0,
-        objective,
-        homes: RequestHomes::default(),
+        latency_goal: objective,
+        regions: AllowedRegions::default(),
     };
     for replicas in [10, 100, 1_000, 5_000] {
         for (name, rule) in rules {
-            let mut chooser = chooser(rule, replicas);
+            let mut balancer = balancer(rule, replicas);
             let mut seed = Seed::new(1);
             let choices = if rule == ChoiceRule::ExpectedCredit { CHOICES } else { CHOICES / 100 };
             let began = Instant::now();
             for number in 0..u64::from(choices) {
                 let now = Millis(number);
-                if let Some(key) = chooser.choose(ask, Some(&engine), &[], now, &mut seed) {
-                    chooser.start(key, 700.0, false);
-                    chooser.first_event(key, 700.0, false);
-                    chooser.finish(black_box(key), 0.0, false);
+                if let Some(key) = balancer.choose(ask, Some(&engine), &[], now, &mut seed) {
+                    balancer.record_start(key, 700.0, false);
+                    balancer.record_first_event(key, 700.0, false);
+                    balancer.record_finish(black_box(key), 0.0, false);
                 }
             }
             let took = began.elapsed().as_nanos() / u128::from(choices);
--- a/crates/cherrystand_core/src/lib.rs
+++ b/crates/cherrystand_core/src/lib.rs
@@ -94,12 +94,11 @@
 }
 
 mod site {
+    pub(crate) mod allowed_regions;
     pub(crate) mod attempt_ledger;
-    pub(crate) mod box_lives;
-    pub(crate) mod capacity_plan;
-    pub(crate) mod chooser;
-    pub(crate) mod chooser_wishes;
-    pub(crate) mod cold_lives;
+    pub(crate) mod box_incarnations;
+    pub(crate) mod capacity_planner;
+    pub(crate) mod cold_boxes;
     pub(crate) mod crash_suspects;
     pub(crate) mod domain_draft;
     pub(crate) mod domain_places;
@@ -112,13 +111,15 @@
     pub(crate) mod formation;
     pub(crate) mod homes;
     pub(crate) mod interrupted_answers;
-    pub(crate) mod join_rank;
-    pub(crate) mod load_book;
+    pub(crate) mod latency_model;
+    pub(crate) mod load_balancer;
+    pub(crate) mod load_balancer_limits;
     pub(crate) mod log_limiter;
     pub(crate) mod member_order;
     pub(crate) mod model_load;
+    pub(crate) mod model_location;
+    pub(crate) mod peer_loads;
     pub(crate) mod policy;
-    pub(crate) mod request_homes;
     pub(crate) mod retry_share;
     pub(crate) mod route_table;
     pub(crate) mod site_box;
@@ -129,7 +130,6 @@
     pub(crate) mod suspect;
     pub(crate) mod suspect_record;
     pub(crate) mod target;
-    pub(crate) mod time_model;
 }
 
 pub use config::class::Class;
@@ -218,28 +218,29 @@
 pub use requests::send_permit::SendPermit;
 pub use requests::usual_time::UsualTime;
 pub use requests::wait_queue::{LONGEST_WAIT, WaitQueue};
+pub use site::allowed_regions::AllowedRegions;
 pub use site::attempt_ledger::{AttemptLedger, FinalFailure};
-pub use site::box_lives::BoxLives;
-pub use site::capacity_plan::{CapacityPlan, DomainUse, HomeChange};
-pub use site::chooser::{Ask, Chooser, Expected, TargetKey};
-pub use site::cold_lives::ColdLives;
+pub use site::box_incarnations::BoxIncarnations;
+pub use site::capacity_planner::{CapacityPlanner, DomainCapacity, HomeChange};
+pub use site::cold_boxes::ColdBoxes;
 pub use site::crash_suspects::{CrashSuspects, SUSPECT_TTL};
 pub use site::engine_priority::{engine_priority, is_deferred};
 pub use site::engine_spec::{EngineLoad, EngineSpec, ModelSpec};
-pub use site::evacuations::{EmptiedZones, Evacuations};
+pub use site::evacuations::{EvacuatedZones, Evacuations};
 pub use site::event_splitter::{EventSplitter, MAX_EVENT_BYTES, StreamEvent};
 pub use site::fingerprint::Fingerprint;
 pub use site::formation::{Formation, FormationInput, FormationStep, replica_name};
 pub use site::homes::{home_models, second_models};
 pub use site::interrupted_answers::{CrashCheck, InterruptedAnswers};
-pub use site::load_book::{EndpointLoad, LoadBook, ZoneLoads};
+pub use site::latency_model::LatencyModel;
+pub use site::load_balancer::{LoadBalancer, Prediction, RequestSpec, TargetKey};
 pub use site::log_limiter::LogLimiter;
 pub use site::member_order::{MemberOrder, MemberTask, OrderEnd};
 pub use site::model_load::{ModelLoad, ModelLoads};
+pub use site::peer_loads::{EndpointLoad, PeerLoads, ZoneLoads};
 pub use site::policy::{ChoiceRule, Policy};
-pub use site::request_homes::RequestHomes;
 pub use site::retry_share::{RetryBounds, RetryShare};
-pub use site::route_table::{Allowed, NotAllowed, RouteTable};
+pub use site::route_table::{RouteError, RouteMatch, RouteTable};
 pub use site::site_box::{BoxStart, Member, MemberState, SiteBox};
 pub use site::site_config::{CallerLimits, Route, RouteKind, Service, SiteConfig, Tenant};
 pub use site::site_view::{AssignedBoxes, SiteView};
@@ -248,4 +249,3 @@
 pub use site::suspect::MAX_CRASHES;
 pub use site::suspect_record::{SuspectEntry, SuspectRecord};
 pub use site::target::TargetSpec;
-pub use site::time_model::TimeModel;
--- a/crates/cherrystand_core/src/nodes/relays.rs
+++ b/crates/cherrystand_core/src/nodes/relays.rs
@@ -31,10 +31,10 @@
 
 /// Returns the relays of all zones but one.
 pub fn relays_elsewhere<'a>(zone: &ZoneId, alive: &[&'a Heartbeat]) -> Vec<&'a Heartbeat> {
-    other_zones(zone, alive).into_iter().flat_map(|other| relays_of(other, alive)).collect()
+    other_zone_totals(zone, alive).into_iter().flat_map(|other| relays_of(other, alive)).collect()
 }
 
-fn other_zones<'a>(zone: &ZoneId, alive: &[&'a Heartbeat]) -> Vec<&'a ZoneId> {
+fn other_zone_totals<'a>(zone: &ZoneId, alive: &[&'a Heartbeat]) -> Vec<&'a ZoneId> {
     let mut zones = zones_of(alive);
     zones.retain(|other| *other != zone);
     zones
@@ -60,7 +60,7 @@
     if let Some(rank) = rank {
         let suspects = with_standing(known, Standing::Suspect);
         let reachable: Vec<&Heartbeat> = alive.iter().chain(&suspects).copied().collect();
-        let others = other_zones(&own.zone, &reachable);
+        let others = other_zone_totals(&own.zone, &reachable);
         let turn = round % (others.len() + 1);
         if let Some(zone) = others.get(turn) {
             let far = relays_of(zone, &alive);
--- a/crates/cherrystand_core/src/site/request_homes.rs
+++ b/crates/cherrystand_core/src/site/allowed_regions.rs
@@ -6,14 +6,14 @@
 ///
 /// Where both name some, both bind. An empty list names none, and so binds nothing.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct RequestHomes<'a> {
+pub struct AllowedRegions<'a> {
     /// Those of its route.
     pub route: &'a [RegionId],
     /// Those of its tenant.
     pub tenant: &'a [RegionId],
 }
 
-impl RequestHomes<'_> {
+impl AllowedRegions<'_> {
     /// Tells whether an endpoint in a region may get the request; one whose region is not known is in no home.
     pub fn allow(&self, region: Option<&RegionId>) -> bool {
         let is_home = |homes: &[RegionId]| {
--- a/crates/cherrystand_core/src/site/attempt_ledger.rs
+++ b/crates/cherrystand_core/src/site/attempt_ledger.rs
@@ -31,13 +31,13 @@
 
 impl AttemptLedger {
     /// Counts an attempt as begun.
-    pub fn sent(&mut self) {
+    pub fn record_sent(&mut self) {
         self.sent += 1;
         self.open += 1;
     }
 
     /// Takes in how an attempt ended, or that its answer has begun.
-    pub fn ended(&mut self, end: AttemptEnd) {
+    pub fn record_end(&mut self, end: AttemptEnd) {
         self.open = self.open.saturating_sub(1);
         if end.outcome() != Outcome::NotRun {
             self.runs += 1;
@@ -46,20 +46,20 @@
     }
 
     /// Ends all attempts whose answers are not waited for any more.
-    pub fn rest_ended(&mut self, end: AttemptEnd) {
+    pub fn record_remaining_ends(&mut self, end: AttemptEnd) {
         while self.open > 0 {
-            self.ended(end);
+            self.record_end(end);
         }
     }
 
     /// Returns how many attempts are open.
-    pub fn open(&self) -> u32 {
+    pub fn open_attempts(&self) -> u32 {
         self.open
     }
 
     /// Returns on how many endpoints the request may have been run or may yet be, attempts that are
     /// open among them.
-    pub fn most_runs(&self) -> u32 {
+    pub fn max_executions(&self) -> u32 {
         self.runs + self.open
     }
 
@@ -67,8 +67,8 @@
     /// its route, its attempts so far and its deadline go.
     pub fn may_send(&self, route: &Route, now: Millis, deadline: Millis) -> bool {
         let ran_nowhere = self.may_have_run.is_none() && self.open == 0;
-        let may_run_again = ran_nowhere || route.may_repeat();
-        let runs_left = self.most_runs() < route.attempts.max(1);
+        let may_run_again = ran_nowhere || route.may_retry();
+        let runs_left = self.max_executions() < route.attempts.max(1);
         may_run_again && runs_left && self.sent < MOST_SENT && now < deadline
     }
 
--- a/crates/cherrystand_core/src/site/capacity_plan.rs
+++ b/crates/cherrystand_core/src/site/capacity_planner.rs
@@ -45,7 +45,7 @@
 
 /// Describes a domain to the plan.
 #[derive(Clone, Debug, PartialEq)]
-pub struct DomainUse {
+pub struct DomainCapacity {
     /// The domain.
     pub id: DomainId,
     /// The model that it is for.
@@ -54,7 +54,7 @@
     ///
     /// A box that has to load first counts for nothing. Counted as serving, a domain that was restarted
     /// whole and had to load for 20 s made the plan give a second one of its model's three away.
-    pub held: BTreeMap<String, usize>,
+    pub boxes_by_model: BTreeMap<String, usize>,
     /// How many of its boxes may serve.
     pub boxes: usize,
     /// The model that its hosts are to hold besides, where they are to.
@@ -74,7 +74,7 @@
 ///
 /// It keeps only what it measured; another daemon that plans begins to measure anew.
 #[derive(Clone, Debug, Default)]
-pub struct CapacityPlan {
+pub struct CapacityPlanner {
     /// How many replicas each model keeps busy.
     busy: BTreeMap<String, f64>,
     since: Option<Millis>,
@@ -86,7 +86,7 @@
     worth_a_load: Option<(HomeChange, Millis)>,
 }
 
-impl CapacityPlan {
+impl CapacityPlanner {
     /// Takes in what is in flight now, and returns the changes that are worth making.
     ///
     /// One domain changes at a time, or two of which one alone gains nothing, as where a domain that
@@ -97,7 +97,7 @@
         now: Millis,
         engine: &EngineSpec,
         loads: &BTreeMap<String, ModelLoad>,
-        domains: &[DomainUse],
+        domains: &[DomainCapacity],
     ) -> Vec<HomeChange> {
         self.measure(now, engine, loads);
         let measured = self.since.is_some_and(|since| now.since(since) >= MEASURED_FOR);
@@ -124,11 +124,11 @@
     /// overloaded and no domain that could help holds it: as when a zone is emptied or lost.
     ///
     /// Its replicas serve on meanwhile. One domain at a time is prepared.
-    pub fn prepare(
+    pub fn preload(
         &mut self,
         now: Millis,
         engine: &EngineSpec,
-        domains: &[DomainUse],
+        domains: &[DomainCapacity],
     ) -> Option<HomeChange> {
         let best = self.best_load(engine, domains);
         let since = match (&self.worth_a_load, &best) {
@@ -140,17 +140,20 @@
         (now.since(*since) >= OVERLOADED_FOR).then(|| best.clone())
     }
 
-    fn best_load(&self, engine: &EngineSpec, domains: &[DomainUse]) -> Option<HomeChange> {
+    fn best_load(&self, engine: &EngineSpec, domains: &[DomainCapacity]) -> Option<HomeChange> {
         self.since?;
-        let is_prepared = |domain: &DomainUse| {
+        let is_prepared = |domain: &DomainCapacity| {
             let second = domain.second.as_ref().filter(|second| **second != domain.home);
-            second.is_some_and(|second| domain.held.get(second) < domain.held.get(&domain.home))
+            second.is_some_and(|second| {
+                domain.boxes_by_model.get(second) < domain.boxes_by_model.get(&domain.home)
+            })
         };
         let now = self.busiest(&engine.models, domains, &[]).filter(|now| *now >= OVERLOADED)?;
         if domains.iter().any(is_prepared) || !self.best_changes(engine, domains).is_empty() {
             return None;
         }
-        let loaded: Vec<DomainUse> = domains.iter().map(|domain| domain.with_all(engine)).collect();
+        let loaded: Vec<DomainCapacity> =
+            domains.iter().map(|domain| domain.with_all(engine)).collect();
         let changes = possible_changes(&engine.models, &loaded).into_iter();
         let worth = changes.filter_map(|change| {
             let then = self.busiest(&engine.models, &loaded, std::slice::from_ref(&change))?;
@@ -160,7 +163,7 @@
     }
 
     /// Returns how many replicas each model keeps busy, as measured.
-    pub fn busy(&self) -> &BTreeMap<String, f64> {
+    pub fn busy_replicas(&self) -> &BTreeMap<String, f64> {
         &self.busy
     }
 
@@ -188,7 +191,7 @@
     }
 
     /// Returns the changes after which the busiest model is least busy, where that is worth it.
-    fn best_changes(&self, engine: &EngineSpec, domains: &[DomainUse]) -> Vec<HomeChange> {
+    fn best_changes(&self, engine: &EngineSpec, domains: &[DomainCapacity]) -> Vec<HomeChange> {
         let Some(now) = self.busiest(&engine.models, domains, &[]) else {
             return Vec::new();
         };
@@ -216,7 +219,7 @@
     fn least_busy(
         &self,
         engine: &EngineSpec,
-        domains: &[DomainUse],
+        domains: &[DomainCapacity],
         now: f64,
         all: &[Vec<HomeChange>],
     ) -> Vec<HomeChange> {
@@ -236,7 +239,7 @@
     fn busiest(
         &self,
         models: &[ModelSpec],
-        domains: &[DomainUse],
+        domains: &[DomainCapacity],
         changes: &[HomeChange],
     ) -> Option<f64> {
         let mut busiest: f64 = 0.0;
@@ -266,25 +269,25 @@
 /// Stands for no replica at all where something is divided by how many serve.
 const LEAST_SERVING: f64 = 0.1;
 
-impl DomainUse {
+impl DomainCapacity {
     /// Returns the domain as it would be with all models on its hosts.
     fn with_all(&self, engine: &EngineSpec) -> Self {
         let mut all = self.clone();
         for model in engine.models.iter().filter(|model| model.name != self.home) {
-            all.held.insert(model.name.clone(), self.boxes);
+            all.boxes_by_model.insert(model.name.clone(), self.boxes);
         }
         all
     }
 }
 
 /// Returns the model that a domain is for after changes.
-fn home_after<'a>(domain: &'a DomainUse, changes: &'a [HomeChange]) -> &'a str {
+fn home_after<'a>(domain: &'a DomainCapacity, changes: &'a [HomeChange]) -> &'a str {
     let change = changes.iter().find(|change| change.domain == domain.id);
     change.map_or(&domain.home, |change| &change.home)
 }
 
 /// Lists the changes to models of which a domain holds a replica.
-fn possible_changes(models: &[ModelSpec], domains: &[DomainUse]) -> Vec<HomeChange> {
+fn possible_changes(models: &[ModelSpec], domains: &[DomainCapacity]) -> Vec<HomeChange> {
     let changes = domains.iter().flat_map(|domain| {
         let others = models.iter().filter(|model| model.name != domain.home);
         let held = others.filter(|model| replicas_in(domain, model) > 0);
@@ -294,7 +297,7 @@
 }
 
 /// Returns how many replicas of a model a domain can serve without a load.
-fn replicas_in(domain: &DomainUse, model: &ModelSpec) -> usize {
-    let boxes = domain.held.get(&model.name).copied().unwrap_or_default();
+fn replicas_in(domain: &DomainCapacity, model: &ModelSpec) -> usize {
+    let boxes = domain.boxes_by_model.get(&model.name).copied().unwrap_or_default();
     boxes / model.span.max(1) as usize
 }
--- a/crates/cherrystand_core/src/site/cold_lives.rs
+++ b/crates/cherrystand_core/src/site/cold_boxes.rs
@@ -13,15 +13,15 @@
 ///
 /// News takes its time, so that a box is cold no longer than it is held to be.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct ColdLives {
+pub struct ColdBoxes {
     until: BTreeMap<BoxId, Millis>,
 }
 
-impl ColdLives {
+impl ColdBoxes {
     /// Takes in how much longer a box says that it is cold; tells whether that is news.
     ///
     /// The longest word holds until the box says that it is warm.
-    pub fn told(&mut self, id: &BoxId, left: Millis, now: Millis) -> bool {
+    pub fn record(&mut self, id: &BoxId, left: Millis, now: Millis) -> bool {
         let until = now + left.min(LONGEST_COLD);
         let held = self.until.get(id).copied();
         match held {
@@ -45,7 +45,7 @@
     }
 
     /// Forgets boxes that are cold no more; tells whether there were any.
-    pub fn forget(&mut self, now: Millis) -> bool {
+    pub fn remove_expired(&mut self, now: Millis) -> bool {
         let before = self.until.len();
         self.until.retain(|_, until| now < *until);
         self.until.len() < before
--- a/crates/cherrystand_core/src/site/domain_draft.rs
+++ b/crates/cherrystand_core/src/site/domain_draft.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 
 use crate::site::formation::replica_name;
-use crate::site::join_rank::{JoinRank, join_rank};
+use crate::site::model_location::{ModelLocation, model_location};
 use crate::{
     Assignment, BoxId, DomainRecord, Epoch, FormationInput, GroupId, LoadSpec, MemberOrder,
     MemberState, MemberTask, ModelSpec, Phase, ReplicaId, SiteBox, WorkspaceId,
@@ -69,7 +69,7 @@
     pub(crate) fn leader_of(&self, name: &str, epoch: Epoch) -> Option<&'a SiteBox> {
         let leads = |known: &&&SiteBox| {
             let member = known.member.as_ref();
-            known.is_in(name, epoch) && member.is_some_and(|member| member.rank == 0)
+            known.is_member_of(name, epoch) && member.is_some_and(|member| member.rank == 0)
         };
         let all = self.at.boxes.iter().chain(self.at.departed);
         all.copied().find(|known| leads(&known))
@@ -98,7 +98,7 @@
         let Some(leader) = held.boxes.first().and_then(|id| self.alive(id)) else {
             return Standing::Apart("its leader is lost");
         };
-        let state = leader.member.as_ref().filter(|_| leader.is_in(name, held.epoch));
+        let state = leader.member.as_ref().filter(|_| leader.is_member_of(name, held.epoch));
         let state = state.map(|member| member.state);
         if state == Some(MemberState::Broken) {
             return Standing::Apart("its leader says that it came apart");
@@ -107,7 +107,7 @@
         let mut leaves = false;
         for id in &held.boxes {
             match self.alive(id) {
-                Some(member) if serves && !member.is_in(name, held.epoch) => {
+                Some(member) if serves && !member.is_member_of(name, held.epoch) => {
                     return Standing::Apart("a member belongs to it no more");
                 }
                 Some(member) => leaves |= member.leaving,
@@ -155,13 +155,13 @@
         let members: Vec<&'a SiteBox> = held.boxes.iter().filter_map(|id| self.alive(id)).collect();
         let is_ready = |member: &&SiteBox| {
             let state = member.member.as_ref().map(|member| member.state);
-            member.is_in(name, held.epoch) && state == Some(MemberState::Ready)
+            member.is_member_of(name, held.epoch) && state == Some(MemberState::Ready)
         };
         if members.iter().all(is_ready) {
             return self.order(members[0], name, held.epoch, MemberTask::Open);
         }
         for member in members {
-            if !member.is_in(name, held.epoch) {
+            if !member.is_member_of(name, held.epoch) {
                 self.join(member, name, held, model);
             }
         }
@@ -212,9 +212,9 @@
     fn free_boxes(&self, model: &str) -> Vec<BoxId> {
         let mut free = self.free();
         if self.at.record.last_epoch != Epoch(0) {
-            free.retain(|known| join_rank(known, model) != JoinRank::Load);
+            free.retain(|known| model_location(known, model) != ModelLocation::Load);
         }
-        free.sort_by_key(|known| (join_rank(known, model), known.id.clone()));
+        free.sort_by_key(|known| (model_location(known, model), known.id.clone()));
         free.into_iter().map(|known| known.id.clone()).collect()
     }
 
@@ -276,7 +276,7 @@
                 continue;
             };
             let mut members: Vec<&SiteBox> = self.free();
-            members.retain(|known| known.is_in(&member.replica, member.epoch));
+            members.retain(|known| known.is_member_of(&member.replica, member.epoch));
             members.sort_by_key(|known| known.member.as_ref().map(|member| member.rank));
             if members.len() == model.span as usize {
                 let boxes = members.into_iter().map(|known| known.id.clone()).collect();
@@ -320,7 +320,7 @@
         };
         let worth = |model: &ModelSpec| {
             let count = count(model) as f64;
-            model.share * ((count + 2.0) / (count + 1.0)).ln()
+            model.work_share * ((count + 2.0) / (count + 1.0)).ln()
         };
         let models = self.at.engine.models.iter().filter(fits);
         models.max_by(|a, b| worth(a).total_cmp(&worth(b))).cloned()
@@ -331,7 +331,7 @@
             return;
         }
         let is_load = match &task {
-            MemberTask::Join { model, .. } => join_rank(known, model) == JoinRank::Load,
+            MemberTask::Join { model, .. } => model_location(known, model) == ModelLocation::Load,
             MemberTask::Stage { .. } => true,
             _ => false,
         };
@@ -341,7 +341,7 @@
             replica: name.to_owned(),
             epoch,
             task,
-            before: 0,
+            sequence: 0,
             record_epoch: self.at.record.last_epoch,
         };
         self.orders.push((order, is_load));
--- a/crates/cherrystand_core/src/site/domain_spares.rs
+++ b/crates/cherrystand_core/src/site/domain_spares.rs
@@ -4,7 +4,7 @@
 
 use crate::site::domain_draft::{DomainDraft, Standing};
 use crate::site::formation::replica_name;
-use crate::site::join_rank::{JoinRank, join_rank};
+use crate::site::model_location::{ModelLocation, model_location};
 use crate::{Assignment, BoxId, DomainId, Epoch, MemberTask, Millis, ModelSpec, ReplicaId};
 
 /// The epoch that spares join under, below all that are given out.
@@ -90,7 +90,7 @@
         };
         for known in self.free() {
             let is_cold = known.member.is_none() && !warmed.contains(&known.id);
-            if is_cold && join_rank(known, &home.name) == JoinRank::Staged {
+            if is_cold && model_location(known, &home.name) == ModelLocation::Staged {
                 let name = format!("{}{}", spare_prefix(self.at.domain), known.id);
                 let members = vec![known.id.clone()];
                 let task = MemberTask::Join { model: home.name.clone(), members };
--- a/crates/cherrystand_core/src/site/engine_spec.rs
+++ b/crates/cherrystand_core/src/site/engine_spec.rs
@@ -10,13 +10,13 @@
     /// How many boxes one replica spans.
     pub span: u32,
     /// The factor on all its times.
-    pub pace: f64,
+    pub time_factor: f64,
     /// Its part of the work.
-    pub share: f64,
+    pub work_share: f64,
     /// How long a load from the weight store takes.
-    pub load: Millis,
+    pub load_time: Millis,
     /// How long a load from the box's own host takes.
-    pub warm: Millis,
+    pub host_load_time: Millis,
 }
 
 /// Describes the engine of a service.
@@ -25,7 +25,7 @@
     /// Requests that one replica works on at a time.
     pub slots: u32,
     /// Steps in a pass that has writers.
-    pub stride: u32,
+    pub steps_per_pass: u32,
     /// Milliseconds of one step.
     pub step_ms: f64,
     /// Milliseconds more for each writing request.
@@ -33,23 +33,23 @@
     /// Milliseconds more for each 1,000 tokens of context.
     pub context_ms_per_k: f64,
     /// The most prompt tokens read in one step.
-    pub chunk: u32,
+    pub prefill_chunk: u32,
     /// Prompt tokens read in a second.
-    pub read_per_s: f64,
+    pub prefill_tokens_per_s: f64,
     /// Milliseconds for each million pairs of a token and a token before it.
-    pub pairs_ms_per_m: f64,
+    pub attention_ms_per_m_pairs: f64,
     /// The factor on the pace of a replica that spans domains.
-    pub far_factor: f64,
+    pub cross_domain_factor: f64,
     /// How long a replica takes to open.
-    pub form: Millis,
+    pub formation_time: Millis,
     /// Loads from the weight store that may begin each second.
     pub loads_per_s: f64,
     /// Loads from the weight store that run at full speed together.
     pub loads_at_once: u32,
     /// The usual tokens of a prompt.
-    pub usual_prompt: f64,
+    pub typical_prompt_tokens: f64,
     /// The usual tokens of an answer.
-    pub usual_answer: f64,
+    pub typical_answer_tokens: f64,
     /// The models.
     pub models: Vec<ModelSpec>,
 }
@@ -70,8 +70,9 @@
     }
 
     /// Returns the milliseconds of one step at a number of writing requests.
-    pub fn step(&self, writing: f64) -> f64 {
-        let context = writing * (self.usual_prompt + self.usual_answer / 2.0) / 1_000.0;
+    pub fn step_time(&self, writing: f64) -> f64 {
+        let context =
+            writing * (self.typical_prompt_tokens + self.typical_answer_tokens / 2.0) / 1_000.0;
         self.step_ms + self.per_request_ms * writing + self.context_ms_per_k * context
     }
 
@@ -82,29 +83,30 @@
         if requests >= slots {
             return requests / slots;
         }
-        requests / self.step(requests) * self.step(slots) / slots
+        requests / self.step_time(requests) * self.step_time(slots) / slots
     }
 
     /// Returns the milliseconds that reading a prompt takes by itself.
-    pub fn read(&self, tokens: f64) -> f64 {
+    pub fn prefill_time(&self, tokens: f64) -> f64 {
         let pairs = tokens * tokens / 2.0 / 1_000_000.0;
-        tokens / self.read_per_s * 1_000.0 + pairs * self.pairs_ms_per_m
+        tokens / self.prefill_tokens_per_s * 1_000.0 + pairs * self.attention_ms_per_m_pairs
     }
 
     /// Returns the milliseconds between two events of a stream while nothing is read.
-    pub fn pass(&self, model: &ModelSpec, writing: f64) -> f64 {
-        f64::from(self.stride) * self.step(writing) * model.pace
+    pub fn pass_time(&self, model: &ModelSpec, writing: f64) -> f64 {
+        f64::from(self.steps_per_pass) * self.step_time(writing) * model.time_factor
     }
 
     /// Returns the longest silence, in milliseconds, of a replica that works on a load.
     ///
     /// All of its streams write in each pass, so that it is never silent for much longer than
     /// one that also reads everything that waits, up to a chunk a step.
-    pub fn longest_silence(&self, model: &ModelSpec, load: EngineLoad) -> f64 {
-        let read_in_pass = f64::from(self.stride * self.chunk);
-        let reading = self.read(self.usual_prompt) / self.usual_prompt.max(1.0);
-        let reading = reading * load.unread.min(read_in_pass) * model.pace;
-        2.0 * self.pass(model, f64::from(self.slots)) + reading
+    pub fn max_silence(&self, model: &ModelSpec, load: EngineLoad) -> f64 {
+        let read_in_pass = f64::from(self.steps_per_pass * self.prefill_chunk);
+        let reading =
+            self.prefill_time(self.typical_prompt_tokens) / self.typical_prompt_tokens.max(1.0);
+        let reading = reading * load.unread.min(read_in_pass) * model.time_factor;
+        2.0 * self.pass_time(model, f64::from(self.slots)) + reading
     }
 
     /// Predicts the milliseconds until the first token of a prompt sent now.
@@ -112,12 +114,13 @@
     /// A prompt waits for half of the pass under way on average, is read together with those
     /// that wait before it, and its first token comes within the pass after that. Requests beyond
     /// the slots wait for others to end.
-    pub fn first_token(&self, model: &ModelSpec, load: EngineLoad, prompt: f64) -> f64 {
+    pub fn first_token_time(&self, model: &ModelSpec, load: EngineLoad, prompt: f64) -> f64 {
         let writing = load.requests.min(f64::from(self.slots));
-        let passes = 1.5 * self.pass(model, writing);
-        let reading = (self.read(load.unread) + self.read(prompt)) * model.pace;
+        let passes = 1.5 * self.pass_time(model, writing);
+        let reading =
+            (self.prefill_time(load.unread) + self.prefill_time(prompt)) * model.time_factor;
         let excess = (load.requests + 1.0 - f64::from(self.slots)).max(0.0);
-        let answer = self.usual_answer * self.step(writing) * model.pace;
+        let answer = self.typical_answer_tokens * self.step_time(writing) * model.time_factor;
         passes + reading + excess / f64::from(self.slots.max(1)) * answer
     }
 }
--- a/crates/cherrystand_core/src/site/evacuations.rs
+++ b/crates/cherrystand_core/src/site/evacuations.rs
@@ -8,7 +8,7 @@
 
 /// The zones as one daemon passes them on to others.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct EmptiedZones {
+pub struct EvacuatedZones {
     /// The zones whose replicas are to get nothing.
     pub zones: BTreeSet<ZoneId>,
 }
@@ -33,17 +33,17 @@
     }
 
     /// Returns the revision by which the set last changed; 0 while nothing is known.
-    pub fn changed(&self) -> Revision {
+    pub fn changed_at(&self) -> Revision {
         self.changed
     }
 
     /// Returns the set for others.
-    pub fn copy(&self) -> EmptiedZones {
-        EmptiedZones { zones: self.zones.clone() }
+    pub fn snapshot(&self) -> EvacuatedZones {
+        EvacuatedZones { zones: self.zones.clone() }
     }
 
     /// Takes in all zones that are emptied as of a revision; tells whether that changes anything.
-    pub fn take_all(&mut self, zones: BTreeSet<ZoneId>, as_of: Revision) -> bool {
+    pub fn replace(&mut self, zones: BTreeSet<ZoneId>, as_of: Revision) -> bool {
         let is_first = self.changed == Revision::NONE;
         if as_of < self.as_of || (as_of == self.as_of && !is_first) {
             return false;
@@ -57,7 +57,7 @@
     }
 
     /// Takes in what changed up to a revision; tells whether that changes anything.
-    pub fn take_changes(
+    pub fn apply_changes(
         &mut self,
         emptied: impl IntoIterator<Item = ZoneId>,
         taken_back: impl IntoIterator<Item = ZoneId>,
@@ -68,6 +68,6 @@
         for zone in taken_back {
             zones.remove(&zone);
         }
-        self.take_all(zones, as_of)
+        self.replace(zones, as_of)
     }
 }
--- a/crates/cherrystand_core/src/site/formation.rs
+++ b/crates/cherrystand_core/src/site/formation.rs
@@ -141,7 +141,8 @@
         draft.adopt_serving();
         draft.form_missing();
         draft.close_places();
-        let longest = at.engine.models.iter().map(|model| model.load.0).max().unwrap_or_default();
+        let longest =
+            at.engine.models.iter().map(|model| model.load_time.0).max().unwrap_or_default();
         self.staging.retain(|_, since| at.now.since(*since).0 < STAGE_PATIENCE * longest);
         draft.stage_spares(&self.staging);
         if at.policy.warm_spares {
@@ -156,7 +157,7 @@
     fn forget_restarted(&mut self, at: &FormationInput<'_>) {
         for known in at.boxes {
             let before = self.taken.insert(known.id.clone(), known.orders_taken);
-            if before.is_some_and(|before| known.started_since(before)) {
+            if before.is_some_and(|before| known.has_restarted_since(before)) {
                 self.sent.remove(&known.id);
                 self.warmed.remove(&known.id);
                 self.staging.remove(&known.id);
@@ -176,7 +177,7 @@
 
     /// Takes in how an order ended, which tells whether it is sent again at once where it is still
     /// wanted.
-    pub fn order_ended(&mut self, order: &MemberOrder, end: OrderEnd, is_silent: bool) {
+    pub fn record_order_end(&mut self, order: &MemberOrder, end: OrderEnd, is_silent: bool) {
         let is_spare = matches!(order.task, MemberTask::Join { .. }) && order.epoch == SPARE_EPOCH;
         if is_spare && end != OrderEnd::Silent {
             // One that refuses has joined before, and holds its last model.
@@ -205,7 +206,7 @@
     }
 
     /// Notes that a box loads a model to its host already.
-    pub fn stages_already(&mut self, target: &BoxId, now: Millis) {
+    pub fn record_staging(&mut self, target: &BoxId, now: Millis) {
         self.staging.insert(target.clone(), now);
     }
 
@@ -290,7 +291,7 @@
             let sent = Sent { task: order.task.clone(), epoch: order.epoch, at: now };
             self.sent.insert(order.target.clone(), sent);
             let before = self.orders.entry(order.target.clone()).or_default();
-            order.before = *before;
+            order.sequence = *before;
             *before += 1;
             step.orders.push(order);
         }
--- a/crates/cherrystand_core/src/site/homes.rs
+++ b/crates/cherrystand_core/src/site/homes.rs
@@ -41,10 +41,10 @@
         let served = |model: &ModelSpec| {
             let at_home = domains.iter().filter(|(id, _)| homes.get(*id) == Some(&model.name));
             let used: usize = at_home.map(|(_, boxes)| boxes_used(boxes.len(), model)).sum();
-            used as f64 / model.share.max(f64::EPSILON)
+            used as f64 / model.work_share.max(f64::EPSILON)
         };
         // Of two that are served alike, the one with the larger share.
-        let order = |model: &&ModelSpec| (served(model), -model.share);
+        let order = |model: &&ModelSpec| (served(model), -model.work_share);
         // A domain is for no model that it cannot hold.
         let held = domains[domain].len();
         let models = engine.models.iter().filter(|model| span_of(model) <= held);
--- a/crates/cherrystand_core/src/site/time_model.rs
+++ b/crates/cherrystand_core/src/site/latency_model.rs
@@ -17,15 +17,15 @@
 /// The published figures leave out what is the same for every request, such as the way there; the
 /// error is that and chance.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct TimeModel {
+pub struct LatencyModel {
     seen: u32,
     bias: f64,
     spread: f64,
 }
 
-impl TimeModel {
+impl LatencyModel {
     /// Takes in how long a first event took and how long it was predicted to, in milliseconds.
-    pub fn learn(&mut self, took: f64, predicted: f64) {
+    pub fn update(&mut self, took: f64, predicted: f64) {
         let mut error = took - predicted;
         if self.seen == 0 {
             self.bias = error;
@@ -41,15 +41,15 @@
     }
 
     /// Returns the expected time of a first event, in milliseconds.
-    pub fn expected(&self, predicted: f64) -> f64 {
+    pub fn expected_ms(&self, predicted: f64) -> f64 {
         self.bias + predicted
     }
 
     /// Returns the chance that a first event comes within an objective, in milliseconds.
-    pub fn chance(&self, predicted: f64, objective: f64) -> f64 {
+    pub fn probability_within(&self, predicted: f64, objective: f64) -> f64 {
         let spread = if self.seen == 0 { FIRST_SPREAD_MS } else { self.spread };
         // The logistic curve whose mean absolute error is the spread.
         let scale = spread / (2.0 * std::f64::consts::LN_2);
-        1.0 / (1.0 + ((self.expected(predicted) - objective) / scale).exp())
+        1.0 / (1.0 + ((self.expected_ms(predicted) - objective) / scale).exp())
     }
 }
--- a/crates/cherrystand_core/src/site/chooser.rs
+++ b/crates/cherrystand_core/src/site/load_balancer.rs
@@ -6,12 +6,12 @@
 
 use crate::site::target::{Target, TargetSpec};
 use crate::{
-    BoxId, ChoiceRule, EndpointWishes, EngineLoad, EngineSpec, Millis, ModelLoads, ModelSpec,
-    Policy, RequestHomes, Seed, ServiceName, TimeModel, WishState, is_deferred,
+    AllowedRegions, BoxId, ChoiceRule, EndpointWishes, EngineLoad, EngineSpec, LatencyModel,
+    Millis, ModelLoads, ModelSpec, Policy, Seed, ServiceName, WishState, is_deferred,
 };
 
 new_key_type! {
-    /// Points to an endpoint in the chooser's arena.
+    /// Points to an endpoint in the balancer's arena.
     pub struct TargetKey;
 }
 
@@ -38,7 +38,7 @@
 
 /// What a request asks of an endpoint.
 #[derive(Clone, Copy, Debug)]
-pub struct Ask<'a> {
+pub struct RequestSpec<'a> {
     /// The service.
     pub service: &'a ServiceName,
     /// The model, where it asks for one.
@@ -46,16 +46,16 @@
     /// The tokens of its prompt.
     pub prompt: f64,
     /// The time within which its answer, or its first event, is in time.
-    pub objective: Millis,
+    pub latency_goal: Millis,
     /// Where it may be answered.
-    pub homes: RequestHomes<'a>,
+    pub regions: AllowedRegions<'a>,
 }
 
 /// What is expected of a request at one replica.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Expected {
+pub struct Prediction {
     /// The predicted milliseconds until its first event, before what was learned.
-    pub predicted: f64,
+    pub first_event_ms: f64,
     /// Whether it is put behind those that can still be in time.
     pub deferred: bool,
 }
@@ -77,33 +77,33 @@
 /// What one choice goes by.
 #[derive(Clone, Copy)]
 struct Choice<'a> {
-    ask: Ask<'a>,
+    ask: RequestSpec<'a>,
     engine: Option<(&'a EngineSpec, &'a ModelSpec)>,
     not: &'a [BoxId],
     now: Millis,
-    times: TimeModel,
+    times: LatencyModel,
 }
 
 /// Chooses endpoints and keeps what the choice needs.
 #[derive(Clone, Debug, Default)]
-pub struct Chooser {
+pub struct LoadBalancer {
     policy: Policy,
     pub(super) targets: SlotMap<TargetKey, Target>,
     pub(super) ids: BTreeMap<BoxId, TargetKey>,
     services: HashMap<ServiceName, ServiceTargets>,
     /// What endpoints asked of this node, also those that are not listed for now.
     pub(super) wishes: EndpointWishes<BoxId>,
-    times: HashMap<String, TimeModel>,
+    times: HashMap<String, LatencyModel>,
 }
 
-impl Chooser {
-    /// Creates a chooser that knows no endpoints.
+impl LoadBalancer {
+    /// Creates a balancer that knows no endpoints.
     pub fn new(policy: Policy) -> Self {
         Self { policy, ..Self::default() }
     }
 
     /// Takes over the endpoints that serve now.
-    pub fn follow(&mut self, specs: Vec<TargetSpec>) {
+    pub fn set_targets(&mut self, specs: Vec<TargetSpec>) {
         let wanted: BTreeMap<BoxId, TargetSpec> =
             specs.into_iter().map(|spec| (spec.id.clone(), spec)).collect();
         let gone: Vec<BoxId> =
@@ -157,21 +157,21 @@
     }
 
     /// Takes over what peers have in flight, by endpoint.
-    pub fn follow_others(&mut self, loads: &BTreeMap<BoxId, EngineLoad>) {
+    pub fn set_peer_loads(&mut self, loads: &BTreeMap<BoxId, EngineLoad>) {
         for target in self.targets.values_mut() {
             target.others = loads.get(&target.spec.id).copied().unwrap_or_default();
         }
     }
 
-    /// Leaves the endpoint of a box out for a while, as [`Chooser::avoid`] does.
-    pub fn avoid_box(&mut self, id: &BoxId, now: Millis) {
+    /// Leaves the endpoint of a box out for a while, as [`LoadBalancer::avoid`] does.
+    pub fn eject_box(&mut self, id: &BoxId, now: Millis) {
         if let Some(key) = self.ids.get(id).copied() {
-            self.avoid(key, now);
+            self.eject(key, now);
         }
     }
 
     /// Lists what this node has in flight by endpoint, and when each last made progress.
-    pub fn own(&self) -> impl Iterator<Item = (&BoxId, EngineLoad, Millis)> {
+    pub fn own_loads(&self) -> impl Iterator<Item = (&BoxId, EngineLoad, Millis)> {
         let busy = self.targets.values().filter(|target| target.in_flight > 0);
         busy.map(|target| (&target.spec.id, target.own(), target.last_event))
     }
@@ -200,7 +200,7 @@
     /// Chooses an endpoint other than those in `not`, by the policy's rule.
     pub fn choose(
         &self,
-        ask: Ask<'_>,
+        ask: RequestSpec<'_>,
         engine: Option<&EngineSpec>,
         not: &[BoxId],
         now: Millis,
@@ -226,7 +226,7 @@
     /// Returns the endpoints of the service or model that is asked for.
     pub(super) fn candidates(
         &self,
-        ask: Ask<'_>,
+        ask: RequestSpec<'_>,
         engine: Option<&EngineSpec>,
     ) -> Option<&Candidates> {
         let service = self.services.get(ask.service)?;
@@ -247,7 +247,7 @@
         for key in candidates.near.iter().chain(&candidates.far) {
             let target = self.targets.get(*key)?;
             let state = self.wish_state(target, choice.now);
-            let is_home = choice.ask.homes.allow(target.spec.region.as_ref());
+            let is_home = choice.ask.regions.allow(target.spec.region.as_ref());
             if choice.not.contains(&target.spec.id) || state.is_closed() || !is_home {
                 continue;
             }
@@ -338,8 +338,8 @@
     fn usable(&self, key: TargetKey, choice: &Choice<'_>) -> Option<&Target> {
         let target = self.targets.get(key)?;
         let excluded = choice.not.contains(&target.spec.id)
-            || target.is_avoided(choice.now)
-            || !choice.ask.homes.allow(target.spec.region.as_ref());
+            || target.is_ejected(choice.now)
+            || !choice.ask.regions.allow(target.spec.region.as_ref());
         let is_open = || self.wish_state(target, choice.now) == WishState::Open;
         (!excluded && is_open()).then_some(target)
     }
@@ -350,9 +350,9 @@
             return 0.0;
         };
         let predicted = target.first_event(engine, model, choice.ask.prompt);
-        let objective = choice.ask.objective.0 as f64;
-        let in_time = choice.times.chance(predicted, objective);
-        let time = choice.times.expected(predicted) / objective.max(1.0);
+        let objective = choice.ask.latency_goal.0 as f64;
+        let in_time = choice.times.probability_within(predicted, objective);
+        let time = choice.times.expected_ms(predicted) / objective.max(1.0);
         in_time * (1.0 - target.failures(choice.now)) - TIME_COST * time
     }
 
@@ -362,19 +362,27 @@
     }
 
     /// Returns what is expected of a request at a replica.
-    pub fn expected(&self, key: TargetKey, ask: Ask<'_>, engine: &EngineSpec) -> Option<Expected> {
+    pub fn predict(
+        &self,
+        key: TargetKey,
+        ask: RequestSpec<'_>,
+        engine: &EngineSpec,
+    ) -> Option<Prediction> {
         let target = self.targets.get(key)?;
         let model = engine.model(ask.model?)?;
         let predicted = target.first_event(engine, model, ask.prompt);
         let times = self.times.get(&model.name).copied().unwrap_or_default();
-        let objective = ask.objective.0 as f64;
-        let chance = times.chance(predicted, objective);
-        Some(Expected { predicted, deferred: self.policy.defer_late && is_deferred(chance) })
+        let objective = ask.latency_goal.0 as f64;
+        let chance = times.probability_within(predicted, objective);
+        Some(Prediction {
+            first_event_ms: predicted,
+            deferred: self.policy.defer_late && is_deferred(chance),
+        })
     }
 
     /// Counts a request as on its way; one that waits behind the others delays none of them until
     /// it runs.
-    pub fn start(&mut self, key: TargetKey, prompt: f64, waits_behind: bool) {
+    pub fn record_start(&mut self, key: TargetKey, prompt: f64, waits_behind: bool) {
         if let Some(target) = self.targets.get_mut(key).filter(|_| !waits_behind) {
             target.in_flight += 1;
             target.unread += prompt;
@@ -382,7 +390,7 @@
     }
 
     /// Counts a prompt as read.
-    pub fn first_event(&mut self, key: TargetKey, prompt: f64, waited_behind: bool) {
+    pub fn record_first_event(&mut self, key: TargetKey, prompt: f64, waited_behind: bool) {
         let Some(target) = self.targets.get_mut(key) else {
             return;
         };
@@ -394,21 +402,21 @@
     }
 
     /// Learns from how long a first event took, against what was predicted for it.
-    pub fn learn_first_event(&mut self, key: TargetKey, took: Millis, predicted: f64) {
+    pub fn record_first_event_time(&mut self, key: TargetKey, took: Millis, predicted: f64) {
         let Some(model) = self.targets.get(key).and_then(|target| target.spec.model.as_ref())
         else {
             return;
         };
         if !self.times.contains_key(model) {
-            self.times.insert(model.clone(), TimeModel::default());
+            self.times.insert(model.clone(), LatencyModel::default());
         }
         if let Some(times) = self.times.get_mut(model) {
-            times.learn(took.0 as f64, predicted);
+            times.update(took.0 as f64, predicted);
         }
     }
 
     /// Notes that an endpoint made progress with anything at all.
-    pub fn progress(&mut self, key: TargetKey, now: Millis) {
+    pub fn record_progress(&mut self, key: TargetKey, now: Millis) {
         if let Some(target) = self.targets.get_mut(key) {
             target.last_event = now;
         }
@@ -425,7 +433,7 @@
     }
 
     /// Counts a request as ended; `unread` is what was not read of its prompt.
-    pub fn finish(&mut self, key: TargetKey, unread: f64, waits_behind: bool) {
+    pub fn record_finish(&mut self, key: TargetKey, unread: f64, waits_behind: bool) {
         if let Some(target) = self.targets.get_mut(key).filter(|_| !waits_behind) {
             target.in_flight = target.in_flight.saturating_sub(1);
             target.unread = (target.unread - unread).max(0.0);
@@ -433,28 +441,28 @@
     }
 
     /// Takes in that an endpoint answered well.
-    pub fn succeeded(&mut self, key: TargetKey, now: Millis) {
+    pub fn record_success(&mut self, key: TargetKey, now: Millis) {
         if let Some(target) = self.targets.get_mut(key) {
-            target.succeeded(now);
+            target.record_success(now);
         }
     }
 
     /// Takes in that an endpoint failed a request.
-    pub fn failed(&mut self, key: TargetKey, now: Millis) {
+    pub fn record_failure(&mut self, key: TargetKey, now: Millis) {
         if let Some(target) = self.targets.get_mut(key) {
-            target.failed(now);
+            target.record_failure(now);
         }
     }
 
     /// Tells whether an endpoint is left out now.
-    pub fn is_avoided(&self, key: TargetKey, now: Millis) -> bool {
-        self.targets.get(key).is_some_and(|target| target.is_avoided(now))
+    pub fn is_ejected(&self, key: TargetKey, now: Millis) -> bool {
+        self.targets.get(key).is_some_and(|target| target.is_ejected(now))
     }
 
     /// Leaves an endpoint out for a while, longer each time until it answers well.
-    pub fn avoid(&mut self, key: TargetKey, now: Millis) {
+    pub fn eject(&mut self, key: TargetKey, now: Millis) {
         if let Some(target) = self.targets.get_mut(key) {
-            target.avoid(now);
+            target.eject(now);
         }
     }
 }
--- a/crates/cherrystand_core/src/site/chooser_wishes.rs
+++ b/crates/cherrystand_core/src/site/load_balancer_limits.rs
@@ -2,7 +2,8 @@
 
 use crate::site::target::Target;
 use crate::{
-    Ask, BoxId, Chooser, EndpointLimits, EngineSpec, Millis, Seed, SendPermit, TargetKey, WishState,
+    BoxId, EndpointLimits, EngineSpec, LoadBalancer, Millis, RequestSpec, Seed, SendPermit,
+    TargetKey, WishState,
 };
 
 /// When a caller is told to come back whose endpoints have all they bear; streams end after 0.3 to 2 s.
@@ -15,7 +16,7 @@
 /// How many endpoints a request asks permits for at once that nobody else can serve.
 const WANTED_AT_ONCE: usize = 2;
 
-impl Chooser {
+impl LoadBalancer {
     /// Returns what endpoints take from all nodes together.
     pub fn limits(&self) -> &EndpointLimits<BoxId> {
         &self.wishes.limits
@@ -30,9 +31,9 @@
     ///
     /// One endpoint is drawn, as the choice draws them: so each is wanted by its usual part of the requests, and
     /// the others ask for nothing. Where none is open, the next ones that have a limit are wanted.
-    pub fn want_permits(
+    pub fn request_permits(
         &mut self,
-        ask: Ask<'_>,
+        ask: RequestSpec<'_>,
         engine: Option<&EngineSpec>,
         now: Millis,
         seed: &mut Seed,
@@ -43,7 +44,7 @@
         }
         let Some(candidates) = self.candidates(ask, engine) else { return Vec::new() };
         let all: Vec<TargetKey> = candidates.near.iter().chain(&candidates.far).copied().collect();
-        let looked_at = match self.all_closed_until(ask, engine, now) {
+        let looked_at = match self.unavailable_until(ask, engine, now) {
             Some(_) => all.len(),
             None => 1.min(all.len()),
         };
@@ -52,8 +53,8 @@
             let target = self.targets.get(all[(first + place) % all.len()])?;
             let state = self.wish_state(target, now);
             let is_wanted = matches!(state, WishState::Limited(_))
-                && !target.is_avoided(now)
-                && ask.homes.allow(target.spec.region.as_ref());
+                && !target.is_ejected(now)
+                && ask.regions.allow(target.spec.region.as_ref());
             is_wanted.then(|| target.spec.id.clone())
         });
         let wanted: Vec<BoxId> = drawn.take(WANTED_AT_ONCE).collect();
@@ -72,9 +73,9 @@
 
     /// Returns when one may first be sent to again, where each endpoint that could serve a request rests, has
     /// all that it bears, or lies in an emptied zone.
-    pub fn all_closed_until(
+    pub fn unavailable_until(
         &self,
-        ask: Ask<'_>,
+        ask: RequestSpec<'_>,
         engine: Option<&EngineSpec>,
         now: Millis,
     ) -> Option<Millis> {
@@ -82,7 +83,7 @@
         let mut first: Option<Millis> = None;
         for key in candidates.near.iter().chain(&candidates.far) {
             let target = self.targets.get(*key)?;
-            if !ask.homes.allow(target.spec.region.as_ref()) {
+            if !ask.regions.allow(target.spec.region.as_ref()) {
                 continue;
             }
             let until = match self.wish_state(target, now) {
--- a/crates/cherrystand_core/src/site/member_order.rs
+++ b/crates/cherrystand_core/src/site/member_order.rs
@@ -54,7 +54,7 @@
     /// What to do.
     pub task: MemberTask,
     /// How many orders its sender sent to the box before.
-    pub before: u32,
+    pub sequence: u32,
     /// The last epoch given out in the record that it follows from.
     pub record_epoch: Epoch,
 }
@@ -71,7 +71,7 @@
     ///
     /// An order that is carried out late, after it was sent once more, is thus refused.
     pub fn fence(&self, record: Revision) -> u64 {
-        let step = u64::from(self.before).min(Self::FENCES_PER_REVISION - 1);
+        let step = u64::from(self.sequence).min(Self::FENCES_PER_REVISION - 1);
         let number = record.number().min(Self::REVISIONS_PER_ERA - 1);
         let written = record.era().0 * Self::REVISIONS_PER_ERA + number;
         written * Self::FENCES_PER_REVISION + step
--- a/crates/cherrystand_core/src/site/join_rank.rs
+++ b/crates/cherrystand_core/src/site/model_location.rs
@@ -4,7 +4,7 @@
 
 /// Says how soon, the soonest first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) enum JoinRank {
+pub(crate) enum ModelLocation {
     /// Its memory holds the model.
     Loaded,
     /// Its host holds the model.
@@ -14,13 +14,13 @@
 }
 
 /// Returns how soon a box can join a model.
-pub(crate) fn join_rank(known: &SiteBox, model: &str) -> JoinRank {
+pub(crate) fn model_location(known: &SiteBox, model: &str) -> ModelLocation {
     let holds = |models: &[String]| models.iter().any(|held| held == model);
     if holds(&known.loaded) {
-        JoinRank::Loaded
+        ModelLocation::Loaded
     } else if holds(&known.staged) {
-        JoinRank::Staged
+        ModelLocation::Staged
     } else {
-        JoinRank::Load
+        ModelLocation::Load
     }
 }
--- a/crates/cherrystand_core/src/site/load_book.rs
+++ b/crates/cherrystand_core/src/site/peer_loads.rs
@@ -51,7 +51,7 @@
 ///
 /// A later telling replaces an earlier one; one that is lost costs accuracy and nothing else.
 #[derive(Clone, Debug, Default)]
-pub struct LoadBook {
+pub struct PeerLoads {
     nodes: BTreeMap<NodeId, Told>,
     zones: BTreeMap<ZoneId, Told>,
     seen: BTreeMap<BoxId, Millis>,
@@ -59,29 +59,35 @@
     changed: bool,
 }
 
-impl LoadBook {
+impl PeerLoads {
     /// Takes in what a daemon told of itself.
-    pub fn hear_node(&mut self, node: NodeId, zone: ZoneId, loads: Vec<EndpointLoad>, now: Millis) {
-        self.see(&loads, now);
+    pub fn record_node(
+        &mut self,
+        node: NodeId,
+        zone: ZoneId,
+        loads: Vec<EndpointLoad>,
+        now: Millis,
+    ) {
+        self.record_progress(&loads, now);
         self.nodes.insert(node, Told { at: now, zone, loads });
         self.changed = true;
     }
 
     /// Takes in the sum of another zone, unless a later one is held.
-    pub fn hear_zone(&mut self, told: ZoneLoads, own_zone: &ZoneId, now: Millis) {
+    pub fn record_zone(&mut self, told: ZoneLoads, own_zone: &ZoneId, now: Millis) {
         let at = now - told.age;
         let held = self.zones.get(&told.zone);
         if &told.zone == own_zone || held.is_some_and(|held| held.at >= at) {
             return;
         }
-        self.see(&told.loads, at);
+        self.record_progress(&told.loads, at);
         let zone = told.zone.clone();
         self.zones.insert(zone.clone(), Told { at, zone, loads: told.loads });
         self.changed = true;
     }
 
     /// Takes in when endpoints last made progress, as a peer saw it at a time.
-    pub fn see(&mut self, loads: &[EndpointLoad], at: Millis) {
+    pub fn record_progress(&mut self, loads: &[EndpointLoad], at: Millis) {
         for load in loads {
             let seen = at - Millis(u64::from(load.silent_ms));
             let known = self.seen.entry(load.id.clone()).or_default();
@@ -90,12 +96,12 @@
     }
 
     /// Returns when a peer last saw an endpoint make progress.
-    pub fn seen(&self, id: &BoxId) -> Option<Millis> {
+    pub fn last_progress(&self, id: &BoxId) -> Option<Millis> {
         self.seen.get(id).copied()
     }
 
     /// Forgets what is too old; each peer tells once in `rounds` tellings.
-    pub fn forget(&mut self, rounds: usize, now: Millis) {
+    pub fn remove_expired(&mut self, rounds: usize, now: Millis) {
         let life = Millis(NEWS_LIFE.0 * rounds.max(1) as u64);
         let held = self.nodes.len() + self.zones.len();
         self.nodes.retain(|_, told| now.since(told.at) < life);
@@ -107,14 +113,14 @@
     /// Sums what peers have in flight, where that changed since the last time.
     ///
     /// A daemon of 295 hears some 60 tellings a second and chooses 4 endpoints; a sum takes 17 us.
-    pub fn take_sums(&mut self) -> Option<BTreeMap<BoxId, EngineLoad>> {
-        std::mem::take(&mut self.changed).then(|| self.sums())
+    pub fn changed_totals(&mut self) -> Option<BTreeMap<BoxId, EngineLoad>> {
+        std::mem::take(&mut self.changed).then(|| self.totals())
     }
 
     /// Sums what peers have in flight, by endpoint.
     ///
     /// Where the sum of a zone is known, what its daemons told by themselves is part of it.
-    pub fn sums(&self) -> BTreeMap<BoxId, EngineLoad> {
+    pub fn totals(&self) -> BTreeMap<BoxId, EngineLoad> {
         let by_node = self.nodes.values().filter(|told| !self.zones.contains_key(&told.zone));
         let mut sums: BTreeMap<BoxId, EngineLoad> = BTreeMap::new();
         for load in by_node.chain(self.zones.values()).flat_map(|told| &told.loads) {
@@ -126,7 +132,7 @@
     }
 
     /// Returns the sum of this daemon's zone: its own loads and what its near peers told.
-    pub fn sum_of_zone(&self, zone: &ZoneId, own: &[EndpointLoad], now: Millis) -> ZoneLoads {
+    pub fn zone_total(&self, zone: &ZoneId, own: &[EndpointLoad], now: Millis) -> ZoneLoads {
         let mut sums: BTreeMap<&BoxId, EndpointLoad> = BTreeMap::new();
         let near = self.nodes.values().filter(|told| &told.zone == zone);
         let aged = near.flat_map(|told| {
@@ -150,7 +156,7 @@
     }
 
     /// Returns the sums of the other zones, to be passed on within this one.
-    pub fn other_zones(&self, now: Millis) -> Vec<ZoneLoads> {
+    pub fn other_zone_totals(&self, now: Millis) -> Vec<ZoneLoads> {
         let zones = self.zones.values();
         let sums = zones.map(|told| ZoneLoads {
             zone: told.zone.clone(),
--- a/crates/cherrystand_core/src/site/retry_share.rs
+++ b/crates/cherrystand_core/src/site/retry_share.rs
@@ -42,18 +42,18 @@
 
 impl RetryBounds {
     /// Tells whether most of the slack is lent to those that ask, among so many nodes.
-    pub fn is_lent(&self, nodes: usize) -> bool {
+    pub fn is_lending(&self, nodes: usize) -> bool {
         self.slack * HANDED_OUT / (nodes.max(LEAST_NODES) as f64) < LEAST_SHARE
     }
 
     /// Returns how many repeats may be lent at once.
-    pub fn lent_at_once(&self) -> f64 {
+    pub fn max_loan(&self) -> f64 {
         self.slack * LENT_PART
     }
 
     /// Returns how fast repeats are lent after that, for as long as somebody who lends has to remember it.
-    pub fn lent(&self, now: Millis) -> ColdLife {
-        let per_second = self.lent_at_once() / self.window.as_secs_f64().max(1.0);
+    pub fn loan_rate(&self, now: Millis) -> ColdLife {
+        let per_second = self.max_loan() / self.window.as_secs_f64().max(1.0);
         let rate = RequestRate::per_second(per_second).unwrap_or_default();
         ColdLife { rate, until: now + self.window + self.window }
     }
@@ -84,7 +84,7 @@
     }
 
     /// Counts a request that this node took.
-    pub fn request(&mut self, now: Millis) {
+    pub fn record_request(&mut self, now: Millis) {
         self.forget(now);
         self.requests.push_back(now);
     }
@@ -92,8 +92,8 @@
     /// Takes one repeat out of the share of a node among `nodes`, where it holds one.
     ///
     /// The time `now` counts from the node's start.
-    pub fn spend(&mut self, now: Millis, nodes: usize) -> bool {
-        let fits = self.has_left(now, nodes);
+    pub fn try_spend(&mut self, now: Millis, nodes: usize) -> bool {
+        let fits = self.has_budget(now, nodes);
         if fits {
             self.repeats.push_back(now);
         }
@@ -101,13 +101,13 @@
     }
 
     /// Tells whether the share holds a repeat now, without taking it.
-    pub fn has_left(&mut self, now: Millis, nodes: usize) -> bool {
+    pub fn has_budget(&mut self, now: Millis, nodes: usize) -> bool {
         self.forget(now);
         self.most_nodes = self.most_nodes.max(nodes);
         let earned = self.bounds.ratio * self.requests.len() as f64;
         let knows_others = now >= KNOWS_OTHERS_AFTER;
         let even = self.bounds.slack / self.most_nodes as f64;
-        let slack = match self.bounds.is_lent(self.most_nodes) {
+        let slack = match self.bounds.is_lending(self.most_nodes) {
             _ if !knows_others => 0.0,
             true => even * EVEN_PART,
             false => even * HANDED_OUT,
--- a/crates/cherrystand_core/src/site/route_table.rs
+++ b/crates/cherrystand_core/src/site/route_table.rs
@@ -16,18 +16,18 @@
 
 /// Tells why a request is not allowed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum NotAllowed {
+pub enum RouteError {
     /// No route covers it.
     #[error("no route covers the request")]
     NoRoute,
     /// Its key is missing or not known.
     #[error("the key is missing or not known")]
-    NoKey,
+    UnknownKey,
 }
 
 /// A request's route and tenant.
 #[derive(Clone, Copy, Debug)]
-pub struct Allowed<'a> {
+pub struct RouteMatch<'a> {
     /// The route.
     pub route: &'a Route,
     /// The tenant, where the route asks for a key.
@@ -62,23 +62,23 @@
     ///
     /// # Errors
     ///
-    /// Returns [`NotAllowed`] where no route covers it or its key is not known.
+    /// Returns [`RouteError`] where no route covers it or its key is not known.
     pub fn find(
         &self,
         host: &str,
         path: &str,
         key: Option<&str>,
-    ) -> Result<Allowed<'_>, NotAllowed> {
+    ) -> Result<RouteMatch<'_>, RouteError> {
         let name = host.rsplit_once(':').map_or(host, |(name, _)| name).to_ascii_lowercase();
-        let routes = self.hosts.get(&name).ok_or(NotAllowed::NoRoute)?;
+        let routes = self.hosts.get(&name).ok_or(RouteError::NoRoute)?;
         let routes = routes.iter().map(|index| &self.config.routes[*index]);
         let mut covering = routes.filter(|route| path.starts_with(&route.prefix));
-        let route = covering.next().ok_or(NotAllowed::NoRoute)?;
+        let route = covering.next().ok_or(RouteError::NoRoute)?;
         let Some(tenants) = self.config.tenants.as_ref().filter(|_| !route.public) else {
-            return Ok(Allowed { route, tenant: None });
+            return Ok(RouteMatch { route, tenant: None });
         };
-        let tenant = key.and_then(|key| self.keys.get(key)).ok_or(NotAllowed::NoKey)?;
-        Ok(Allowed { route, tenant: Some(&tenants[*tenant]) })
+        let tenant = key.and_then(|key| self.keys.get(key)).ok_or(RouteError::UnknownKey)?;
+        Ok(RouteMatch { route, tenant: Some(&tenants[*tenant]) })
     }
 }
 
--- a/crates/cherrystand_core/src/site/site_box.rs
+++ b/crates/cherrystand_core/src/site/site_box.rs
@@ -37,7 +37,7 @@
 pub enum BoxStart {
     /// It does not tell.
     #[default]
-    Untold,
+    Unreported,
     /// It tells, in Unix milliseconds.
     At(u64),
     /// What it tells is no time.
@@ -64,7 +64,7 @@
     /// Whether it will leave.
     pub leaving: bool,
     /// How much longer it was cold as it told so, where it told; who keeps the box keeps until when instead.
-    pub cold_left: Option<Millis>,
+    pub cold_remaining: Option<Millis>,
     /// Its fabric domain, where it has one.
     pub domain: Option<DomainId>,
     /// The models staged on its host.
@@ -81,10 +81,10 @@
     /// A box tells of its memory only while it belongs to a replica; until its process ends, under
     /// the same name, it joins the model of its last one again within 0.2 s, where a load takes 12 to
     /// 16 s.
-    pub fn keep_memory_of(&mut self, earlier: &Self) {
+    pub fn carry_over_loaded_models(&mut self, earlier: &Self) {
         if self.loaded.is_empty()
             && self.id == earlier.id
-            && !self.started_since(earlier.orders_taken)
+            && !self.has_restarted_since(earlier.orders_taken)
         {
             self.loaded.clone_from(&earlier.loaded);
         }
@@ -92,18 +92,18 @@
 
     /// Tells whether it started anew since it told of `orders_taken`, as far as its orders show: they
     /// are counted anew, and it belongs to nothing.
-    pub fn started_since(&self, orders_taken: u64) -> bool {
+    pub fn has_restarted_since(&self, orders_taken: u64) -> bool {
         self.member.is_none() && self.orders_taken < orders_taken
     }
 
     /// Tells whether a later telling says anything else than that it is there.
-    pub fn tells_otherwise(&self, later: &Self) -> bool {
+    pub fn differs_from(&self, later: &Self) -> bool {
         let same_count = Self { orders_taken: self.orders_taken, ..later.clone() };
         *self != same_count
     }
 
     /// Tells whether it belongs to a replica under an epoch.
-    pub fn is_in(&self, replica: &str, epoch: Epoch) -> bool {
+    pub fn is_member_of(&self, replica: &str, epoch: Epoch) -> bool {
         let member = self.member.as_ref();
         member.is_some_and(|member| member.replica == replica && member.epoch == epoch)
     }
--- a/crates/cherrystand_core/src/site/site_config.rs
+++ b/crates/cherrystand_core/src/site/site_config.rs
@@ -6,9 +6,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RouteKind {
     /// It may be run again.
-    Repeatable,
+    Idempotent,
     /// It runs at most once.
-    Once,
+    NonIdempotent,
     /// It is answered by a stream of events, and runs at most once unless it may be resumed.
     Streaming,
 }
@@ -29,9 +29,9 @@
     /// The longest that a request is held.
     pub timeout: Millis,
     /// The time within which an answer, or the first event of a stream, is in time.
-    pub aim: Millis,
+    pub latency_goal: Millis,
     /// The longest pause between events of a stream that is in time.
-    pub gap_aim: Option<Millis>,
+    pub gap_target: Option<Millis>,
     /// How many endpoints one request may be sent to.
     pub attempts: u32,
     /// Its rank, 0 before all others.
@@ -41,15 +41,15 @@
     /// Whether its streams may be taken up at another endpoint.
     pub resumable: bool,
     /// The regions whose endpoints alone may get its requests; all, where it names none.
-    pub homes: Vec<RegionId>,
+    pub allowed_regions: Vec<RegionId>,
 }
 
 impl Route {
     /// Tells whether a request that may have been run may be run again.
-    pub fn may_repeat(&self) -> bool {
+    pub fn may_retry(&self) -> bool {
         match self.kind {
-            RouteKind::Repeatable => true,
-            RouteKind::Once => false,
+            RouteKind::Idempotent => true,
+            RouteKind::NonIdempotent => false,
             RouteKind::Streaming => self.resumable,
         }
     }
@@ -72,7 +72,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallerLimits {
     /// The largest head, in bytes.
-    pub head_bytes: usize,
+    pub header_bytes: usize,
     /// The largest body, in bytes.
     pub body_bytes: usize,
 }
@@ -85,7 +85,7 @@
     /// The keys that stand for it.
     pub keys: Vec<String>,
     /// The regions whose endpoints alone may get its requests; all, where it names none.
-    pub homes: Vec<RegionId>,
+    pub allowed_regions: Vec<RegionId>,
 }
 
 /// Holds one configuration, whole.
--- a/crates/cherrystand_core/src/site/site_view.rs
+++ b/crates/cherrystand_core/src/site/site_view.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 use crate::{
-    BoxId, ColdLife, ColdLives, Epoch, Member, MemberState, Millis, RegionId, RouteTable, SiteBox,
+    BoxId, ColdBoxes, ColdLife, Epoch, Member, MemberState, Millis, RegionId, RouteTable, SiteBox,
     SuspectRecord, TargetSpec, ZoneId,
 };
 
@@ -31,7 +31,7 @@
     /// The availability zones that operators have emptied, and since when.
     pub evacuated: Arc<BTreeMap<ZoneId, Millis>>,
     /// Until when boxes are cold.
-    pub cold: Arc<ColdLives>,
+    pub cold: Arc<ColdBoxes>,
     /// Whether the boxes were listed at least once.
     pub listed: bool,
     /// How many nodes are alive, this one included.
@@ -122,7 +122,9 @@
         }
         let assigned = self.assigned.get(&(leader.replica.clone(), leader.epoch));
         let listed = |id: &BoxId| {
-            self.boxes.get(id).is_some_and(|known| known.is_in(&leader.replica, leader.epoch))
+            self.boxes
+                .get(id)
+                .is_some_and(|known| known.is_member_of(&leader.replica, leader.epoch))
         };
         assigned.into_iter().flatten().any(|id| self.silent.contains(id))
             || self.silent.iter().any(listed)
@@ -181,7 +183,7 @@
     }
 
     /// Tells whether a box is listed in another life than the one named.
-    pub fn has_started_again(&self, id: &BoxId) -> bool {
+    pub fn has_restarted(&self, id: &BoxId) -> bool {
         if id.start().is_none() {
             return false;
         }
@@ -195,9 +197,7 @@
     fn unlisted_members(&self, member: &Member) -> usize {
         let assigned = self.assigned.get(&(member.replica.clone(), member.epoch));
         let may_be_there = |id: &&BoxId| {
-            !self.boxes.contains_key(*id)
-                && !self.silent.contains(*id)
-                && !self.has_started_again(id)
+            !self.boxes.contains_key(*id) && !self.silent.contains(*id) && !self.has_restarted(id)
         };
         assigned.into_iter().flatten().filter(may_be_there).count()
     }
--- a/crates/cherrystand_core/src/site/target.rs
+++ b/crates/cherrystand_core/src/site/target.rs
@@ -36,7 +36,7 @@
     pub service: ServiceName,
     /// The model that it serves, where it serves one.
     pub model: Option<String>,
-    /// Whether it is in the chooser's zone.
+    /// Whether it is in the balancer's zone.
     pub near: bool,
     /// How many requests it works on at a time.
     pub slots: u32,
@@ -95,12 +95,12 @@
         }
     }
 
-    pub(crate) fn succeeded(&mut self, now: Millis) {
+    pub(crate) fn record_success(&mut self, now: Millis) {
         self.note_failure(0.0, now);
         self.avoid_next = FIRST_AVOID;
     }
 
-    pub(crate) fn failed(&mut self, now: Millis) {
+    pub(crate) fn record_failure(&mut self, now: Millis) {
         self.note_failure(1.0, now);
     }
 
@@ -116,20 +116,20 @@
     }
 
     /// Leaves it out for a while, longer each time until it answers well.
-    pub(crate) fn avoid(&mut self, now: Millis) {
+    pub(crate) fn eject(&mut self, now: Millis) {
         if now >= self.avoid_until {
             self.avoid_until = now + self.avoid_next;
             self.avoid_next = Millis(self.avoid_next.0 * 2).min(LONGEST_AVOID);
         }
     }
 
-    pub(crate) fn is_avoided(&self, now: Millis) -> bool {
+    pub(crate) fn is_ejected(&self, now: Millis) -> bool {
         now < self.avoid_until
     }
 
     /// Returns the predicted milliseconds until its answer begins.
     pub(crate) fn first_event(&self, engine: &EngineSpec, model: &ModelSpec, prompt: f64) -> f64 {
-        engine.first_token(model, self.load(), prompt)
+        engine.first_token_time(model, self.load(), prompt)
     }
 
     /// Returns the predicted milliseconds until its answer begins, with what speaks against it.
@@ -140,7 +140,7 @@
         now: Millis,
     ) -> f64 {
         let far = if self.spec.near { 0.0 } else { FAR_MS };
-        let avoided = if self.is_avoided(now) { AVOIDED_MS } else { 0.0 };
+        let avoided = if self.is_ejected(now) { AVOIDED_MS } else { 0.0 };
         let time = match engine {
             Some((engine, model)) => self.first_event(engine, model, prompt),
             None => self.load().requests * PLAIN_MS,
--- a/crates/cherrystand_core/tests/attempt_ledger.rs
+++ b/crates/cherrystand_core/tests/attempt_ledger.rs
@@ -15,21 +15,21 @@
         split: vec![(ServiceName::new("app"), 1)],
         kind,
         timeout: Millis(6_000),
-        aim: Millis(300),
-        gap_aim: None,
+        latency_goal: Millis(300),
+        gap_target: None,
         attempts,
         priority: 1,
         public: true,
         resumable,
-        homes: Vec::new(),
+        allowed_regions: Vec::new(),
     }
 }
 
 fn after(ends: &[AttemptEnd]) -> AttemptLedger {
     let mut ledger = AttemptLedger::default();
     for end in ends {
-        ledger.sent();
-        ledger.ended(*end);
+        ledger.record_sent();
+        ledger.record_end(*end);
     }
     ledger
 }
@@ -59,8 +59,8 @@
         now: Millis,
         may_send: bool,
     }
-    let repeatable = || route(RouteKind::Repeatable, false, 2);
-    let once = || route(RouteKind::Once, false, 2);
+    let repeatable = || route(RouteKind::Idempotent, false, 2);
+    let once = || route(RouteKind::NonIdempotent, false, 2);
     let cases = [
         Case {
             name: "not run, runs at most once",
@@ -154,19 +154,19 @@
         Case { name: "sent to three", route: stream(9), open: 3, may_send: false },
         Case {
             name: "runs at most once",
-            route: route(RouteKind::Once, false, 2),
+            route: route(RouteKind::NonIdempotent, false, 2),
             open: 1,
             may_send: false,
         },
     ];
     for case in cases {
         let mut ledger = AttemptLedger::default();
-        (0..case.open).for_each(|_| ledger.sent());
+        (0..case.open).for_each(|_| ledger.record_sent());
         assert_eq!(ledger.may_send(&case.route, NOW, DEADLINE), case.may_send, "{}", case.name);
-        assert_eq!(ledger.most_runs(), case.open, "{}", case.name);
-        ledger.rest_ended(AttemptEnd::Overtaken);
+        assert_eq!(ledger.max_executions(), case.open, "{}", case.name);
+        ledger.record_remaining_ends(AttemptEnd::Overtaken);
         // What is overtaken may have run.
-        assert_eq!(ledger.most_runs(), case.open, "{}", case.name);
+        assert_eq!(ledger.max_executions(), case.open, "{}", case.name);
         assert_eq!(ledger.failure() == FinalFailure::NotRun, case.open == 0, "{}", case.name);
     }
 }
--- a/crates/cherrystand_core/tests/box_lives.rs
+++ b/crates/cherrystand_core/tests/box_incarnations.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use cherrystand_core::{BoxId, BoxLives, BoxStart, SiteBox};
+use cherrystand_core::{BoxId, BoxIncarnations, BoxStart, SiteBox};
 use proptest::prelude::*;
 use support::site_box;
 
@@ -20,7 +20,7 @@
         asked: BoxStart,
         life: Option<&'static str>,
     }
-    const UNTOLD: BoxStart = BoxStart::Untold;
+    const UNTOLD: BoxStart = BoxStart::Unreported;
     const MALFORMED: BoxStart = BoxStart::Malformed;
     let cases = [
         Case { name: "alone, tells", others: &[], asked: TOLD, life: Some("a@17") },
@@ -50,15 +50,15 @@
         },
     ];
     for case in cases {
-        let mut lives = BoxLives::default();
+        let mut lives = BoxIncarnations::default();
         for (number, start) in case.others.iter().enumerate() {
-            lives.take(&entry(&format!("o{number}"), "models", *start));
+            lives.update(&entry(&format!("o{number}"), "models", *start));
         }
         // What another service tells is of no matter.
-        lives.take(&entry("p1", "app", UNTOLD));
+        lives.update(&entry("p1", "app", UNTOLD));
         let asked = entry("a", "models", case.asked);
-        lives.take(&asked);
-        assert_eq!(lives.life_of(&asked), case.life.map(BoxId::new), "{}", case.name);
+        lives.update(&asked);
+        assert_eq!(lives.incarnation_of(&asked), case.life.map(BoxId::new), "{}", case.name);
     }
 }
 
@@ -85,25 +85,25 @@
         now in prop::collection::vec(0_u8..3, 8),
     ) {
         let start = |kind| match kind {
-            0 => BoxStart::Untold,
+            0 => BoxStart::Unreported,
             1 => TOLD,
             _ => BoxStart::Malformed,
         };
-        let (mut long, mut fresh) = (BoxLives::default(), BoxLives::default());
+        let (mut long, mut fresh) = (BoxIncarnations::default(), BoxIncarnations::default());
         for (number, kind) in before {
-            long.take(&entry(&format!("b{number}"), "models", start(kind)));
+            long.update(&entry(&format!("b{number}"), "models", start(kind)));
         }
         let all: Vec<SiteBox> = now.iter().enumerate()
             .map(|(number, kind)| entry(&format!("b{number}"), "models", start(*kind)))
             .collect();
         for known in &all {
-            long.take(known);
+            long.update(known);
         }
         for known in all.iter().rev() {
-            fresh.take(known);
+            fresh.update(known);
         }
         for known in &all {
-            prop_assert_eq!(long.life_of(known), fresh.life_of(known));
+            prop_assert_eq!(long.incarnation_of(known), fresh.incarnation_of(known));
         }
     }
 }
--- a/crates/cherrystand_core/tests/capacity.rs
+++ b/crates/cherrystand_core/tests/capacity.rs
@@ -9,7 +9,8 @@
 use std::collections::BTreeMap;
 
 use cherrystand_core::{
-    CapacityPlan, DomainId, DomainUse, EngineSpec, HomeChange, Millis, ModelLoad, second_models,
+    CapacityPlanner, DomainCapacity, DomainId, EngineSpec, HomeChange, Millis, ModelLoad,
+    second_models,
 };
 use support::{site_engine, site_model};
 
@@ -24,8 +25,8 @@
 /// Domains of two models and the replicas that their requests keep busy, on virtual time.
 struct Deployment {
     engine: EngineSpec,
-    domains: Vec<DomainUse>,
-    plan: CapacityPlan,
+    domains: Vec<DomainCapacity>,
+    plan: CapacityPlanner,
     changes: Vec<HomeChange>,
     /// A domain that changes hands, and when it serves again.
     changing: Option<(DomainId, Millis)>,
@@ -48,21 +49,21 @@
             let held = names.iter().filter(|name| held || **name == home);
             held.map(|name| ((*name).to_owned(), boxes)).collect()
         };
-        let domains = homes.iter().map(|(id, home)| DomainUse {
+        let domains = homes.iter().map(|(id, home)| DomainCapacity {
             id: id.clone(),
             home: home.clone(),
-            held: holds(home),
+            boxes_by_model: holds(home),
             boxes,
             second: None,
         });
         let domains = domains.collect();
-        let plan = CapacityPlan::default();
+        let plan = CapacityPlanner::default();
         Self { engine, domains, plan, changes: Vec::new(), changing: None }
     }
 
     fn replicas(&self, number: usize, now: Millis) -> usize {
         let model = &self.engine.models[number];
-        let serves = |domain: &&DomainUse| {
+        let serves = |domain: &&DomainCapacity| {
             let changing = self.changing.as_ref();
             domain.home == model.name
                 && changing.is_none_or(|(id, until)| *id != domain.id || now >= *until)
@@ -95,7 +96,8 @@
                 let found = self.domains.iter_mut().find(|domain| domain.id == change.domain);
                 let domain = found.expect("a domain that is there");
                 // Its hosts keep the model that it serves from now on.
-                domain.held = BTreeMap::from([(change.home.clone(), held(domain, &change.home))]);
+                domain.boxes_by_model =
+                    BTreeMap::from([(change.home.clone(), held(domain, &change.home))]);
                 domain.home.clone_from(&change.home);
                 self.changes.push(change);
             }
@@ -109,8 +111,8 @@
     }
 }
 
-fn held(domain: &DomainUse, model: &str) -> usize {
-    domain.held.get(model).copied().unwrap_or_default()
+fn held(domain: &DomainCapacity, model: &str) -> usize {
+    domain.boxes_by_model.get(model).copied().unwrap_or_default()
 }
 
 #[test]
@@ -296,7 +298,7 @@
     let restarted = deployment.domains.iter_mut().find(|domain| domain.home == "small");
     let restarted = restarted.expect("a domain of the small model");
     let id = restarted.id.clone();
-    restarted.held = BTreeMap::from([("large".to_owned(), 37)]);
+    restarted.boxes_by_model = BTreeMap::from([("large".to_owned(), 37)]);
     deployment.run(Millis(10_000), Millis(14_000), busy);
     assert_eq!(deployment.homes(), [4, 4]);
     assert!(deployment.changes.contains(&HomeChange { domain: id, home: "large".to_owned() }));
@@ -341,7 +343,7 @@
         for (model, count) in ["large", "small"].into_iter().zip(case.emptied) {
             let own = deployment.domains.iter_mut().filter(|domain| domain.home == model);
             for domain in own.take(count) {
-                (domain.held, domain.boxes) = (BTreeMap::new(), 0);
+                (domain.boxes_by_model, domain.boxes) = (BTreeMap::new(), 0);
             }
         }
         if case.prepares {
@@ -354,7 +356,7 @@
             let Deployment { plan, engine, domains, .. } = &mut deployment;
             // What changes hands without a load is another test's.
             plan.step(now, engine, &loads, domains);
-            prepared = prepared.or(plan.prepare(now, engine, domains));
+            prepared = prepared.or(plan.preload(now, engine, domains));
             now = now + STEP;
         }
         let model = prepared.as_ref().map(|change: &HomeChange| change.home.as_str());
--- a/crates/cherrystand_core/tests/choice.rs
+++ b/crates/cherrystand_core/tests/choice.rs
@@ -5,8 +5,8 @@
 use std::collections::BTreeMap;
 
 use cherrystand_core::{
-    Ask, BoxId, ChoiceRule, Chooser, EngineLoad, Millis, Policy, RequestHomes, Seed, ServiceName,
-    TargetSpec, TimeModel, engine_priority,
+    AllowedRegions, BoxId, ChoiceRule, EngineLoad, LatencyModel, LoadBalancer, Millis, Policy,
+    RequestSpec, Seed, ServiceName, TargetSpec, engine_priority,
 };
 use support::site_engine;
 
@@ -26,27 +26,27 @@
     }
 }
 
-/// Chooses `count` times without telling the chooser of it, as nodes do that know the same.
+/// Chooses `count` times without telling the balancer of it, as nodes do that know the same.
 fn choices(
-    chooser: &Chooser,
+    balancer: &LoadBalancer,
     objective: Millis,
     count: usize,
     now: Millis,
 ) -> BTreeMap<String, usize> {
     let service = ServiceName::new("models");
-    let ask = Ask {
+    let ask = RequestSpec {
         service: &service,
         model: Some("large"),
         prompt: PROMPT,
-        objective,
-        homes: RequestHomes::default(),
+        latency_goal: objective,
+        regions: AllowedRegions::default(),
     };
     let engine = site_engine();
     let mut seed = Seed::new(5);
     let mut chosen = BTreeMap::new();
     for _ in 0..count {
-        let key = chooser.choose(ask, Some(&engine), &[], now, &mut seed).expect("a replica");
-        let id = chooser.id(key).expect("known").as_str().to_owned();
+        let key = balancer.choose(ask, Some(&engine), &[], now, &mut seed).expect("a replica");
+        let id = balancer.id(key).expect("known").as_str().to_owned();
         *chosen.entry(id).or_default() += 1;
     }
     chosen
@@ -72,17 +72,17 @@
         Case { rule: ChoiceRule::FewestInFlight, most: 400, least: 400 },
     ];
     for case in cases {
-        let mut chooser = Chooser::new(policy(case.rule));
+        let mut balancer = LoadBalancer::new(policy(case.rule));
         let id = |number: usize| format!("b{number:02}");
-        chooser.follow((0..20).map(|number| target(&id(number), number % 3 == 0)).collect());
+        balancer.set_targets((0..20).map(|number| target(&id(number), number % 3 == 0)).collect());
         // One was idle when the others were told of last.
         let load = |number: usize| match number {
             7 => EngineLoad::default(),
             _ => EngineLoad { requests: 12.0, unread: 0.0 },
         };
         let loads = (0..20).map(|number| (BoxId::new(id(number)), load(number)));
-        chooser.follow_others(&loads.collect());
-        let chosen = choices(&chooser, Millis(300), 400, NOW);
+        balancer.set_peer_loads(&loads.collect());
+        let chosen = choices(&balancer, Millis(300), 400, NOW);
         let busiest = chosen.values().copied().max().unwrap_or_default();
         assert!((case.least..=case.most).contains(&busiest), "{:?}: {chosen:?}", case.rule);
     }
@@ -114,13 +114,13 @@
         },
     ];
     for case in cases {
-        let mut chooser = Chooser::default();
-        chooser.follow(vec![target("near", true), target("far", false)]);
-        chooser.follow_others(&BTreeMap::from([
+        let mut balancer = LoadBalancer::default();
+        balancer.set_targets(vec![target("near", true), target("far", false)]);
+        balancer.set_peer_loads(&BTreeMap::from([
             (BoxId::new("near"), case.near),
             (BoxId::new("far"), case.far),
         ]));
-        let chosen = choices(&chooser, Millis(300), 100, NOW);
+        let chosen = choices(&balancer, Millis(300), 100, NOW);
         let far = chosen.get("far").copied().unwrap_or_default();
         assert!(case.far_percent.contains(&far), "{}: {far}", case.name);
     }
@@ -128,19 +128,19 @@
 
 #[test]
 fn what_the_published_figures_leave_out_is_learned() {
-    let mut times = TimeModel::default();
-    assert!(times.chance(50.0, 160.0) > 0.9);
+    let mut times = LatencyModel::default();
+    assert!(times.probability_within(50.0, 160.0) > 0.9);
     for number in 0..400 {
         // 120 ms more than predicted, give or take 20; one in fifty meets a stall.
         let error =
             if number % 50 == 0 { 4_000.0 } else { 120.0 + f64::from(number % 5 - 2) * 10.0 };
-        times.learn(50.0 + error, 50.0);
+        times.update(50.0 + error, 50.0);
     }
-    let expected = times.expected(50.0);
+    let expected = times.expected_ms(50.0);
     assert!((160.0..190.0).contains(&expected), "{expected}");
-    assert!(times.chance(50.0, 160.0) < 0.5);
-    assert!(times.chance(50.0, 300.0) > 0.95);
-    assert!(times.chance(50.0, 300.0) > times.chance(90.0, 300.0));
+    assert!(times.probability_within(50.0, 160.0) < 0.5);
+    assert!(times.probability_within(50.0, 300.0) > 0.95);
+    assert!(times.probability_within(50.0, 300.0) > times.probability_within(90.0, 300.0));
 }
 
 #[test]
@@ -161,31 +161,32 @@
         Case { name: "late", load: idle, objective: none_left, defer_late: true, deferred: true },
     ];
     for case in cases {
-        let mut chooser = Chooser::new(Policy { defer_late: case.defer_late, ..Policy::default() });
-        chooser.follow(vec![target("a", true)]);
-        chooser.follow_others(&BTreeMap::from([(BoxId::new("a"), case.load)]));
+        let mut balancer =
+            LoadBalancer::new(Policy { defer_late: case.defer_late, ..Policy::default() });
+        balancer.set_targets(vec![target("a", true)]);
+        balancer.set_peer_loads(&BTreeMap::from([(BoxId::new("a"), case.load)]));
         let service = ServiceName::new("models");
         let (model, objective) = (Some("large"), case.objective);
-        let ask = Ask {
+        let ask = RequestSpec {
             service: &service,
             model,
             prompt: PROMPT,
-            objective,
-            homes: RequestHomes::default(),
+            latency_goal: objective,
+            regions: AllowedRegions::default(),
         };
         let engine = site_engine();
-        let key = chooser.choose(ask, Some(&engine), &[], NOW, &mut Seed::new(1)).expect("one");
-        let expected = chooser.expected(key, ask, &engine).expect("an engine");
+        let key = balancer.choose(ask, Some(&engine), &[], NOW, &mut Seed::new(1)).expect("one");
+        let expected = balancer.predict(key, ask, &engine).expect("an engine");
         assert_eq!(expected.deferred, case.deferred, "{}", case.name);
         // It delays nobody until it runs, and counts as everybody does from then on.
-        let before = chooser.load(key).requests;
-        chooser.start(key, PROMPT, expected.deferred);
-        let waits = chooser.load(key).requests - before;
+        let before = balancer.load(key).requests;
+        balancer.record_start(key, PROMPT, expected.deferred);
+        let waits = balancer.load(key).requests - before;
         assert_eq!(waits, if case.deferred { 0.0 } else { 1.0 }, "{}", case.name);
-        chooser.first_event(key, PROMPT, expected.deferred);
-        assert_eq!(chooser.load(key).requests, before + 1.0, "{}", case.name);
-        chooser.finish(key, 0.0, false);
-        assert_eq!(chooser.load(key).requests, before, "{}", case.name);
+        balancer.record_first_event(key, PROMPT, expected.deferred);
+        assert_eq!(balancer.load(key).requests, before + 1.0, "{}", case.name);
+        balancer.record_finish(key, 0.0, false);
+        assert_eq!(balancer.load(key).requests, before, "{}", case.name);
     }
 }
 
--- a/crates/cherrystand_core/tests/endpoint_wishes.rs
+++ b/crates/cherrystand_core/tests/endpoint_wishes.rs
@@ -1,8 +1,8 @@
 //! What endpoints ask of this node, and which requests may be sent to them.
 
 use cherrystand_core::{
-    Ask, BoxId, Chooser, EndpointWishes, LONGEST_REST, Millis, RequestHomes, Seed, SendPermit,
-    ServiceName, TargetSpec, WishState,
+    AllowedRegions, BoxId, EndpointWishes, LONGEST_REST, LoadBalancer, Millis, RequestSpec, Seed,
+    SendPermit, ServiceName, TargetSpec, WishState,
 };
 use proptest::prelude::*;
 
@@ -222,31 +222,31 @@
         cold: None,
     };
     for case in cases {
-        let mut chooser = Chooser::default();
-        chooser.follow(vec![spec(0), spec(1)]);
+        let mut balancer = LoadBalancer::default();
+        balancer.set_targets(vec![spec(0), spec(1)]);
         for number in 0..2 {
             if let Some(secs) = case.rests[number] {
-                chooser.hear_rest(&spec(number).id, Millis::from_secs(secs), NOW);
+                balancer.hear_rest(&spec(number).id, Millis::from_secs(secs), NOW);
             }
             if case.leaves[number] {
-                chooser.hear_leaving(&spec(number).id);
+                balancer.hear_leaving(&spec(number).id);
             }
         }
         // Their entries go and come back.
-        chooser.follow(Vec::new());
-        chooser.follow(vec![spec(0), spec(1)]);
-        let ask = Ask {
+        balancer.set_targets(Vec::new());
+        balancer.set_targets(vec![spec(0), spec(1)]);
+        let ask = RequestSpec {
             service: &service,
             model: None,
             prompt: 0.0,
-            objective: Millis(100),
-            homes: RequestHomes::default(),
+            latency_goal: Millis(100),
+            regions: AllowedRegions::default(),
         };
-        let key = chooser.choose(ask, None, &[], NOW, &mut Seed::new(3));
-        let id = key.and_then(|key| chooser.id(key)).cloned();
+        let key = balancer.choose(ask, None, &[], NOW, &mut Seed::new(3));
+        let id = key.and_then(|key| balancer.id(key)).cloned();
         let chosen = case.chosen.map(|number| spec(number).id);
         assert_eq!(id, chosen, "{}", case.name);
         let all_rest = case.all_rest.map(|secs| NOW + Millis::from_secs(secs));
-        assert_eq!(chooser.all_closed_until(ask, None, NOW), all_rest, "{}", case.name);
+        assert_eq!(balancer.unavailable_until(ask, None, NOW), all_rest, "{}", case.name);
     }
 }
--- a/crates/cherrystand_core/tests/evacuations.rs
+++ b/crates/cherrystand_core/tests/evacuations.rs
@@ -7,9 +7,9 @@
 use std::sync::Arc;
 
 use cherrystand_core::{
-    Ask, BoxId, CallerLimits, Chooser, ColdLife, ColdLives, ColdStart, Evacuations, Millis,
-    RegionId, RequestHomes, RequestRate, Revision, RouteTable, Seed, Service, ServiceName, SiteBox,
-    SiteConfig, SiteView, TargetSpec, ZoneId,
+    AllowedRegions, BoxId, CallerLimits, ColdBoxes, ColdLife, ColdStart, Evacuations, LoadBalancer,
+    Millis, RegionId, RequestRate, RequestSpec, Revision, RouteTable, Seed, Service, ServiceName,
+    SiteBox, SiteConfig, SiteView, TargetSpec, ZoneId,
 };
 use proptest::prelude::*;
 
@@ -69,9 +69,9 @@
         for (news, revision) in case.news {
             let revision = Revision::new(*revision);
             match news {
-                All(all) => _ = held.take_all(zones(all), revision),
-                Emptied(zone) => _ = held.take_changes(zones(&[zone]), [], revision),
-                TakenBack(zone) => _ = held.take_changes([], zones(&[zone]), revision),
+                All(all) => _ = held.replace(zones(all), revision),
+                Emptied(zone) => _ = held.apply_changes(zones(&[zone]), [], revision),
+                TakenBack(zone) => _ = held.apply_changes([], zones(&[zone]), revision),
             }
         }
         assert_eq!(held.zones(), &zones(case.zones), "{}", case.name);
@@ -98,19 +98,19 @@
         }
         let mut held = Evacuations::default();
         let mut latest = 0;
-        held.take_all(states[0].clone(), Revision::new(1));
+        held.replace(states[0].clone(), Revision::new(1));
         for (at, is_whole) in heard {
             let at = at.min(changes.len());
             let revision = Revision::new(at as u64 + 1);
             // A watch tells what follows the last answer, so that only the next change comes alone.
             if is_whole || at != latest + 1 {
-                held.take_all(states[at].clone(), revision);
+                held.replace(states[at].clone(), revision);
             } else {
                 let (zone, is_emptied) = changes[at - 1];
                 let zone = [ZoneId::new(names[zone])];
                 match is_emptied {
-                    true => held.take_changes(zone, [], revision),
-                    false => held.take_changes([], zone, revision),
+                    true => held.apply_changes(zone, [], revision),
+                    false => held.apply_changes([], zone, revision),
                 };
             }
             latest = latest.max(at);
@@ -157,14 +157,18 @@
     ];
     let id = BoxId::new("i-1");
     for case in cases {
-        let mut cold = ColdLives::default();
+        let mut cold = ColdBoxes::default();
         let told = case.told.iter();
-        let news = told.filter(|(left, at)| cold.told(&id, Millis(*left), NOW + Millis(*at)));
+        let news = told.filter(|(left, at)| cold.record(&id, Millis(*left), NOW + Millis(*at)));
         assert_eq!(news.count(), case.news, "{}", case.name);
         let until = case.until.map(|until| NOW + Millis(until));
         assert_eq!(cold.until(&id), until, "{}", case.name);
         if let Some(until) = until {
-            assert!(!cold.forget(until - Millis(1)) && cold.forget(until), "{}", case.name);
+            assert!(
+                !cold.remove_expired(until - Millis(1)) && cold.remove_expired(until),
+                "{}",
+                case.name
+            );
         }
     }
 }
@@ -182,33 +186,33 @@
     }
 }
 
-fn ask<'a>(service: &'a ServiceName, homes: RequestHomes<'a>) -> Ask<'a> {
-    Ask { service, model: None, prompt: 0.0, objective: Millis(100), homes }
+fn ask<'a>(service: &'a ServiceName, homes: AllowedRegions<'a>) -> RequestSpec<'a> {
+    RequestSpec { service, model: None, prompt: 0.0, latency_goal: Millis(100), regions: homes }
 }
 
 /// An emptied zone's endpoint is neither chosen nor given a permit, and is as it was once it is taken back.
 #[test]
 fn no_permit_is_given_for_an_emptied_zone() {
     let service = ServiceName::new("app");
-    let ask = ask(&service, RequestHomes::default());
-    let mut chooser = Chooser::default();
+    let ask = ask(&service, AllowedRegions::default());
+    let mut balancer = LoadBalancer::default();
     let since = Some(NOW - Millis(4_000));
-    let choose = |chooser: &Chooser| chooser.choose(ask, None, &[], NOW, &mut Seed::new(3));
-    chooser.follow(vec![spec(0, None), spec(1, None)]);
-    let near = choose(&chooser).expect("an endpoint");
-    chooser.follow(vec![TargetSpec { evacuated: since, ..spec(0, None) }, spec(1, None)]);
-    let chosen = choose(&chooser).expect("an endpoint");
-    assert_eq!(chooser.id(chosen), Some(&spec(1, None).id));
-    assert!(chooser.permit(near, NOW).is_none() && chooser.permit(chosen, NOW).is_some());
-    assert_eq!(chooser.all_closed_until(ask, None, NOW), None);
+    let choose = |balancer: &LoadBalancer| balancer.choose(ask, None, &[], NOW, &mut Seed::new(3));
+    balancer.set_targets(vec![spec(0, None), spec(1, None)]);
+    let near = choose(&balancer).expect("an endpoint");
+    balancer.set_targets(vec![TargetSpec { evacuated: since, ..spec(0, None) }, spec(1, None)]);
+    let chosen = choose(&balancer).expect("an endpoint");
+    assert_eq!(balancer.id(chosen), Some(&spec(1, None).id));
+    assert!(balancer.permit(near, NOW).is_none() && balancer.permit(chosen, NOW).is_some());
+    assert_eq!(balancer.unavailable_until(ask, None, NOW), None);
     let emptied = [0, 1].map(|number| TargetSpec { evacuated: since, ..spec(number, None) });
-    chooser.follow(emptied.to_vec());
-    assert_eq!(choose(&chooser), None);
+    balancer.set_targets(emptied.to_vec());
+    assert_eq!(choose(&balancer), None);
     // They have been empty for 4 s, and nobody knows for how much longer.
-    assert_eq!(chooser.all_closed_until(ask, None, NOW), Some(NOW + Millis(4_000)));
-    chooser.follow(vec![spec(0, None), spec(1, None)]);
-    assert_eq!(choose(&chooser), Some(near));
-    assert!(chooser.permit(near, NOW).is_some());
+    assert_eq!(balancer.unavailable_until(ask, None, NOW), Some(NOW + Millis(4_000)));
+    balancer.set_targets(vec![spec(0, None), spec(1, None)]);
+    assert_eq!(choose(&balancer), Some(near));
+    assert!(balancer.permit(near, NOW).is_some());
 }
 
 /// A cold endpoint is limited as long as it is cold, by what it bears or what it names, whichever is less.
@@ -216,10 +220,10 @@
 fn a_cold_endpoint_needs_permits() {
     let rate = |per_second| RequestRate::per_second(per_second).expect("a rate");
     let cold = ColdLife { rate: rate(14.0), until: NOW + Millis(3_000) };
-    let mut chooser = Chooser::default();
-    chooser.follow(vec![TargetSpec { cold: Some(cold), ..spec(0, None) }]);
+    let mut balancer = LoadBalancer::default();
+    balancer.set_targets(vec![TargetSpec { cold: Some(cold), ..spec(0, None) }]);
     let id = spec(0, None).id;
-    let limits = chooser.limits_mut();
+    let limits = balancer.limits_mut();
     assert_eq!(limits.limit(&id), Some(rate(14.0)));
     assert!(limits.wait(&id, NOW).is_some_and(|wait| wait.is_err()));
     assert!(!limits.take(&id, NOW));
@@ -234,11 +238,11 @@
     assert_eq!(limits.limit(&id), None);
     assert!(limits.take(&id, NOW + Millis(3_000)));
     // Warm sooner than it said.
-    chooser.follow(vec![spec(0, None)]);
-    chooser.follow(vec![TargetSpec { cold: Some(cold), ..spec(0, None) }]);
-    assert_eq!(chooser.limits().limit(&id), Some(rate(14.0)));
-    chooser.follow(vec![spec(0, None)]);
-    assert_eq!(chooser.limits().limit(&id), None);
+    balancer.set_targets(vec![spec(0, None)]);
+    balancer.set_targets(vec![TargetSpec { cold: Some(cold), ..spec(0, None) }]);
+    assert_eq!(balancer.limits().limit(&id), Some(rate(14.0)));
+    balancer.set_targets(vec![spec(0, None)]);
+    assert_eq!(balancer.limits().limit(&id), None);
 }
 
 /// The view tells which endpoints lie in emptied zones, where, and which are cold by their service's word.
@@ -256,7 +260,7 @@
         version: 1,
         routes: Vec::new(),
         services: vec![service("app", cold), service("other", None)],
-        limits: CallerLimits { head_bytes: 8_192, body_bytes: 8_192 },
+        limits: CallerLimits { header_bytes: 8_192, body_bytes: 8_192 },
         tenants: None,
     };
     let known = |id: &str, service: &str, zone: &str| {
@@ -265,9 +269,9 @@
         (known.id.clone(), Arc::new(known))
     };
     let boxes = [known("a", "app", "z1"), known("b", "app", "z2"), known("c", "other", "z3")];
-    let mut lives = ColdLives::default();
+    let mut lives = ColdBoxes::default();
     for id in ["b", "c"] {
-        lives.told(&BoxId::new(id), Millis(2_000), NOW);
+        lives.record(&BoxId::new(id), Millis(2_000), NOW);
     }
     let view = SiteView {
         table: Some(Arc::new(RouteTable::new(config))),
@@ -306,26 +310,26 @@
         let region = |number: &usize| RegionId::new(format!("r{number}"));
         let route: Vec<RegionId> = route.iter().map(region).collect();
         let tenant: Vec<RegionId> = tenant.iter().map(region).collect();
-        let mut chooser = Chooser::default();
+        let mut balancer = LoadBalancer::default();
         let specs: Vec<TargetSpec> = endpoints.iter().enumerate().map(|(number, (of, emptied, _))| {
             let of = of.map(|of| format!("r{of}"));
             TargetSpec { evacuated: emptied.then_some(NOW), ..spec(number, of.as_deref()) }
         }).collect();
-        chooser.follow(specs.clone());
+        balancer.set_targets(specs.clone());
         for (spec, (_, _, leaves)) in specs.iter().zip(&endpoints) {
             if *leaves {
-                chooser.hear_leaving(&spec.id);
+                balancer.hear_leaving(&spec.id);
             }
         }
         let service = ServiceName::new("app");
-        let homes = RequestHomes { route: &route, tenant: &tenant };
+        let homes = AllowedRegions { route: &route, tenant: &tenant };
         let may_get = |spec: &TargetSpec| {
             let is_home = |homes: &[RegionId]| homes.is_empty() || spec.region.as_ref().is_some_and(|region| homes.contains(region));
             is_home(&route) && is_home(&tenant) && spec.evacuated.is_none()
         };
         let open = specs.iter().zip(&endpoints).any(|(spec, (_, _, leaves))| may_get(spec) && !leaves);
-        let chosen = chooser.choose(ask(&service, homes), None, &[], NOW, &mut Seed::new(seed));
-        let chosen = chosen.and_then(|key| chooser.id(key)).cloned();
+        let chosen = balancer.choose(ask(&service, homes), None, &[], NOW, &mut Seed::new(seed));
+        let chosen = chosen.and_then(|key| balancer.id(key)).cloned();
         prop_assert_eq!(chosen.is_some(), open);
         if let Some(id) = chosen {
             let spec = specs.iter().find(|spec| spec.id == id);
--- a/crates/cherrystand_core/tests/lent_repeats.rs
+++ b/crates/cherrystand_core/tests/lent_repeats.rs
@@ -58,7 +58,7 @@
         let window = Millis::from_secs(10);
         let bounds = RetryBounds { ratio: 0.2, slack: play.slack, window };
         let mut pools = Vec::new();
-        pools.resize_with(play.nodes, || EndpointLimits::with_at_once(bounds.lent_at_once()));
+        pools.resize_with(play.nodes, || EndpointLimits::with_at_once(bounds.max_loan()));
         Self {
             play,
             bounds,
@@ -84,7 +84,7 @@
             self.arrive(now);
             for _ in 0..self.draw(self.play.requests) {
                 let node = self.seed.below(self.play.nodes);
-                self.shares[node].request(now);
+                self.shares[node].record_request(now);
                 self.requests.push(now);
             }
             let fails = match now {
@@ -112,10 +112,10 @@
     fn fail(&mut self, now: Millis) {
         let node = self.seed.below(self.play.nodes);
         self.failed += 1;
-        if self.shares[node].spend(now, self.play.nodes) {
+        if self.shares[node].try_spend(now, self.play.nodes) {
             self.repeats.push(now);
-        } else if self.bounds.is_lent(self.play.nodes) {
-            self.pools[node].follow_cold(&0, Some(self.bounds.lent(now)));
+        } else if self.bounds.is_lending(self.play.nodes) {
+            self.pools[node].follow_cold(&0, Some(self.bounds.loan_rate(now)));
             self.pools[node].want(&0, now);
             self.asking.push((node, now));
             self.step(node, now);
--- a/crates/cherrystand_core/tests/lost_replicas.rs
+++ b/crates/cherrystand_core/tests/lost_replicas.rs
@@ -41,7 +41,7 @@
         version: 1,
         routes: Vec::new(),
         services,
-        limits: CallerLimits { head_bytes: 8_192, body_bytes: 8_192 },
+        limits: CallerLimits { header_bytes: 8_192, body_bytes: 8_192 },
         tenants: None,
     };
     let boxes = [
--- a/crates/cherrystand_core/tests/relays.rs
+++ b/crates/cherrystand_core/tests/relays.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeSet;
 
 use cherrystand_core::{
-    BoxId, EndpointLoad, Heartbeat, LoadBook, Membership, Millis, NodeId, RELAYS_PER_ZONE, Seed,
+    BoxId, EndpointLoad, Heartbeat, Membership, Millis, NodeId, PeerLoads, RELAYS_PER_ZONE, Seed,
     Standing, ZoneId, ZoneLoads, choose_exchange, relays_of,
 };
 use proptest::prelude::*;
@@ -231,32 +231,32 @@
     let now = Millis(10_000);
     let own_zone = ZoneId::new("z0");
     let told = |zone: &str, age, loads| ZoneLoads { zone: ZoneId::new(zone), age, loads };
-    let requests = |book: &LoadBook| {
-        let sums = book.sums();
+    let requests = |book: &PeerLoads| {
+        let sums = book.totals();
         sums.get(&BoxId::new("b1")).map_or(0.0, |sum| sum.requests)
     };
-    let mut book = LoadBook::default();
-    book.hear_node(NodeId::new("near"), own_zone.clone(), vec![load("b1", 2, 10)], now);
+    let mut book = PeerLoads::default();
+    book.record_node(NodeId::new("near"), own_zone.clone(), vec![load("b1", 2, 10)], now);
     assert_eq!(requests(&book), 2.0);
     // A peer of another zone counts by itself until its zone's sum is known.
-    book.hear_node(NodeId::new("far"), ZoneId::new("z1"), vec![load("b1", 3, 10)], now);
+    book.record_node(NodeId::new("far"), ZoneId::new("z1"), vec![load("b1", 3, 10)], now);
     assert_eq!(requests(&book), 5.0);
-    book.hear_zone(told("z1", Millis(100), vec![load("b1", 7, 10)]), &own_zone, now);
+    book.record_zone(told("z1", Millis(100), vec![load("b1", 7, 10)]), &own_zone, now);
     assert_eq!(requests(&book), 9.0);
     // An older sum that comes by another way changes nothing, nor does one of the own zone.
-    book.hear_zone(told("z1", Millis(300), vec![load("b1", 50, 10)]), &own_zone, now);
-    book.hear_zone(told("z0", Millis(0), vec![load("b1", 50, 10)]), &own_zone, now);
+    book.record_zone(told("z1", Millis(300), vec![load("b1", 50, 10)]), &own_zone, now);
+    book.record_zone(told("z0", Millis(0), vec![load("b1", 50, 10)]), &own_zone, now);
     assert_eq!(requests(&book), 9.0);
     // The sums are handed over once, until something changes.
-    assert_eq!(book.take_sums(), Some(book.sums()));
-    assert_eq!(book.take_sums(), None);
-    let sum = book.sum_of_zone(&own_zone, &[load("b1", 1, 400), load("b2", 4, 5)], now);
+    assert_eq!(book.changed_totals(), Some(book.totals()));
+    assert_eq!(book.changed_totals(), None);
+    let sum = book.zone_total(&own_zone, &[load("b1", 1, 400), load("b2", 4, 5)], now);
     assert_eq!(sum.loads, vec![load_sum("b1", 3, 300, 10), load_sum("b2", 4, 400, 5)]);
-    assert_eq!(book.other_zones(now)[0].age, Millis(100));
+    assert_eq!(book.other_zone_totals(now)[0].age, Millis(100));
     // What is old counts no more: the zone's sum first, then what its peer told alone.
-    book.forget(4, now + Millis(1_600));
+    book.remove_expired(4, now + Millis(1_600));
     assert_eq!(requests(&book), 5.0);
-    book.forget(1, now + Millis(1_600));
+    book.remove_expired(1, now + Millis(1_600));
     assert_eq!(requests(&book), 0.0);
 }
 
@@ -267,10 +267,10 @@
 #[test]
 fn the_last_progress_that_anyone_saw_is_known() {
     let now = Millis(10_000);
-    let mut book = LoadBook::default();
+    let mut book = PeerLoads::default();
     let id = BoxId::new("b1");
-    assert_eq!(book.seen(&id), None);
-    book.see(&[load("b1", 1, 500)], now);
-    book.see(&[load("b1", 1, 700)], now);
-    assert_eq!(book.seen(&id), Some(Millis(9_500)));
+    assert_eq!(book.last_progress(&id), None);
+    book.record_progress(&[load("b1", 1, 500)], now);
+    book.record_progress(&[load("b1", 1, 700)], now);
+    assert_eq!(book.last_progress(&id), Some(Millis(9_500)));
 }
--- a/crates/cherrystand_core/tests/site_formation.rs
+++ b/crates/cherrystand_core/tests/site_formation.rs
@@ -98,7 +98,7 @@
             let delay = is_late.then(|| Millis(2_000 + self.seed.below(10_000) as u64));
             let fence = order.fence(Revision::new(node.read.0));
             let end = self.domain.order(order, fence, delay);
-            node.formation.order_ended(order, end, silent.contains(&order.target));
+            node.formation.record_order_end(order, end, silent.contains(&order.target));
             let led = boxes.iter().any(|known| {
                 let member = known.member.as_ref();
                 known.id == order.target && member.is_some_and(|member| member.rank == 0)
--- a/crates/cherrystand_core/tests/site_losses.rs
+++ b/crates/cherrystand_core/tests/site_losses.rs
@@ -164,7 +164,7 @@
         for order in &step.orders {
             let end = self.domain.order(order, order.fence(Revision::new(self.revision)), None);
             let is_silent = self.found.contains(&order.target);
-            self.formation.order_ended(order, end, is_silent);
+            self.formation.record_order_end(order, end, is_silent);
             if end == OrderEnd::Dark {
                 self.ask(order.target.clone(), ORDER);
             }
--- a/crates/cherrystand_core/tests/site_requests.rs
+++ b/crates/cherrystand_core/tests/site_requests.rs
@@ -5,9 +5,10 @@
 use std::collections::BTreeMap;
 
 use cherrystand_core::{
-    Ask, BoxId, BoxStart, CallerLimits, Chooser, DomainId, EngineLoad, EventSplitter, LogLimiter,
-    Millis, NotAllowed, RequestHomes, RetryBounds, RetryShare, Route, RouteKind, RouteTable, Seed,
-    ServiceName, SiteBox, SiteConfig, TargetSpec, Tenant, ZoneId, home_models,
+    AllowedRegions, BoxId, BoxStart, CallerLimits, DomainId, EngineLoad, EventSplitter,
+    LoadBalancer, LogLimiter, Millis, RequestSpec, RetryBounds, RetryShare, Route, RouteError,
+    RouteKind, RouteTable, Seed, ServiceName, SiteBox, SiteConfig, TargetSpec, Tenant, ZoneId,
+    home_models,
 };
 use proptest::prelude::*;
 use support::{site_engine, site_model};
@@ -21,15 +22,15 @@
         host: host.to_owned(),
         prefix: prefix.to_owned(),
         split: vec![(ServiceName::new(service), 1)],
-        kind: RouteKind::Repeatable,
+        kind: RouteKind::Idempotent,
         timeout: Millis(1_000),
-        aim: Millis(100),
-        gap_aim: None,
+        latency_goal: Millis(100),
+        gap_target: None,
         attempts: 2,
         priority: 1,
         public: false,
         resumable: false,
-        homes: Vec::new(),
+        allowed_regions: Vec::new(),
     }
 }
 
@@ -42,7 +43,7 @@
         route("albums.example", "/stories/old/", "archive"),
         open,
     ];
-    let limits = CallerLimits { head_bytes: 1_000, body_bytes: 1_000 };
+    let limits = CallerLimits { header_bytes: 1_000, body_bytes: 1_000 };
     RouteTable::new(SiteConfig { version: 1, routes, services: Vec::new(), limits, tenants })
 }
 
@@ -50,7 +51,7 @@
     vec![Tenant {
         name: "families".to_owned(),
         keys: vec!["k1".to_owned(), "k2".to_owned()],
-        homes: Vec::new(),
+        allowed_regions: Vec::new(),
     }]
 }
 
@@ -60,7 +61,7 @@
         host: &'static str,
         path: &'static str,
         key: Option<&'static str>,
-        found: Result<(&'static str, Option<&'static str>), NotAllowed>,
+        found: Result<(&'static str, Option<&'static str>), RouteError>,
     }
     let families = Some("families");
     let cases = [
@@ -90,13 +91,18 @@
             found: Ok(("app", families)),
         },
         Case { host: "albums.example", path: "/open/1", key: None, found: Ok(("app", None)) },
-        Case { host: "albums.example", path: "/a", key: None, found: Err(NotAllowed::NoKey) },
-        Case { host: "albums.example", path: "/a", key: Some("k3"), found: Err(NotAllowed::NoKey) },
+        Case { host: "albums.example", path: "/a", key: None, found: Err(RouteError::UnknownKey) },
+        Case {
+            host: "albums.example",
+            path: "/a",
+            key: Some("k3"),
+            found: Err(RouteError::UnknownKey),
+        },
         Case {
             host: "other.example",
             path: "/a",
             key: Some("k1"),
-            found: Err(NotAllowed::NoRoute),
+            found: Err(RouteError::NoRoute),
         },
     ];
     let table = table(Some(tenant()));
@@ -144,10 +150,10 @@
                 *share = RetryShare::new(bounds);
             }
             if asks {
-                share.request(now);
+                share.record_request(now);
                 requests.push(now);
             }
-            if share.spend(now, nodes) {
+            if share.try_spend(now, nodes) {
                 repeats.push(now);
             }
             let within = |list: &[Millis]| {
@@ -215,56 +221,62 @@
     }
 }
 
-fn ask<'a>(service: &'a ServiceName, model: Option<&'a str>, prompt: f64) -> Ask<'a> {
-    Ask { service, model, prompt, objective: OBJECTIVE, homes: RequestHomes::default() }
+fn ask<'a>(service: &'a ServiceName, model: Option<&'a str>, prompt: f64) -> RequestSpec<'a> {
+    RequestSpec {
+        service,
+        model,
+        prompt,
+        latency_goal: OBJECTIVE,
+        regions: AllowedRegions::default(),
+    }
 }
 
-fn chosen(chooser: &Chooser, model: &str, not: &[BoxId], now: Millis) -> Option<String> {
+fn chosen(balancer: &LoadBalancer, model: &str, not: &[BoxId], now: Millis) -> Option<String> {
     let service = ServiceName::new("models");
     let ask = ask(&service, Some(model), 1_000.0);
     let engine = site_engine();
-    let key = chooser.choose(ask, Some(&engine), not, now, &mut Seed::new(1))?;
-    chooser.id(key).map(|id| id.as_str().to_owned())
+    let key = balancer.choose(ask, Some(&engine), not, now, &mut Seed::new(1))?;
+    balancer.id(key).map(|id| id.as_str().to_owned())
 }
 
 #[test]
 fn the_replica_that_will_answer_first_is_chosen_whoever_loads_it() {
-    let mut chooser = Chooser::default();
-    chooser.follow(vec![
+    let mut balancer = LoadBalancer::default();
+    balancer.set_targets(vec![
         target("a", Some("large")),
         target("b", Some("large")),
         target("c", Some("small")),
     ]);
     let busy = EngineLoad { requests: 20.0, unread: 9_000.0 };
-    chooser.follow_others(&BTreeMap::from([(BoxId::new("a"), busy)]));
-    assert_eq!(chosen(&chooser, "large", &[], NOW).as_deref(), Some("b"));
-    assert_eq!(chosen(&chooser, "small", &[], NOW).as_deref(), Some("c"));
-    assert_eq!(chosen(&chooser, "other", &[], NOW), None);
-    assert_eq!(chosen(&chooser, "large", &[BoxId::new("b")], NOW).as_deref(), Some("a"));
-    chooser.avoid_box(&BoxId::new("b"), NOW);
-    assert_eq!(chosen(&chooser, "large", &[], NOW).as_deref(), Some("a"));
-    assert_eq!(chosen(&chooser, "large", &[], NOW + Millis(400)).as_deref(), Some("b"));
+    balancer.set_peer_loads(&BTreeMap::from([(BoxId::new("a"), busy)]));
+    assert_eq!(chosen(&balancer, "large", &[], NOW).as_deref(), Some("b"));
+    assert_eq!(chosen(&balancer, "small", &[], NOW).as_deref(), Some("c"));
+    assert_eq!(chosen(&balancer, "other", &[], NOW), None);
+    assert_eq!(chosen(&balancer, "large", &[BoxId::new("b")], NOW).as_deref(), Some("a"));
+    balancer.eject_box(&BoxId::new("b"), NOW);
+    assert_eq!(chosen(&balancer, "large", &[], NOW).as_deref(), Some("a"));
+    assert_eq!(chosen(&balancer, "large", &[], NOW + Millis(400)).as_deref(), Some("b"));
 }
 
 #[test]
 fn what_is_in_flight_is_counted_until_it_ends_even_where_the_list_changes() {
-    let mut chooser = Chooser::default();
-    chooser.follow(vec![target("a", Some("large")), target("b", Some("large"))]);
+    let mut balancer = LoadBalancer::default();
+    balancer.set_targets(vec![target("a", Some("large")), target("b", Some("large"))]);
     let service = ServiceName::new("models");
     let ask = ask(&service, Some("large"), 500.0);
-    let key = chooser.choose(ask, Some(&site_engine()), &[], NOW, &mut Seed::new(1)).expect("one");
-    chooser.start(key, 500.0, false);
-    assert_eq!(chooser.load(key), EngineLoad { requests: 1.0, unread: 500.0 });
-    chooser.first_event(key, 500.0, false);
-    assert_eq!(chooser.load(key), EngineLoad { requests: 1.0, unread: 0.0 });
-    chooser.follow(vec![target("a", Some("large")), target("b", Some("large"))]);
-    assert_eq!(chooser.load(key).requests, 1.0);
-    chooser.finish(key, 0.0, false);
-    assert_eq!(chooser.load(key), EngineLoad::default());
-    chooser.follow(Vec::new());
+    let key = balancer.choose(ask, Some(&site_engine()), &[], NOW, &mut Seed::new(1)).expect("one");
+    balancer.record_start(key, 500.0, false);
+    assert_eq!(balancer.load(key), EngineLoad { requests: 1.0, unread: 500.0 });
+    balancer.record_first_event(key, 500.0, false);
+    assert_eq!(balancer.load(key), EngineLoad { requests: 1.0, unread: 0.0 });
+    balancer.set_targets(vec![target("a", Some("large")), target("b", Some("large"))]);
+    assert_eq!(balancer.load(key).requests, 1.0);
+    balancer.record_finish(key, 0.0, false);
+    assert_eq!(balancer.load(key), EngineLoad::default());
+    balancer.set_targets(Vec::new());
     // What ends after its endpoint has left the list is without effect.
-    chooser.finish(key, 0.0, false);
-    assert_eq!(chosen(&chooser, "large", &[], NOW), None);
+    balancer.record_finish(key, 0.0, false);
+    assert_eq!(chosen(&balancer, "large", &[], NOW), None);
 }
 
 /// Story: a replica whose member had died took requests for 3.7 s. Each daemon had few requests there;
@@ -272,57 +284,57 @@
 /// each took the other's beginnings for a sign of life.
 #[test]
 fn a_request_that_begins_is_no_progress_of_its_replica() {
-    let mut chooser = Chooser::default();
-    chooser.follow(vec![target("a", Some("large"))]);
+    let mut balancer = LoadBalancer::default();
+    balancer.set_targets(vec![target("a", Some("large"))]);
     let service = ServiceName::new("models");
     let ask = ask(&service, Some("large"), 500.0);
-    let key = chooser.choose(ask, Some(&site_engine()), &[], NOW, &mut Seed::new(1)).expect("one");
-    chooser.start(key, 500.0, false);
-    chooser.progress(key, NOW);
-    chooser.finish(key, 0.0, false);
-    chooser.start(key, 500.0, false);
-    assert_eq!(chooser.last_progress(key), Some(NOW));
-    let told: Vec<Millis> = chooser.own().map(|(_, _, progress)| progress).collect();
+    let key = balancer.choose(ask, Some(&site_engine()), &[], NOW, &mut Seed::new(1)).expect("one");
+    balancer.record_start(key, 500.0, false);
+    balancer.record_progress(key, NOW);
+    balancer.record_finish(key, 0.0, false);
+    balancer.record_start(key, 500.0, false);
+    assert_eq!(balancer.last_progress(key), Some(NOW));
+    let told: Vec<Millis> = balancer.own_loads().map(|(_, _, progress)| progress).collect();
     assert_eq!(told, [NOW]);
 }
 
 #[test]
 fn a_plain_endpoint_that_fails_some_requests_is_chosen_less() {
-    let mut chooser = Chooser::default();
-    chooser.follow(vec![target("a", None), target("b", None)]);
+    let mut balancer = LoadBalancer::default();
+    balancer.set_targets(vec![target("a", None), target("b", None)]);
     let service = ServiceName::new("models");
     let ask = ask(&service, None, 0.0);
     let mut seed = Seed::new(3);
     let mut to_a = 0;
     for _ in 0..200 {
-        let key = chooser.choose(ask, None, &[], NOW, &mut seed).expect("one");
-        if chooser.id(key).expect("known").as_str() == "a" {
+        let key = balancer.choose(ask, None, &[], NOW, &mut seed).expect("one");
+        if balancer.id(key).expect("known").as_str() == "a" {
             to_a += 1;
-            chooser.failed(key, NOW);
+            balancer.record_failure(key, NOW);
         } else {
-            chooser.succeeded(key, NOW);
+            balancer.record_success(key, NOW);
         }
     }
     assert!(to_a < 10, "{to_a}");
     // In time it is tried again.
     let later = NOW + Millis(60_000);
-    let choose = |seed: &mut Seed| chooser.choose(ask, None, &[], later, seed).expect("one");
+    let choose = |seed: &mut Seed| balancer.choose(ask, None, &[], later, seed).expect("one");
     let keys: Vec<_> = (0..50).map(|_| choose(&mut seed)).collect();
-    assert!(keys.iter().any(|key| chooser.id(*key).expect("known").as_str() == "a"));
+    assert!(keys.iter().any(|key| balancer.id(*key).expect("known").as_str() == "a"));
 }
 
 #[test]
 fn a_silence_is_long_only_beyond_what_the_load_explains() {
     let engine = site_engine();
     let (large, mut fast) = (site_model("large", 4, 0.5), site_model("large", 4, 0.5));
-    fast.pace = 0.5;
-    let idle = engine.longest_silence(&large, EngineLoad::default());
+    fast.time_factor = 0.5;
+    let idle = engine.max_silence(&large, EngineLoad::default());
     let reading = EngineLoad { requests: 9.0, unread: 10_000.0 };
     let flooded = EngineLoad { requests: 9.0, unread: 1_000_000.0 };
     assert!((80.0..150.0).contains(&idle), "{idle}");
-    assert!(engine.longest_silence(&large, reading) > idle + 150.0);
-    assert!(engine.longest_silence(&large, flooded) < 600.0);
-    assert!(engine.longest_silence(&fast, EngineLoad::default()) < idle);
+    assert!(engine.max_silence(&large, reading) > idle + 150.0);
+    assert!(engine.max_silence(&large, flooded) < 600.0);
+    assert!(engine.max_silence(&fast, EngineLoad::default()) < idle);
 }
 
 #[test]
@@ -331,7 +343,7 @@
     let large = site_model("large", 4, 0.5);
     let load = |requests, unread| EngineLoad { requests, unread };
     let times = [load(0.0, 0.0), load(10.0, 0.0), load(10.0, 5_000.0), load(30.0, 5_000.0)]
-        .map(|load| engine.first_token(&large, load, 1_000.0));
+        .map(|load| engine.first_token_time(&large, load, 1_000.0));
     assert!(times.windows(2).all(|pair| pair[0] < pair[1]), "{times:?}");
 }
 
@@ -382,7 +394,7 @@
         earlier.loaded = vec!["large".to_owned()];
         let mut now = domain_box("d", 1, &["small"]);
         now.loaded = case.told.iter().map(|name| (*name).to_owned()).collect();
-        now.keep_memory_of(&earlier);
+        now.carry_over_loaded_models(&earlier);
         assert_eq!(now.loaded, case.known, "{}", case.name);
     }
 }
@@ -390,14 +402,14 @@
 fn domain_box(domain: &str, number: usize, staged: &[&str]) -> SiteBox {
     SiteBox {
         id: BoxId::new(format!("{domain}-{number}")),
-        start: BoxStart::Untold,
+        start: BoxStart::Unreported,
         orders_taken: 0,
         service: ServiceName::new("models"),
         address: "127.0.0.1:1".parse().expect("an address"),
         zone: ZoneId::new("hall"),
         slots: 26,
         leaving: false,
-        cold_left: None,
+        cold_remaining: None,
         domain: Some(DomainId::new(domain)),
         staged: staged.iter().map(|name| (*name).to_owned()).collect(),
         loaded: Vec::new(),
@@ -410,7 +422,7 @@
     let mut engine = site_engine();
     let figures = [(16, 0.5), (4, 0.5)];
     for (model, (span, share)) in engine.models.iter_mut().zip(figures) {
-        (model.span, model.share) = (span, share);
+        (model.span, model.work_share) = (span, share);
     }
     let boxes: Vec<(DomainId, Vec<SiteBox>)> = (0..6)
         .map(|domain| {
@@ -440,7 +452,7 @@
 }
 
 fn spend_all(share: &mut RetryShare, now: Millis, nodes: usize) -> usize {
-    std::iter::repeat_with(|| share.spend(now, nodes)).take_while(|spent| *spent).count()
+    std::iter::repeat_with(|| share.try_spend(now, nodes)).take_while(|spent| *spent).count()
 }
 
 #[test]
--- a/crates/cherrystand_core/tests/store_eras.rs
+++ b/crates/cherrystand_core/tests/store_eras.rs
@@ -38,7 +38,7 @@
         replica: "r".to_owned(),
         epoch: Epoch(1),
         task: MemberTask::Leave,
-        before,
+        sequence: before,
         record_epoch: Epoch(1),
     };
     let in_order = [(0, 7), (0, 1_000_000), (1, 3), (1, 4), (2, 0), (7, 9)];
--- a/crates/cherrystand_core/tests/support/mod.rs
+++ b/crates/cherrystand_core/tests/support/mod.rs
@@ -27,14 +27,14 @@
 pub(crate) fn site_box(id: &str, service: &str) -> SiteBox {
     SiteBox {
         id: BoxId::new(id),
-        start: BoxStart::Untold,
+        start: BoxStart::Unreported,
         orders_taken: 0,
         service: ServiceName::new(service),
         address: "127.0.0.1:9".parse().expect("an address"),
         zone: ZoneId::new("z1"),
         slots: 8,
         leaving: false,
-        cold_left: None,
+        cold_remaining: None,
         domain: None,
         staged: Vec::new(),
         loaded: Vec::new(),
@@ -97,10 +97,10 @@
     ModelSpec {
         name: name.to_owned(),
         span,
-        pace: 1.0,
-        share,
-        load: Millis(16_000),
-        warm: Millis(1_600),
+        time_factor: 1.0,
+        work_share: share,
+        load_time: Millis(16_000),
+        host_load_time: Millis(1_600),
     }
 }
 
@@ -108,19 +108,19 @@
 pub(crate) fn site_engine() -> EngineSpec {
     EngineSpec {
         slots: 26,
-        stride: 7,
+        steps_per_pass: 7,
         step_ms: 6.0,
         per_request_ms: 0.04,
         context_ms_per_k: 0.01,
-        chunk: 2_048,
-        read_per_s: 50_000.0,
-        pairs_ms_per_m: 0.4,
-        far_factor: 2.5,
-        form: Millis(300),
+        prefill_chunk: 2_048,
+        prefill_tokens_per_s: 50_000.0,
+        attention_ms_per_m_pairs: 0.4,
+        cross_domain_factor: 2.5,
+        formation_time: Millis(300),
         loads_per_s: 4.5,
         loads_at_once: 6,
-        usual_prompt: 1_000.0,
-        usual_answer: 180.0,
+        typical_prompt_tokens: 1_000.0,
+        typical_answer_tokens: 180.0,
         models: vec![site_model("large", 4, 0.57), site_model("small", 3, 0.43)],
     }
 }
--- a/crates/cherrystand_testkit/src/site/fake_site_domain.rs
+++ b/crates/cherrystand_testkit/src/site/fake_site_domain.rs
@@ -245,14 +245,14 @@
     fn entry(&self, id: &BoxId, held: &FakeMember) -> SiteBox {
         SiteBox {
             id: self.id_of(id, held),
-            start: if self.tells_starts { BoxStart::At(held.start) } else { BoxStart::Untold },
+            start: if self.tells_starts { BoxStart::At(held.start) } else { BoxStart::Unreported },
             orders_taken: held.taken,
             service: ServiceName::new("captions"),
             address: "127.0.0.1:1".parse().expect("an address"),
             zone: ZoneId::new("hall"),
             slots: 26,
             leaving: false,
-            cold_left: None,
+            cold_remaining: None,
             domain: Some(self.domain.clone()),
             staged: held.staged.iter().cloned().collect(),
             loaded: held.loaded.iter().filter(|_| held.belongs.is_some()).cloned().collect(),
--- a/crates/cherrystandd/src/site/box_calls.rs
+++ b/crates/cherrystandd/src/site/box_calls.rs
@@ -54,7 +54,7 @@
         }
         let is_silent = self.known.borrow().is_silent(&order.target);
         if let Some(formation) = self.formations.borrow_mut().get_mut(domain) {
-            formation.order_ended(&order, end, is_silent);
+            formation.record_order_end(&order, end, is_silent);
         }
     }
 
--- a/crates/cherrystandd/src/site/box_entries.rs
+++ b/crates/cherrystandd/src/site/box_entries.rs
@@ -29,12 +29,12 @@
         }
         self.entries.insert(name.clone(), entry.clone());
         match Driver::read_box(&entry.key, &entry.body) {
-            Ok(known) if self.lives.take(&known) => self.reapply_entries(&known.service, now),
+            Ok(known) if self.lives.update(&known) => self.reapply_entries(&known.service, now),
             Ok(known) => self.apply_box(known, entry, now),
             Err(err) => {
                 self.refused.record(entry, RefusedKind::BoxEntry, &err);
                 self.replace_with_unusable(&name, entry, now);
-                if let Some(service) = self.lives.forget(&name) {
+                if let Some(service) = self.lives.remove(&name) {
                     self.reapply_entries(&service, now);
                 }
             }
@@ -55,7 +55,7 @@
     /// Takes in what a box tells of itself, in the life that its entry tells of.
     fn apply_box(&mut self, mut known: SiteBox, entry: &Document, now: Millis) {
         let name = known.id.clone();
-        let Some(id) = self.lives.life_of(&known) else {
+        let Some(id) = self.lives.incarnation_of(&known) else {
             let reason =
                 "it does not tell its start in whole milliseconds, as others do".to_owned();
             let err = FormatError { key: entry.key.to_string(), reason };
@@ -74,7 +74,7 @@
         }
         let departed = departed.filter(|_| !self.ended_lives.contains(&id));
         if let Some(earlier) = self.boxes.get(&id).or(departed.as_ref()) {
-            known.keep_memory_of(earlier);
+            known.carry_over_loaded_models(earlier);
         }
         self.ended_lives.remove(&id);
         self.unlisted.remove(&id);
@@ -91,7 +91,7 @@
             return;
         }
         // Peers need not hear of a heartbeat that says nothing new but how many orders it took.
-        if is_cold_news || held.is_none_or(|held| held.tells_otherwise(&known)) {
+        if is_cold_news || held.is_none_or(|held| held.differs_from(&known)) {
             self.log.record(entry.clone());
         }
         Arc::make_mut(&mut self.boxes).insert(id, Arc::new(known));
@@ -100,7 +100,7 @@
     /// Takes in how much longer a box is cold, and tells whether that is news; one that does not tell is cold
     /// for as long as its service says, if it came while this node listened.
     fn apply_cold(&mut self, known: &mut SiteBox, entry: &Document, now: Millis) -> bool {
-        let told = known.cold_left.take();
+        let told = known.cold_remaining.take();
         if self.zones.returned_after(&known.zone, entry.revision) {
             // It says how the box was while nothing was sent there.
             return false;
@@ -114,7 +114,7 @@
         if left == Millis(0) && self.cold.until(&known.id).is_none() {
             return false;
         }
-        Arc::make_mut(&mut self.cold).told(&known.id, left, now)
+        Arc::make_mut(&mut self.cold).record(&known.id, left, now)
     }
 
     /// Lists a box under a life that it was not listed under.
@@ -184,7 +184,7 @@
         }
         self.absences.add(name, as_of);
         self.entries.remove(name);
-        if let Some(service) = self.lives.forget(name) {
+        if let Some(service) = self.lives.remove(name) {
             self.reapply_entries(&service, now);
         }
         if self.remove_listed(name, now) {
--- a/crates/cherrystandd/src/site/box_queries.rs
+++ b/crates/cherrystandd/src/site/box_queries.rs
@@ -103,7 +103,7 @@
         };
         let departed = self.departed.values().map(|gone| &gone.known);
         let all = self.boxes.values().chain(departed).map(Arc::as_ref);
-        all.filter(|other| other.is_in(&member.replica, member.epoch)).cloned().collect()
+        all.filter(|other| other.is_member_of(&member.replica, member.epoch)).cloned().collect()
     }
 
     /// Returns the members of the replica that a box leads of which nothing but their names is
--- a/crates/cherrystandd/src/site/capacity.rs
+++ b/crates/cherrystandd/src/site/capacity.rs
@@ -3,8 +3,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use cherrystand_core::{
-    CapacityPlan, DomainId, DomainUse, EngineSpec, Heartbeat, HomeChange, Millis, ServiceName,
-    SiteBox, home_models, owner_of, second_models,
+    CapacityPlanner, DomainCapacity, DomainId, EngineSpec, Heartbeat, HomeChange, Millis,
+    ServiceName, SiteBox, home_models, owner_of, second_models,
 };
 
 use crate::site::control::Control;
@@ -85,7 +85,7 @@
     /// Says how many replicas each model keeps busy, for the log.
     fn busy_replicas(&self) -> String {
         let plans = self.plans.borrow();
-        let models = plans.values().flat_map(|plan| plan.busy());
+        let models = plans.values().flat_map(|plan| plan.busy_replicas());
         let busy: Vec<String> = models.map(|(model, busy)| format!("{model} {busy:.1}")).collect();
         busy.join(", ")
     }
@@ -104,14 +104,14 @@
     fn preload_changes(&self) -> Vec<HomeChange> {
         let now = self.now();
         let planned =
-            self.with_each_plan(|plan, _, engine, domains| plan.prepare(now, engine, domains));
+            self.with_each_plan(|plan, _, engine, domains| plan.preload(now, engine, domains));
         planned.into_iter().flatten().collect()
     }
 
     /// Asks the plan of each service with an engine that requests are in flight for.
     fn with_each_plan<T>(
         &self,
-        mut ask: impl FnMut(&mut CapacityPlan, &ServiceName, &EngineSpec, &[DomainUse]) -> T,
+        mut ask: impl FnMut(&mut CapacityPlanner, &ServiceName, &EngineSpec, &[DomainCapacity]) -> T,
     ) -> Vec<T> {
         let known = self.known.borrow();
         let Some(table) = known.table() else {
@@ -135,7 +135,7 @@
     known: &SiteState,
     service: &ServiceName,
     homes: &BTreeMap<DomainId, String>,
-) -> Vec<DomainUse> {
+) -> Vec<DomainCapacity> {
     let by_domain = known.boxes_by_domain();
     let (emptied, seconds) = (known.zones.since(), known.second_models());
     let described = homes.iter().filter_map(|(id, home)| {
@@ -153,7 +153,7 @@
     home: &str,
     second: Option<&String>,
     boxes: &[&SiteBox],
-) -> DomainUse {
+) -> DomainCapacity {
     let mut held: BTreeMap<String, usize> = BTreeMap::new();
     for known in boxes.iter().filter(|known| !known.leaving) {
         let models: BTreeSet<&String> = known.staged.iter().chain(&known.loaded).collect();
@@ -163,5 +163,5 @@
     }
     let boxes = boxes.iter().filter(|known| !known.leaving).count();
     let (id, home, second) = (id.clone(), home.to_owned(), second.cloned());
-    DomainUse { id, home, held, boxes, second }
+    DomainCapacity { id, home, boxes_by_model: held, boxes, second }
 }
--- a/crates/cherrystandd/src/site/control.rs
+++ b/crates/cherrystandd/src/site/control.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use cherrystand_core::{
-    BoxId, CallBook, CapacityPlan, DomainId, Doubt, Formation, Heartbeat, Millis, NewsBudget,
+    BoxId, CallBook, CapacityPlanner, DomainId, Doubt, Formation, Heartbeat, Millis, NewsBudget,
     Revision, ServiceName, StoreReach, all_readers, owner_of,
 };
 use cherrystand_peer::{ChangeBatches, ChangeNews, PackedBody};
@@ -88,7 +88,7 @@
     pub(super) wake: Notify,
     pub(super) formations: RefCell<BTreeMap<DomainId, Formation>>,
     /// Which split of its domains each service's work wants.
-    pub(super) plans: RefCell<BTreeMap<ServiceName, CapacityPlan>>,
+    pub(super) plans: RefCell<BTreeMap<ServiceName, CapacityPlanner>>,
     pub(super) loads: RefCell<BTreeMap<DomainId, VecDeque<Millis>>>,
     /// When boxes were last asked whether they are there, by the reason.
     pub(super) asked: RefCell<BTreeMap<(BoxId, Doubt), Millis>>,
--- a/crates/cherrystandd/src/site/evacuation_state.rs
+++ b/crates/cherrystandd/src/site/evacuation_state.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 
 use cherrystand_core::{
-    Document, EmptiedZones, Evacuations, Millis, Revision, ServiceName, ZoneId,
+    Document, EvacuatedZones, Evacuations, Millis, Revision, ServiceName, ZoneId,
 };
 use cherrystand_platform::{Changes, FormatError, SiteDriver};
 
@@ -33,13 +33,13 @@
 
     /// Returns the revision of the last change; 0 while nothing is known.
     pub(super) fn changed_at(&self) -> Revision {
-        self.held.changed()
+        self.held.changed_at()
     }
 
     /// Returns the copy that peers get, once anything is known.
     pub(super) fn document(&self) -> Option<Document> {
-        let revision = self.held.changed();
-        let body = serde_json::to_string(&self.held.copy());
+        let revision = self.held.changed_at();
+        let body = serde_json::to_string(&self.held.snapshot());
         let body = body.inspect_err(|err| log::error!("emptied zones cannot be written: {err}"));
         let body = body.ok().filter(|_| revision > Revision::NONE)?;
         Some(Document { key: Arc::from(keys::EMPTIED_ZONES), revision, body: Arc::from(body) })
@@ -52,7 +52,7 @@
 
     /// Follows the zones held, and returns those that were taken back.
     fn sync(&mut self, now: Millis) -> Vec<ZoneId> {
-        let (zones, changed) = (self.held.zones(), self.held.changed());
+        let (zones, changed) = (self.held.zones(), self.held.changed_at());
         let back: Vec<ZoneId> =
             self.since.keys().filter(|zone| !zones.contains(*zone)).cloned().collect();
         let since = Arc::make_mut(&mut self.since);
@@ -101,7 +101,7 @@
         as_of: Revision,
         now: Millis,
     ) -> bool {
-        let is_new = self.zones.held.take_all(zones, as_of);
+        let is_new = self.zones.held.replace(zones, as_of);
         if is_new {
             self.sync_zones(now);
         }
@@ -114,7 +114,7 @@
     pub(super) fn apply_zone_changes(&mut self, changes: &Changes, now: Millis) -> bool {
         let emptied = self.evacuated_zones_in(changes);
         let back = changes.gone.iter().filter_map(|key| zone_of(key));
-        let is_new = self.zones.held.take_changes(emptied, back, changes.revision);
+        let is_new = self.zones.held.apply_changes(emptied, back, changes.revision);
         if is_new {
             self.sync_zones(now);
         }
@@ -163,7 +163,7 @@
         as_of: Revision,
         now: Millis,
     ) -> bool {
-        match serde_json::from_str::<EmptiedZones>(&copy.body) {
+        match serde_json::from_str::<EvacuatedZones>(&copy.body) {
             Ok(emptied) => self.apply_evacuated_zones(emptied.zones, as_of, now),
             Err(err) => {
                 self.refused.record(copy, RefusedKind::EvacuatedZones, &err);
--- a/crates/cherrystandd/src/site/event_stream.rs
+++ b/crates/cherrystandd/src/site/event_stream.rs
@@ -82,7 +82,11 @@
             attempt: ended.attempt,
             silent: self.front.now().since(seen.heard),
             standstill: seen.standstill,
-            attempts_left: self.req.route.attempts.saturating_sub(self.tries.ledger.most_runs()),
+            attempts_left: self
+                .req
+                .route
+                .attempts
+                .saturating_sub(self.tries.ledger.max_executions()),
             repeat_left: self.front.has_repeat(&self.req),
         });
     }
@@ -99,12 +103,12 @@
                 step = next_of(&mut current, last) => step,
                 taken_up = besides.next() => match taken_up {
                     Ok((run, step)) => {
-                        self.tries.ledger.ended(AttemptEnd::Answered);
+                        self.tries.ledger.record_end(AttemptEnd::Answered);
                         current = Some(run);
                         step
                     }
                     Err(end) => {
-                        self.tries.ledger.ended(end);
+                        self.tries.ledger.record_end(end);
                         if current.is_some() || !besides.is_empty() {
                             continue;
                         }
@@ -142,7 +146,7 @@
                 RunStep::Events(events, id) => {
                     // Whoever goes on first is the one; the others' places are freed at once.
                     besides.clear();
-                    self.tries.ledger.rest_ended(AttemptEnd::Overtaken);
+                    self.tries.ledger.record_remaining_ends(AttemptEnd::Overtaken);
                     (sent_to_go_on, self.last) = (0, id);
                     *seen = LastSeen { heard: self.front.now(), standstill: None };
                     let handed = self.front.now();
--- a/crates/cherrystandd/src/site/flight.rs
+++ b/crates/cherrystandd/src/site/flight.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 
 use cherrystand_core::{
-    BoxId, Expected, Fingerprint, Millis, SendPermit, StallEvidence, TargetKey,
+    BoxId, Fingerprint, Millis, Prediction, SendPermit, StallEvidence, TargetKey,
 };
 
 use tokio::sync::Notify;
@@ -34,7 +34,7 @@
     /// When it was sent.
     pub(crate) sent: Millis,
     /// What was expected of it, where its engine is known.
-    expected: Option<Expected>,
+    expected: Option<Prediction>,
     /// Its priority at the engine, where it has one.
     pub(crate) priority: Option<u8>,
     /// Whether it waits behind those that can still be in time.
@@ -57,13 +57,13 @@
         req: Rc<SiteRequest>,
         key: TargetKey,
         target: BoxId,
-        expected: Option<Expected>,
+        expected: Option<Prediction>,
         priority: Option<u8>,
     ) -> Self {
         let now = front.now();
         let prompt = req.prompt();
         let waits_behind = expected.is_some_and(|expected| expected.deferred);
-        front.chooser.borrow_mut().start(key, prompt, waits_behind);
+        front.balancer.borrow_mut().record_start(key, prompt, waits_behind);
         front.crashes.sent(&target, &req);
         Self {
             front,
@@ -94,7 +94,7 @@
     fn answers(&self) {
         if self.comes_back && !self.answered.replace(true) {
             let now = self.front.now();
-            self.front.chooser.borrow_mut().answered_after_rest(&self.target, now);
+            self.front.balancer.borrow_mut().answered_after_rest(&self.target, now);
         }
     }
 
@@ -103,15 +103,19 @@
         let now = self.front.now();
         self.answers();
         self.stall_told.set(None);
-        let mut chooser = self.front.chooser.borrow_mut();
-        chooser.progress(self.key, now);
+        let mut balancer = self.front.balancer.borrow_mut();
+        balancer.record_progress(self.key, now);
         let unread = self.unread.take();
         if unread > 0.0 {
             let waited_behind = self.waits_behind.take();
-            chooser.first_event(self.key, unread, waited_behind);
+            balancer.record_first_event(self.key, unread, waited_behind);
             // What was put behind tells nothing of how long others take.
             if let Some(expected) = self.expected.filter(|_| !waited_behind) {
-                chooser.learn_first_event(self.key, now.since(self.sent), expected.predicted);
+                balancer.record_first_event_time(
+                    self.key,
+                    now.since(self.sent),
+                    expected.first_event_ms,
+                );
             }
         }
     }
@@ -167,14 +171,14 @@
     pub(crate) fn succeeded(&self) {
         let now = self.front.now();
         self.answers();
-        self.front.chooser.borrow_mut().succeeded(self.key, now);
+        self.front.balancer.borrow_mut().record_success(self.key, now);
         self.front.crashes.served(&self.req);
     }
 
     /// Notes that the endpoint failed the request.
     pub(crate) fn failed(&self) {
         let now = self.front.now();
-        self.front.chooser.borrow_mut().failed(self.key, now);
+        self.front.balancer.borrow_mut().record_failure(self.key, now);
     }
 
     /// Notes that the endpoint turned the request away.
@@ -195,19 +199,19 @@
     /// Leaves the endpoint out of the choice for a while.
     pub(crate) fn avoid(&self) {
         let now = self.front.now();
-        self.front.chooser.borrow_mut().avoid(self.key, now);
+        self.front.balancer.borrow_mut().eject(self.key, now);
     }
 }
 
 impl Drop for Flight {
     fn drop(&mut self) {
-        let mut chooser = self.front.chooser.borrow_mut();
-        chooser.finish(self.key, self.unread.get(), self.waits_behind.get());
+        let mut balancer = self.front.balancer.borrow_mut();
+        balancer.record_finish(self.key, self.unread.get(), self.waits_behind.get());
         if self.comes_back {
-            chooser.ended_after_rest(&self.target);
+            balancer.ended_after_rest(&self.target);
         }
         if self.permit.take().is_some() {
-            chooser.limits_mut().not_sent(&self.target);
+            balancer.limits_mut().not_sent(&self.target);
         }
         self.front.crashes.ended_at(&self.target, &self.req);
     }
--- a/crates/cherrystandd/src/site/flow.rs
+++ b/crates/cherrystandd/src/site/flow.rs
@@ -79,7 +79,7 @@
     if status != StatusCode::SERVICE_UNAVAILABLE {
         return refused;
     }
-    match front.all_closed_until(req) {
+    match front.unavailable_until(req) {
         None => refused,
         Some(until) => Refused {
             reason: RefusalReason::EndpointsRest.as_str(),
@@ -112,7 +112,7 @@
     let view = front.follow_once_known().await;
     let table = view.table.as_ref().ok_or(StatusCode::SERVICE_UNAVAILABLE)?;
     let (head, body) = req.into_parts();
-    if head_bytes(&head) > table.config().limits.head_bytes {
+    if head_bytes(&head) > table.config().limits.header_bytes {
         return Err(StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE.into());
     }
     let facts = Driver::read_request(&head.headers);
@@ -163,7 +163,7 @@
     if begun.head.status != StatusCode::OK {
         let answer = within_deadline(front, &req, pass_whole(front, begun)).await;
         return answer.map_err(|end| {
-            tries.ledger.ended(end);
+            tries.ledger.record_end(end);
             tries.failed(front, &req, end)
         });
     }
@@ -203,7 +203,7 @@
             ended = open.next() => ended,
             () = tokio::time::sleep(LOOK_EVERY) => {
                 if front.now() >= req.deadline {
-                    tries.ledger.rest_ended(AttemptEnd::TimedOut);
+                    tries.ledger.record_remaining_ends(AttemptEnd::TimedOut);
                     return Err(tries.failed(front, req, AttemptEnd::TimedOut));
                 }
                 let look = (!front.was_busy(looked)).then(|| open.look(front, req)).flatten();
@@ -219,12 +219,12 @@
         };
         match ended {
             Ok(begun) => {
-                tries.ledger.ended(AttemptEnd::Answered);
-                tries.ledger.rest_ended(AttemptEnd::Overtaken);
+                tries.ledger.record_end(AttemptEnd::Answered);
+                tries.ledger.record_remaining_ends(AttemptEnd::Overtaken);
                 return Ok(begun);
             }
             // The others may bring the answer yet.
-            Err(end) if !open.is_empty() => tries.ledger.ended(end),
+            Err(end) if !open.is_empty() => tries.ledger.record_end(end),
             Err(end) if tries.go_on(front, req, end).await => {
                 let flight = tries.begin(front, req).ok_or_else(|| tries.status())?;
                 open.push(flight.clone(), send(flight));
--- a/crates/cherrystandd/src/site/front.rs
+++ b/crates/cherrystandd/src/site/front.rs
@@ -8,9 +8,9 @@
 use std::time::Duration;
 
 use cherrystand_core::{
-    AttemptEnd, BoxId, Chooser, EngineLoad, Expected, LogLimiter, Millis, Outcome, PeerProgress,
-    Route, STALL_MARGIN, Seed, ServiceName, SiteView, StallEvidence, StreamEnd, engine_priority,
-    kept_connections,
+    AttemptEnd, BoxId, EngineLoad, LoadBalancer, LogLimiter, Millis, Outcome, PeerProgress,
+    Prediction, Route, STALL_MARGIN, Seed, ServiceName, SiteView, StallEvidence, StreamEnd,
+    engine_priority, kept_connections,
 };
 use cherrystand_platform::{EndpointPool, HeldBytes};
 
@@ -66,7 +66,7 @@
 pub(crate) struct Front {
     pub(super) cx: DutyContext,
     /// What the choice of an endpoint needs.
-    pub(crate) chooser: Rc<RefCell<Chooser>>,
+    pub(crate) balancer: Rc<RefCell<LoadBalancer>>,
     /// Its connections to endpoints.
     pub(crate) pool: EndpointPool,
     /// The room for bodies that are held whole.
@@ -90,13 +90,13 @@
     /// Creates what requests share, with loads that are exchanged beside them.
     pub(crate) fn new(
         cx: DutyContext,
-        chooser: Rc<RefCell<Chooser>>,
+        balancer: Rc<RefCell<LoadBalancer>>,
         loads: Rc<LoadExchange>,
         crashes: Rc<CrashWatch>,
     ) -> Self {
-        chooser.borrow_mut().limits_mut().number_from(clock::unix_millis());
+        balancer.borrow_mut().limits_mut().number_from(clock::unix_millis());
         Self {
-            chooser,
+            balancer,
             pool: EndpointPool::default(),
             room: HeldBytes::new(cx.settings.limits.held_bytes(), cx.metrics.bytes_held.clone()),
             view: RefCell::default(),
@@ -133,7 +133,7 @@
         addresses.clear();
         addresses.extend(targets.iter().map(|(spec, address)| (spec.id.clone(), *address)));
         let specs = targets.into_iter().map(|(spec, _)| spec).collect();
-        self.chooser.borrow_mut().follow(specs);
+        self.balancer.borrow_mut().set_targets(specs);
         let before = self.view.replace(newest.clone());
         if newest.silent != before.silent {
             self.tell_lost(&before, &newest);
@@ -182,7 +182,7 @@
 
     /// Tells whether a box says that it leaves.
     pub(crate) fn is_leaving(&self, id: &BoxId) -> bool {
-        let said = self.chooser.borrow().is_leaving(id);
+        let said = self.balancer.borrow().is_leaving(id);
         said || self.view.borrow().boxes.get(id).is_some_and(|known| known.leaving)
     }
 
@@ -197,33 +197,33 @@
         let engine = view.table.as_ref()?.config().engine(&req.service);
         let objective = match urgency {
             Urgency::Begins => req.objective_left(self.now()),
-            Urgency::GoesOn => req.route.aim,
+            Urgency::GoesOn => req.route.latency_goal,
         };
         let ask = req.ask(engine, objective);
         let mut seed = self.seed.get();
-        self.loads.hand_over(&mut self.chooser.borrow_mut());
+        self.loads.hand_over(&mut self.balancer.borrow_mut());
         let mut apart = self.crashes.kept_apart(req);
-        let chooser = self.chooser.borrow();
+        let balancer = self.balancer.borrow();
         let key = match apart.is_empty() {
-            true => chooser.choose(ask, engine, not, self.now(), &mut seed),
+            true => balancer.choose(ask, engine, not, self.now(), &mut seed),
             false => {
                 apart.extend_from_slice(not);
-                let key = chooser.choose(ask, engine, &apart, self.now(), &mut seed);
-                key.or_else(|| chooser.choose(ask, engine, not, self.now(), &mut seed))
+                let key = balancer.choose(ask, engine, &apart, self.now(), &mut seed);
+                key.or_else(|| balancer.choose(ask, engine, not, self.now(), &mut seed))
             }
         };
         self.seed.set(seed);
-        let key = key.or_else(|| chooser.choose(ask, engine, &[], self.now(), &mut seed))?;
-        let target = chooser.id(key)?.clone();
-        let expected = engine.and_then(|engine| chooser.expected(key, ask, engine));
+        let key = key.or_else(|| balancer.choose(ask, engine, &[], self.now(), &mut seed))?;
+        let target = balancer.id(key)?.clone();
+        let expected = engine.and_then(|engine| balancer.predict(key, ask, engine));
         let expected = expected.map(|expected| match urgency {
             Urgency::Begins => expected,
-            Urgency::GoesOn => Expected { deferred: false, ..expected },
+            Urgency::GoesOn => Prediction { deferred: false, ..expected },
         });
-        drop(chooser);
+        drop(balancer);
         let rank = req.route.priority;
         let priority = expected.map(|expected| engine_priority(rank, expected.deferred));
-        let permit = self.chooser.borrow_mut().permit(key, self.now())?;
+        let permit = self.balancer.borrow_mut().permit(key, self.now())?;
         let flight =
             Flight::start(permit, self.clone(), req.clone(), key, target, expected, priority);
         let flight = Rc::new(flight);
@@ -263,16 +263,16 @@
         heard: Millis,
     ) -> Option<StallEvidence> {
         let now = self.now();
-        let progress = self.chooser.borrow().last_progress(flight.key);
+        let progress = self.balancer.borrow().last_progress(flight.key);
         let progress = progress.unwrap_or_default().max(heard);
         let silence = now.since(progress);
         // Most looks end here, and need not know what peers have in flight.
         if silence <= STALL_MARGIN {
             return None;
         }
-        self.loads.hand_over(&mut self.chooser.borrow_mut());
-        let chooser = self.chooser.borrow();
-        let longest = self.longest_silence(req, chooser.load(flight.key));
+        self.loads.hand_over(&mut self.balancer.borrow_mut());
+        let balancer = self.balancer.borrow();
+        let longest = self.max_silence(req, balancer.load(flight.key));
         if silence <= longest {
             return None;
         }
@@ -280,7 +280,7 @@
             true => self.loads.peers_tell(&flight.target, now - longest, now),
             false => PeerProgress::NotAsked,
         };
-        let others = chooser.others_progress(flight.key, now - longest);
+        let others = balancer.others_progress(flight.key, now - longest);
         let peers_age = self.loads.peers_age(now);
         Some(StallEvidence {
             silence,
@@ -291,13 +291,13 @@
         })
     }
 
-    fn longest_silence(&self, req: &SiteRequest, load: EngineLoad) -> Millis {
+    fn max_silence(&self, req: &SiteRequest, load: EngineLoad) -> Millis {
         let view = self.view.borrow();
         let engine = view.table.as_ref().and_then(|table| table.config().engine(&req.service));
         let model = req.facts.model.as_deref();
         let predicted = engine.and_then(|engine| {
             let model = engine.model(model?)?;
-            Some(engine.longest_silence(model, load))
+            Some(engine.max_silence(model, load))
         });
         STALL_MARGIN + Millis(predicted.unwrap_or_default() as u64)
     }
@@ -337,7 +337,7 @@
 
     /// Leaves a replica out whose leader says that it serves no more, here and at peers.
     pub(crate) fn not_serving(&self, flight: &Flight) {
-        if !self.chooser.borrow().is_avoided(flight.key, self.now()) {
+        if !self.balancer.borrow().is_ejected(flight.key, self.now()) {
             flight.avoid();
             self.loads.tell_left(flight.target.clone(), self.now());
         }
@@ -365,7 +365,7 @@
     /// Writes down that no endpoint serves what a request asks for.
     pub(crate) fn note_none_serving(&self, req: &SiteRequest) {
         let targets = self.addresses.borrow().len();
-        self.failures.none_serving(req, targets, || self.all_closed_until(req));
+        self.failures.none_serving(req, targets, || self.unavailable_until(req));
     }
 
     /// Counts an answer of the node's own.
--- a/crates/cherrystandd/src/site/front_duty.rs
+++ b/crates/cherrystandd/src/site/front_duty.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use cherrystand_core::{Chooser, Millis, StopPlan};
+use cherrystand_core::{LoadBalancer, Millis, StopPlan};
 use cherrystand_platform::serve_http;
 use tokio::net::TcpListener;
 use tokio::sync::watch;
@@ -37,12 +37,12 @@
     let callers = listen(cx.settings.listen.callers).await?;
     let ready = listen(site.ready).await?;
     let operators = listen(cx.settings.listen.operators).await?;
-    let chooser = Rc::new(RefCell::new(Chooser::new(cx.settings.policy)));
+    let balancer = Rc::new(RefCell::new(LoadBalancer::new(cx.settings.policy)));
     let loads = Rc::new(LoadExchange::new(site.retry_bounds()));
     let crashes = CrashWatch::new(cx.clone(), loads.clone());
-    let exchange = exchange_loads(cx.clone(), chooser.clone(), loads.clone(), crashes.clone());
+    let exchange = exchange_loads(cx.clone(), balancer.clone(), loads.clone(), crashes.clone());
     tokio::task::spawn_local(exchange);
-    let front = Rc::new(Front::new(cx.clone(), chooser, loads, crashes));
+    let front = Rc::new(Front::new(cx.clone(), balancer, loads, crashes));
     let (stop, stopped) = watch::channel(false);
     serve_pages(ready, cx.clone(), pages::readiness, stopped.clone());
     serve_pages(operators, cx.clone(), pages::operator_pages, stopped.clone());
--- a/crates/cherrystandd/src/site/limit_exchange.rs
+++ b/crates/cherrystandd/src/site/limit_exchange.rs
@@ -46,10 +46,10 @@
     }
 
     fn limits_at_work(&self) -> AtWork {
-        let (chooser, repeats) = (self.chooser.borrow(), self.loads.repeats.borrow());
-        match chooser.limits().is_idle() && repeats.is_idle() {
+        let (balancer, repeats) = (self.balancer.borrow(), self.loads.repeats.borrow());
+        match balancer.limits().is_idle() && repeats.is_idle() {
             false => AtWork::Gives,
-            true if chooser.limits().is_empty() && repeats.is_empty() => AtWork::Nothing,
+            true if balancer.limits().is_empty() && repeats.is_empty() => AtWork::Nothing,
             true => AtWork::Remembers,
         }
     }
@@ -58,7 +58,7 @@
         let view = self.cx.view_now();
         let is_other = !seen.as_ref().is_some_and(|seen| same_members(seen, &view));
         *seen = Some(view.clone());
-        let step = self.step_of(self.chooser.borrow_mut().limits_mut(), is_other, &view);
+        let step = self.step_of(self.balancer.borrow_mut().limits_mut(), is_other, &view);
         self.tell_step(step, LoadNews::Limit, &view).await;
         let step = self.step_of(&mut self.loads.repeats.borrow_mut(), is_other, &view);
         self.tell_step(step, LoadNews::Repeats, &view).await;
--- a/crates/cherrystandd/src/site/load_exchange.rs
+++ b/crates/cherrystandd/src/site/load_exchange.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use cherrystand_core::{
-    BoxId, Chooser, EndpointLimits, EndpointLoad, Heartbeat, LoadBook, Millis, PeerProgress,
+    BoxId, EndpointLimits, EndpointLoad, Heartbeat, LoadBalancer, Millis, PeerLoads, PeerProgress,
     RetryBounds, ServiceName, is_relay, relays_elsewhere, spread,
 };
 use cherrystand_peer::{LoadNews, decode, encode};
@@ -46,7 +46,7 @@
 /// Keeps what peers told, and what is to be told to them at once.
 #[derive(Default)]
 pub(crate) struct LoadExchange {
-    book: RefCell<LoadBook>,
+    book: RefCell<PeerLoads>,
     stalled: RefCell<Vec<BoxId>>,
     left: RefCell<Vec<BoxId>>,
     /// When this node last learned that a leader serves no more, from its own word, a peer's, or by
@@ -71,7 +71,7 @@
 impl LoadExchange {
     /// Creates it with repeats that are lent by the bounds of all daemons together.
     pub(crate) fn new(bounds: RetryBounds) -> Self {
-        let mut repeats = EndpointLimits::with_at_once(bounds.lent_at_once());
+        let mut repeats = EndpointLimits::with_at_once(bounds.max_loan());
         repeats.number_from(clock::unix_millis());
         Self { repeats: RefCell::new(repeats), ..Self::default() }
     }
@@ -108,9 +108,9 @@
     }
 
     /// Hands over what peers have in flight, where they told anything new since the last time.
-    pub(crate) fn hand_over(&self, chooser: &mut Chooser) {
-        if let Some(sums) = self.book.borrow_mut().take_sums() {
-            chooser.follow_others(&sums);
+    pub(crate) fn hand_over(&self, balancer: &mut LoadBalancer) {
+        if let Some(sums) = self.book.borrow_mut().changed_totals() {
+            balancer.set_peer_loads(&sums);
         }
     }
 
@@ -123,7 +123,7 @@
     ///
     /// Silence on this node alone says little: its own requests may all wait for others.
     pub(crate) fn peers_tell(&self, id: &BoxId, since: Millis, now: Millis) -> PeerProgress {
-        if self.book.borrow().seen(id).is_some_and(|seen| seen > since) {
+        if self.book.borrow().last_progress(id).is_some_and(|seen| seen > since) {
             return PeerProgress::Seen;
         }
         let asked = self.asked.borrow().get(id).copied();
@@ -146,7 +146,7 @@
 /// Exchanges loads with peers for as long as the front runs.
 pub(crate) async fn exchange_loads(
     cx: DutyContext,
-    chooser: Rc<RefCell<Chooser>>,
+    balancer: Rc<RefCell<LoadBalancer>>,
     loads: Rc<LoadExchange>,
     crashes: Rc<CrashWatch>,
 ) {
@@ -156,14 +156,14 @@
         // Loads only make the choice better.
         Err(err) => return log::error!("no loads are exchanged, {address} cannot be bound: {err}"),
     };
-    let exchange = Exchange { cx, chooser, loads, crashes, socket };
+    let exchange = Exchange { cx, balancer, loads, crashes, socket };
     tokio::join!(exchange.hear(), exchange.tell(), exchange.keep_limits());
 }
 
 /// The parts of the exchange, over one socket.
 pub(super) struct Exchange {
     pub(super) cx: DutyContext,
-    pub(super) chooser: Rc<RefCell<Chooser>>,
+    pub(super) balancer: Rc<RefCell<LoadBalancer>>,
     pub(super) loads: Rc<LoadExchange>,
     crashes: Rc<CrashWatch>,
     socket: Rc<UdpSocket>,
@@ -206,16 +206,16 @@
         match news {
             LoadNews::InFlight { from, zone, loads, zones } => {
                 let mut book = book.borrow_mut();
-                book.hear_node(from, zone, loads, now);
+                book.record_node(from, zone, loads, now);
                 for told in zones {
-                    book.hear_zone(told, own_zone, now);
+                    book.record_zone(told, own_zone, now);
                 }
             }
-            LoadNews::Zone(told) => book.borrow_mut().hear_zone(told, own_zone, now),
+            LoadNews::Zone(told) => book.borrow_mut().record_zone(told, own_zone, now),
             LoadNews::Asked(leaders) => self.answer(&leaders, sender).await,
             LoadNews::Seen(loads) => {
                 self.loads.answered.set(Some(now));
-                book.borrow_mut().see(&loads, now);
+                book.borrow_mut().record_progress(&loads, now);
             }
             LoadNews::Stalled(leaders) => self.take_stalled(leaders, now),
             LoadNews::Left(leaders) => {
@@ -231,7 +231,7 @@
             LoadNews::Served(requests) => self.crashes.peer_served(&requests),
             LoadNews::Leaves(id) => self.cx.hint(Hint::Leaves(id)),
             LoadNews::Limit(id, news) => {
-                self.chooser.borrow_mut().limits_mut().hear(sender, &id, news, now);
+                self.balancer.borrow_mut().limits_mut().hear(sender, &id, news, now);
                 self.loads.limits_due.notify_one();
             }
             LoadNews::Repeats(service, news) => {
@@ -252,7 +252,7 @@
 
     fn avoid(&self, leaders: &[BoxId], now: Millis) {
         for leader in leaders {
-            self.chooser.borrow_mut().avoid_box(leader, now);
+            self.balancer.borrow_mut().eject_box(leader, now);
         }
     }
 
@@ -288,9 +288,9 @@
 
     /// Publishes what all daemons have in flight by model, for those that plan by it.
     fn publish_model_loads(&self) {
-        let mut chooser = self.chooser.borrow_mut();
-        self.loads.hand_over(&mut chooser);
-        self.cx.publish_model_loads.send_replace(Arc::new(chooser.model_loads()));
+        let mut balancer = self.balancer.borrow_mut();
+        self.loads.hand_over(&mut balancer);
+        self.cx.publish_model_loads.send_replace(Arc::new(balancer.model_loads()));
     }
 
     async fn tell_urgent(&self) {
@@ -332,7 +332,7 @@
         let near = others.iter().filter(|beat| beat.zone == zone).map(|beat| beat.address);
         let near: Vec<SocketAddr> = near.collect();
         let book = &self.loads.book;
-        book.borrow_mut().forget(near.len().div_ceil(TOLD_AT_ONCE), now);
+        book.borrow_mut().remove_expired(near.len().div_ceil(TOLD_AT_ONCE), now);
         if others.len() <= TOLD_AT_ONCE {
             let all: Vec<SocketAddr> = others.iter().map(|beat| beat.address).collect();
             let news = LoadNews::InFlight { from, zone, loads, zones: Vec::new() };
@@ -340,11 +340,11 @@
         }
         let mut zones = Vec::new();
         if is_relay(&view.own, &alive) {
-            let sum = book.borrow().sum_of_zone(&zone, &loads, now);
+            let sum = book.borrow().zone_total(&zone, &loads, now);
             let relays = relays_elsewhere(&zone, &alive);
             let relays: Vec<SocketAddr> = relays.iter().map(|beat| beat.address).collect();
             self.send(&LoadNews::Zone(sum), &relays).await;
-            zones = book.borrow().other_zones(now);
+            zones = book.borrow().other_zone_totals(now);
         }
         let news = LoadNews::InFlight { from, zone, loads, zones };
         self.send(&news, &told_now(&near, turn)).await;
@@ -353,8 +353,8 @@
     /// Returns what this node has in flight itself.
     fn own_loads(&self) -> Vec<EndpointLoad> {
         let now = self.cx.clock.now();
-        let chooser = self.chooser.borrow();
-        let own = chooser.own().map(|(id, load, progress)| EndpointLoad {
+        let balancer = self.balancer.borrow();
+        let own = balancer.own_loads().map(|(id, load, progress)| EndpointLoad {
             id: id.clone(),
             requests: load.requests as u32,
             unread: load.unread as u32,
--- a/crates/cherrystandd/src/site/request.rs
+++ b/crates/cherrystandd/src/site/request.rs
@@ -4,8 +4,8 @@
 
 use bytes::Bytes;
 use cherrystand_core::{
-    Ask, BoxId, EngineSpec, Fingerprint, Millis, NotAllowed, RegionId, RequestHomes, Route,
-    RouteTable, ServiceName, hash_bytes,
+    AllowedRegions, BoxId, EngineSpec, Fingerprint, Millis, RegionId, RequestSpec, Route,
+    RouteError, RouteTable, ServiceName, hash_bytes,
 };
 use cherrystand_platform::{AttemptFacts, HeldBuf, HeldBytes, HeldShare, RequestFacts, SiteDriver};
 use http_body_util::{BodyExt, Full};
@@ -49,7 +49,7 @@
 impl SiteRequest {
     /// Returns what is left of the time within which its first event is in time.
     pub(crate) fn objective_left(&self, now: Millis) -> Millis {
-        self.route.aim - now.since(self.came)
+        self.route.latency_goal - now.since(self.came)
     }
 
     /// Returns what names it in all its tries: a hash of its host, path, caller and body.
@@ -72,10 +72,17 @@
     }
 
     /// Returns what it asks of an endpoint, where its service has such an engine.
-    pub(crate) fn ask(&self, engine: Option<&EngineSpec>, objective: Millis) -> Ask<'_> {
+    pub(crate) fn ask(&self, engine: Option<&EngineSpec>, objective: Millis) -> RequestSpec<'_> {
         let model = self.facts.model.as_deref().filter(|_| engine.is_some());
-        let homes = RequestHomes { route: &self.route.homes, tenant: &self.tenant_homes };
-        Ask { service: &self.service, model, prompt: self.prompt(), objective, homes }
+        let homes =
+            AllowedRegions { route: &self.route.allowed_regions, tenant: &self.tenant_homes };
+        RequestSpec {
+            service: &self.service,
+            model,
+            prompt: self.prompt(),
+            latency_goal: objective,
+            regions: homes,
+        }
     }
 
     /// Returns the tokens of its prompt.
@@ -145,8 +152,8 @@
 ) -> Result<AllowedBy, StatusCode> {
     let found = table.find(host_of(head), head.uri.path(), facts.key.as_deref());
     let allowed = found.map_err(|reason| match reason {
-        NotAllowed::NoRoute => StatusCode::NOT_FOUND,
-        NotAllowed::NoKey => StatusCode::UNAUTHORIZED,
+        RouteError::NoRoute => StatusCode::NOT_FOUND,
+        RouteError::UnknownKey => StatusCode::UNAUTHORIZED,
     })?;
     let id = facts.id.as_deref().unwrap_or_default();
     let service = allowed.route.service_of(hash_bytes(id.as_bytes()));
@@ -154,7 +161,10 @@
     Ok(AllowedBy {
         route: allowed.route.clone(),
         tenant: allowed.tenant.map(|tenant| tenant.name.clone()),
-        tenant_homes: allowed.tenant.map(|tenant| tenant.homes.clone()).unwrap_or_default(),
+        tenant_homes: allowed
+            .tenant
+            .map(|tenant| tenant.allowed_regions.clone())
+            .unwrap_or_default(),
         service,
     })
 }
--- a/crates/cherrystandd/src/site/retry_shares.rs
+++ b/crates/cherrystandd/src/site/retry_shares.rs
@@ -30,13 +30,13 @@
     /// Counts a request for its service, which earns repeats.
     pub(crate) fn earn(&self, service: &ServiceName) {
         let now = self.cx.clock.now();
-        self.with_share(service, |share| share.request(now));
+        self.with_share(service, |share| share.record_request(now));
     }
 
     /// Takes a repeat after an attempt that ended so, with a number of nodes alive.
     pub(crate) fn spend(&self, service: &ServiceName, nodes: usize, end: AttemptEnd) -> bool {
         let now = self.cx.clock.now();
-        let within = self.with_share(service, |share| share.spend(now, nodes))
+        let within = self.with_share(service, |share| share.try_spend(now, nodes))
             || self.has_lent(service) && self.loads.repeats.borrow_mut().take(service, now);
         let may = within || !self.cx.settings.policy.retry_share;
         let metrics = &self.cx.metrics;
@@ -51,7 +51,7 @@
     /// Tells whether a repeat is left, without taking it; where none is, another daemon is asked for one.
     pub(crate) fn has_left(&self, service: &ServiceName, nodes: usize) -> bool {
         let now = self.cx.clock.now();
-        let within = self.with_share(service, |share| share.has_left(now, nodes));
+        let within = self.with_share(service, |share| share.has_budget(now, nodes));
         let has = within || self.has_lent(service) || !self.cx.settings.policy.retry_share;
         if !has {
             self.ask_for_one(service, nodes);
@@ -82,12 +82,12 @@
 
     fn ask_for_one(&self, service: &ServiceName, nodes: usize) {
         let bounds = self.bounds();
-        if !bounds.is_lent(nodes) {
+        if !bounds.is_lending(nodes) {
             return;
         }
         let now = self.cx.clock.now();
         let mut repeats = self.loads.repeats.borrow_mut();
-        repeats.follow_cold(service, Some(bounds.lent(now)));
+        repeats.follow_cold(service, Some(bounds.loan_rate(now)));
         repeats.want(service, now);
         self.loads.limits_due.notify_one();
     }
--- a/crates/cherrystandd/src/site/site_state.rs
+++ b/crates/cherrystandd/src/site/site_state.rs
@@ -5,9 +5,9 @@
 use std::sync::Arc;
 
 use cherrystand_core::{
-    Absences, AssignedBoxes, BoxId, BoxLives, ChangeLog, ChangesSince, ColdLives, Document, Epoch,
-    LeavingLives, MemberOrder, MemberState, Millis, Revision, RouteTable, SiteBox, SiteConfig,
-    SiteView, StoreOutage, SuspectRecord,
+    Absences, AssignedBoxes, BoxId, BoxIncarnations, ChangeLog, ChangesSince, ColdBoxes, Document,
+    Epoch, LeavingLives, MemberOrder, MemberState, Millis, Revision, RouteTable, SiteBox,
+    SiteConfig, SiteView, StoreOutage, SuspectRecord,
 };
 use cherrystand_peer::ChangeNews;
 use cherrystand_platform::{Changes, FormatError, SiteDriver};
@@ -50,7 +50,7 @@
     /// As of when entries are gone.
     pub(super) absences: Absences<BoxId>,
     /// Which lives of boxes entries tell of.
-    pub(super) lives: BoxLives,
+    pub(super) lives: BoxIncarnations,
     /// The life of each box that is listed, by its name.
     pub(super) listed_lives: BTreeMap<BoxId, BoxId>,
     /// Lives that ended as their boxes started again, for as long as a record names them.
@@ -63,7 +63,7 @@
     pub(super) refused: RefusedValues,
     pub(super) boxes: Arc<BTreeMap<BoxId, Arc<SiteBox>>>,
     /// Until when boxes are cold.
-    pub(super) cold: Arc<ColdLives>,
+    pub(super) cold: Arc<ColdBoxes>,
     /// Which availability zones operators have emptied.
     pub(super) zones: EvacuationState,
     pub(super) departed: BTreeMap<BoxId, DepartedBox>,
@@ -346,7 +346,7 @@
         }
         self.expire_ended_incarnations();
         if !self.cold.is_empty() {
-            Arc::make_mut(&mut self.cold).forget(now);
+            Arc::make_mut(&mut self.cold).remove_expired(now);
         }
         self.departed.retain(|_, gone| now.since(gone.at) < DEPARTED_RETENTION);
         self.expire_ended_replicas();
--- a/crates/cherrystandd/src/site/tries.rs
+++ b/crates/cherrystandd/src/site/tries.rs
@@ -41,7 +41,7 @@
         urgency: Urgency,
         end: AttemptEnd,
     ) -> Option<Rc<Flight>> {
-        let may_resume = front.may_resume(&req.route, self.ledger.most_runs());
+        let may_resume = front.may_resume(&req.route, self.ledger.max_executions());
         if !may_resume || front.now() >= req.deadline {
             return None;
         }
@@ -65,7 +65,7 @@
 
     fn count(&mut self, flight: &Flight) {
         self.tried.push(flight.target.clone());
-        self.ledger.sent();
+        self.ledger.record_sent();
     }
 
     /// Takes in how an attempt ended, and tells whether another one follows.
@@ -75,10 +75,11 @@
         req: &SiteRequest,
         end: AttemptEnd,
     ) -> bool {
-        self.ledger.ended(end);
+        self.ledger.record_end(end);
         let may_send = self.ledger.may_send(&req.route, front.now(), req.deadline);
         // A repeat is not spent where nobody may be sent it.
-        if !may_send || front.all_closed_until(req).is_some() || !self.may_end_another(front, req) {
+        if !may_send || front.unavailable_until(req).is_some() || !self.may_end_another(front, req)
+        {
             return false;
         }
         front.await_repeat(req).await;
@@ -87,7 +88,7 @@
 
     /// Tells whether the request may be sent once more though it may be what ends its replicas.
     fn may_end_another(&self, front: &Front, req: &SiteRequest) -> bool {
-        let may = front.crashes.may_send(req, self.ledger.open());
+        let may = front.crashes.may_send(req, self.ledger.open_attempts());
         if !may {
             front.repeats.count_suspect();
         }
--- a/crates/cherrystandd/src/site/wishes.rs
+++ b/crates/cherrystandd/src/site/wishes.rs
@@ -36,15 +36,15 @@
         if facts.request.is_some() && facts.request != req.facts.id {
             return;
         }
-        let mut chooser = self.chooser.borrow_mut();
-        if facts.leaving && chooser.hear_leaving(&flight.target) {
+        let mut balancer = self.balancer.borrow_mut();
+        if facts.leaving && balancer.hear_leaving(&flight.target) {
             self.wish_notes.leaves(&flight.target);
             self.cx.hint(Hint::Leaves(flight.target.clone()));
             self.loads.tell_all(LoadNews::Leaves(flight.target.clone()));
         }
         if facts.not_run {
             let until = match facts.asked_rest {
-                AskedRest::For(rest) => Some(chooser.hear_rest(&flight.target, rest, self.now())),
+                AskedRest::For(rest) => Some(balancer.hear_rest(&flight.target, rest, self.now())),
                 _ => None,
             };
             self.wish_notes.refused(&flight.target, facts, until);
@@ -73,8 +73,8 @@
             NamedLimit::Unreadable => return self.wish_notes.unreadable_limit(&flight.target),
         };
         let heard = LimitHeard { limit, sent: flight.sent };
-        let mut chooser = self.chooser.borrow_mut();
-        let is_new = chooser.limits_mut().hear_answer(&flight.target, heard, self.now());
+        let mut balancer = self.balancer.borrow_mut();
+        let is_new = balancer.limits_mut().hear_answer(&flight.target, heard, self.now());
         self.wish_notes.limit(&flight.target, limit, is_new);
         if is_new {
             self.loads.limits_due.notify_one();
@@ -90,25 +90,25 @@
         let service = view.table.as_ref().and_then(|table| table.config().service(&req.service));
         let Some(cold) = service.and_then(|service| service.cold) else { return };
         let life = ColdWord { rate: cold.rate, left }.life(self.now());
-        self.chooser.borrow_mut().limits_mut().follow_cold(&flight.target, Some(life));
+        self.balancer.borrow_mut().limits_mut().follow_cold(&flight.target, Some(life));
         self.loads.limits_due.notify_one();
     }
 
     /// Has a request that could use a permit, which is not at hand, wait for the answer of the daemon that gives them
     /// out; not longer than the way there and back takes.
     pub(crate) async fn await_permit(&self, req: &SiteRequest) {
-        let wanted = self.want_permits(req);
+        let wanted = self.request_permits(req);
         if wanted.is_empty() {
             return;
         }
         self.loads.limits_due.notify_one();
         let now = self.now();
-        let patience = Millis(req.route.aim.0 / PART_FOR_PERMITS).min(PERMIT_WITHIN);
+        let patience = Millis(req.route.latency_goal.0 / PART_FOR_PERMITS).min(PERMIT_WITHIN);
         loop {
             let answered = self.loads.permits.notified();
             let may_come = {
-                let chooser = self.chooser.borrow();
-                let limits = chooser.limits();
+                let balancer = self.balancer.borrow();
+                let limits = balancer.limits();
                 wanted
                     .iter()
                     .all(|id| limits.wait(id, self.now()).is_some_and(|wait| wait.is_err()))
@@ -120,28 +120,28 @@
         }
     }
 
-    fn want_permits(&self, req: &SiteRequest) -> Vec<BoxId> {
-        if self.chooser.borrow().limits().is_empty() {
+    fn request_permits(&self, req: &SiteRequest) -> Vec<BoxId> {
+        if self.balancer.borrow().limits().is_empty() {
             return Vec::new();
         }
         let view = self.follow();
         let Some(table) = view.table.as_ref() else { return Vec::new() };
         let engine = table.config().engine(&req.service);
-        let ask = req.ask(engine, req.route.aim);
+        let ask = req.ask(engine, req.route.latency_goal);
         let mut seed = self.seed.get();
-        let mut chooser = self.chooser.borrow_mut();
-        let wanted = chooser.want_permits(ask, engine, self.now(), &mut seed);
+        let mut balancer = self.balancer.borrow_mut();
+        let wanted = balancer.request_permits(ask, engine, self.now(), &mut seed);
         self.seed.set(seed);
         wanted
     }
 
     /// Returns when one may first be sent to again, where every endpoint that could serve a request rests or
     /// has all that it bears.
-    pub(crate) fn all_closed_until(&self, req: &SiteRequest) -> Option<Millis> {
+    pub(crate) fn unavailable_until(&self, req: &SiteRequest) -> Option<Millis> {
         let view = self.view.borrow();
         let engine = view.table.as_ref()?.config().engine(&req.service);
-        let ask = req.ask(engine, req.route.aim);
-        self.chooser.borrow().all_closed_until(ask, engine, self.now())
+        let ask = req.ask(engine, req.route.latency_goal);
+        self.balancer.borrow().unavailable_until(ask, engine, self.now())
     }
 
     /// Returns when the caller of a request may come back that was refused as all rest: after the first
