--- a/crates/cherrystand_core/src/site/crash_suspects.rs
+++ b/crates/cherrystand_core/src/site/crash_suspects.rs
@@ -1,7 +1,8 @@
-//! Requests that were at boxes as these ended.
+//! Requests that were in flight on boxes as these crashed.
 //!
-//! A request that crashes whatever runs it comes again and is sent on like any other: without a memory of
-//! it, one ended 25 replicas within 40 s, each of which took 12 to 16 s to mend.
+//! A request that crashes whatever runs it is retried and sent again like any other. Before daemons
+//! remembered such requests, one crashed 25 replicas within 40 s, each of which took 12 to 16 s to
+//! repair.
 //!
 //! Source: docs/design/0018-requests-that-crash-replicas.md.
 
@@ -10,27 +11,28 @@
 use crate::site::suspect::Suspect;
 use crate::{BoxId, Fingerprint, Millis, SuspectEntry, SuspectRecord};
 
-/// For how long a request is remembered after it last ended a box or was refused: one that comes more
-/// seldom costs three replicas an hour.
+/// How long a request is remembered after it last crashed a box or was refused. One that arrives
+/// less often costs at most three replicas an hour.
 pub const SUSPECT_TTL: Millis = Millis(3_600_000);
 
-/// How many requests are remembered at the most, 300 bytes each.
+/// The number of requests remembered, at 300 bytes each.
 const MAX_SUSPECTS: usize = 4_096;
 
-/// A request that was served within this time ends no box: many callers send requests that are alike, such
-/// as calls without a body, and some of these are at every box that ends.
+/// A request that was served within this time is not blamed for a crash: many callers send
+/// identical requests, such as calls without a body, and some of these are in flight on every box
+/// that crashes.
 const SERVED_RECENTLY_WITHIN: Millis = Millis(60_000);
 
-/// How many requests are remembered to have been served, 40 bytes each; a daemon of the target size
-/// serves 34 a second.
+/// The number of served requests remembered, at 40 bytes each. A daemon of the target size serves
+/// 34 a second.
 const MAX_SERVED: usize = 4_096;
 
-/// For how long a trial is waited for at the most until the next begins: no route holds a request longer
-/// than that and the time until an end of a box is found.
+/// The longest time a trial blocks the next one. No route holds a request for longer than this
+/// minus the time it takes to detect a crash.
 const TRIAL_TIMEOUT: Millis = Millis(15_000);
 
-/// From this many ends on a request stored in the store, so that a daemon that missed what peers entries, or
-/// starts later, knows of it.
+/// From this many crashes on, a request is recorded in the store, for daemons that missed the
+/// peers' messages or start later.
 const MIN_RECORDED_CRASHES: usize = 2;
 
 /// A refused request that is being tried.
@@ -40,42 +42,43 @@
     started: Millis,
 }
 
-/// When a request was last served whole.
+/// When a request was last served completely.
 #[derive(Clone, Copy, Debug)]
 struct Served {
     at: Millis,
-    /// Whether it was this daemon that served it, and not a peer that said so.
+    /// Whether this daemon served it, rather than a peer that reported it.
     served_here: bool,
 }
 
-/// Keeps requests that were at boxes as these ended, and says which of them are sent no more.
+/// Tracks requests that were in flight on boxes as these crashed, and decides which are refused.
 ///
-/// What daemons know adds up as a union of boxes by request, whoever tells it and in whatever order.
+/// What daemons know merges as a union of crashed boxes per request, independent of who reports a
+/// crash and in which order.
 #[derive(Clone, Debug, Default)]
 pub struct CrashSuspects {
     suspects: BTreeMap<Fingerprint, Suspect>,
-    /// Requests that were served whole, as far as this daemon knows.
+    /// Requests that were served completely, as far as this daemon knows.
     served: HashMap<Fingerprint, Served>,
-    /// The same in the order of time, for forgetting.
+    /// The same requests by time, for expiry.
     served_order: VecDeque<(Millis, Fingerprint)>,
-    /// The one trial that is under way here.
+    /// The one trial this daemon has open.
     trial: Option<Trial>,
 }
 
 impl CrashSuspects {
-    /// Tells whether no request is remembered, so that none needs a fingerprint.
+    /// Returns whether no request is remembered, so that no fingerprint needs to be computed.
     pub fn is_empty(&self) -> bool {
         self.suspects.is_empty()
     }
 
-    /// Tells whether a request was served a short while ago, by whichever daemon.
+    /// Returns whether any daemon served a request recently.
     pub fn was_served_recently(&self, request: Fingerprint, now: Millis) -> bool {
         self.served
             .get(&request)
             .is_some_and(|served| now.since(served.at) < SERVED_RECENTLY_WITHIN)
     }
 
-    /// Tells whether this daemon itself served a request a short while ago.
+    /// Returns whether this daemon itself served a request recently.
     pub fn was_served_here_recently(&self, request: Fingerprint, now: Millis) -> bool {
         let served_here = self.served.get(&request).is_some_and(|served| served.served_here);
         served_here && self.was_served_recently(request, now)
@@ -92,8 +95,8 @@
         }
     }
 
-    /// Takes in that a box ended while it had a request, and returns at how many ends it was by now; none
-    /// where it was served lately.
+    /// Records that a box crashed while running a request, and returns the request's crash count; 0
+    /// if it was served recently.
     pub fn record_crash(&mut self, box_id: &BoxId, request: Fingerprint, now: Millis) -> usize {
         if self.was_served_recently(request, now) {
             return 0;
@@ -108,15 +111,15 @@
         suspect.crash_count()
     }
 
-    /// Takes in that a request was served whole: the boxes that ended before did not end by it. Tells
-    /// whether that says anything new.
+    /// Records that a request was served completely, which clears it of all crashes so far. Returns
+    /// whether it had any.
     pub fn record_served(&mut self, request: Fingerprint, now: Millis) -> bool {
         self.remember_served(request, now, true);
         self.dismiss_crashes(request, now)
     }
 
-    /// Takes in that a peer served a request lately. What it says is not passed on as this daemon's own word,
-    /// or it would last for ever.
+    /// Records that a peer served a request recently. This daemon doesn't report it as served by
+    /// itself, or daemons would renew the report among each other forever.
     pub fn record_served_by_peer(&mut self, request: Fingerprint, now: Millis) {
         if !self.was_served_recently(request, now) {
             self.remember_served(request, now, false);
@@ -124,7 +127,7 @@
         self.dismiss_crashes(request, now);
     }
 
-    /// Takes back all ends that a request was at, and tells whether there were any.
+    /// Clears a request of its crashes, and returns whether it had any.
     fn dismiss_crashes(&mut self, request: Fingerprint, now: Millis) -> bool {
         self.close_trial(request);
         let Some(suspect) = self.suspects.get_mut(&request) else { return false };
@@ -134,19 +137,21 @@
         is_news
     }
 
-    /// Returns at how many ends of boxes a request was, since it was last served.
+    /// Returns how many boxes crashed while running a request since it was last served.
     pub fn crash_count(&self, request: Fingerprint) -> usize {
         self.suspects.get(&request).map_or(0, Suspect::crash_count)
     }
 
-    /// Tells whether a request is refused and nothing else explains its ends: no other request was at each of them.
+    /// Returns whether a request is refused and no other request was involved in each of its crash
+    /// groups.
     pub fn is_sole_cause(&self, request: Fingerprint) -> bool {
         let Some(suspect) = self.suspects.get(&request) else { return false };
         let mut others = self.suspects.iter().filter(|(other, _)| **other != request);
         suspect.is_refused() && !others.any(|(_, other)| suspect.is_explained_by(other))
     }
 
-    /// Tells whether a request is to be refused, which keeps it remembered.
+    /// Returns whether a request is to be refused. A refusal renews the time for which it is
+    /// remembered.
     pub fn check_refused(&mut self, request: Fingerprint, now: Millis) -> bool {
         let Some(suspect) = self.suspects.get_mut(&request) else { return false };
         let refused = suspect.is_refused();
@@ -157,12 +162,13 @@
         refused
     }
 
-    /// Tells whether a refused request is to be tried now, and counts the trial; for the one daemon that
-    /// tries them.
+    /// Starts a trial of a refused request if one is due, and returns whether it did. Only one
+    /// daemon runs trials.
     ///
-    /// One is tried at a time, the likeliest innocent first: that which was tried least, whose ends others
-    /// explain, and which callers send most. Where its service `is_service_down`, so that nobody else is served, the
-    /// first of several comes early.
+    /// One request is tried at a time, the one most likely to be harmless first: the one with the
+    /// fewest trials, then the fewest crash groups that no other request shares, then the most
+    /// arrivals. If `is_service_down`, nothing else of the service is served, and the first of
+    /// several refused requests is tried early.
     pub fn try_start_trial(
         &mut self,
         request: Fingerprint,
@@ -180,7 +186,7 @@
         true
     }
 
-    /// Returns which of the refused requests that come yet is tried next, where one is due.
+    /// Returns which of the refused requests that still arrive is tried next, if one is due.
     fn next_trial(&self, is_service_down: bool, now: Millis) -> Option<Fingerprint> {
         let waiting = self.suspects.iter().filter(|(_, suspect)| suspect.awaits_trial(now));
         let waiting: Vec<(Fingerprint, &Suspect)> =
@@ -196,21 +202,21 @@
         due.min_by_key(order).map(|(request, _)| *request)
     }
 
-    /// Returns the request that is being tried, where there is one.
+    /// Returns the request that is being tried, if any.
     pub fn trial_request(&self) -> Option<Fingerprint> {
         self.trial.map(|trial| trial.request)
     }
 
-    /// Tells whether a request is being tried.
+    /// Returns whether a request is being tried.
     pub fn is_trial_request(&self, request: Fingerprint) -> bool {
         self.trial_request() == Some(request)
     }
 
-    /// Takes in that a trial is over, of which nothing is known that decides it. One that was certainly not
-    /// run counts as none.
+    /// Ends a trial without a result. One that certainly didn't run isn't counted.
     ///
-    /// One that may have run counts: its box may be found to have ended seconds later, where something
-    /// before it accepts connections, and the request was sent each second until then.
+    /// One that may have run is counted: where something in front of the box still accepts
+    /// connections, the crash may be detected seconds later, and the request would be sent every
+    /// second until then.
     pub fn end_trial(&mut self, request: Fingerprint, may_have_run: bool) {
         if !self.is_trial_request(request) {
             return;
@@ -225,7 +231,7 @@
         self.trial = self.trial.filter(|trial| trial.request != request);
     }
 
-    /// Takes over what the store's record tells, at the Unix time `unix_ms`.
+    /// Merges the store's record, at the Unix time `unix_ms`.
     pub fn merge_record(&mut self, record: &SuspectRecord, unix_ms: u64, now: Millis) {
         for entry in record.requests.iter().filter(|entry| entry.is_fresh(unix_ms)) {
             self.make_room(entry.request, now);
@@ -238,7 +244,7 @@
                 suspect.unrelated.insert(box_id.clone());
             }
             suspect.crash_groups.retain(|group| !group.boxes.is_empty());
-            // Another daemon may have tried it, and this one goes on where that has ended.
+            // Another daemon may have run trials; this one continues the backoff from there.
             let tried = now - Millis(unix_ms.saturating_sub(entry.last_trial_ms));
             if entry.last_trial_ms > 0 && tried > suspect.last_trial {
                 (suspect.trials, suspect.last_trial) = (entry.trials, tried);
@@ -252,8 +258,8 @@
         }
     }
 
-    /// Returns what this daemon has to say beside the store's record, at the Unix time `unix_ms`. One
-    /// that hears no peer is `alone` in telling of the first end of a request as well.
+    /// Returns what this daemon knows beyond the `stored` record, at the Unix time `unix_ms`. If it
+    /// `is_isolated` from its peers, it also reports requests with a single crash.
     pub fn to_record(
         &self,
         stored: &SuspectRecord,
@@ -279,7 +285,8 @@
         SuspectRecord { requests: entries.map(entry).collect() }
     }
 
-    /// Forgets what is old, and what is least suspected where there is no room for another request.
+    /// Makes room for a new request: drops the expired ones, or else the one with the fewest crash
+    /// groups.
     fn make_room(&mut self, request: Fingerprint, now: Millis) {
         if self.suspects.contains_key(&request) || self.suspects.len() < MAX_SUSPECTS {
             return;
@@ -295,12 +302,12 @@
         least.map(|least| self.suspects.remove(&least));
     }
 
-    /// Forgets requests that came no more for long.
+    /// Drops requests whose last activity is too long ago.
     pub fn remove_expired(&mut self, now: Millis) {
         self.suspects.retain(|_, suspect| now.since(suspect.last_activity) < SUSPECT_TTL);
     }
 
-    /// Returns how many requests are refused.
+    /// Returns the number of refused requests.
     pub fn refused_count(&self) -> usize {
         self.suspects.values().filter(|suspect| suspect.is_refused()).count()
     }
--- a/crates/cherrystand_core/src/site/event_splitter.rs
+++ b/crates/cherrystand_core/src/site/event_splitter.rs
@@ -1,22 +1,23 @@
-//! Cuts a stream of bytes into whole events.
+//! Splits a byte stream into complete server-sent events.
 
 use bytes::{Bytes, BytesMut};
 
-/// The largest event that is held until it is whole, in bytes.
+/// The largest incomplete event that is buffered, in bytes.
 pub const MAX_EVENT_BYTES: usize = 1 << 20;
 
-/// One whole event, its closing blank line included.
+/// One complete event, including the blank line that ends it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StreamEvent {
-    /// The bytes as they came.
+    /// The bytes as received.
     pub bytes: Bytes,
-    /// Its id, where it has a number for one.
+    /// Its id, if that is a number.
     pub id: Option<u64>,
 }
 
-/// Holds back what has come of an event until the rest is there.
+/// Buffers bytes until an event is complete.
 ///
-/// Only whole events go to a caller, so that a stream that breaks off can go on elsewhere.
+/// Callers are sent only complete events, so that a stream that breaks off can continue at another
+/// endpoint.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     buffer: BytesMut,
@@ -24,12 +25,12 @@
 }
 
 impl EventSplitter {
-    /// Takes in bytes.
+    /// Appends received bytes.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// Returns the next whole event, if there is one.
+    /// Removes and returns the next complete event, if there is one.
     pub fn next_event(&mut self) -> Option<StreamEvent> {
         let end = self.find_event_end()?;
         let bytes = self.buffer.split_to(end).freeze();
@@ -38,12 +39,12 @@
         Some(StreamEvent { bytes, id })
     }
 
-    /// Returns how many bytes of an unfinished event are held.
+    /// Returns the size of the incomplete event in the buffer.
     pub fn buffered_bytes(&self) -> usize {
         self.buffer.len()
     }
 
-    /// Gives up an unfinished event.
+    /// Discards an incomplete event.
     pub fn clear(&mut self) {
         self.buffer.clear();
         self.scanned = 0;
--- a/crates/cherrystand_core/src/site/fingerprint.rs
+++ b/crates/cherrystand_core/src/site/fingerprint.rs
@@ -1,4 +1,4 @@
-//! What names a request in all its tries.
+//! Fingerprints, which identify a request across its attempts.
 
 use std::fmt;
 use std::str::FromStr;
@@ -6,10 +6,10 @@
 use serde::de::{Deserialize, Deserializer, Error};
 use serde::{Serialize, Serializer};
 
-/// Names a request in all its tries: 128 bits of a hash of its path, its caller and its body.
+/// Identifies a request across its attempts: 128 bits of a hash of its path, caller and body.
 ///
-/// Each try has an id of its own and may come to any daemon. The hash is cryptographic, so that
-/// nobody can make a request that bears the fingerprint of another caller's.
+/// Each attempt has its own id and may arrive at any daemon. The hash is cryptographic, so that
+/// nobody can craft a request with the fingerprint of another caller's.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Fingerprint(pub u128);
 
@@ -33,7 +33,7 @@
     }
 }
 
-/// It is text where people read it, and a number between daemons.
+/// Text in human-readable formats, a number between daemons.
 impl Serialize for Fingerprint {
     fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
         match serializer.is_human_readable() {
--- a/crates/cherrystand_core/src/site/interrupted_answers.rs
+++ b/crates/cherrystand_core/src/site/interrupted_answers.rs
@@ -1,41 +1,42 @@
-//! Answers that broke off with their connections, until it is known whether their boxes ended.
+//! Answers that broke off with their connections, kept until it is known whether their boxes
+//! crashed.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::{BoxId, Fingerprint, Millis, SiteView};
 
-/// For how long a box may turn out to have ended after it cut an answer: its entry goes after three
-/// heartbeats, of 1.2 s in use.
+/// How long after an interrupted answer its box may still be found to have crashed: a box's entry
+/// disappears after three heartbeats, which are 1.2 s apart in production.
 const CRASH_CHECK_TIMEOUT: Millis = Millis(6_000);
 
-/// For how long it is remembered that a box ended, for answers of it that break off later; one that
-/// lost power while they were on their way breaks them after seconds.
+/// How long a crash is remembered for answers that break off later. If a box loses power while
+/// answers are in transit, their connections fail only after seconds.
 const CRASH_MEMORY: Millis = Millis(30_000);
 
-/// Says what follows from an answer that broke off.
+/// What to do about an answer that broke off.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CrashCheck {
-    /// Whether its box is there is to be found out.
+    /// Check whether its box still runs.
     Start,
-    /// That is being found out.
+    /// A check of its box is already pending.
     Pending,
-    /// Its box has ended.
+    /// Its box is known to have crashed.
     Crashed,
 }
 
-/// Requests whose answers one box cut, not long ago.
+/// A check of one box, and the requests whose answers it interrupted.
 #[derive(Clone, Debug, Default)]
 struct PendingCheck {
     started: Millis,
     requests: BTreeSet<Fingerprint>,
-    /// Whether a connection was accepted since.
+    /// Whether its address has accepted a connection since.
     is_accepting: bool,
 }
 
-/// Keeps answers that broke off until their boxes are found to have ended, or to live.
+/// Tracks answers that broke off until their boxes are found to have crashed or to be running.
 ///
-/// An answer also breaks off since a box garbles it, a connection is reset or a link is cut: only a box
-/// that ended says something of the requests that it was working on.
+/// An answer also breaks off because a box garbles it, a connection is reset or a link fails. Only
+/// the crash of a box says something about the requests it was running.
 #[derive(Clone, Debug, Default)]
 pub struct InterruptedAnswers {
     pending: BTreeMap<BoxId, PendingCheck>,
@@ -43,7 +44,7 @@
 }
 
 impl InterruptedAnswers {
-    /// Takes in that the answer of a box to a request broke off.
+    /// Records that a box's answer to a request broke off.
     pub fn record(&mut self, box_id: &BoxId, request: Fingerprint, now: Millis) -> CrashCheck {
         self.remove_expired(now);
         if self.crashed.contains_key(box_id) {
@@ -59,15 +60,15 @@
         CrashCheck::Start
     }
 
-    /// Takes in that somebody accepts connections where a box is: it cut the answers and lives, or what
-    /// stands before it does not know yet that it ended.
+    /// Records that a box's address accepts connections: either the box runs and interrupted the
+    /// answers itself, or a proxy in front of it hasn't noticed the crash yet.
     pub fn record_accepting(&mut self, box_id: &BoxId) {
         if let Some(check) = self.pending.get_mut(box_id) {
             check.is_accepting = true;
         }
     }
 
-    /// Takes in that a box ended, and returns the requests whose answers it cut.
+    /// Records that a box crashed, and returns the requests whose answers it interrupted.
     pub fn record_crash(&mut self, box_id: &BoxId, now: Millis) -> Vec<Fingerprint> {
         self.remove_expired(now);
         self.crashed.insert(box_id.clone(), now);
@@ -75,13 +76,13 @@
         check.requests.into_iter().collect()
     }
 
-    /// Tells whether no box is waited for.
+    /// Returns whether no check is pending.
     pub fn is_empty(&self) -> bool {
         self.pending.is_empty()
     }
 
-    /// Lists the boxes that have ended by what is known of them: those that started again, and those
-    /// whose entries are gone unless they accept connections.
+    /// Returns the boxes that have crashed according to `view`: those that restarted, and those
+    /// whose entries are gone unless their addresses accept connections.
     pub fn crashed_boxes(&self, view: &SiteView) -> Vec<BoxId> {
         let has_crashed = |(box_id, check): &(&BoxId, &PendingCheck)| {
             let is_gone = !view.boxes.contains_key(*box_id) || view.silent.contains(*box_id);
@@ -90,7 +91,7 @@
         self.pending.iter().filter(has_crashed).map(|(box_id, _)| box_id.clone()).collect()
     }
 
-    /// Returns how many boxes cut a request's answer and may have ended.
+    /// Returns how many boxes interrupted a request's answer and may have crashed.
     pub fn pending_checks(&self, request: Fingerprint) -> usize {
         let checks = self.pending.values().filter(|check| !check.is_accepting);
         checks.filter(|check| check.requests.contains(&request)).count()
--- a/crates/cherrystand_core/src/site/log_limiter.rs
+++ b/crates/cherrystand_core/src/site/log_limiter.rs
@@ -1,11 +1,11 @@
-//! How many lines of one kind a log gets.
+//! Rate limit for log lines of one kind.
 
 use crate::Millis;
 
-/// The span over which lines are counted.
+/// The interval over which lines are counted.
 const WINDOW: Millis = Millis(1_000);
 
-/// Lets a bounded number of lines through each second, and counts the rest.
+/// Admits a bounded number of lines per second and counts the suppressed ones.
 #[derive(Clone, Copy, Debug)]
 pub struct LogLimiter {
     max_lines: u32,
@@ -15,12 +15,13 @@
 }
 
 impl LogLimiter {
-    /// Creates a gate that lets `max_lines` lines through each second.
+    /// Creates a limiter that admits `max_lines` lines per second.
     pub fn new(max_lines: u32) -> Self {
         Self { max_lines, window_start: Millis(0), admitted: 0, suppressed: 0 }
     }
 
-    /// Returns how many lines were left out before this one, if it may be written.
+    /// Returns how many lines were suppressed before this one, or `None` if this one is suppressed
+    /// too.
     pub fn admit(&mut self, now: Millis) -> Option<u32> {
         if now.since(self.window_start) >= WINDOW {
             self.window_start = now;
--- a/crates/cherrystand_core/src/site/stall_evidence.rs
+++ b/crates/cherrystand_core/src/site/stall_evidence.rs
@@ -1,31 +1,32 @@
-//! Whether a replica that brings nothing stands still, by its silence and by what others saw.
+//! Evidence for whether a replica is stalled: its silence, what peers saw, and the progress of
+//! other replicas.
 
 use crate::Millis;
 
-/// A silence this much longer than the engine's longest tells that a replica stands still.
+/// The silence beyond the engine's longest predicted one after which a replica counts as stalled.
 pub const STALL_MARGIN: Millis = Millis(100);
 
-/// A node that hears neither peers nor any other replica takes itself for held up no longer than
-/// this; a link of 20 Mbit/s is full that long with 3.7 MB.
+/// The longest silence that a node attributes to itself if it hears from neither peers nor any
+/// other replica. A link of 20 Mbit/s is saturated for that long by 3.7 MB.
 const MAX_NODE_PAUSE: Millis = Millis(1_500);
 
-/// Says what peers tell of the progress of an endpoint.
+/// What peers report about the progress of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PeerProgress {
-    /// One of them saw some.
+    /// At least one of them saw progress.
     Seen,
-    /// They were asked just now.
+    /// They were asked just now and haven't answered yet.
     AskedJustNow,
-    /// Some answered, and none saw any.
+    /// Some answered, and none saw progress.
     NotSeen,
-    /// No peer answered: there is none, or what they say does not arrive here.
+    /// No peer answered: there is none, or their answers don't arrive.
     NoAnswer,
-    /// They are not asked, by the settings.
+    /// The settings disable asking them.
     NotAsked,
 }
 
 impl PeerProgress {
-    /// Returns the name that logs use.
+    /// Returns the name used in logs.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Seen => "progress",
@@ -37,39 +38,42 @@
     }
 }
 
-/// Holds what is known of a replica that has brought nothing for longer than its engine can take.
+/// What is known of a replica that has been silent for longer than its engine needs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StallEvidence {
-    /// For how long nothing of it came, with any request of this node.
+    /// How long nothing has arrived from it for any request of this node.
     pub silence: Millis,
-    /// The longest silence that its engine is predicted to make, with [`STALL_MARGIN`].
+    /// The longest silence predicted for its engine, plus [`STALL_MARGIN`].
     pub longest_expected: Millis,
-    /// What peers tell of it.
+    /// What peers report.
     pub peers: PeerProgress,
-    /// How long ago any peer last answered such a question; nothing where none ever did.
+    /// How long ago a peer last answered such a question, if one ever did.
     pub peers_age: Option<Millis>,
-    /// Whether another replica made progress with a request of this node meanwhile; nothing where no
-    /// other has any.
+    /// Whether another replica made progress with a request of this node meanwhile; `None` if no
+    /// other replica has one.
     pub others_progressed: Option<bool>,
 }
 
 impl StallEvidence {
-    /// Tells whether the replica stands still, as far as this node can know.
+    /// Returns whether the replica is stalled, as far as this node can tell.
     pub fn is_stalled(&self) -> bool {
         match self.peers {
             PeerProgress::Seen | PeerProgress::AskedJustNow => false,
             PeerProgress::NotSeen | PeerProgress::NotAsked => true,
-            // Nobody says anything here: unless another replica does, it is this node that is held up.
+            // Without word from peers, the cause is this node's own pause unless another replica
+            // makes progress.
             PeerProgress::NoAnswer => {
                 self.silence > MAX_NODE_PAUSE || self.others_progressed.unwrap_or(true)
             }
         }
     }
 
-    /// Tells whether everything that this node has requests at stands still as well, and not for long.
+    /// Returns whether all other replicas that this node has requests at are silent too, and only
+    /// briefly.
     ///
-    /// A machine that stops all processes for 150 ms is likelier than the loss of all replicas at once,
-    /// and to ask others beside them then spends the repeats of all nodes and helps nobody.
+    /// A machine that pauses all processes for 150 ms is more likely than the loss of all replicas
+    /// at once. Sending the requests to other replicas as well would use up the retry budgets of
+    /// all nodes to no effect.
     pub fn is_node_wide_pause(&self) -> bool {
         self.others_progressed == Some(false) && self.silence <= MAX_NODE_PAUSE
     }
--- a/crates/cherrystand_core/src/site/stream_end.rs
+++ b/crates/cherrystand_core/src/site/stream_end.rs
@@ -1,32 +1,32 @@
-//! How the answer to a stream ended.
+//! How a stream ended.
 
 use crate::Millis;
 
-/// The least time for which a caller has to have held its answer up where that explains why it broke off.
+/// How long a caller must have stopped reading before an interrupted answer is attributed to it.
 const MIN_CALLER_STALL: Millis = Millis(1_000);
 
-/// For how long after that it does.
+/// How long after the caller resumed reading an interruption is still attributed to it.
 const CALLER_STALL_EFFECT: Millis = Millis(5_000);
 
-/// Says how a stream ended for its caller.
+/// How a stream ended for its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StreamEnd {
-    /// The caller got it whole.
+    /// The caller received it completely.
     Whole,
-    /// Its caller's time, or its route's, was over.
+    /// The deadline of the caller or of the route passed.
     DeadlinePassed,
-    /// Its caller left, or the connection to it failed.
+    /// The caller disconnected, or the connection to it failed.
     CallerLeft,
-    /// Its caller took nothing for so long that the endpoint broke it off.
+    /// The caller didn't read for so long that the endpoint broke the stream off.
     CallerSlow,
-    /// Endpoints broke it off, and it could not go on at another one.
+    /// Endpoints broke it off, and no other one could continue it.
     BrokenOff,
-    /// Its replica was lost, and it could not go on at another one.
+    /// Its replica was lost, and no other one could continue it.
     ReplicaLost,
 }
 
 impl StreamEnd {
-    /// Lists every way in which a stream can end.
+    /// All ways in which a stream can end.
     pub const ALL: [Self; 6] = [
         Self::Whole,
         Self::DeadlinePassed,
@@ -36,22 +36,23 @@
         Self::ReplicaLost,
     ];
 
-    /// Tells whether an endpoint broke an answer off since its caller had taken nothing of it for a while;
-    /// `stalled_at` is when the caller last took something after so long.
+    /// Returns whether an endpoint broke an answer off because its caller had stopped reading.
+    /// `stalled_at` is when the caller last resumed reading after such a pause.
     ///
-    /// Endpoints bear an answer that nobody reads for some seconds only, and what they had sent before arrives
-    /// first. Such an end says nothing of the endpoint, and another one would do the same work for the same
-    /// caller.
+    /// Endpoints close an answer that nobody reads after a few seconds, and what they sent before
+    /// arrives first. Such an end says nothing about the endpoint, and another one would repeat the
+    /// work for the same caller.
     pub fn is_caused_by_slow_caller(stalled_at: Option<Millis>, now: Millis) -> bool {
         stalled_at.is_some_and(|at| now.since(at) < CALLER_STALL_EFFECT)
     }
 
-    /// Tells whether a caller that took so long for what it was given holds its answer up.
+    /// Returns whether a caller that took this long to read what it was given is stalling its
+    /// answer.
     pub fn is_caller_stall(took: Millis) -> bool {
         took >= MIN_CALLER_STALL
     }
 
-    /// Returns the name that metrics and logs use.
+    /// Returns the name used in metrics and logs.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Whole => "whole",
--- a/crates/cherrystand_core/src/site/suspect.rs
+++ b/crates/cherrystand_core/src/site/suspect.rs
@@ -1,53 +1,58 @@
-//! What is remembered of one request that was at boxes as these ended.
+//! Crash history of one request: the boxes that crashed while they were running it.
 
 use std::collections::BTreeSet;
 
 use crate::{BoxId, Millis};
 
-/// After this many ends a request is refused.
+/// A request is refused once this many boxes have crashed while running it.
 ///
-/// Fewer would refuse requests that met the losses of other causes: a request whose replica is lost is
-/// sent to a second one, which may be lost by chance as well.
+/// A lower limit would refuse requests whose boxes failed for other reasons: a request whose
+/// replica is lost is retried on a second one, which may be lost by coincidence as well.
 pub const MAX_CRASHES: usize = 3;
 
-/// Boxes that end within this time have ended at one group: a cause of another kind, as the loss of a rack, ends
-/// several at once, and so do copies of one request. Daemons hear of one end within 20 ms of each other.
+/// Boxes that crash within this time form one crash group. A common cause, such as the loss of a
+/// rack, takes several boxes down at once, and so do copies of one request. Daemons learn of a
+/// crash within 20 ms of each other.
 const CRASH_GROUP_WINDOW: Millis = Millis(100);
 
-/// For how many ends one group counts at the most, so that the loss of a rack alone refuses nothing.
+/// How many crashes of one group count towards the limit, so that the loss of a rack alone refuses
+/// nothing.
 ///
-/// Counted once, a request of which copies came five times a second ended six to eight replicas until it was
-/// refused after the third group.
+/// With one crash per group, a request that arrived five times a second crashed six to eight
+/// replicas before the third group got it refused.
 const MAX_CRASHES_PER_GROUP: usize = 2;
 
-/// How many boxes are remembered that a request was served after, and how many that ended at one
-/// group; what a peer tells may hold any number.
+/// Bounds the boxes remembered per crash group and as unrelated to the request, because peers may
+/// report any number.
 const MAX_BOXES: usize = 16;
 
-/// How many crash_groups are remembered of one request; it is sent no more long before.
+/// The number of crash groups remembered per request. A request is refused long before it reaches
+/// it.
 const MAX_CRASH_GROUPS: usize = 8;
 
-/// How long after the last end a refused request is tried once more, as a circuit breaker that is half
-/// open: without it requests that are alike stayed refused where all daemons had started anew and boxes
-/// ended under three of them before one was served. Daemons have 3 to 5 s to know of the third end.
+/// How long after the last crash a refused request is tried again, like a half-open circuit
+/// breaker. Without trials, a frequent harmless request stays refused if three boxes crash under it
+/// before it is served once, for example just after all daemons were restarted. Daemons take 3 to 5
+/// s to learn of the third crash.
 const FIRST_TRIAL_DELAY: Millis = Millis(6_000);
 
-/// How many times as long it takes until the next trial: 6 s, 1 minute, 10 minutes, so that a request that
-/// does end replicas ends three more in an hour.
+/// The factor between two trial delays: 6 s, 1 minute, 10 minutes. A request that does crash
+/// replicas then crashes three more in an hour.
 const TRIAL_BACKOFF_FACTOR: u64 = 10;
 
-/// How long after the last end the first of several refused requests is tried where nobody else of their
-/// service is served: what was under way has ended by then, and whoever is innocent among them is served
-/// again. While others are served, a trial so soon costs a replica and helps few.
+/// The delay of the first trial if several requests of one service are refused and nothing else of
+/// that service is served. Attempts already in flight have finished by then, and harmless requests
+/// among the refused ones get served again. While others are served, a trial this early would cost
+/// a replica for little gain.
 ///
-/// Waiting as for a single one, the request that all callers of a service send alike was out for 6 s beside
-/// two guilty ones, and for a minute where both trials met at one replica.
+/// With the regular delay, a request that all callers of a service send identically was refused for
+/// 6 s beside two requests that crash replicas, and for a minute if both trials ran on one replica.
 const EARLY_TRIAL_DELAY: Millis = Millis(1_000);
 
-/// A request that was refused within this time comes yet, and may be tried.
+/// A request refused within this time is taken to be still arriving and may be tried.
 const REFUSED_RECENTLY_WITHIN: Millis = Millis(2_000);
 
-/// Boxes that ended at one group.
+/// Boxes that crashed at about the same time.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct CrashGroup {
     pub(crate) at: Millis,
@@ -58,14 +63,14 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Suspect {
     pub(crate) crash_groups: Vec<CrashGroup>,
-    /// Boxes that ended before the request was served whole elsewhere.
+    /// Boxes that crashed before the request was served elsewhere, and so not because of it.
     pub(crate) unrelated: BTreeSet<BoxId>,
-    /// When it last ended a box, was served or was refused.
+    /// When it last crashed a box, was served or was refused.
     pub(crate) last_activity: Millis,
-    /// How often it was tried though it is refused, and when it last was.
+    /// How often it was tried while refused, and when last.
     pub(crate) trials: u32,
     pub(crate) last_trial: Millis,
-    /// How often it came while it was refused, and when it last did.
+    /// How often it arrived while refused, and when last.
     pub(crate) refusals: u32,
     pub(crate) last_refused: Millis,
 }
@@ -76,7 +81,7 @@
             || self.crash_groups.iter().any(|group| group.boxes.contains(box_id))
     }
 
-    /// Notes the end of a box that is not known of yet.
+    /// Adds the crash of a box that is not known yet.
     pub(crate) fn add_crash(&mut self, box_id: &BoxId, now: Millis) {
         let has_room = self.crash_groups.len() < MAX_CRASH_GROUPS;
         let is_concurrent = |group: &&mut CrashGroup| now.since(group.at) <= CRASH_GROUP_WINDOW;
@@ -92,7 +97,8 @@
         }
     }
 
-    /// Returns at how many ends it was, as far as they count.
+    /// Returns how many boxes crashed while running it, with at most [`MAX_CRASHES_PER_GROUP`] per
+    /// group.
     pub(crate) fn crash_count(&self) -> usize {
         self.crash_groups.iter().map(|group| group.boxes.len().min(MAX_CRASHES_PER_GROUP)).sum()
     }
@@ -101,17 +107,18 @@
         self.crash_count() >= MAX_CRASHES
     }
 
-    /// Tells whether it is refused and comes yet.
+    /// Returns whether it is refused and still arriving.
     pub(crate) fn awaits_trial(&self, now: Millis) -> bool {
         self.is_refused()
             && self.refusals > 0
             && now.since(self.last_refused) < REFUSED_RECENTLY_WITHIN
     }
 
-    /// Tells whether it may be tried by now; `allows_early` where it need not wait as a single one does.
+    /// Returns whether it may be tried now. With `allows_early`, the first trial comes after
+    /// [`EARLY_TRIAL_DELAY`].
     pub(crate) fn is_trial_due(&self, allows_early: bool, now: Millis) -> bool {
         let last_crash = self.crash_groups.iter().map(|group| group.at).max().unwrap_or_default();
-        // An early one comes before all others.
+        // The early trial precedes the regular ones.
         let earlier_trials = self.trials.saturating_add(u32::from(!allows_early));
         let delay_ms = match earlier_trials.checked_sub(1) {
             None => EARLY_TRIAL_DELAY.0,
@@ -122,7 +129,7 @@
         now.since(last_crash.max(self.last_trial)) >= Millis(delay_ms)
     }
 
-    /// Returns at how many ends it was at which none of some others was.
+    /// Returns the number of its crash groups in which none of `others` was involved.
     pub(crate) fn unshared_crash_groups(&self, others: &[&Self]) -> usize {
         let is_unshared = |group: &&CrashGroup| {
             let boxes = &group.boxes;
@@ -131,14 +138,15 @@
         self.crash_groups.iter().filter(is_unshared).count()
     }
 
-    /// Tells whether another request, which was not served since, was at each of its ends as well, and so may be the
-    /// cause of all.
+    /// Returns whether `other`, which has not been served since, was involved in each of its crash
+    /// groups and so may have caused all of them.
     pub(crate) fn is_explained_by(&self, other: &Self) -> bool {
         let is_shared =
             |box_id| other.crash_groups.iter().any(|group| group.boxes.contains(box_id));
         self.crash_groups.iter().all(|group| group.boxes.iter().any(is_shared))
     }
 
+    /// Marks all crashes so far as unrelated to the request, which was served.
     pub(crate) fn dismiss_crashes(&mut self) {
         let boxes =
             std::mem::take(&mut self.crash_groups).into_iter().flat_map(|group| group.boxes);
@@ -149,7 +157,7 @@
         }
     }
 
-    /// Adds boxes that ended at one group by what others tell, unless they are known already.
+    /// Merges a crash group reported by others, without the boxes already known to be unrelated.
     pub(crate) fn merge_crash_group(&mut self, boxes: &BTreeSet<BoxId>, now: Millis) {
         let unknown: BTreeSet<BoxId> =
             boxes.iter().filter(|box_id| !self.unrelated.contains(*box_id)).cloned().collect();
@@ -161,7 +169,8 @@
         match known {
             Some(group) => group.boxes.extend(unknown),
             None if !has_room => {}
-            // What is told later by others is another group.
+            // Dated before the window, so that a crash recorded from now on starts a group of its
+            // own.
             None => self
                 .crash_groups
                 .push(CrashGroup { at: now - CRASH_GROUP_WINDOW - Millis(1), boxes: unknown }),
--- a/crates/cherrystand_core/src/site/suspect_record.rs
+++ b/crates/cherrystand_core/src/site/suspect_record.rs
@@ -1,4 +1,4 @@
-//! The store's record of requests that were at boxes as these ended.
+//! The stored record of requests that were in flight on boxes as these crashed.
 
 use std::collections::BTreeSet;
 
@@ -6,52 +6,53 @@
 
 use crate::{BoxId, Fingerprint, SUSPECT_TTL};
 
-/// How many requests the record holds at the most, some 200 bytes each; it goes to every daemon.
+/// The number of entries the record holds. Each takes about 200 bytes, and every daemon receives
+/// the record.
 const MAX_ENTRIES: usize = 128;
 
-/// A time is written anew only once it is this much later, so that a request that keeps coming costs
-/// one call of the store in half an hour.
+/// A newer activity time is written only if it is this much later, so that a request that keeps
+/// arriving costs one write to the store every half hour.
 const REFRESH_INTERVAL_MS: u64 = SUSPECT_TTL.0 / 2;
 
-/// Trials that daemons tell of within this time are one, as their clocks and rounding have it.
+/// Two trial times that differ by less are the same trial, given clock differences and rounding.
 const TRIAL_TIME_TOLERANCE_MS: u64 = 500;
 
-/// What the record says of one request.
+/// The record's entry for one request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SuspectEntry {
     /// The request.
     pub request: Fingerprint,
-    /// The boxes that ended while they had it, those of one moment together.
+    /// The boxes that crashed while running it, grouped by crashes at about the same time.
     #[serde(rename = "ended")]
     pub crash_groups: Vec<BTreeSet<BoxId>>,
-    /// Boxes that ended before it was served elsewhere, and so not by it.
+    /// Boxes that crashed before it was served elsewhere, and so not because of it.
     #[serde(default, rename = "acquitted")]
     pub unrelated: BTreeSet<BoxId>,
-    /// When it last ended a box or was refused, in Unix milliseconds.
+    /// When it last crashed a box or was refused, in Unix milliseconds.
     #[serde(rename = "at")]
     pub last_activity_ms: u64,
-    /// How often it was tried though it is refused.
+    /// How often it was tried while refused.
     #[serde(default)]
     pub trials: u32,
-    /// When it was last tried, in Unix milliseconds; 0 where it was not.
+    /// When it was last tried, in Unix milliseconds; 0 if never.
     #[serde(default, rename = "tried_at")]
     pub last_trial_ms: u64,
 }
 
-/// What every daemon has to know of such requests, in the platform's store.
+/// Every daemon's shared knowledge of requests that crash boxes, kept in the platform's store.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SuspectRecord {
-    /// The requests, in no order.
+    /// The entries, in no particular order.
     pub requests: Vec<SuspectEntry>,
 }
 
 impl SuspectEntry {
-    /// Tells whether it counts yet at the Unix time `unix_ms`.
+    /// Returns whether the entry is not yet expired at the Unix time `unix_ms`.
     pub(crate) fn is_fresh(&self, unix_ms: u64) -> bool {
         unix_ms.saturating_sub(self.last_activity_ms) < SUSPECT_TTL.0
     }
 
-    /// Adds what a daemon knows beside, and tells whether that says anything new.
+    /// Merges a daemon's own entry and returns whether the result has to be written.
     fn merge(&mut self, own: &Self) -> bool {
         let before = self.clone();
         self.unrelated.extend(own.unrelated.iter().cloned());
@@ -66,7 +67,7 @@
             .iter_mut()
             .for_each(|boxes| boxes.retain(|box_id| !unrelated.contains(box_id)));
         self.crash_groups.retain(|boxes| !boxes.is_empty());
-        // Clocks of daemons differ by less than what lies between two trials.
+        // Clocks of daemons differ by less than the time between two trials.
         let is_new_trial = own.last_trial_ms > self.last_trial_ms + TRIAL_TIME_TOLERANCE_MS;
         if is_new_trial {
             (self.trials, self.last_trial_ms) = (own.trials, own.last_trial_ms);
@@ -81,13 +82,13 @@
 }
 
 impl SuspectRecord {
-    /// Tells whether it names a request.
+    /// Returns whether it has an entry for a request.
     pub(crate) fn contains(&self, request: Fingerprint) -> bool {
         self.requests.iter().any(|entry| entry.request == request)
     }
 
-    /// Returns it with what a daemon has to say beside, at the Unix time `unix_ms`; nothing where it says
-    /// all that already.
+    /// Returns the record merged with a daemon's own one at the Unix time `unix_ms`, or `None` if
+    /// that adds nothing.
     pub fn merged_with(&self, own: &Self, unix_ms: u64) -> Option<Self> {
         let fresh = self.requests.iter().filter(|entry| entry.is_fresh(unix_ms));
         let mut next = Self { requests: fresh.cloned().collect() };
@@ -103,11 +104,11 @@
             }
         }
         next.truncate();
-        // Where it has no room for what is new, nothing is written for that.
+        // If the record is full and the new entries were dropped again, there is nothing to write.
         (has_news && next != *self).then_some(next)
     }
 
-    /// Drops the least suspected and oldest where it holds too many.
+    /// Drops the entries with the fewest crash groups, then the oldest, beyond [`MAX_ENTRIES`].
     fn truncate(&mut self) {
         if self.requests.len() <= MAX_ENTRIES {
             return;
