--- a/crates/cherrystand_core/src/control/controller.rs
+++ b/crates/cherrystand_core/src/control/controller.rs
@@ -12,7 +12,7 @@
 
 use crate::control::domain_change::DomainChange;
 use crate::control::lifecycle::{
-    Turn, advance_broken, advance_draining, advance_loading, advance_ready,
+    ReplicaContext, advance_broken, advance_draining, advance_loading, advance_ready,
 };
 use crate::control::orders::orders_of;
 use crate::{
@@ -26,13 +26,13 @@
 pub const DRAIN_GRACE: Millis = Millis(4_000);
 
 /// How many times its usual time a load may take before its box is given up on.
-const LOAD_PATIENCE: f64 = 5.0;
+const LOAD_TIMEOUT_FACTOR: f64 = 5.0;
 
 /// The least time that a load is given.
-const LEAST_LOAD_PATIENCE: Millis = Millis(30_000);
+const MIN_LOAD_TIMEOUT: Millis = Millis(30_000);
 
 /// For how long a box whose load did not end is left out.
-const STALLED_FOR: Millis = Millis::from_secs(900);
+const STALLED_BOX_EXCLUSION: Millis = Millis::from_secs(900);
 
 /// Holds what a step decides from.
 #[derive(Clone, Copy, Debug)]
@@ -44,7 +44,7 @@
     /// The listed boxes.
     pub fleet: &'a Fleet,
     /// What is known of them.
-    pub seen: &'a Observations,
+    pub observations: &'a Observations,
     /// The time now, on the clock of the observations.
     pub now: Millis,
     /// The time now for people, in seconds since 1970.
@@ -82,58 +82,60 @@
     }
 
     /// Decides what to write and order now.
-    pub fn step(&mut self, at: ControllerInput<'_>) -> ControllerStep {
-        self.note_phases(&at);
-        self.note_stalled(&at);
+    pub fn step(&mut self, input: ControllerInput<'_>) -> ControllerStep {
+        self.track_phases(&input);
+        self.track_stalled_loads(&input);
         let stalled = self.stalled.keys().cloned().collect();
-        let mut change = DomainChange::new(at, stalled);
-        change.collect_released();
+        let mut change = DomainChange::new(input, stalled);
+        change.free_released_boxes();
         for replica in change.replicas() {
-            self.advance(&mut change, &replica);
+            self.advance_replica(&mut change, &replica);
         }
-        if !change.holds_back() {
-            self.mend(&mut change);
-            change.form_missing();
+        if !change.suspends_formation() {
+            self.repair_broken(&mut change);
+            change.form_missing_replicas();
         }
         change.start_loads(self.policy.loads_at_once);
-        let orders = orders_of(at);
+        let orders = orders_of(input);
         match change.finish() {
             Ok(write) => ControllerStep { write, orders, fault: None },
             Err(fault) => ControllerStep { write: None, orders, fault: Some(fault) },
         }
     }
 
-    fn note_phases(&mut self, at: &ControllerInput<'_>) {
+    fn track_phases(&mut self, input: &ControllerInput<'_>) {
         let known = std::mem::take(&mut self.phases);
-        for (replica, held) in &at.record.replicas {
+        for (replica, assignment) in &input.record.replicas {
             let since = match known.get(replica) {
-                Some((epoch, phase, since)) if (*epoch, *phase) == (held.epoch, held.phase) => {
+                Some((epoch, phase, since))
+                    if (*epoch, *phase) == (assignment.epoch, assignment.phase) =>
+                {
                     *since
                 }
-                _ => at.now,
+                _ => input.now,
             };
-            let noted = (held.epoch, held.phase, since);
+            let noted = (assignment.epoch, assignment.phase, since);
             self.phases.insert(replica.clone(), noted);
         }
     }
 
     /// Gives up on boxes whose loads have taken far longer than they should.
-    fn note_stalled(&mut self, at: &ControllerInput<'_>) {
-        self.stalled.retain(|_, since| at.now.since(*since) < STALLED_FOR);
-        for (replica, held) in &at.record.replicas {
-            if self.is_overdue(replica, at.now) {
-                let members = MemberSummary::of(held, at.seen, at.now);
-                let stalled = members.unready.into_iter().map(|id| (id, at.now));
+    fn track_stalled_loads(&mut self, input: &ControllerInput<'_>) {
+        self.stalled.retain(|_, since| input.now.since(*since) < STALLED_BOX_EXCLUSION);
+        for (replica, assignment) in &input.record.replicas {
+            if self.is_load_overdue(replica, input.now) {
+                let members = MemberSummary::of(assignment, input.observations, input.now);
+                let stalled = members.unready.into_iter().map(|id| (id, input.now));
                 self.stalled.extend(stalled);
             }
         }
     }
 
     /// Tells whether a replica has been loading for far longer than it should.
-    fn is_overdue(&self, replica: &ReplicaId, now: Millis) -> bool {
-        let patience = Millis((self.policy.load_secs * LOAD_PATIENCE * 1_000.0) as u64);
+    fn is_load_overdue(&self, replica: &ReplicaId, now: Millis) -> bool {
+        let timeout = Millis((self.policy.load_secs * LOAD_TIMEOUT_FACTOR * 1_000.0) as u64);
         let since = self.in_phase_since(replica, Phase::Loading, now);
-        now.since(since) >= patience.max(LEAST_LOAD_PATIENCE)
+        now.since(since) >= timeout.max(MIN_LOAD_TIMEOUT)
     }
 
     fn in_phase_since(&self, replica: &ReplicaId, phase: Phase, now: Millis) -> Millis {
@@ -143,49 +145,49 @@
         }
     }
 
-    fn advance(&self, change: &mut DomainChange<'_>, replica: &ReplicaId) {
-        let Some(held) = change.next.replicas.get(replica).cloned() else {
+    fn advance_replica(&self, change: &mut DomainChange<'_>, replica: &ReplicaId) {
+        let Some(assignment) = change.next.replicas.get(replica).cloned() else {
             return;
         };
-        let now = change.at.now;
-        let members = MemberSummary::of(&held, change.at.seen, now);
-        let desired = change.at.desired.iter().find(|desired| &desired.replica == replica);
-        let turn = Turn { replica, held: &held, members, desired };
-        match held.phase {
+        let now = change.input.now;
+        let members = MemberSummary::of(&assignment, change.input.observations, now);
+        let desired = change.input.desired.iter().find(|desired| &desired.replica == replica);
+        let context = ReplicaContext { replica, assignment: &assignment, members, desired };
+        match assignment.phase {
             Phase::Reserved | Phase::Loading => {
-                advance_loading(change, turn, self.is_overdue(replica, now));
+                advance_loading(change, context, self.is_load_overdue(replica, now));
             }
-            Phase::Ready => advance_ready(change, turn),
+            Phase::Ready => advance_ready(change, context),
             Phase::Draining => {
                 let since = self.in_phase_since(replica, Phase::Draining, now);
-                advance_draining(change, turn, now.since(since) >= DRAIN_GRACE);
+                advance_draining(change, context, now.since(since) >= DRAIN_GRACE);
             }
             Phase::Broken => {
                 let since = self.in_phase_since(replica, Phase::Broken, now);
-                advance_broken(change, turn, since);
+                advance_broken(change, context, since);
             }
         }
     }
 
     /// Repairs broken replicas, the dearest first.
-    fn mend(&self, change: &mut DomainChange<'_>) {
-        let mut broken = change.broken();
+    fn repair_broken(&self, change: &mut DomainChange<'_>) {
+        let mut broken = change.broken_replicas();
         broken.sort_by(|a, b| b.downtime_weight.total_cmp(&a.downtime_weight));
         for desired in &broken {
-            self.mend_one(change, desired);
+            self.repair_replica(change, desired);
         }
         if self.policy.rule == RepairRule::Priced {
             change.dissolve_for_another(&broken, &self.policy);
         }
     }
 
-    fn mend_one(&self, change: &mut DomainChange<'_>, desired: &DesiredReplica) {
+    fn repair_replica(&self, change: &mut DomainChange<'_>, desired: &DesiredReplica) {
         let Some(assignment) = change.next.replicas.get(&desired.replica).cloned() else {
             return;
         };
-        let broken_since = self.in_phase_since(&desired.replica, Phase::Broken, change.at.now);
-        let unusable = change.unusable(&assignment.boxes);
-        if change.awaits_answer(&assignment.boxes, &unusable, broken_since) {
+        let broken_since = self.in_phase_since(&desired.replica, Phase::Broken, change.input.now);
+        let unusable = change.unusable_boxes(&assignment.boxes);
+        if change.awaits_report(&assignment.boxes, &unusable, broken_since) {
             return;
         }
         if unusable.is_empty() {
@@ -194,8 +196,8 @@
             return;
         }
         let free = change.free_boxes();
-        let case = self.case_of(change, desired, &unusable, free.len());
-        let (repair, prices) = self.choose(&case);
+        let case = self.repair_case(change, desired, &unusable, free.len());
+        let (repair, prices) = self.select_repair(&case);
         match repair {
             Repair::Wait => {}
             Repair::Swap => change.swap(desired, &assignment, &unusable, &free, prices),
@@ -206,7 +208,7 @@
         }
     }
 
-    fn choose(&self, case: &RepairCase) -> (Repair, Prices) {
+    fn select_repair(&self, case: &RepairCase) -> (Repair, Prices) {
         let (priced, prices) = choose_repair(case, &self.policy.returns);
         let repair = match self.policy.rule {
             RepairRule::Priced => priced,
@@ -216,7 +218,7 @@
         (repair, prices)
     }
 
-    fn case_of(
+    fn repair_case(
         &self,
         change: &DomainChange<'_>,
         desired: &DesiredReplica,
@@ -228,7 +230,7 @@
         RepairCase {
             span: desired.span,
             missing: unusable.len() as u32,
-            missing_secs: change.missing_secs(unusable),
+            missing_secs: change.longest_missing_secs(unusable),
             free: free as u32,
             queue_secs: rounds * self.policy.load_secs,
             load_secs: self.policy.load_secs,
--- a/crates/cherrystand_core/src/control/desired_replica.rs
+++ b/crates/cherrystand_core/src/control/desired_replica.rs
@@ -23,12 +23,12 @@
 
 impl DesiredReplica {
     /// Tells whether an assignment is of the size asked for.
-    pub(crate) fn fits(&self, held: &Assignment) -> bool {
-        held.boxes.len() == self.span as usize
+    pub(crate) fn fits(&self, assignment: &Assignment) -> bool {
+        assignment.boxes.len() == self.span as usize
     }
 
     /// Tells whether an assignment is what is asked for.
-    pub(crate) fn matches(&self, held: &Assignment) -> bool {
-        self.fits(held) && self.load == held.load
+    pub(crate) fn matches(&self, assignment: &Assignment) -> bool {
+        self.fits(assignment) && self.load == assignment.load
     }
 }
--- a/crates/cherrystand_core/src/control/domain_change.rs
+++ b/crates/cherrystand_core/src/control/domain_change.rs
@@ -15,7 +15,7 @@
 /// Builds the next record from the one that was read.
 pub(crate) struct DomainChange<'a> {
     /// What is decided from.
-    pub(crate) at: ControllerInput<'a>,
+    pub(crate) input: ControllerInput<'a>,
     /// The record as it will be.
     pub(crate) next: DomainRecord,
     changed: bool,
@@ -24,9 +24,9 @@
 
 impl<'a> DomainChange<'a> {
     /// Begins with the record as it was read.
-    pub(crate) fn new(at: ControllerInput<'a>, stalled: BTreeSet<BoxId>) -> Self {
-        let next = at.record.clone();
-        Self { at, next, changed: false, stalled }
+    pub(crate) fn new(input: ControllerInput<'a>, stalled: BTreeSet<BoxId>) -> Self {
+        let next = input.record.clone();
+        Self { input, next, changed: false, stalled }
     }
 
     /// Returns the next record, if it differs from the one read.
@@ -43,7 +43,7 @@
     }
 
     /// Frees boxes that answer that they are idle, so that no earlier order acts on them any more.
-    pub(crate) fn collect_released(&mut self) {
+    pub(crate) fn free_released_boxes(&mut self) {
         let idle: Vec<BoxId> =
             self.next.releasing.keys().filter(|id| self.is_idle(id)).cloned().collect();
         self.changed |= !idle.is_empty();
@@ -51,17 +51,17 @@
     }
 
     fn is_idle(&self, id: &BoxId) -> bool {
-        let report = fresh_report(self.at.seen, id, self.at.now);
+        let report = fresh_report(self.input.observations, id, self.input.now);
         report.is_some_and(|report| report.state == EngineState::Idle)
     }
 
     /// Tells whether so many boxes are silent that nothing should be formed.
-    pub(crate) fn holds_back(&self) -> bool {
-        let listed = self.at.fleet.of_domain(&self.next.domain);
+    pub(crate) fn suspends_formation(&self) -> bool {
+        let listed = self.input.fleet.of_domain(&self.next.domain);
         let (mut all, mut missing) = (0.0, 0.0);
         for info in listed {
             all += 1.0;
-            if fresh_report(self.at.seen, &info.id, self.at.now).is_none() {
+            if fresh_report(self.input.observations, &info.id, self.input.now).is_none() {
                 missing += 1.0;
             }
         }
@@ -69,15 +69,16 @@
     }
 
     /// Returns those boxes that the list marks as leaving.
-    pub(crate) fn leaving(&self, boxes: &[BoxId]) -> Vec<BoxId> {
-        let leaving = |id: &&BoxId| self.at.fleet.get(id).is_some_and(|info| info.leaving);
+    pub(crate) fn leaving_boxes(&self, boxes: &[BoxId]) -> Vec<BoxId> {
+        let leaving = |id: &&BoxId| self.input.fleet.get(id).is_some_and(|info| info.leaving);
         boxes.iter().filter(leaving).cloned().collect()
     }
 
     /// Returns the boxes that cannot be members now: silent, stalled, or about to leave.
-    pub(crate) fn unusable(&self, boxes: &[BoxId]) -> Vec<BoxId> {
-        let leaving = self.leaving(boxes);
-        let silent = |id: &BoxId| fresh_report(self.at.seen, id, self.at.now).is_none();
+    pub(crate) fn unusable_boxes(&self, boxes: &[BoxId]) -> Vec<BoxId> {
+        let leaving = self.leaving_boxes(boxes);
+        let silent =
+            |id: &BoxId| fresh_report(self.input.observations, id, self.input.now).is_none();
         let unusable = boxes
             .iter()
             .filter(|id| silent(id) || leaving.contains(id) || self.stalled.contains(*id));
@@ -87,22 +88,22 @@
     /// Tells whether a box that passes for usable has yet to answer after the replica broke.
     ///
     /// Until then it may be the very one that is gone.
-    pub(crate) fn awaits_answer(
+    pub(crate) fn awaits_report(
         &self,
         boxes: &[BoxId],
         unusable: &[BoxId],
         broken_since: Millis,
     ) -> bool {
         let answered = |id: &BoxId| {
-            let seen = self.at.seen.get(id);
-            seen.is_some_and(|seen| seen.heard > broken_since)
+            let observation = self.input.observations.get(id);
+            observation.is_some_and(|observation| observation.last_heard > broken_since)
         };
         boxes.iter().any(|id| !unusable.contains(id) && !answered(id))
     }
 
     /// Returns the boxes that a replica could be formed on now.
     pub(crate) fn free_boxes(&self) -> Vec<BoxId> {
-        let listed = self.at.fleet.of_domain(&self.next.domain);
+        let listed = self.input.fleet.of_domain(&self.next.domain);
         let usable = listed
             .filter(|info| !info.leaving && self.next.is_free(&info.id))
             .filter(|info| self.is_idle(&info.id))
@@ -111,24 +112,25 @@
     }
 
     /// Returns for how long the longest missing of some boxes has been silent.
-    pub(crate) fn missing_secs(&self, boxes: &[BoxId]) -> f64 {
-        let ages = boxes.iter().filter_map(|id| self.at.seen.get(id));
-        let longest = ages.map(|seen| self.at.now.since(seen.heard)).max();
+    pub(crate) fn longest_missing_secs(&self, boxes: &[BoxId]) -> f64 {
+        let ages = boxes.iter().filter_map(|id| self.input.observations.get(id));
+        let longest = ages.map(|observation| self.input.now.since(observation.last_heard)).max();
         longest.unwrap_or_default().as_secs_f64()
     }
 
     /// Counts the boxes of an assignment that do not have their weights yet.
-    fn loads_needed(&self, held: &Assignment) -> usize {
+    fn loads_needed(&self, assignment: &Assignment) -> usize {
         let lacks = |id: &&BoxId| {
-            let report = fresh_report(self.at.seen, id, self.at.now);
-            report.is_none_or(|report| report.loaded.as_ref() != Some(&held.load))
+            let report = fresh_report(self.input.observations, id, self.input.now);
+            report.is_none_or(|report| report.loaded.as_ref() != Some(&assignment.load))
         };
-        held.boxes.iter().filter(lacks).count()
+        assignment.boxes.iter().filter(lacks).count()
     }
 
     fn loads_in(&self, phase: Phase) -> usize {
-        let held = self.next.replicas.values().filter(|held| held.phase == phase);
-        held.map(|held| self.loads_needed(held)).sum()
+        let assignments =
+            self.next.replicas.values().filter(|assignment| assignment.phase == phase);
+        assignments.map(|assignment| self.loads_needed(assignment)).sum()
     }
 
     /// Counts the boxes that have to load before any other can.
@@ -137,12 +139,12 @@
     }
 
     /// Returns what the broken replicas should be.
-    pub(crate) fn broken(&self) -> Vec<DesiredReplica> {
+    pub(crate) fn broken_replicas(&self) -> Vec<DesiredReplica> {
         let is_broken = |desired: &&DesiredReplica| {
-            let held = self.next.replicas.get(&desired.replica);
-            held.is_some_and(|held| held.phase == Phase::Broken)
+            let assignment = self.next.replicas.get(&desired.replica);
+            assignment.is_some_and(|assignment| assignment.phase == Phase::Broken)
         };
-        self.at.desired.iter().filter(is_broken).cloned().collect()
+        self.input.desired.iter().filter(is_broken).cloned().collect()
     }
 
     /// Moves a replica to a phase.
@@ -152,7 +154,7 @@
         };
         assignment.phase = phase;
         let epoch = assignment.epoch;
-        self.record(replica, epoch, Some(phase), evidence, None);
+        self.record_decision(replica, epoch, Some(phase), evidence, None);
     }
 
     /// Takes a replica out of the record and releases its boxes.
@@ -162,7 +164,7 @@
         };
         let epoch = assignment.epoch;
         self.release(assignment.boxes, epoch);
-        self.record(replica, epoch, None, evidence, None);
+        self.record_decision(replica, epoch, None, evidence, None);
     }
 
     fn release(&mut self, boxes: impl IntoIterator<Item = BoxId>, epoch: Epoch) {
@@ -191,7 +193,7 @@
             let given_up = old.boxes.into_iter().filter(|id| !boxes.contains(id));
             self.release(given_up, old.epoch);
         }
-        self.record(&desired.replica, epoch, Some(Phase::Reserved), evidence, prices);
+        self.record_decision(&desired.replica, epoch, Some(Phase::Reserved), evidence, prices);
     }
 
     /// Puts spares in the places of lost members.
@@ -222,19 +224,19 @@
         broken: &[DesiredReplica],
         policy: &RepairPolicy,
     ) {
-        let still: Vec<&DesiredReplica> =
+        let unrepaired: Vec<&DesiredReplica> =
             broken.iter().filter(|desired| self.is_broken(desired)).collect();
-        let (Some(first), Some(last)) = (still.first(), still.last()) else {
+        let (Some(first), Some(last)) = (unrepaired.first(), unrepaired.last()) else {
             return;
         };
-        if still.len() < 2 || !self.releasing_idle_soon() {
+        if unrepaired.len() < 2 || !self.has_no_pending_release() {
             return;
         }
-        let needed = self.unusable_of(first);
-        let donor = self.unusable_of(last);
+        let needed = self.unusable_members(first);
+        let donor = self.unusable_members(last);
         let donated = last.span as usize - donor.len().min(last.span as usize);
-        let gone = policy.returns.restarting(self.missing_secs(&needed)) < 0.5;
-        if gone && donated + self.free_boxes().len() >= needed.len() {
+        let is_gone = policy.returns.restart_probability(self.longest_missing_secs(&needed)) < 0.5;
+        if is_gone && donated + self.free_boxes().len() >= needed.len() {
             let beneficiary = first.replica.clone();
             let donor = last.replica.clone();
             self.remove(&donor, Evidence::Dissolved { beneficiary });
@@ -242,25 +244,25 @@
     }
 
     fn is_broken(&self, desired: &DesiredReplica) -> bool {
-        let held = self.next.replicas.get(&desired.replica);
-        held.is_some_and(|held| held.phase == Phase::Broken)
+        let assignment = self.next.replicas.get(&desired.replica);
+        assignment.is_some_and(|assignment| assignment.phase == Phase::Broken)
     }
 
-    fn unusable_of(&self, desired: &DesiredReplica) -> Vec<BoxId> {
-        let held = self.next.replicas.get(&desired.replica);
-        held.map(|held| self.unusable(&held.boxes)).unwrap_or_default()
+    fn unusable_members(&self, desired: &DesiredReplica) -> Vec<BoxId> {
+        let assignment = self.next.replicas.get(&desired.replica);
+        assignment.map(|assignment| self.unusable_boxes(&assignment.boxes)).unwrap_or_default()
     }
 
     /// Tells whether no healthy box is on its way to be free, which would make giving up a
     /// replica premature.
-    fn releasing_idle_soon(&self) -> bool {
+    fn has_no_pending_release(&self) -> bool {
         let mut releasing = self.next.releasing.keys();
-        releasing.all(|id| fresh_report(self.at.seen, id, self.at.now).is_none())
+        releasing.all(|id| fresh_report(self.input.observations, id, self.input.now).is_none())
     }
 
     /// Forms the replicas that are asked for and not in the record.
-    pub(crate) fn form_missing(&mut self) {
-        for desired in self.at.desired {
+    pub(crate) fn form_missing_replicas(&mut self) {
+        for desired in self.input.desired {
             if self.next.replicas.contains_key(&desired.replica) {
                 continue;
             }
@@ -287,7 +289,7 @@
         }
     }
 
-    fn record(
+    fn record_decision(
         &mut self,
         replica: &ReplicaId,
         epoch: Epoch,
@@ -297,7 +299,7 @@
     ) {
         self.changed = true;
         self.next.explain(Explanation {
-            at_unix_secs: self.at.unix_secs,
+            at_unix_secs: self.input.unix_secs,
             replica: replica.clone(),
             epoch,
             phase,
--- a/crates/cherrystand_core/src/control/domain_record.rs
+++ b/crates/cherrystand_core/src/control/domain_record.rs
@@ -101,7 +101,7 @@
 pub enum RecordFault {
     /// A box belongs to two replicas.
     #[error("box `{0}` belongs to two replicas")]
-    BoxTwice(BoxId),
+    DuplicateBox(BoxId),
     /// A box is assigned while it is still being released.
     #[error("box `{0}` is assigned while an earlier epoch may still act on it")]
     BoxReleasing(BoxId),
@@ -140,7 +140,7 @@
             }
             for id in &assignment.boxes {
                 if !boxes.insert(id) {
-                    return Err(RecordFault::BoxTwice(id.clone()));
+                    return Err(RecordFault::DuplicateBox(id.clone()));
                 }
                 if self.releasing.contains_key(id) {
                     return Err(RecordFault::BoxReleasing(id.clone()));
@@ -153,7 +153,7 @@
     /// Returns the record with boxes named otherwise that `other` has another id for.
     pub fn with_boxes_renamed(mut self, other: impl Fn(&BoxId) -> Option<BoxId>) -> Self {
         let named = |id: &BoxId| other(id).unwrap_or_else(|| id.clone());
-        let assigned = self.replicas.values_mut().flat_map(|held| &mut held.boxes);
+        let assigned = self.replicas.values_mut().flat_map(|assignment| &mut assignment.boxes);
         assigned.for_each(|id| *id = named(id));
         let releasing = std::mem::take(&mut self.releasing).into_iter();
         self.releasing = releasing.map(|(id, epoch)| (named(&id), epoch)).collect();
--- a/crates/cherrystand_core/src/control/formed_replicas.rs
+++ b/crates/cherrystand_core/src/control/formed_replicas.rs
@@ -17,9 +17,9 @@
     pub fn new<'a>(records: impl IntoIterator<Item = &'a DomainRecord>) -> Self {
         let mut formed = Self::default();
         for record in records {
-            for (replica, held) in &record.replicas {
+            for (replica, assignment) in &record.replicas {
                 let list = formed.replicas.entry(replica.clone()).or_default();
-                list.push((record.domain.clone(), held.clone()));
+                list.push((record.domain.clone(), assignment.clone()));
             }
         }
         formed
@@ -31,15 +31,15 @@
         replica: &ReplicaId,
     ) -> impl Iterator<Item = (&'a DomainId, &'a Assignment)> + use<'a> {
         let all = self.replicas.get(replica).into_iter().flatten();
-        let ready = all.filter(|(_, held)| held.phase == Phase::Ready);
-        ready.map(|(domain, held)| (domain, held))
+        let ready = all.filter(|(_, assignment)| assignment.phase == Phase::Ready);
+        ready.map(|(domain, assignment)| (domain, assignment))
     }
 
     /// Returns every assignment that is ready.
     pub fn all_ready(&self) -> impl Iterator<Item = (&DomainId, &ReplicaId, &Assignment)> {
         let all = self.replicas.keys();
         all.flat_map(|replica| {
-            self.ready(replica).map(move |(domain, held)| (domain, replica, held))
+            self.ready(replica).map(move |(domain, assignment)| (domain, replica, assignment))
         })
     }
 
@@ -52,15 +52,16 @@
     /// Returns the boxes that each replica holds, in all domains.
     pub fn boxes(&self) -> BTreeMap<ReplicaId, Vec<BoxId>> {
         let boxes = |list: &[(DomainId, Assignment)]| {
-            list.iter().flat_map(|(_, held)| held.boxes.clone()).collect()
+            list.iter().flat_map(|(_, assignment)| assignment.boxes.clone()).collect()
         };
         self.replicas.iter().map(|(replica, list)| (replica.clone(), boxes(list))).collect()
     }
 
     /// Returns the replica that holds a box.
-    pub fn holder(&self, id: &BoxId) -> Option<&ReplicaId> {
-        let holds =
-            |list: &[(DomainId, Assignment)]| list.iter().any(|(_, held)| held.boxes.contains(id));
+    pub fn replica_with_box(&self, id: &BoxId) -> Option<&ReplicaId> {
+        let holds = |list: &[(DomainId, Assignment)]| {
+            list.iter().any(|(_, assignment)| assignment.boxes.contains(id))
+        };
         self.replicas.iter().find(|(_, list)| holds(list)).map(|(replica, _)| replica)
     }
 }
--- a/crates/cherrystand_core/src/control/observation.rs
+++ b/crates/cherrystand_core/src/control/observation.rs
@@ -47,7 +47,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Observation {
     /// When the box last answered, or when the observer started to ask.
-    pub heard: Millis,
+    pub last_heard: Millis,
     /// What it answered; nothing if it never did.
     pub report: Option<EngineReport>,
 }
@@ -63,7 +63,7 @@
     /// Members that answer, but have yet to get ready for the epoch.
     pub unready: Vec<BoxId>,
     /// Whether a member reports that the replica has come apart.
-    pub apart: bool,
+    pub came_apart: bool,
     /// Members whose acknowledgement of the epoch is fresh and that are ready.
     pub ready: usize,
     /// Those of them that take requests, or help their leader to.
@@ -74,27 +74,27 @@
 
 impl MemberSummary {
     /// Sums up `assignment` from what is known at `now`.
-    pub fn of(assignment: &Assignment, seen: &Observations, now: Millis) -> Self {
+    pub fn of(assignment: &Assignment, observations: &Observations, now: Millis) -> Self {
         let mut summary = Self::default();
-        let served = matches!(assignment.phase, Phase::Ready | Phase::Draining);
+        let was_serving = matches!(assignment.phase, Phase::Ready | Phase::Draining);
         for (rank, id) in assignment.boxes.iter().enumerate() {
-            let Some(report) = fresh_report(seen, id, now) else {
+            let Some(report) = fresh_report(observations, id, now) else {
                 summary.lost.push(id.clone());
                 continue;
             };
-            let acts = report.epoch == assignment.epoch;
-            let able = matches!(report.state, EngineState::Ready | EngineState::Draining);
-            if acts && able {
+            let is_acknowledged = report.epoch == assignment.epoch;
+            let can_serve = matches!(report.state, EngineState::Ready | EngineState::Draining);
+            if is_acknowledged && can_serve {
                 summary.ready += 1;
                 summary.serving += usize::from(report.state == EngineState::Ready);
-            } else if acts && report.state == EngineState::Broken {
-                summary.apart = true;
-            } else if served {
+            } else if is_acknowledged && report.state == EngineState::Broken {
+                summary.came_apart = true;
+            } else if was_serving {
                 summary.lost.push(id.clone());
             } else {
                 summary.unready.push(id.clone());
             }
-            if rank == 0 && acts {
+            if rank == 0 && is_acknowledged {
                 summary.in_flight = report.in_flight + report.waiting;
             }
         }
@@ -107,18 +107,18 @@
             let boxes = self.lost.clone();
             return Some(Evidence::MembersLost { boxes });
         }
-        self.apart.then_some(Evidence::CameApart)
+        self.came_apart.then_some(Evidence::CameApart)
     }
 }
 
 /// Returns a box's report if it is fresh.
 pub fn fresh_report<'a>(
-    seen: &'a Observations,
+    observations: &'a Observations,
     id: &BoxId,
     now: Millis,
 ) -> Option<&'a EngineReport> {
-    let observation = seen.get(id)?;
-    if now.since(observation.heard) > MISSING_AFTER {
+    let observation = observations.get(id)?;
+    if now.since(observation.last_heard) > MISSING_AFTER {
         return None;
     }
     observation.report.as_ref()
--- a/crates/cherrystand_core/src/control/orders.rs
+++ b/crates/cherrystand_core/src/control/orders.rs
@@ -5,34 +5,34 @@
 };
 
 /// Lists the orders that the record calls for and that the boxes have not yet followed.
-pub(crate) fn orders_of(at: ControllerInput<'_>) -> Vec<Order> {
+pub(crate) fn orders_of(input: ControllerInput<'_>) -> Vec<Order> {
     let mut orders = Vec::new();
-    for (replica, assignment) in &at.record.replicas {
+    for (replica, assignment) in &input.record.replicas {
         match assignment.phase {
-            Phase::Loading => orders.extend(join_orders(at, replica, assignment)),
-            Phase::Draining => orders.extend(drain_order(at, assignment)),
+            Phase::Loading => orders.extend(join_orders(input, replica, assignment)),
+            Phase::Draining => orders.extend(drain_order(input, assignment)),
             Phase::Reserved | Phase::Ready | Phase::Broken => {}
         }
     }
-    orders.extend(release_orders(at));
-    orders.extend(stray_orders(at));
+    orders.extend(release_orders(input));
+    orders.extend(orphan_orders(input));
     orders
 }
 
 fn join_orders(
-    at: ControllerInput<'_>,
+    input: ControllerInput<'_>,
     replica: &ReplicaId,
     assignment: &Assignment,
 ) -> Vec<Order> {
-    let addresses = assignment.boxes.iter().map(|id| at.fleet.get(id).map(|info| info.address));
+    let addresses = assignment.boxes.iter().map(|id| input.fleet.get(id).map(|info| info.address));
     let Some(members) = addresses.collect::<Option<Vec<_>>>() else {
         return Vec::new();
     };
-    let waits = |id: &BoxId| {
-        let report = fresh_report(at.seen, id, at.now);
+    let needs_join = |id: &BoxId| {
+        let report = fresh_report(input.observations, id, input.now);
         report.is_some_and(|report| report.epoch < assignment.epoch)
     };
-    let ranked = assignment.boxes.iter().enumerate().filter(|(_, id)| waits(id));
+    let ranked = assignment.boxes.iter().enumerate().filter(|(_, id)| needs_join(id));
     ranked
         .map(|(rank, id)| Order {
             target: id.clone(),
@@ -47,35 +47,35 @@
         .collect()
 }
 
-fn drain_order(at: ControllerInput<'_>, assignment: &Assignment) -> Option<Order> {
+fn drain_order(input: ControllerInput<'_>, assignment: &Assignment) -> Option<Order> {
     let leader = assignment.boxes.first()?;
-    let report = fresh_report(at.seen, leader, at.now)?;
+    let report = fresh_report(input.observations, leader, input.now)?;
     let serves = report.epoch == assignment.epoch && report.state == EngineState::Ready;
     serves.then(|| Order { target: leader.clone(), epoch: assignment.epoch, task: Task::Drain })
 }
 
-fn release_orders(at: ControllerInput<'_>) -> Vec<Order> {
-    let busy = |id: &BoxId| {
-        let report = fresh_report(at.seen, id, at.now);
+fn release_orders(input: ControllerInput<'_>) -> Vec<Order> {
+    let is_busy = |id: &BoxId| {
+        let report = fresh_report(input.observations, id, input.now);
         report.is_some_and(|report| report.state != EngineState::Idle)
     };
-    let waiting = at.record.releasing.iter().filter(|(id, _)| busy(id));
-    waiting
-        .map(|(id, epoch)| Order { target: id.clone(), epoch: *epoch, task: Task::Release })
+    let busy = input.record.releasing.iter().filter(|(id, _)| is_busy(id));
+    busy.map(|(id, epoch)| Order { target: id.clone(), epoch: *epoch, task: Task::Release })
         .collect()
 }
 
 /// Releases engines that act although the record gives their boxes to nobody, as after an order
 /// that arrived long after it was sent.
-fn stray_orders(at: ControllerInput<'_>) -> Vec<Order> {
-    let free = at.fleet.of_domain(&at.record.domain).filter(|info| at.record.is_free(&info.id));
-    let stray = free.filter_map(|info| {
-        let report = fresh_report(at.seen, &info.id, at.now)?;
+fn orphan_orders(input: ControllerInput<'_>) -> Vec<Order> {
+    let free =
+        input.fleet.of_domain(&input.record.domain).filter(|info| input.record.is_free(&info.id));
+    let orphans = free.filter_map(|info| {
+        let report = fresh_report(input.observations, &info.id, input.now)?;
         (report.state != EngineState::Idle).then(|| Order {
             target: info.id.clone(),
             epoch: report.epoch,
             task: Task::Release,
         })
     });
-    stray.collect()
+    orphans.collect()
 }
--- a/crates/cherrystand_core/src/control/placement.rs
+++ b/crates/cherrystand_core/src/control/placement.rs
@@ -36,7 +36,7 @@
 pub struct Placer<'a> {
     fleet: &'a Fleet,
     free: BTreeMap<DomainId, Vec<BoxId>>,
-    used_zones: BTreeMap<ZoneId, u32>,
+    replicas_by_zone: BTreeMap<ZoneId, u32>,
 }
 
 impl<'a> Placer<'a> {
@@ -47,12 +47,12 @@
         for info in usable {
             free.entry(info.domain.clone()).or_default().push(info.id.clone());
         }
-        Self { fleet, free, used_zones: BTreeMap::new() }
+        Self { fleet, free, replicas_by_zone: BTreeMap::new() }
     }
 
     /// Forgets the zones counted so far and counts those of the domains given.
     pub fn start_group<'d>(&mut self, domains: impl IntoIterator<Item = &'d DomainId>) {
-        self.used_zones.clear();
+        self.replicas_by_zone.clear();
         for domain in domains {
             self.count_zone(domain);
         }
@@ -88,12 +88,12 @@
 
     fn replicas_in_zone(&self, domain: &DomainId) -> u32 {
         let zone = self.fleet.zone_of(domain);
-        zone.and_then(|zone| self.used_zones.get(zone)).copied().unwrap_or(0)
+        zone.and_then(|zone| self.replicas_by_zone.get(zone)).copied().unwrap_or(0)
     }
 
     fn count_zone(&mut self, domain: &DomainId) {
         if let Some(zone) = self.fleet.zone_of(domain) {
-            *self.used_zones.entry(zone.clone()).or_default() += 1;
+            *self.replicas_by_zone.entry(zone.clone()).or_default() += 1;
         }
     }
 }
--- a/crates/cherrystand_core/src/control/plan.rs
+++ b/crates/cherrystand_core/src/control/plan.rs
@@ -153,7 +153,7 @@
         "group `{group}` must reload its replicas, but its floor {floor} of {replicas} lets none \
          go out of service; lower `floor` or add a replica first"
     )]
-    FloorLeavesNoRoom {
+    FloorTooHigh {
         /// The group's name.
         group: String,
         /// The floor.
@@ -166,7 +166,7 @@
     NoChanges(Generation),
 }
 
-/// Says what boxes are held now, as the domains' records have it.
+/// Says what boxes are assigned now, as the domains' records have it.
 pub type BoxesByReplica = BTreeMap<ReplicaId, Vec<BoxId>>;
 
 /// Works out what putting `config` in force would change.
@@ -180,13 +180,13 @@
     record: &WorkspaceRecord,
     config: WorkspaceConfig,
     fleet: &Fleet,
-    held: &BoxesByReplica,
+    assigned: &BoxesByReplica,
 ) -> Result<Plan, PlanError> {
     if record.config == config {
         return Err(PlanError::NoChanges(record.generation));
     }
-    let slots = assign_slots(record, &config, fleet, held)?;
-    let changes = list_changes(record, &config, &slots, held);
+    let slots = assign_slots(record, &config, fleet, assigned)?;
+    let changes = list_changes(record, &config, &slots, assigned);
     check_floors(&config, &changes)?;
     let costs = capacity_costs(record, &config, &changes);
     Ok(Plan { id, base: record.generation, config, slots, changes, costs })
@@ -196,7 +196,7 @@
     record: &WorkspaceRecord,
     config: &WorkspaceConfig,
     fleet: &Fleet,
-    held: &BoxesByReplica,
+    assigned: &BoxesByReplica,
 ) -> Result<Vec<Slot>, PlanError> {
     let kept: BTreeMap<ReplicaId, &Slot> =
         config.models.iter().flat_map(|group| kept_slots(record, config, group)).collect();
@@ -204,7 +204,7 @@
     let stays = |replica: &ReplicaId| {
         kept.contains_key(replica) || replica.group.workspace != config.workspace
     };
-    let staying = held.iter().filter(|(replica, _)| stays(replica));
+    let staying = assigned.iter().filter(|(replica, _)| stays(replica));
     let taken: BTreeSet<BoxId> = staying.flat_map(|(_, boxes)| boxes).cloned().collect();
     let mut placer = Placer::new(fleet, &taken);
     let mut slots = Vec::new();
@@ -255,34 +255,36 @@
     record: &WorkspaceRecord,
     config: &WorkspaceConfig,
     slots: &[Slot],
-    held: &BoxesByReplica,
+    assigned: &BoxesByReplica,
 ) -> Vec<Change> {
-    let mut changes = removals(record, slots, held);
+    let mut changes = removals(record, slots, assigned);
     for slot in slots {
-        changes.extend(replica_change(record, config, slot, held));
+        changes.extend(replica_change(record, config, slot, assigned));
     }
     changes.extend(policy_changes(record, config, &changes));
     changes.extend(service_changes(record, config));
     changes
 }
 
-fn removals(record: &WorkspaceRecord, slots: &[Slot], held: &BoxesByReplica) -> Vec<Change> {
+fn removals(record: &WorkspaceRecord, slots: &[Slot], assigned: &BoxesByReplica) -> Vec<Change> {
     let stays = |old: &&Slot| slots.iter().any(|new| new.replica == old.replica);
-    let gone = record.slots.iter().filter(|old| !stays(old));
-    let removal =
-        |slot: &Slot| Change::Remove { replica: slot.replica.clone(), boxes: boxes_of(slot, held) };
-    gone.map(removal).collect()
+    let removed = record.slots.iter().filter(|old| !stays(old));
+    let removal = |slot: &Slot| Change::Remove {
+        replica: slot.replica.clone(),
+        boxes: boxes_of(slot, assigned),
+    };
+    removed.map(removal).collect()
 }
 
-fn boxes_of(slot: &Slot, held: &BoxesByReplica) -> Vec<BoxId> {
-    held.get(&slot.replica).unwrap_or(&slot.planned).clone()
+fn boxes_of(slot: &Slot, assigned: &BoxesByReplica) -> Vec<BoxId> {
+    assigned.get(&slot.replica).unwrap_or(&slot.planned).clone()
 }
 
 fn replica_change(
     record: &WorkspaceRecord,
     config: &WorkspaceConfig,
     slot: &Slot,
-    held: &BoxesByReplica,
+    assigned: &BoxesByReplica,
 ) -> Option<Change> {
     let replica = slot.replica.clone();
     let new_group = config.model(&replica.group.name)?;
@@ -291,7 +293,7 @@
         return Some(Change::Form { replica, domain, boxes: planned });
     };
     if old_slot != slot {
-        let from = boxes_of(old_slot, held);
+        let from = boxes_of(old_slot, assigned);
         return Some(Change::Reform { replica, from, domain, to: planned });
     }
     let old_group = record.config.model(&replica.group.name)?;
@@ -300,7 +302,7 @@
     }
     Some(Change::Reload {
         replica,
-        boxes: boxes_of(old_slot, held),
+        boxes: boxes_of(old_slot, assigned),
         from: describe_load(old_group),
         to: describe_load(new_group),
     })
@@ -362,8 +364,8 @@
 fn check_floors(config: &WorkspaceConfig, changes: &[Change]) -> Result<(), PlanError> {
     for group in &config.models {
         let id = config.group_id(&group.name);
-        if goes_out(changes, &id) && group.capacity_floor() >= group.replicas {
-            return Err(PlanError::FloorLeavesNoRoom {
+        if restarts_replicas(changes, &id) && group.capacity_floor() >= group.replicas {
+            return Err(PlanError::FloorTooHigh {
                 group: group.name.clone(),
                 floor: group.capacity_floor(),
                 replicas: group.replicas,
@@ -374,7 +376,7 @@
 }
 
 /// Tells whether replicas of a group go out of service one after the other.
-fn goes_out(changes: &[Change], group: &GroupId) -> bool {
+fn restarts_replicas(changes: &[Change], group: &GroupId) -> bool {
     changes.iter().any(|change| match change {
         Change::Reload { replica, .. } | Change::Reform { replica, .. } => &replica.group == group,
         _ => false,
@@ -393,14 +395,14 @@
         let group = config.group_id(name);
         let before = record.config.model(name).map_or(0, |group| group.replicas);
         let after = config.model(name).map_or(0, |group| group.replicas);
-        let reloads = goes_out(changes, &group);
+        let restarts = restarts_replicas(changes, &group);
         let removed = changes
             .iter()
             .filter(
                 |change| matches!(change, Change::Remove { replica, .. } if replica.group == group),
             )
             .count() as u32;
-        let least = before.saturating_sub(removed).saturating_sub(u32::from(reloads));
+        let least = before.saturating_sub(removed).saturating_sub(u32::from(restarts));
         costs.push(CapacityCost { group, before, least, after });
     }
     costs
--- a/crates/cherrystand_core/src/control/ready_since.rs
+++ b/crates/cherrystand_core/src/control/ready_since.rs
@@ -20,10 +20,10 @@
     /// Takes in which replicas are ready now.
     pub fn observe(&mut self, formed: &FormedReplicas, now: Millis) {
         let mut since = BTreeMap::new();
-        for (domain, replica, held) in formed.all_ready() {
+        for (domain, replica, assignment) in formed.all_ready() {
             let key = (domain.clone(), replica.clone());
-            let known = self.since.get(&key).filter(|(epoch, _)| *epoch == held.epoch);
-            let noted = known.copied().unwrap_or((held.epoch, now));
+            let known = self.since.get(&key).filter(|(epoch, _)| *epoch == assignment.epoch);
+            let noted = known.copied().unwrap_or((assignment.epoch, now));
             since.insert(key, noted);
         }
         self.since = since;
--- a/crates/cherrystand_core/src/control/repair.rs
+++ b/crates/cherrystand_core/src/control/repair.rs
@@ -58,7 +58,7 @@
 
 impl ReturnModel {
     /// Returns the probability that a box missing for `secs` is restarting.
-    pub fn restarting(&self, secs: f64) -> f64 {
+    pub fn restart_probability(&self, secs: f64) -> f64 {
         let alive = self.restart_share * (-secs / self.mean_restart_secs).exp();
         alive / (alive + (1.0 - self.restart_share)).max(f64::MIN_POSITIVE)
     }
@@ -87,7 +87,7 @@
 }
 
 /// The longest further wait that is weighed, in mean restart times.
-const LONGEST_WAIT: f64 = 6.0;
+const MAX_WAIT_RESTARTS: f64 = 6.0;
 
 /// How many waits are weighed.
 const WAIT_STEPS: u32 = 24;
@@ -98,12 +98,12 @@
 pub fn choose_repair(case: &RepairCase, model: &ReturnModel) -> (Repair, Prices) {
     let swap = swap_price(case);
     let reform = reform_price(case);
-    let act = least(swap, reform);
-    let wait = wait_price(case, model, act);
+    let repair_now = min_price(swap, reform);
+    let wait = wait_price(case, model, repair_now);
     let prices = Prices { wait, swap, reform };
-    let repair = match (act, wait) {
+    let repair = match (repair_now, wait) {
         (None, _) => Repair::Wait,
-        (Some(act), Some(wait)) if wait < act => Repair::Wait,
+        (Some(repair_now), Some(wait)) if wait < repair_now => Repair::Wait,
         (Some(_), _) if swap.is_some_and(|swap| reform.is_none_or(|reform| swap <= reform)) => {
             Repair::Swap
         }
@@ -112,7 +112,7 @@
     (repair, prices)
 }
 
-fn least(a: Option<f64>, b: Option<f64>) -> Option<f64> {
+fn min_price(a: Option<f64>, b: Option<f64>) -> Option<f64> {
     match (a, b) {
         (Some(a), Some(b)) => Some(a.min(b)),
         (a, b) => a.or(b),
@@ -120,7 +120,7 @@
 }
 
 /// Prices one second in which the replica is down and `idle` healthy boxes are held for it.
-fn second_price(case: &RepairCase, idle: u32) -> f64 {
+fn price_per_second(case: &RepairCase, idle: u32) -> f64 {
     case.downtime_weight + case.stranded_weight * f64::from(idle)
 }
 
@@ -129,7 +129,7 @@
         return None;
     }
     let secs = case.queue_secs + case.load_time(case.missing);
-    Some(secs * second_price(case, case.span))
+    Some(secs * price_per_second(case, case.span))
 }
 
 fn reform_price(case: &RepairCase) -> Option<f64> {
@@ -137,25 +137,28 @@
         return None;
     }
     let secs = case.queue_secs + case.load_time(case.span);
-    Some(secs * second_price(case, case.span))
+    Some(secs * price_per_second(case, case.span))
 }
 
 /// Prices waiting up to the best moment to give up, and acting for `act` then.
 ///
 /// Returns nothing where acting is possible and the best moment is now.
-fn wait_price(case: &RepairCase, model: &ReturnModel, act: Option<f64>) -> Option<f64> {
+fn wait_price(case: &RepairCase, model: &ReturnModel, repair_now: Option<f64>) -> Option<f64> {
     let mean = model.mean_restart_secs;
-    let restarting = model.restarting(case.missing_secs).powi(case.missing as i32);
+    let restart_probability =
+        model.restart_probability(case.missing_secs).powi(case.missing as i32);
     let idle = case.span - case.missing;
-    let second = second_price(case, idle);
-    let joined = (case.queue_secs + case.load_time(case.missing)) * second_price(case, case.span);
+    let waiting_per_second = price_per_second(case, idle);
+    let rejoin_price =
+        (case.queue_secs + case.load_time(case.missing)) * price_per_second(case, case.span);
     let price_until = |secs: f64| {
-        let back = restarting * (1.0 - (-secs / mean).exp());
-        let waited = restarting * mean * (1.0 - (-secs / mean).exp()) + (1.0 - restarting) * secs;
-        let after = act.unwrap_or(second * mean);
-        waited * second + back * joined + (1.0 - back) * after
+        let returned = restart_probability * (1.0 - (-secs / mean).exp());
+        let waited_secs = restart_probability * mean * (1.0 - (-secs / mean).exp())
+            + (1.0 - restart_probability) * secs;
+        let fallback = repair_now.unwrap_or(waiting_per_second * mean);
+        waited_secs * waiting_per_second + returned * rejoin_price + (1.0 - returned) * fallback
     };
-    let waits =
-        (1..=WAIT_STEPS).map(|step| f64::from(step) * LONGEST_WAIT * mean / f64::from(WAIT_STEPS));
+    let waits = (1..=WAIT_STEPS)
+        .map(|step| f64::from(step) * MAX_WAIT_RESTARTS * mean / f64::from(WAIT_STEPS));
     waits.map(price_until).min_by(f64::total_cmp)
 }
--- a/crates/cherrystand_core/src/control/rollout.rs
+++ b/crates/cherrystand_core/src/control/rollout.rs
@@ -18,7 +18,10 @@
 
 impl<'a> ServingState<'a> {
     /// Returns the assignments of a replica that every node can route to.
-    fn of(self, replica: &ReplicaId) -> impl Iterator<Item = (&'a DomainId, &'a Assignment)> {
+    fn settled_assignments(
+        self,
+        replica: &ReplicaId,
+    ) -> impl Iterator<Item = (&'a DomainId, &'a Assignment)> {
         let ready = self.formed.ready(replica);
         ready.filter(move |(domain, _)| self.settling.is_settled(domain, replica, self.now))
     }
@@ -45,7 +48,7 @@
         if &slot.domain == domain {
             let may_reload = may_reload(group, &slot.replica, service);
             desired.push(desired_of(group, slot, may_reload));
-        } else if leaves_later(slot, domain, service) {
+        } else if is_needed_until_moved(slot, domain, service) {
             desired.push(desired_of(group, slot, false));
         }
     }
@@ -65,9 +68,9 @@
 }
 
 /// Tells whether a replica that moves away from `domain` is still needed there.
-fn leaves_later(slot: &Slot, domain: &DomainId, service: ServingState<'_>) -> bool {
+fn is_needed_until_moved(slot: &Slot, domain: &DomainId, service: ServingState<'_>) -> bool {
     let here = service.formed.in_domain(domain).any(|replica| replica == &slot.replica);
-    let mut ready = service.of(&slot.replica);
+    let mut ready = service.settled_assignments(&slot.replica);
     here && !ready.any(|(at, _)| at == &slot.domain)
 }
 
@@ -78,10 +81,11 @@
     let slot = |number| ReplicaId::new(replica.group.clone(), number);
     let done = |number| {
         let slot = slot(number);
-        let mut ready = service.of(&slot);
-        ready.any(|(_, held)| held.load == load && held.boxes.len() == span)
+        let mut ready = service.settled_assignments(&slot);
+        ready.any(|(_, assignment)| assignment.load == load && assignment.boxes.len() == span)
     };
-    let ready = (0..group.replicas).filter(|number| service.of(&slot(*number)).next().is_some());
+    let ready = (0..group.replicas)
+        .filter(|number| service.settled_assignments(&slot(*number)).next().is_some());
     let ready = ready.count();
     (0..replica.slot).all(done) && ready > group.capacity_floor() as usize
 }
--- a/crates/cherrystand_core/src/counters.rs
+++ b/crates/cherrystand_core/src/counters.rs
@@ -114,12 +114,12 @@
     ///
     /// A writer reads back within one step of its own, so this has to exceed only the writers
     /// that can race on one record meanwhile.
-    pub const KEPT: usize = 16;
+    pub const CAPACITY: usize = 16;
 
-    /// Adds a write, forgetting the oldest one beyond [`RecentWrites::KEPT`].
+    /// Adds a write, forgetting the oldest one beyond [`RecentWrites::CAPACITY`].
     pub fn push(&mut self, id: WriteId) {
         self.0.push(id);
-        let excess = self.0.len().saturating_sub(Self::KEPT);
+        let excess = self.0.len().saturating_sub(Self::CAPACITY);
         self.0.drain(..excess);
     }
 
--- a/crates/cherrystand_core/src/names.rs
+++ b/crates/cherrystand_core/src/names.rs
@@ -60,13 +60,13 @@
 
     /// Returns the box's own name, whatever its life.
     pub fn name(&self) -> &str {
-        self.split_life().map_or(&self.0, |(name, _)| name)
+        self.split_incarnation().map_or(&self.0, |(name, _)| name)
     }
 
     /// Returns when the life that this names started, in Unix milliseconds; nothing where it names no
     /// certain one.
     pub fn start(&self) -> Option<u64> {
-        self.split_life().map(|(_, start)| start)
+        self.split_incarnation().map(|(_, start)| start)
     }
 
     /// Tells whether both name the same box, in whichever life.
@@ -81,16 +81,16 @@
     }
 
     /// Tells whether a text may name a box: it goes into headers, records and logs.
-    pub fn is_name(text: &str) -> bool {
+    pub fn is_valid_name(text: &str) -> bool {
         /// The longest name, in bytes.
-        const LONGEST: usize = 128;
-        let is_plain = |byte: u8| {
+        const MAX_BYTES: usize = 128;
+        let is_allowed = |byte: u8| {
             byte.is_ascii_graphic() && byte != b'/' && byte != INCARNATION_SEPARATOR as u8
         };
-        !text.is_empty() && text.len() <= LONGEST && text.bytes().all(is_plain)
+        !text.is_empty() && text.len() <= MAX_BYTES && text.bytes().all(is_allowed)
     }
 
-    fn split_life(&self) -> Option<(&str, u64)> {
+    fn split_incarnation(&self) -> Option<(&str, u64)> {
         let (name, start) = self.0.rsplit_once(INCARNATION_SEPARATOR)?;
         Some((name, start.parse().ok()?))
     }
--- a/crates/cherrystand_core/tests/assignment_safety.rs
+++ b/crates/cherrystand_core/tests/assignment_safety.rs
@@ -225,7 +225,7 @@
             name: "a box twice",
             replicas: &[(&[1, 2], 1), (&[2, 3], 2)],
             releasing: &[],
-            fault: Some(RecordFault::BoxTwice),
+            fault: Some(RecordFault::DuplicateBox),
         },
         Case {
             name: "a box that is being released",
--- a/crates/cherrystand_core/tests/repair_prices.rs
+++ b/crates/cherrystand_core/tests/repair_prices.rs
@@ -88,7 +88,7 @@
 fn the_longer_a_box_is_away_the_likelier_it_is_gone() {
     let model = ReturnModel::default();
     let ages = [0.0, 30.0, 120.0, 300.0, 1_000.0];
-    let chances: Vec<f64> = ages.iter().map(|age| model.restarting(*age)).collect();
+    let chances: Vec<f64> = ages.iter().map(|age| model.restart_probability(*age)).collect();
     assert!(chances.windows(2).all(|pair| pair[1] < pair[0]), "{chances:?}");
     assert!(chances[0] > 0.95 && chances[4] < 0.01, "{chances:?}");
 }
--- a/crates/cherrystand_core/tests/replica_life.rs
+++ b/crates/cherrystand_core/tests/replica_life.rs
@@ -276,10 +276,10 @@
             record: &domain.record,
             desired: &domain.desired,
             fleet: &fleet,
-            seen: &Default::default(),
+            observations: &Default::default(),
             now: domain.now,
             unix_secs: 0,
         });
     assert_eq!(step.write, None);
-    assert_eq!(step.fault, Some(cherrystand_core::RecordFault::BoxTwice(twice[0].clone())));
+    assert_eq!(step.fault, Some(cherrystand_core::RecordFault::DuplicateBox(twice[0].clone())));
 }
--- a/crates/cherrystand_testkit/src/domain/fake_domain.rs
+++ b/crates/cherrystand_testkit/src/domain/fake_domain.rs
@@ -285,11 +285,11 @@
         let cut_off = self.controllers[index].cut_off;
         let now = self.now;
         for (id, fake) in &self.boxes {
-            let first = Observation { heard: now, report: None };
+            let first = Observation { last_heard: now, report: None };
             let seen = &mut self.controllers[index].seen;
             let observation = seen.entry(id.clone()).or_insert(first);
             if fake.alive && !cut_off && fake.silent_until <= now {
-                observation.heard = now;
+                observation.last_heard = now;
                 observation.report = Some(fake.report());
             }
         }
@@ -307,7 +307,7 @@
             record: &record,
             desired: &self.desired,
             fleet,
-            seen: &controller.seen,
+            observations: &controller.seen,
             now: self.now,
             unix_secs: self.now.0 / 1_000,
         });
--- a/crates/cherrystandd/benches/slopes.rs
+++ b/crates/cherrystandd/benches/slopes.rs
@@ -202,7 +202,10 @@
                 in_flight: 3,
                 waiting: 0,
             };
-            seen.insert(id.clone(), Observation { heard: Millis(1_000), report: Some(report) });
+            seen.insert(
+                id.clone(),
+                Observation { last_heard: Millis(1_000), report: Some(report) },
+            );
         }
     }
     let mut controller = Controller::new(RepairPolicy::default());
@@ -211,7 +214,7 @@
             record: &record,
             desired: &desired,
             fleet: &fleet,
-            seen: &seen,
+            observations: &seen,
             now: Millis(1_500),
             unix_secs: 1,
         });
--- a/crates/cherrystandd/src/duties/controller.rs
+++ b/crates/cherrystandd/src/duties/controller.rs
@@ -159,7 +159,7 @@
             record: &record,
             desired: &desired,
             fleet: &view.fleet,
-            seen: &seen,
+            observations: &seen,
             now,
             unix_secs: clock::unix_secs(),
         };
--- a/crates/cherrystandd/src/duties/prober.rs
+++ b/crates/cherrystandd/src/duties/prober.rs
@@ -37,7 +37,7 @@
         let mut seen = self.seen.borrow_mut();
         seen.retain(|id, _| boxes.contains(id));
         for id in boxes {
-            let unknown = Observation { heard: now, report: None };
+            let unknown = Observation { last_heard: now, report: None };
             seen.entry(id.clone()).or_insert(unknown);
         }
     }
@@ -54,7 +54,7 @@
                 && let Some(observation) = prober.seen.borrow_mut().get_mut(&id)
             {
                 // The answer is at least as old as the question.
-                observation.heard = asked;
+                observation.last_heard = asked;
                 observation.report = Some(report);
             }
         });
@@ -69,7 +69,7 @@
             .map(|(replica, held)| {
                 let members = MemberSummary::of(held, &seen, now);
                 let ages = held.boxes.iter().filter_map(|id| seen.get(id));
-                let oldest = ages.map(|seen| now.since(seen.heard)).max();
+                let oldest = ages.map(|seen| now.since(seen.last_heard)).max();
                 ReplicaEvidence {
                     domain: record.domain.clone(),
                     replica: replica.clone(),
--- a/crates/cherrystandd/src/operator/status.rs
+++ b/crates/cherrystandd/src/operator/status.rs
@@ -83,7 +83,8 @@
 
 fn boxes(view: &View) -> Vec<Value> {
     let formed = view.formed();
-    let holder = |id: &cherrystand_core::BoxId| formed.holder(id).map(ToString::to_string);
+    let holder =
+        |id: &cherrystand_core::BoxId| formed.replica_with_box(id).map(ToString::to_string);
     let one = |info: &cherrystand_core::BoxInfo| {
         json!({
             "box": info.id, "domain": info.domain, "zone": info.zone,
