--- a/crates/cherrystandd/src/site/box_calls.rs
+++ b/crates/cherrystandd/src/site/box_calls.rs
@@ -35,24 +35,24 @@
         match end {
             OrderEnd::Taken | OrderEnd::Unfit if order.task == MemberTask::Leave => {
                 // A box that says that the order does not fit is not in the replica.
-                self.known.borrow_mut().mark_left(&order);
+                self.state.borrow_mut().mark_left(&order);
                 self.wake.notify_one();
             }
             // It is listed for seconds yet, but it is not there.
             OrderEnd::Refused | OrderEnd::OtherBox => {
-                self.known.borrow_mut().record_answer(&order.target, false, self.now());
+                self.state.borrow_mut().record_answer(&order.target, false, self.now());
                 self.publish_and_wake();
             }
             // It may carry the order out later, or not be there at all, or this daemon is held up.
             OrderEnd::Dark | OrderEnd::Silent => {
-                let known = self.known.borrow().listed_box(&order.target);
+                let known = self.state.borrow().listed_box(&order.target);
                 if let Some(known) = known {
                     self.ask(known, Doubt::NoAnswer).await;
                 }
             }
             _ => {}
         }
-        let is_silent = self.known.borrow().is_silent(&order.target);
+        let is_silent = self.state.borrow().is_silent(&order.target);
         if let Some(formation) = self.formations.borrow_mut().get_mut(domain) {
             formation.record_order_end(&order, end, is_silent);
         }
@@ -61,7 +61,7 @@
     /// Takes in that a box leaves, which is planned for at once; by the store alone it is known only
     /// once the box's entry says so or is gone.
     pub(super) fn leaves(&self, id: &BoxId) {
-        if self.known.borrow_mut().mark_leaving(id) {
+        if self.state.borrow_mut().mark_leaving(id) {
             log::info!(target_box = id.as_str(); "a box leaves, by its own answer");
             self.publish_and_wake();
         }
@@ -85,7 +85,7 @@
         };
         let is_there = matches!(end, OrderEnd::Taken | OrderEnd::Unfit | OrderEnd::Fenced);
         if is_there {
-            self.known.borrow_mut().record_answer(&order.target, true, self.now());
+            self.state.borrow_mut().record_answer(&order.target, true, self.now());
         }
         if let Some(answer) = sent.as_ref().ok().filter(|_| is_there) {
             self.read_leaving(&order.target, answer);
@@ -118,10 +118,10 @@
         kind: &str,
         answer: impl Future<Output = Result<T, E>>,
     ) -> Result<T, E> {
-        let key = self.calls.borrow_mut().begin(self.now());
+        let key = self.call_book.borrow_mut().begin(self.now());
         let answer = answer.await;
         let answered = answer.is_ok();
-        let took = self.calls.borrow_mut().end(key, answered, self.now());
+        let took = self.call_book.borrow_mut().end(key, answered, self.now());
         let result = if answered { "answered" } else { "unanswered" };
         let times = self.cx.metrics.box_call_time.with_label_values(&[kind, result]);
         times.observe(took.as_secs_f64());
@@ -133,7 +133,7 @@
     fn log_verdict(&self, id: &BoxId, asked: Millis, verdict: SilenceVerdict) {
         self.cx.metrics.silence_verdicts.with_label_values(&[verdict.as_str()]).inc();
         let now = self.now();
-        let calls = self.calls.borrow();
+        let calls = self.call_book.borrow();
         let state = calls.state(now);
         let text = match verdict {
             SilenceVerdict::Silent => "a box is taken for silent",
@@ -160,7 +160,7 @@
     /// Tells whether a box was not asked just now for the same reason, and notes that it is.
     fn may_ask(&self, id: &BoxId, doubt: Doubt) -> bool {
         let now = self.now();
-        let mut asked = self.asked.borrow_mut();
+        let mut asked = self.last_probed.borrow_mut();
         asked.retain(|_, at| now.since(*at) < ASK_PAUSE);
         let key = (id.clone(), doubt);
         if asked.contains_key(&key) {
@@ -175,9 +175,9 @@
         if !self.may_ask(&known.id, doubt) {
             return;
         }
-        self.asking.borrow_mut().insert(known.id.clone());
+        self.probing.borrow_mut().insert(known.id.clone());
         self.ask_until_known(&known, doubt).await;
-        self.asking.borrow_mut().remove(&known.id);
+        self.probing.borrow_mut().remove(&known.id);
         // What waited for the answer goes on.
         self.wake.notify_one();
     }
@@ -196,10 +196,10 @@
                 Ok(answer) => {
                     self.count_probe("answered");
                     self.read_leaving(&known.id, answer);
-                    return self.known.borrow_mut().record_answer(&known.id, true, self.now());
+                    return self.state.borrow_mut().record_answer(&known.id, true, self.now());
                 }
                 Err(CallError::Send(SendError::Connect { .. })) => SilenceCheck::refused(doubt),
-                Err(_) => check.unanswered(begun, self.now(), &self.calls.borrow()),
+                Err(_) => check.unanswered(begun, self.now(), &self.call_book.borrow()),
             };
             self.count_probe("silent");
             self.log_verdict(&known.id, begun, verdict);
@@ -207,7 +207,7 @@
                 SilenceVerdict::AskAgain => {}
                 SilenceVerdict::Undecided => return,
                 SilenceVerdict::Silent => {
-                    self.known.borrow_mut().record_answer(&known.id, false, self.now());
+                    self.state.borrow_mut().record_answer(&known.id, false, self.now());
                     return self.publish_and_wake();
                 }
             }
@@ -218,10 +218,10 @@
     /// held up itself; unless some call has just begun that shows the same.
     fn ask_somebody_else(self: &Rc<Self>, doubted: &SiteBox) {
         let now = self.now();
-        if self.witness_asked.get().is_some_and(|at| now.since(at) <= WITNESS_BEFORE) {
+        if self.witness_probed_at.get().is_some_and(|at| now.since(at) <= WITNESS_BEFORE) {
             return;
         }
-        self.witness_asked.set(Some(now));
+        self.witness_probed_at.set(Some(now));
         for _ in 0..WITNESSES {
             let control = self.clone();
             match self.peers.nearby_peer() {
@@ -232,7 +232,7 @@
                     });
                 }
                 None => {
-                    let Some(other) = self.known.borrow().pick_witness(doubted) else { return };
+                    let Some(other) = self.state.borrow().pick_witness(doubted) else { return };
                     tokio::task::spawn_local(async move {
                         let report = Driver::report_call(&other.id);
                         let within = Duration::from_millis(SilenceCheck::default().within().0);
@@ -267,16 +267,16 @@
                 continue;
             }
         };
-        let mut members = control.known.borrow().replica_members(&id);
+        let mut members = control.state.borrow().replica_members(&id);
         if !members.iter().all(|member| control.decides_for(member)) {
             continue;
         }
         // What is lost together is found together, spares among it that would take the places.
-        members.extend(control.known.borrow().domain_spares(&id));
+        members.extend(control.state.borrow().domain_spares(&id));
         ask_each(&control, members, Doubt::NoAnswer);
-        let unknown = control.known.borrow().unknown_members(&id);
+        let unknown = control.state.borrow().unknown_members(&id);
         for member in &unknown {
-            control.known.borrow_mut().record_answer(member, false, control.now());
+            control.state.borrow_mut().record_answer(member, false, control.now());
         }
         if !unknown.is_empty() {
             control.publish_and_wake();
@@ -287,7 +287,7 @@
 /// Asks members of replicas whose entries went whether they are there: one that is only cut off
 /// from the store works on.
 pub(super) fn ask_unlisted(control: &Rc<Control>) {
-    let mut unlisted = control.known.borrow_mut().take_unverified();
+    let mut unlisted = control.state.borrow_mut().take_unverified();
     unlisted.retain(|known| control.decides_for(known));
     ask_each(control, unlisted, Doubt::NotListed);
 }
--- a/crates/cherrystandd/src/site/box_entries.rs
+++ b/crates/cherrystandd/src/site/box_entries.rs
@@ -24,17 +24,20 @@
             return;
         }
         let older = |held: &Document| held.revision >= entry.revision;
-        if self.absences.hide(&name, entry.revision) || self.entries.get(&name).is_some_and(older) {
+        if self.tombstones.hide(&name, entry.revision) || self.entries.get(&name).is_some_and(older)
+        {
             return;
         }
         self.entries.insert(name.clone(), entry.clone());
         match Driver::read_box(&entry.key, &entry.body) {
-            Ok(known) if self.lives.update(&known) => self.reapply_entries(&known.service, now),
+            Ok(known) if self.incarnations.update(&known) => {
+                self.reapply_entries(&known.service, now)
+            }
             Ok(known) => self.apply_box(known, entry, now),
             Err(err) => {
                 self.refused.record(entry, RefusedKind::BoxEntry, &err);
                 self.replace_with_unusable(&name, entry, now);
-                if let Some(service) = self.lives.remove(&name) {
+                if let Some(service) = self.incarnations.remove(&name) {
                     self.reapply_entries(&service, now);
                 }
             }
@@ -55,7 +58,7 @@
     /// Takes in what a box tells of itself, in the life that its entry tells of.
     fn apply_box(&mut self, mut known: SiteBox, entry: &Document, now: Millis) {
         let name = known.id.clone();
-        let Some(id) = self.lives.incarnation_of(&known) else {
+        let Some(id) = self.incarnations.incarnation_of(&known) else {
             let reason =
                 "it does not tell its start in whole milliseconds, as others do".to_owned();
             let err = FormatError { key: entry.key.to_string(), reason };
@@ -65,23 +68,23 @@
         known.id = id.clone();
         known.leaving |= self.leaving.contains(&id);
         let is_cold_news = self.apply_cold(&mut known, entry, now);
-        if self.listed_lives.get(&name) != Some(&id) {
+        if self.listed_incarnations.get(&name) != Some(&id) {
             self.list_incarnation(name, &mut known);
         }
-        let departed = self.departed.remove(&id).map(|gone| gone.known);
+        let departed = self.departed.remove(&id).map(|gone| gone.site_box);
         if departed.is_some() {
             self.log_box_transition(BoxTransition::Relisted, &id, now);
         }
-        let departed = departed.filter(|_| !self.ended_lives.contains(&id));
+        let departed = departed.filter(|_| !self.ended_incarnations.contains(&id));
         if let Some(earlier) = self.boxes.get(&id).or(departed.as_ref()) {
             known.carry_over_loaded_models(earlier);
         }
-        self.ended_lives.remove(&id);
+        self.ended_incarnations.remove(&id);
         self.unlisted.remove(&id);
         // What it tells now, it tells after it was silent.
-        self.silent.remove(&id);
+        self.silent_since.remove(&id);
         if !self.boxes.contains_key(&id) {
-            self.grew = now;
+            self.last_new_box_at = now;
         }
         if known.leaving && self.boxes.get(&id).is_some_and(|held| !held.leaving) {
             self.log_box_transition(BoxTransition::Leaving, &id, now);
@@ -92,7 +95,7 @@
         }
         // Peers need not hear of a heartbeat that says nothing new but how many orders it took.
         if is_cold_news || held.is_none_or(|held| held.differs_from(&known)) {
-            self.log.record(entry.clone());
+            self.change_log.record(entry.clone());
         }
         Arc::make_mut(&mut self.boxes).insert(id, Arc::new(known));
     }
@@ -101,7 +104,7 @@
     /// for as long as its service says, if it came while this node listened.
     fn apply_cold(&mut self, known: &mut SiteBox, entry: &Document, now: Millis) -> bool {
         let told = known.cold_remaining.take();
-        if self.zones.returned_after(&known.zone, entry.revision) {
+        if self.evacuations.returned_after(&known.zone, entry.revision) {
             // It says how the box was while nothing was sent there.
             return false;
         }
@@ -125,7 +128,7 @@
         for before in departed.cloned().collect::<Vec<_>>() {
             self.end_incarnation(before);
         }
-        match self.listed_lives.insert(name, known.id.clone()) {
+        match self.listed_incarnations.insert(name, known.id.clone()) {
             Some(before) if before.is_other_incarnation_of(&known.id) => {
                 self.end_incarnation(before)
             }
@@ -148,9 +151,9 @@
         Arc::make_mut(&mut self.boxes).remove(&before);
         self.departed.remove(&before);
         self.unlisted.remove(&before);
-        self.left.retain(|(left, _), _| left != &before);
-        self.unasked.retain(|known| known.id != before);
-        self.ended_lives.insert(before);
+        self.left_epochs.retain(|(left, _), _| left != &before);
+        self.unverified.retain(|known| known.id != before);
+        self.ended_incarnations.insert(before);
     }
 
     /// Takes a box out whose entry names no box to use; what stands there now is passed on.
@@ -159,7 +162,7 @@
         // are there is kept.
         let hidden = Document { body: Arc::from(""), ..entry.clone() };
         if self.remove_listed(name, now) {
-            self.log.record(hidden.clone());
+            self.change_log.record(hidden.clone());
         }
         self.entries.insert(name.clone(), hidden);
     }
@@ -167,8 +170,8 @@
     /// Takes a box out that is listed no more as of a revision, or keeps it for a while where the store may only
     /// have lost its entry.
     pub(super) fn delist(&mut self, name: &BoxId, as_of: Revision, now: Millis) {
-        let id = self.listed_lives.get(name).filter(|id| self.boxes.contains_key(*id));
-        match id.filter(|_| self.outage.keeps(now)).cloned() {
+        let id = self.listed_incarnations.get(name).filter(|id| self.boxes.contains_key(*id));
+        match id.filter(|_| self.store_outage.keeps(now)).cloned() {
             Some(id) => {
                 self.log_box_transition(BoxTransition::Kept, &id, now);
                 self.unlisted.insert(id);
@@ -182,32 +185,32 @@
         if self.entries.get(name).is_some_and(|held| held.revision > as_of) {
             return;
         }
-        self.absences.add(name, as_of);
+        self.tombstones.add(name, as_of);
         self.entries.remove(name);
-        if let Some(service) = self.lives.remove(name) {
+        if let Some(service) = self.incarnations.remove(name) {
             self.reapply_entries(&service, now);
         }
         if self.remove_listed(name, now) {
-            self.log.gone(&Driver::box_key(name), name.clone());
+            self.change_log.gone(&Driver::box_key(name), name.clone());
         }
     }
 
     /// Takes a box out, and tells whether it was there.
     fn remove_listed(&mut self, name: &BoxId, now: Millis) -> bool {
-        let Some(id) = self.listed_lives.remove(name) else {
+        let Some(id) = self.listed_incarnations.remove(name) else {
             return false;
         };
         self.assigned.take();
-        self.left.retain(|(left, _), _| left != &id);
+        self.left_epochs.retain(|(left, _), _| left != &id);
         self.unlisted.remove(&id);
         let Some(known) = Arc::make_mut(&mut self.boxes).remove(&id) else {
             return false;
         };
-        if known.member.is_some() && !self.silent.contains_key(&id) {
-            self.unasked.push(SiteBox::clone(&known));
+        if known.member.is_some() && !self.silent_since.contains_key(&id) {
+            self.unverified.push(SiteBox::clone(&known));
         }
         self.log_box_transition(BoxTransition::Removed, &id, now);
-        self.departed.insert(id, DepartedBox { known, at: now });
+        self.departed.insert(id, DepartedBox { site_box: known, departed_at: now });
         true
     }
 
@@ -220,23 +223,23 @@
 
     /// Forgets lives that ended and that no record names any more.
     pub(super) fn expire_ended_incarnations(&mut self) {
-        if self.ended_lives.is_empty() {
+        if self.ended_incarnations.is_empty() {
             return;
         }
-        let records = &self.records;
-        self.ended_lives.retain(|id| records.names_box(id));
+        let records = &self.domain_records;
+        self.ended_incarnations.retain(|id| records.names_box(id));
     }
 
     /// Tells whether a domain's record names boxes whose lives it does not tell, or that are told apart
     /// otherwise now.
     pub(crate) fn has_outdated_box_ids(&self, domain: &DomainId) -> bool {
-        self.records.assigned_boxes(domain).any(|id| self.listed_id_for(id).is_some())
+        self.domain_records.assigned_boxes(domain).any(|id| self.listed_id_for(id).is_some())
     }
 
     /// Returns the id under which a box is listed that a record names, where either of them names no
     /// certain life.
     pub(super) fn listed_id_for(&self, id: &BoxId) -> Option<BoxId> {
-        let listed = self.listed_lives.get(id.name())?;
+        let listed = self.listed_incarnations.get(id.name())?;
         let is_uncertain = id.start().is_none() || listed.start().is_none();
         (listed != id && is_uncertain).then(|| listed.clone())
     }
--- a/crates/cherrystandd/src/site/box_queries.rs
+++ b/crates/cherrystandd/src/site/box_queries.rs
@@ -11,30 +11,30 @@
     /// Returns the domains of the listed boxes and of the records.
     pub(crate) fn domains(&self) -> BTreeSet<DomainId> {
         let listed = self.boxes.values().filter_map(|known| known.domain.clone());
-        listed.chain(self.records.domains().cloned()).collect()
+        listed.chain(self.domain_records.domains().cloned()).collect()
     }
 
     /// Returns a domain's record and its revision.
     ///
     /// Boxes stand in it as they are listed now: a record of an earlier version names no lives.
     pub(crate) fn record(&self, domain: &DomainId) -> (Revision, DomainRecord) {
-        let (revision, record) = self.records.get(domain);
+        let (revision, record) = self.domain_records.get(domain);
         (revision, record.with_boxes_renamed(|id| self.listed_id_for(id)))
     }
 
     /// Tells whether the store lost a domain's record, which is held here.
     pub(crate) fn is_record_lost(&self, domain: &DomainId) -> bool {
-        self.records.is_lost(domain)
+        self.domain_records.is_lost(domain)
     }
 
     /// Returns the model that each domain is for, as far as the records say.
     pub(crate) fn home_models(&self) -> BTreeMap<DomainId, String> {
-        self.records.home_models()
+        self.domain_records.home_models()
     }
 
     /// Returns the model that each domain's hosts are to hold besides, as far as the records say.
     pub(crate) fn second_models(&self) -> BTreeMap<DomainId, String> {
-        self.records.second_models()
+        self.domain_records.second_models()
     }
 
     /// Returns the boxes of a domain that are listed.
@@ -56,13 +56,13 @@
 
     /// Returns the boxes of a domain that were listed lately.
     pub(crate) fn departed_in(&self, domain: &DomainId) -> Vec<&SiteBox> {
-        let all = self.departed.values().map(|gone| gone.known.as_ref());
+        let all = self.departed.values().map(|gone| gone.site_box.as_ref());
         all.filter(|known| known.domain.as_ref() == Some(domain)).collect()
     }
 
     /// Returns for how long no box has come that was not known.
     pub(crate) fn time_since_new_box(&self, now: Millis) -> Millis {
-        now.since(self.grew)
+        now.since(self.last_new_box_at)
     }
 
     /// Returns a box that is listed.
@@ -77,7 +77,7 @@
         let is_other = |known: &&Arc<SiteBox>| {
             known.id != doubted.id
                 && (replica(known).is_none() || replica(known) != replica(doubted))
-                && !self.silent.contains_key(&known.id)
+                && !self.silent_since.contains_key(&known.id)
         };
         self.boxes.values().find(is_other).cloned()
     }
@@ -101,7 +101,7 @@
         let Some(member) = &known.member else {
             return vec![SiteBox::clone(known)];
         };
-        let departed = self.departed.values().map(|gone| &gone.known);
+        let departed = self.departed.values().map(|gone| &gone.site_box);
         let all = self.boxes.values().chain(departed).map(Arc::as_ref);
         all.filter(|other| other.is_member_of(&member.replica, member.epoch)).cloned().collect()
     }
@@ -112,7 +112,7 @@
         let member = self.boxes.get(leader).and_then(|known| known.member.as_ref());
         let members = member.and_then(|member| {
             let key = (member.replica.clone(), member.epoch);
-            self.records.assigned().get(&key)
+            self.domain_records.assigned().get(&key)
         });
         let is_unknown =
             |id: &&BoxId| !self.boxes.contains_key(*id) && !self.departed.contains_key(*id);
@@ -121,11 +121,11 @@
 
     /// Tells whether a box went silent.
     pub(crate) fn is_silent(&self, id: &BoxId) -> bool {
-        self.silent.contains_key(id)
+        self.silent_since.contains_key(id)
     }
 
     /// Returns the boxes that went silent, and those whose life is over.
     pub(crate) fn silent_boxes(&self) -> BTreeSet<BoxId> {
-        self.silent.keys().chain(&self.ended_lives).cloned().collect()
+        self.silent_since.keys().chain(&self.ended_incarnations).cloned().collect()
     }
 }
--- a/crates/cherrystandd/src/site/capacity.rs
+++ b/crates/cherrystandd/src/site/capacity.rs
@@ -22,7 +22,7 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct HomeModels {
     /// The model that each domain is for.
-    pub(super) first: BTreeMap<DomainId, String>,
+    pub(super) home: BTreeMap<DomainId, String>,
     /// The model that hosts are to hold besides, where loads are free or it is worth them.
     pub(super) second: BTreeMap<DomainId, String>,
 }
@@ -44,7 +44,7 @@
         if policy.follow_demand && free {
             second.extend(second_models(engine, &first));
         }
-        HomeModels { first, second }
+        HomeModels { home: first, second }
     }
 
     /// Tells whether no model has any request in flight.
@@ -65,7 +65,7 @@
                 domain = change.domain.as_str(), busy = busy.as_str();
                 "the domain is for {} now", change.home
             );
-            let (revision, mut record) = self.known.borrow().record(&change.domain);
+            let (revision, mut record) = self.state.borrow().record(&change.domain);
             record.home = Some(change.home);
             record.second = None;
             self.write_record(&change.domain, revision, record).await;
@@ -76,7 +76,7 @@
                 domain = change.domain.as_str(), busy = busy.as_str();
                 "the hosts of the domain load {} besides", change.home
             );
-            let (revision, mut record) = self.known.borrow().record(&change.domain);
+            let (revision, mut record) = self.state.borrow().record(&change.domain);
             record.second = Some(change.home);
             self.write_record(&change.domain, revision, record).await;
         }
@@ -84,7 +84,7 @@
 
     /// Says how many replicas each model keeps busy, for the log.
     fn busy_replicas(&self) -> String {
-        let plans = self.plans.borrow();
+        let plans = self.capacity_plans.borrow();
         let models = plans.values().flat_map(|plan| plan.busy_replicas());
         let busy: Vec<String> = models.map(|(model, busy)| format!("{model} {busy:.1}")).collect();
         busy.join(", ")
@@ -113,12 +113,12 @@
         &self,
         mut ask: impl FnMut(&mut CapacityPlanner, &ServiceName, &EngineSpec, &[DomainCapacity]) -> T,
     ) -> Vec<T> {
-        let known = self.known.borrow();
+        let known = self.state.borrow();
         let Some(table) = known.table() else {
             return Vec::new();
         };
         let homes = known.home_models();
-        let mut plans = self.plans.borrow_mut();
+        let mut plans = self.capacity_plans.borrow_mut();
         let services: Vec<ServiceName> = self.cx.model_loads.borrow().keys().cloned().collect();
         let asked = services.iter().filter_map(|service| {
             let engine = table.config().engine(service)?;
@@ -137,7 +137,7 @@
     homes: &BTreeMap<DomainId, String>,
 ) -> Vec<DomainCapacity> {
     let by_domain = known.boxes_by_domain();
-    let (emptied, seconds) = (known.zones.since(), known.second_models());
+    let (emptied, seconds) = (known.evacuations.since(), known.second_models());
     let described = homes.iter().filter_map(|(id, home)| {
         let boxes = by_domain.get(id)?;
         let serves = |known: &&&SiteBox| !emptied.contains_key(&known.zone);
--- a/crates/cherrystandd/src/site/change_sharing.rs
+++ b/crates/cherrystandd/src/site/change_sharing.rs
@@ -125,7 +125,7 @@
 /// Waits until there is a change after the first `after`, until a time, or until what is known here is no longer fresh:
 /// the asker has to look elsewhere then.
 async fn wait_for_change(control: &Control, after: Option<u64>, until: Millis) {
-    let mut changed = control.changed.subscribe();
+    let mut changed = control.change_count.subscribe();
     let is_due =
         |count: &u64| fresh_store_age(control).is_some() && after.is_none_or(|at| *count > at);
     loop {
@@ -143,7 +143,7 @@
 
 /// Returns how long ago the store told this node how it stands, where that is fresh.
 fn fresh_store_age(control: &Control) -> Option<Millis> {
-    let is_listed = control.known.borrow().is_listed();
+    let is_listed = control.state.borrow().is_listed();
     control.store_age().filter(|age| *age <= control.budget.fresh_for() && is_listed)
 }
 
@@ -153,7 +153,7 @@
     newer_than: Revision,
     config: Revision,
 ) -> Result<ChangeNews, StatusCode> {
-    let known = control.known.borrow();
+    let known = control.state.borrow();
     if !known.is_listed() || known.revision() <= newer_than {
         return Err(StatusCode::SERVICE_UNAVAILABLE);
     }
@@ -170,14 +170,15 @@
     store_age: Millis,
     config: Revision,
 ) -> Result<ChangeNews, StatusCode> {
-    let known = control.known.borrow();
+    let known = control.state.borrow();
     let after = after.filter(|after| known.keeps_changes_since(*after));
     let span = BatchSpan { after, until: known.change_count() };
     let make = || match after.and_then(|after| known.changes_since(after)) {
         Some(since) => since,
         None => ChangesSince { records: known.snapshot(), gone: Vec::new() },
     };
-    let batch = control.batches.borrow_mut().get_or_pack(span, make).map_err(encoding_failed)?;
+    let batch =
+        control.packed_batches.borrow_mut().get_or_pack(span, make).map_err(encoding_failed)?;
     Ok(ChangeNews {
         cursor: ChangeCursor { life: control.incarnation(), count: known.change_count() },
         store_age,
@@ -230,7 +231,7 @@
     control.time_apply(|| {
         changes |= control.apply_packed_config(news.config.as_deref());
         let teller = ChangeSource::Peer(node.clone());
-        control.known.borrow_mut().apply_peer_changes(teller, &news, &batch, now);
+        control.state.borrow_mut().apply_peer_changes(teller, &news, &batch, now);
     });
     control.record_update(&ChangeSource::Peer(node.clone()), age, changes);
     let store = (!news.keeps_unlisted).then_some(news.revision);
@@ -245,14 +246,14 @@
     node: NodeId,
     peer: SocketAddr,
 ) -> Result<(), ChangesError> {
-    let newer_than = control.known.borrow().revision();
+    let newer_than = control.state.borrow().revision();
     let question = ChangeQuestion::Copy { newer_than, config: control.held_config_revision() };
     let news = request_news(control, peer, &question, ANSWER_TIMEOUT).await?;
     let now = control.now();
     control.apply_packed_config(news.config.as_deref());
     let batch = news.batch.unpack()?;
     let teller = ChangeSource::Peer(node);
-    control.known.borrow_mut().apply_snapshot(teller, &batch.records, news.revision, now);
+    control.state.borrow_mut().apply_snapshot(teller, &batch.records, news.revision, now);
     control.publish_and_wake();
     Ok(())
 }
@@ -271,7 +272,7 @@
     let was_none = news.store_age <= control.budget.fresh_for() && news.steady_for > silence;
     if was_none {
         let batch = news.batch.unpack()?;
-        let mut known = control.known.borrow_mut();
+        let mut known = control.state.borrow_mut();
         known.dismiss_outage();
         known.apply_snapshot(
             ChangeSource::Peer(node),
--- a/crates/cherrystandd/src/site/control.rs
+++ b/crates/cherrystandd/src/site/control.rs
@@ -76,38 +76,38 @@
     /// The store.
     pub(crate) store: Counted<<Driver as SiteDriver>::Store>,
     /// What is known of the site.
-    pub(crate) known: RefCell<SiteState>,
+    pub(crate) state: RefCell<SiteState>,
     /// What was passed on of it last.
-    pub(super) batches: RefCell<ChangeBatches>,
+    pub(super) packed_batches: RefCell<ChangeBatches>,
     /// Connections to boxes and peers.
     pub(super) pool: HttpPool,
     /// How its calls to boxes fared lately.
-    pub(super) calls: RefCell<CallBook>,
+    pub(super) call_book: RefCell<CallBook>,
     /// When others were last asked beside a box that may be gone.
-    pub(super) witness_asked: Cell<Option<Millis>>,
+    pub(super) witness_probed_at: Cell<Option<Millis>>,
     pub(super) wake: Notify,
     pub(super) formations: RefCell<BTreeMap<DomainId, Formation>>,
     /// Which split of its domains each service's work wants.
-    pub(super) plans: RefCell<BTreeMap<ServiceName, CapacityPlanner>>,
-    pub(super) loads: RefCell<BTreeMap<DomainId, VecDeque<Millis>>>,
+    pub(super) capacity_plans: RefCell<BTreeMap<ServiceName, CapacityPlanner>>,
+    pub(super) recent_loads: RefCell<BTreeMap<DomainId, VecDeque<Millis>>>,
     /// When boxes were last asked whether they are there, by the reason.
-    pub(super) asked: RefCell<BTreeMap<(BoxId, Doubt), Millis>>,
+    pub(super) last_probed: RefCell<BTreeMap<(BoxId, Doubt), Millis>>,
     /// Boxes that are being asked whether they are there.
-    pub(super) asking: RefCell<BTreeSet<BoxId>>,
+    pub(super) probing: RefCell<BTreeSet<BoxId>>,
     /// How long each step of the way of a change may take.
     pub(super) budget: NewsBudget,
-    reach: Cell<StoreReach>,
-    said_decides: Cell<bool>,
-    passed_on: Cell<Millis>,
-    newest_passed: Cell<(Revision, Revision)>,
+    store_reach: Cell<StoreReach>,
+    announced_decides: Cell<bool>,
+    passed_on_at: Cell<Millis>,
+    passed_on_revisions: Cell<(Revision, Revision)>,
     /// How long the last news took to be taken in.
-    reading_took: Cell<Duration>,
+    last_apply_took: Cell<Duration>,
     /// Whether what changed in the configuration did not fit the one held.
-    wants_whole: Cell<bool>,
+    needs_full_config: Cell<bool>,
     /// Which peers it reads from and asks.
     pub(crate) peers: PeerSelector,
     /// Tells how many changes there have been, to peers that wait for one.
-    pub(crate) changed: watch::Sender<u64>,
+    pub(crate) change_count: watch::Sender<u64>,
 }
 
 impl Control {
@@ -115,26 +115,26 @@
         let store = Driver::store(cx.settings.platform.address);
         Self {
             store: Counted::over(store, &cx, "site"),
-            known: RefCell::default(),
-            batches: RefCell::default(),
+            state: RefCell::default(),
+            packed_batches: RefCell::default(),
             pool: HttpPool::default(),
-            calls: RefCell::default(),
-            witness_asked: Cell::default(),
+            call_book: RefCell::default(),
+            witness_probed_at: Cell::default(),
             wake: Notify::new(),
             formations: RefCell::default(),
-            plans: RefCell::default(),
-            loads: RefCell::default(),
-            asked: RefCell::default(),
-            asking: RefCell::default(),
+            capacity_plans: RefCell::default(),
+            recent_loads: RefCell::default(),
+            last_probed: RefCell::default(),
+            probing: RefCell::default(),
             budget: cx.settings.site.as_ref().map(SiteSettings::news_budget).unwrap_or_default(),
-            reach: Cell::default(),
-            said_decides: Cell::new(true),
-            passed_on: Cell::default(),
-            newest_passed: Cell::default(),
-            reading_took: Cell::default(),
-            wants_whole: Cell::default(),
+            store_reach: Cell::default(),
+            announced_decides: Cell::new(true),
+            passed_on_at: Cell::default(),
+            passed_on_revisions: Cell::default(),
+            last_apply_took: Cell::default(),
+            needs_full_config: Cell::default(),
             peers: PeerSelector::new(cx.clone()),
-            changed: watch::channel(0).0,
+            change_count: watch::channel(0).0,
             cx,
         }
     }
@@ -145,9 +145,9 @@
     }
 
     fn update_reach<T>(&self, change: impl FnOnce(&mut StoreReach) -> T) -> T {
-        let mut reach = self.reach.get();
+        let mut reach = self.store_reach.get();
         let out = change(&mut reach);
-        self.reach.set(reach);
+        self.store_reach.set(reach);
         out
     }
 
@@ -158,7 +158,7 @@
 
     /// Tells whether the store did not answer this node the last time.
     pub(crate) fn is_store_unreachable(&self) -> bool {
-        self.reach.get().fails()
+        self.store_reach.get().fails()
     }
 
     /// Notes that the store does not answer this node itself, which reads from a peer.
@@ -186,7 +186,7 @@
     /// Returns how long ago the store is known to have answered, this node or one that it reads
     /// from.
     pub(crate) fn store_age(&self) -> Option<Millis> {
-        self.reach.get().age(self.now())
+        self.store_reach.get().age(self.now())
     }
 
     /// Tells whether all daemons start for the very first time.
@@ -201,7 +201,7 @@
 
     fn publish(&self) {
         let nodes = self.cx.view.borrow().alive().count();
-        let known = self.known.borrow();
+        let known = self.state.borrow();
         if let Some(config) = known.config() {
             self.cx.config_versions.note(config);
         }
@@ -210,7 +210,7 @@
         self.cx.metrics.store_era.set(known.revision().era().0 as i64);
         self.cx.metrics.endpoints_cold.set(view.cold.iter().count() as i64);
         self.cx.publish_site.send_replace(Arc::new(view));
-        self.changed.send_replace(known.change_count());
+        self.change_count.send_replace(known.change_count());
     }
 
     async fn run_steps(self: Rc<Self>) {
@@ -220,7 +220,7 @@
                 tokio::time::sleep(COALESCE_DELAY).await;
             }
             let view = self.cx.view_now();
-            let forgot = self.known.borrow_mut().remove_expired(self.now());
+            let forgot = self.state.borrow_mut().remove_expired(self.now());
             // The share of the repeats that a node may make hangs on how many there are.
             if forgot || self.cx.site.borrow().nodes != view.alive().count() {
                 self.publish();
@@ -240,7 +240,7 @@
     /// Takes in what peers passed on, and hands out what the store told.
     fn exchange_documents(&self, view: &View) {
         let now = self.now();
-        let mut known = self.known.borrow_mut();
+        let mut known = self.state.borrow_mut();
         let mut news = false;
         for document in &view.passed_on {
             news |= match &*document.key {
@@ -249,11 +249,11 @@
                 _ => false,
             };
         }
-        let due = now.since(self.passed_on.get()) >= PASS_ON_INTERVAL;
+        let due = now.since(self.passed_on_at.get()) >= PASS_ON_INTERVAL;
         let newest = known.operator_revisions();
-        if due || newest != self.newest_passed.get() {
-            self.passed_on.set(now);
-            self.newest_passed.set(newest);
+        if due || newest != self.passed_on_revisions.get() {
+            self.passed_on_at.set(now);
+            self.passed_on_revisions.set(newest);
             self.cx.tell_state(StateEvent::Records(known.operator_documents()));
         }
         drop(known);
@@ -265,14 +265,14 @@
     /// Lets peers decide for this node's domains while the store does not answer it.
     fn announce_decides(&self) {
         let decides = !self.is_store_unreachable();
-        if self.said_decides.replace(decides) != decides {
+        if self.announced_decides.replace(decides) != decides {
             self.cx.tell_state(StateEvent::Decides(decides));
         }
     }
 
     /// Notes that the store failed this node, and tells whether that says anything of the store.
     pub(crate) fn record_store_failure(&self) -> bool {
-        let failed = self.known.borrow_mut().record_store_failure(self.now());
+        let failed = self.state.borrow_mut().record_store_failure(self.now());
         if failed {
             self.record_store_miss();
         }
@@ -281,13 +281,13 @@
 
     /// Tells whether neither the store nor a reader of it has told this node anything for long.
     pub(crate) fn store_is_silent(&self) -> bool {
-        self.reach.get().is_silent(self.now())
+        self.store_reach.get().is_silent(self.now())
     }
 
     /// Returns the revision of the configuration that peers may tell changes against; 0 where the
     /// whole is wanted.
     pub(crate) fn held_config_revision(&self) -> Revision {
-        match self.wants_whole.get() {
+        match self.needs_full_config.get() {
             true => Revision::NONE,
             false => self.cx.config_versions.newest(),
         }
@@ -296,12 +296,12 @@
     /// Takes in a configuration that a peer passed on, and tells whether it is a new one; one that
     /// does not fit is asked for whole the next time, and the one in force stays.
     pub(crate) fn apply_packed_config(&self, packed: Option<&PackedBody>) -> bool {
-        let mut known = self.known.borrow_mut();
+        let mut known = self.state.borrow_mut();
         let Some(packed) = packed.filter(|packed| packed.revision > known.config_revision()) else {
             return false;
         };
         let unpacked = self.cx.config_versions.unpack(Driver::CONFIG_KEY, packed);
-        self.wants_whole.set(unpacked.is_err());
+        self.needs_full_config.set(unpacked.is_err());
         unpacked.is_ok_and(|config| known.apply_config(&config))
     }
 
@@ -309,7 +309,7 @@
     pub(crate) fn time_apply<T>(&self, read: impl FnOnce() -> T) -> T {
         let began = since_boot();
         let out = read();
-        self.reading_took.set(since_boot().saturating_sub(began));
+        self.last_apply_took.set(since_boot().saturating_sub(began));
         out
     }
 
@@ -317,7 +317,7 @@
     /// that a storm of large configurations leaves the processor to orders and requests. Versions
     /// that come meanwhile arrive as one.
     pub(crate) fn read_pause(&self, least: Duration) -> Duration {
-        let rest = self.reading_took.take() * READ_PAUSE_FACTOR;
+        let rest = self.last_apply_took.take() * READ_PAUSE_FACTOR;
         rest.min(to_duration(self.budget.longest_rest())).max(least)
     }
 
@@ -332,7 +332,7 @@
                 .with_label_values(&[RefusedKind::Era.as_str()])
                 .inc_by(eras);
         }
-        for (kind, count) in self.known.borrow_mut().take_refused() {
+        for (kind, count) in self.state.borrow_mut().take_refused() {
             self.cx.metrics.values_refused.with_label_values(&[kind.as_str()]).inc_by(count);
         }
     }
--- a/crates/cherrystandd/src/site/domain_control.rs
+++ b/crates/cherrystandd/src/site/domain_control.rs
@@ -32,7 +32,7 @@
             return;
         }
         self.plan_capacity(view, &readers).await;
-        let mut domains = self.known.borrow().domains();
+        let mut domains = self.state.borrow().domains();
         domains.retain(|domain| owns_domain(view, &readers, domain));
         for domain in domains {
             self.step_domain(&domain).await;
@@ -47,7 +47,7 @@
             log::info!(domain = domain.as_str(); "{reason}");
         }
         if step.loads > 0 {
-            let mut loads = self.loads.borrow_mut();
+            let mut loads = self.recent_loads.borrow_mut();
             let begun = loads.entry(domain.clone()).or_default();
             begun.extend(std::iter::repeat_n(self.now(), step.loads as usize));
         }
@@ -64,7 +64,7 @@
     }
 
     fn decide(&self, domain: &DomainId) -> Option<(Revision, FormationStep)> {
-        let known = self.known.borrow();
+        let known = self.state.borrow();
         let boxes = known.boxes_in(domain);
         let service = service_of_boxes(&boxes)?;
         let engine = known.table()?.config().engine(&service)?.clone();
@@ -86,11 +86,11 @@
             boxes: &boxes,
             departed: &departed,
             silent: &silent,
-            asked: &self.asking.borrow(),
+            asked: &self.probing.borrow(),
             ended: known.ended_replicas(),
             left: known.left_epochs(),
             loads_allowed: self.loads_allowed(domain, engine.loads_per_s, domains),
-            home: homes.first.get(domain).map(String::as_str),
+            home: homes.home.get(domain).map(String::as_str),
             second: homes.second.get(domain).map(String::as_str),
             policy,
         };
@@ -113,7 +113,7 @@
             return u32::MAX;
         }
         let share = (per_s * LOAD_WINDOW.as_secs_f64() / domains.max(1) as f64).max(1.0) as u32;
-        let mut loads = self.loads.borrow_mut();
+        let mut loads = self.recent_loads.borrow_mut();
         let begun = loads.entry(domain.clone()).or_default();
         begun.retain(|at| now.since(*at) < LOAD_WINDOW);
         share.saturating_sub(begun.len() as u32)
@@ -129,11 +129,11 @@
         expected: Revision,
         next: DomainRecord,
     ) {
-        let decided_from = self.known.borrow().record(domain).1;
+        let decided_from = self.state.borrow().record(domain).1;
         if self.try_write_record(domain, expected, &next).await {
             return;
         }
-        let (revision, stands) = self.known.borrow().record(domain);
+        let (revision, stands) = self.state.borrow().record(domain);
         if revision != expected && stands == decided_from {
             self.try_write_record(domain, revision, &next).await;
         }
@@ -157,7 +157,7 @@
         match self.store.swap(&key, expected, &body).await {
             Ok(Swap::Done(revision)) => {
                 let copy = Document { key: Arc::from(key), revision, body: Arc::from(body) };
-                self.known.borrow_mut().apply_domain_record(&copy);
+                self.state.borrow_mut().apply_domain_record(&copy);
                 self.publish_and_wake();
                 true
             }
@@ -178,9 +178,9 @@
             Ok(Some(record)) => {
                 let changes =
                     Changes { revision: Revision::NONE, records: vec![record], gone: Vec::new() };
-                self.known.borrow_mut().apply_changes(&changes, self.now());
+                self.state.borrow_mut().apply_changes(&changes, self.now());
             }
-            Ok(None) => self.known.borrow_mut().mark_record_lost(key),
+            Ok(None) => self.state.borrow_mut().mark_record_lost(key),
             Err(err) => log::warn!("a record could not be read back: {err}"),
         }
     }
--- a/crates/cherrystandd/src/site/domain_records.rs
+++ b/crates/cherrystandd/src/site/domain_records.rs
@@ -12,7 +12,7 @@
 struct HeldRecord {
     record: DomainRecord,
     /// Its revision is the one at which the store holds the record, or an earlier one of it.
-    copy: Document,
+    document: Document,
     /// Whether the store lacks it, or holds an earlier one, since it came back from a copy.
     is_lost: bool,
 }
@@ -48,16 +48,16 @@
     ) -> Result<bool, serde_json::Error> {
         let record: DomainRecord = serde_json::from_str(&copy.body)?;
         let held = self.held.get(&record.domain);
-        if held.is_some_and(|held| held.copy.revision >= copy.revision) {
+        if held.is_some_and(|held| held.document.revision >= copy.revision) {
             return Ok(false);
         }
         if let Some(held) = self.held.get_mut(&record.domain)
-            && held.copy.revision.era() < copy.revision.era()
+            && held.document.revision.era() < copy.revision.era()
             && held.supersedes(&record, is_old)
         {
             // Boxes follow the epochs of the record held, which are not given out again.
             held.is_lost = held.record != record;
-            held.copy.revision = copy.revision;
+            held.document.revision = copy.revision;
             return Ok(false);
         }
         let held = self.held.get(&record.domain);
@@ -68,15 +68,15 @@
         assigned.extend(replica_boxes(&record));
         self.held.insert(
             record.domain.clone(),
-            HeldRecord { record, copy: copy.clone(), is_lost: false },
+            HeldRecord { record, document: copy.clone(), is_lost: false },
         );
         Ok(true)
     }
 
     /// Has records written again that the store no longer holds, by the copies that are held of them.
     pub(crate) fn mark_lost(&mut self, is_missing: impl Fn(&Document) -> bool) {
-        for held in self.held.values_mut().filter(|held| is_missing(&held.copy)) {
-            (held.copy.revision, held.is_lost) = (Revision::NONE, true);
+        for held in self.held.values_mut().filter(|held| is_missing(&held.document)) {
+            (held.document.revision, held.is_lost) = (Revision::NONE, true);
         }
     }
 
@@ -93,7 +93,7 @@
     /// Returns a domain's record and its revision; an empty one where there is none.
     pub(crate) fn get(&self, domain: &DomainId) -> (Revision, DomainRecord) {
         match self.held.get(domain) {
-            Some(held) => (held.copy.revision, held.record.clone()),
+            Some(held) => (held.document.revision, held.record.clone()),
             None => (Revision::NONE, DomainRecord::empty(domain.clone())),
         }
     }
@@ -148,7 +148,7 @@
 
     /// Returns the records as they stand in the store.
     pub(crate) fn documents(&self) -> impl Iterator<Item = &Document> {
-        self.held.values().map(|held| &held.copy)
+        self.held.values().map(|held| &held.document)
     }
 }
 
--- a/crates/cherrystandd/src/site/evacuation_state.rs
+++ b/crates/cherrystandd/src/site/evacuation_state.rs
@@ -18,11 +18,11 @@
 /// Keeps the zones, since when each is empty, and when others were taken back.
 #[derive(Default)]
 pub(super) struct EvacuationState {
-    held: Evacuations,
+    current: Evacuations,
     /// Since when, on this node's clock.
     since: Arc<BTreeMap<ZoneId, Millis>>,
     /// By which revision zones were last taken back.
-    taken_back: BTreeMap<ZoneId, Revision>,
+    returned: BTreeMap<ZoneId, Revision>,
 }
 
 impl EvacuationState {
@@ -33,13 +33,13 @@
 
     /// Returns the revision of the last change; 0 while nothing is known.
     pub(super) fn changed_at(&self) -> Revision {
-        self.held.changed_at()
+        self.current.changed_at()
     }
 
     /// Returns the copy that peers get, once anything is known.
     pub(super) fn document(&self) -> Option<Document> {
-        let revision = self.held.changed_at();
-        let body = serde_json::to_string(&self.held.snapshot());
+        let revision = self.current.changed_at();
+        let body = serde_json::to_string(&self.current.snapshot());
         let body = body.inspect_err(|err| log::error!("emptied zones cannot be written: {err}"));
         let body = body.ok().filter(|_| revision > Revision::NONE)?;
         Some(Document { key: Arc::from(keys::EMPTIED_ZONES), revision, body: Arc::from(body) })
@@ -47,12 +47,12 @@
 
     /// Tells whether a zone was taken back later than by a revision.
     pub(super) fn returned_after(&self, zone: &ZoneId, revision: Revision) -> bool {
-        self.taken_back.get(zone).is_some_and(|at| *at > revision)
+        self.returned.get(zone).is_some_and(|at| *at > revision)
     }
 
     /// Follows the zones held, and returns those that were taken back.
     fn sync(&mut self, now: Millis) -> Vec<ZoneId> {
-        let (zones, changed) = (self.held.zones(), self.held.changed_at());
+        let (zones, changed) = (self.current.zones(), self.current.changed_at());
         let back: Vec<ZoneId> =
             self.since.keys().filter(|zone| !zones.contains(*zone)).cloned().collect();
         let since = Arc::make_mut(&mut self.since);
@@ -60,7 +60,7 @@
         for zone in zones {
             since.entry(zone.clone()).or_insert(now);
         }
-        self.taken_back.extend(back.iter().map(|zone| (zone.clone(), changed)));
+        self.returned.extend(back.iter().map(|zone| (zone.clone(), changed)));
         back
     }
 }
@@ -89,7 +89,7 @@
         let mut zones = self.evacuated_zones_in(list);
         if self.may_lack_operator_writes() {
             // A copy may lack that a zone was emptied; sending nothing there for a moment more harms less.
-            zones.extend(self.zones.held.zones().iter().cloned());
+            zones.extend(self.evacuations.current.zones().iter().cloned());
         }
         self.apply_evacuated_zones(zones, list.revision, now);
     }
@@ -101,7 +101,7 @@
         as_of: Revision,
         now: Millis,
     ) -> bool {
-        let is_new = self.zones.held.replace(zones, as_of);
+        let is_new = self.evacuations.current.replace(zones, as_of);
         if is_new {
             self.sync_zones(now);
         }
@@ -114,7 +114,7 @@
     pub(super) fn apply_zone_changes(&mut self, changes: &Changes, now: Millis) -> bool {
         let emptied = self.evacuated_zones_in(changes);
         let back = changes.gone.iter().filter_map(|key| zone_of(key));
-        let is_new = self.zones.held.apply_changes(emptied, back, changes.revision);
+        let is_new = self.evacuations.current.apply_changes(emptied, back, changes.revision);
         if is_new {
             self.sync_zones(now);
         }
@@ -177,7 +177,7 @@
     ///
     /// They may have turned cold shortly before, and their entries tell of it some time later.
     fn sync_zones(&mut self, now: Millis) {
-        for zone in self.zones.sync(now) {
+        for zone in self.evacuations.sync(now) {
             log::info!(zone = zone.as_str(); "an availability zone is taken back");
             let boxes = self.boxes.values().filter(|known| known.zone == zone);
             let cold =
@@ -187,10 +187,11 @@
                 Arc::make_mut(&mut self.cold).assume(&id, lasts, now);
             }
         }
-        let zones: Vec<&str> = self.zones.held.zones().iter().map(ZoneId::as_str).collect();
+        let zones: Vec<&str> =
+            self.evacuations.current.zones().iter().map(ZoneId::as_str).collect();
         log::info!(zones = zones.join(", ").as_str(); "the availability zones that get nothing changed");
-        if let Some(copy) = self.zones.document() {
-            self.log.record(copy);
+        if let Some(copy) = self.evacuations.document() {
+            self.change_log.record(copy);
         }
     }
 
--- a/crates/cherrystandd/src/site/peer_selector.rs
+++ b/crates/cherrystandd/src/site/peer_selector.rs
@@ -17,14 +17,14 @@
 /// Chooses them from the newest view.
 pub(crate) struct PeerSelector {
     cx: DutyContext,
-    sources: RefCell<SourceChooser>,
+    source_chooser: RefCell<SourceChooser>,
     seed: Cell<Seed>,
 }
 
 impl PeerSelector {
     pub(crate) fn new(cx: DutyContext) -> Self {
         let seed = Cell::new(Seed::new(clock::unix_millis()));
-        Self { cx, sources: RefCell::default(), seed }
+        Self { cx, source_chooser: RefCell::default(), seed }
     }
 
     /// Tells whether this node is a reader of its zone.
@@ -45,9 +45,11 @@
             return None;
         }
         let now = self.cx.clock.now();
-        self.with_alive(|own, alive| match self.sources.borrow_mut().choose(own, alive, now) {
-            Source::Store => None,
-            Source::Peer(peer) => peer.changes.map(|address| (peer.node.clone(), address)),
+        self.with_alive(|own, alive| {
+            match self.source_chooser.borrow_mut().choose(own, alive, now) {
+                Source::Store => None,
+                Source::Peer(peer) => peer.changes.map(|address| (peer.node.clone(), address)),
+            }
         })
     }
 
@@ -64,7 +66,7 @@
 
     /// Notes that a peer failed as a source, or that it answered that it knows nothing fresh.
     pub(crate) fn record_source_failure(&self, peer: &NodeId, answered: bool) {
-        let mut sources = self.sources.borrow_mut();
+        let mut sources = self.source_chooser.borrow_mut();
         match answered {
             true => sources.knows_nothing(peer, self.cx.clock.now()),
             false => sources.failed(peer, self.cx.clock.now()),
--- a/crates/cherrystandd/src/site/reader_notes.rs
+++ b/crates/cherrystandd/src/site/reader_notes.rs
@@ -32,7 +32,7 @@
         tokio::time::sleep(CHECK_INTERVAL).await;
         let view = control.cx.view_now();
         let alive: Vec<&Heartbeat> = view.alive().collect();
-        let listed = alive.len() as u64 * control.known.borrow().box_count() as u64;
+        let listed = alive.len() as u64 * control.state.borrow().box_count() as u64;
         if listed < control.cx.settings.policy.note_readers_from {
             continue;
         }
--- a/crates/cherrystandd/src/site/site_state.rs
+++ b/crates/cherrystandd/src/site/site_state.rs
@@ -32,8 +32,8 @@
 /// A box that is listed no more.
 #[derive(Clone, Debug)]
 pub(super) struct DepartedBox {
-    pub(super) known: Arc<SiteBox>,
-    pub(super) at: Millis,
+    pub(super) site_box: Arc<SiteBox>,
+    pub(super) departed_at: Millis,
 }
 
 /// Keeps what one node knows of the site; it does no I/O.
@@ -42,19 +42,19 @@
     /// The configuration in force; its revision is its version.
     config: Option<Document>,
     /// The revision of the last one that the store told, whether it is in force or not.
-    pub(super) config_written: Revision,
+    pub(super) stored_config_revision: Revision,
     table: Option<Arc<RouteTable>>,
     /// What boxes tell of themselves, as it stands in the store, by their names; also what cannot be
     /// read, which hides what stood there before.
     pub(super) entries: BTreeMap<BoxId, Document>,
     /// As of when entries are gone.
-    pub(super) absences: Absences<BoxId>,
+    pub(super) tombstones: Absences<BoxId>,
     /// Which lives of boxes entries tell of.
-    pub(super) lives: BoxIncarnations,
+    pub(super) incarnations: BoxIncarnations,
     /// The life of each box that is listed, by its name.
-    pub(super) listed_lives: BTreeMap<BoxId, BoxId>,
+    pub(super) listed_incarnations: BTreeMap<BoxId, BoxId>,
     /// Lives that ended as their boxes started again, for as long as a record names them.
-    pub(super) ended_lives: BTreeSet<BoxId>,
+    pub(super) ended_incarnations: BTreeSet<BoxId>,
     /// The boxes of each replica by the records, as they are listed; made when it is asked for, once
     /// for all views until a record or a listed life changes. Made for each view it took a look-up a
     /// box.
@@ -65,35 +65,35 @@
     /// Until when boxes are cold.
     pub(super) cold: Arc<ColdBoxes>,
     /// Which availability zones operators have emptied.
-    pub(super) zones: EvacuationState,
+    pub(super) evacuations: EvacuationState,
     pub(super) departed: BTreeMap<BoxId, DepartedBox>,
-    pub(super) records: DomainRecords,
+    pub(super) domain_records: DomainRecords,
     pub(super) suspects: HeldSuspects,
-    pub(super) silent: BTreeMap<BoxId, Millis>,
+    pub(super) silent_since: BTreeMap<BoxId, Millis>,
     /// Lives of boxes that said in their answers that they leave, whatever their entries say.
     pub(super) leaving: LeavingLives<BoxId>,
     /// Members of replicas whose entries went, and that nobody asked since whether they are there.
-    pub(super) unasked: Vec<SiteBox>,
+    pub(super) unverified: Vec<SiteBox>,
     /// Replicas whose leaders left them, with the last epoch of the record that they were ordered
     /// to by.
-    ended: BTreeMap<(String, Epoch), Epoch>,
+    ended_replicas: BTreeMap<(String, Epoch), Epoch>,
     /// The epochs that boxes said they left, with the last epoch of the record that they were
     /// ordered to by.
-    pub(super) left: BTreeMap<(BoxId, Epoch), Epoch>,
-    listed: bool,
-    pub(super) outage: StoreOutage,
-    pub(super) store_return: StoreRestore,
+    pub(super) left_epochs: BTreeMap<(BoxId, Epoch), Epoch>,
+    has_listing: bool,
+    pub(super) store_outage: StoreOutage,
+    pub(super) store_restore: StoreRestore,
     /// When a box last came that was not known.
-    pub(super) grew: Millis,
+    pub(super) last_new_box_at: Millis,
     /// Boxes that are kept though they are listed no more.
     pub(super) unlisted: BTreeSet<BoxId>,
     /// The revision up to which the entries are known.
     revision: Revision,
     /// Who tells what is being taken in.
-    pub(super) teller: ChangeSource,
-    box_notes: BoxLog,
+    pub(super) source: ChangeSource,
+    box_log: BoxLog,
     /// What changed lately, for peers that read from this node.
-    pub(super) log: ChangeLog,
+    pub(super) change_log: ChangeLog,
 }
 
 impl SiteState {
@@ -125,7 +125,7 @@
         }
         log::info!(version = config.version; "a configuration is in force");
         self.table = Some(Arc::new(RouteTable::new(config)));
-        self.log.record(document.clone());
+        self.change_log.record(document.clone());
         self.config = Some(document);
         true
     }
@@ -136,8 +136,8 @@
 
     /// Takes in what changed in the store.
     pub(crate) fn apply_changes(&mut self, changes: &Changes, now: Millis) {
-        self.teller = ChangeSource::Store;
-        self.outage.answered(now);
+        self.source = ChangeSource::Store;
+        self.store_outage.answered(now);
         self.apply_zone_changes(changes, now);
         for record in &changes.records {
             self.apply_record(record, now);
@@ -152,8 +152,8 @@
 
     /// Takes in all boxes that are listed now.
     pub(crate) fn apply_list(&mut self, list: &[Document], revision: Revision, now: Millis) {
-        self.teller = ChangeSource::Store;
-        self.outage.answered(now);
+        self.source = ChangeSource::Store;
+        self.store_outage.answered(now);
         for name in self.missing_from(list) {
             self.delist(&name, revision, now);
         }
@@ -168,7 +168,7 @@
         revision: Revision,
         now: Millis,
     ) {
-        self.teller = teller;
+        self.source = teller;
         for name in self.missing_from(list) {
             self.remove_box(&name, revision, now);
         }
@@ -187,11 +187,11 @@
         now: Millis,
     ) {
         let steady_since = now - news.steady_for;
-        self.outage.answered_peer(now - news.store_age, steady_since, now);
+        self.store_outage.answered_peer(now - news.store_age, steady_since, now);
         if news.whole {
             return self.apply_snapshot(teller, &batch.records, news.revision, now);
         }
-        self.teller = teller;
+        self.source = teller;
         for record in &batch.records {
             self.apply_record(record, now);
         }
@@ -205,7 +205,7 @@
         for entry in list {
             self.apply_record(entry, now);
         }
-        self.listed = true;
+        self.has_listing = true;
         self.revision = self.revision.max(revision);
     }
 
@@ -225,13 +225,13 @@
 
     /// Writes down what became of a box by what is being taken in.
     pub(super) fn log_box_transition(&mut self, turn: BoxTransition, id: &BoxId, now: Millis) {
-        self.box_notes.log(turn, id, &self.teller, self.revision, now);
+        self.box_log.log(turn, id, &self.source, self.revision, now);
     }
 
     /// Takes in the record of requests that end replicas, unless a later one is held.
     pub(crate) fn apply_suspects(&mut self, copy: &Document) {
         match self.suspects.take(copy, self.is_restored(copy)) {
-            Ok(true) => self.log.record(copy.clone()),
+            Ok(true) => self.change_log.record(copy.clone()),
             Ok(false) => {}
             Err(err) => self.refused.record(copy, RefusedKind::Suspects, &err),
         }
@@ -244,35 +244,35 @@
 
     /// Notes that the store does not answer, and tells whether that says anything of the store.
     pub(crate) fn record_store_failure(&mut self, now: Millis) -> bool {
-        self.outage.failed(now)
+        self.store_outage.failed(now)
     }
 
     /// Notes that the daemon is awake.
     pub(crate) fn record_awake(&mut self, now: Millis) {
-        self.outage.awake(now);
+        self.store_outage.awake(now);
     }
 
     /// Returns for how long the store was silent, where a peer is to be asked whether it was out.
     pub(crate) fn take_unconfirmed_outage(&mut self) -> Option<Millis> {
-        self.keeps_unlisted().then(|| self.outage.take_doubt()).flatten()
+        self.keeps_unlisted().then(|| self.store_outage.take_doubt()).flatten()
     }
 
     /// Notes that the store answered others while it was silent here: what it lists no more is gone.
     pub(crate) fn dismiss_outage(&mut self) {
-        self.outage.was_none();
+        self.store_outage.was_none();
     }
 
     /// Returns for how long the store has answered without a break.
     pub(crate) fn steady_for(&self, now: Millis) -> Millis {
-        self.outage.steady_for(now)
+        self.store_outage.steady_for(now)
     }
 
     /// Takes in a domain's record, unless a later one is held.
     pub(crate) fn apply_domain_record(&mut self, copy: &Document) {
-        match self.records.apply(copy, self.is_restored(copy)) {
+        match self.domain_records.apply(copy, self.is_restored(copy)) {
             Ok(true) => {
                 self.assigned.take();
-                self.log.record(copy.clone());
+                self.change_log.record(copy.clone());
             }
             Ok(false) => {}
             Err(err) => self.refused.record(copy, RefusedKind::DomainRecord, &err),
@@ -287,9 +287,9 @@
     /// Notes that a box did not answer, or that it did.
     pub(crate) fn record_answer(&mut self, id: &BoxId, answered: bool, now: Millis) {
         if answered {
-            self.silent.remove(id);
+            self.silent_since.remove(id);
         } else {
-            self.silent.insert(id.clone(), now);
+            self.silent_since.insert(id.clone(), now);
         }
     }
 
@@ -302,7 +302,7 @@
             Arc::make_mut(listed).leaving = true;
         }
         if let Some(gone) = self.departed.get_mut(id) {
-            Arc::make_mut(&mut gone.known).leaving = true;
+            Arc::make_mut(&mut gone.site_box).leaving = true;
         }
         true
     }
@@ -310,14 +310,14 @@
     /// Returns the members of replicas whose entries went since the last call; whether they are
     /// there has to be asked of them.
     pub(crate) fn take_unverified(&mut self) -> Vec<SiteBox> {
-        std::mem::take(&mut self.unasked)
+        std::mem::take(&mut self.unverified)
     }
 
     /// Notes that a box followed an order to leave; what it tells of itself follows.
     pub(crate) fn mark_left(&mut self, order: &MemberOrder) {
         let (id, replica, epoch) = (&order.target, &order.replica, order.epoch);
         if self.boxes.contains_key(id) {
-            let as_of = self.left.entry((id.clone(), epoch)).or_default();
+            let as_of = self.left_epochs.entry((id.clone(), epoch)).or_default();
             *as_of = order.record_epoch.max(*as_of);
         }
         let Some(known) = Arc::make_mut(&mut self.boxes).get_mut(id) else {
@@ -328,7 +328,7 @@
             Some(member) if member.epoch == epoch && member.rank == 0 => {
                 // It serves no more; that it led is needed until it tells of itself again.
                 member.state = MemberState::Ready;
-                let as_of = self.ended.entry((replica.clone(), epoch)).or_default();
+                let as_of = self.ended_replicas.entry((replica.clone(), epoch)).or_default();
                 *as_of = order.record_epoch.max(*as_of);
             }
             Some(member) if member.epoch == epoch => known.member = None,
@@ -339,7 +339,7 @@
     /// Forgets what is too old, and tells whether boxes are gone by that.
     pub(crate) fn remove_expired(&mut self, now: Millis) -> bool {
         let changes = self.change_count();
-        if !self.outage.keeps(now) {
+        if !self.store_outage.keeps(now) {
             for id in std::mem::take(&mut self.unlisted) {
                 self.remove_box(&BoxId::new(id.name()), self.revision, now);
             }
@@ -348,35 +348,35 @@
         if !self.cold.is_empty() {
             Arc::make_mut(&mut self.cold).remove_expired(now);
         }
-        self.departed.retain(|_, gone| now.since(gone.at) < DEPARTED_RETENTION);
+        self.departed.retain(|_, gone| now.since(gone.departed_at) < DEPARTED_RETENTION);
         self.expire_ended_replicas();
         let boxes = &self.boxes;
         let life = |id: &BoxId| {
             if boxes.contains_key(id) { SILENCE_RETENTION } else { DEPARTED_RETENTION }
         };
-        self.silent.retain(|id, since| now.since(*since) < life(id));
+        self.silent_since.retain(|id, since| now.since(*since) < life(id));
         self.change_count() != changes
     }
 
     /// Forgets the end of replicas that no box tells of any more.
     fn expire_ended_replicas(&mut self) {
-        if self.ended.is_empty() {
+        if self.ended_replicas.is_empty() {
             return;
         }
-        let departed = self.departed.values().map(|gone| &gone.known);
+        let departed = self.departed.values().map(|gone| &gone.site_box);
         let told = self.boxes.values().chain(departed).filter_map(|known| known.member.as_ref());
         let told: BTreeSet<_> = told.map(|member| (&member.replica, member.epoch)).collect();
-        self.ended.retain(|(replica, epoch), _| told.contains(&(replica, *epoch)));
+        self.ended_replicas.retain(|(replica, epoch), _| told.contains(&(replica, *epoch)));
     }
 
     /// Returns the replicas whose leaders serve no more.
     pub(crate) fn ended_replicas(&self) -> &BTreeMap<(String, Epoch), Epoch> {
-        &self.ended
+        &self.ended_replicas
     }
 
     /// Returns the epochs that boxes said they left.
     pub(crate) fn left_epochs(&self) -> &BTreeMap<(BoxId, Epoch), Epoch> {
-        &self.left
+        &self.left_epochs
     }
 
     /// Returns the configuration in force.
@@ -391,28 +391,28 @@
 
     /// Returns how many changes there have been.
     pub(crate) fn change_count(&self) -> u64 {
-        self.log.count()
+        self.change_log.count()
     }
 
     /// Tells whether all changes after the first `count` are kept.
     pub(crate) fn keeps_changes_since(&self, count: u64) -> bool {
-        self.log.keeps_since(count)
+        self.change_log.keeps_since(count)
     }
 
     /// Returns what changed after the first `count` changes, where that is known.
     ///
     /// The configuration travels by itself.
     pub(crate) fn changes_since(&self, count: u64) -> Option<ChangesSince> {
-        let mut since = self.log.since(count)?;
+        let mut since = self.change_log.since(count)?;
         since.records.retain(|record| &*record.key != Driver::CONFIG_KEY);
         Some(since)
     }
 
     /// Returns the domains' records and all entries as they stand.
     pub(crate) fn snapshot(&self) -> Vec<Document> {
-        let domains = self.records.documents();
+        let domains = self.domain_records.documents();
         let kept = domains.chain(self.entries.values()).chain(self.suspects.copy());
-        kept.cloned().chain(self.zones.document()).collect()
+        kept.cloned().chain(self.evacuations.document()).collect()
     }
 
     /// Tells whether boxes are kept that the store lists no more.
@@ -427,7 +427,7 @@
 
     /// Tells whether the boxes were listed at least once.
     pub(crate) fn is_listed(&self) -> bool {
-        self.listed
+        self.has_listing
     }
 
     /// Returns the version of the configuration in force as a revision; none where there is none.
@@ -447,17 +447,18 @@
             revision: held.revision,
             body: held.body.clone(),
         });
-        config.chain(self.zones.document()).collect()
+        config.chain(self.evacuations.document()).collect()
     }
 
     /// Returns what tells one state of all that operators wrote from another.
     pub(crate) fn operator_revisions(&self) -> (Revision, Revision) {
-        (self.config_revision(), self.zones.changed_at())
+        (self.config_revision(), self.evacuations.changed_at())
     }
 
     fn assigned(&self) -> &Arc<AssignedBoxes> {
-        self.assigned
-            .get_or_init(|| self.records.assigned_with_listed_ids(|id| self.listed_id_for(id)))
+        self.assigned.get_or_init(|| {
+            self.domain_records.assigned_with_listed_ids(|id| self.listed_id_for(id))
+        })
     }
 
     /// Returns all of it as one value; `serve_unlisted` says whether members that are listed no more
@@ -472,9 +473,9 @@
                 false => Arc::default(),
             },
             suspects: self.suspects.get().1,
-            evacuated: self.zones.since(),
+            evacuated: self.evacuations.since(),
             cold: self.cold.clone(),
-            listed: self.listed,
+            listed: self.has_listing,
             nodes,
         }
     }
--- a/crates/cherrystandd/src/site/store_restore.rs
+++ b/crates/cherrystandd/src/site/store_restore.rs
@@ -18,9 +18,9 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct StoreRestore {
     /// Up to which revision of the era the copy was listed; what was written before that is no news.
-    copy: Revision,
+    restored_up_to: Revision,
     /// When everything is listed once more.
-    list_again: Option<Millis>,
+    relist_at: Option<Millis>,
 }
 
 impl SiteState {
@@ -33,15 +33,16 @@
             era = listed.era().0, listed = listed.to_string(), known = self.revision().to_string();
             "the store came back from a copy"
         );
-        self.outage.came_back(now);
+        self.store_outage.came_back(now);
         let entries = &self.entries;
-        self.absences.renew(listed, |name| entries.contains_key(name));
-        self.store_return = StoreRestore { copy: listed, list_again: Some(now + REWRITE_PERIOD) };
+        self.tombstones.renew(listed, |name| entries.contains_key(name));
+        self.store_restore =
+            StoreRestore { restored_up_to: listed, relist_at: Some(now + REWRITE_PERIOD) };
     }
 
     /// Tells whether the store held a record as it came back from a copy.
     pub(super) fn is_restored(&self, record: &Document) -> bool {
-        record.revision <= self.store_return.copy
+        record.revision <= self.store_restore.restored_up_to
     }
 
     /// Tells whether an entry is what the copy holds of a box that is known from before; what says that its box
@@ -59,38 +60,38 @@
     /// Tells whether everything is to be listed once more, as what the copy lacked is written again by now; it is told
     /// once.
     pub(crate) fn take_relist_due(&mut self, now: Millis) -> bool {
-        let is_due = self.store_return.list_again.is_some_and(|at| now >= at);
+        let is_due = self.store_restore.relist_at.is_some_and(|at| now >= at);
         if is_due {
-            self.store_return.list_again = None;
+            self.store_restore.relist_at = None;
         }
         is_due
     }
 
     /// Tells whether the store's copy may lack what operators wrote.
     pub(super) fn may_lack_operator_writes(&self) -> bool {
-        self.store_return.list_again.is_some()
+        self.store_restore.relist_at.is_some()
     }
 
     /// Has records of domains that a list lacks written again.
     pub(crate) fn mark_missing_records_lost(&mut self, list: &Changes) {
         let is_listed = |key: &str| list.records.iter().any(|record| &*record.key == key);
-        self.records
+        self.domain_records
             .mark_lost(|held| held.revision.era() < list.revision.era() && !is_listed(&held.key));
     }
 
     /// Takes in that a record is not in the store, though it is held here.
     pub(crate) fn mark_record_lost(&mut self, key: &str) {
-        self.records.mark_lost(|held| &*held.key == key);
+        self.domain_records.mark_lost(|held| &*held.key == key);
     }
 
     /// Takes in a configuration as operators wrote it.
     ///
     /// Its own version says which is the later one: a copy of the store holds an older one at a later revision.
     pub(crate) fn apply_stored_config(&mut self, written: &Document) -> bool {
-        if written.revision <= self.config_written {
+        if written.revision <= self.stored_config_revision {
             return false;
         }
-        self.config_written = written.revision;
+        self.stored_config_revision = written.revision;
         match Driver::read_config(&written.body) {
             Ok(config) => {
                 let revision = Revision::new(config.version);
--- a/crates/cherrystandd/src/site/store_watch.rs
+++ b/crates/cherrystandd/src/site/store_watch.rs
@@ -75,7 +75,8 @@
 
 /// Reads the store, or a peer that reads it, for as long as the duty runs.
 pub(crate) async fn follow_store(control: Rc<Control>) {
-    let mut reading = StoreFollower { place: None, pause: FAILURE_BACKOFF, started_by: None };
+    let mut reading =
+        StoreFollower { position: None, backoff: FAILURE_BACKOFF, startup_reader: None };
     if control.is_first_start() {
         tokio::time::sleep(FIRST_START_DELAY).await;
     } else {
@@ -92,10 +93,10 @@
 
 /// How far a node has read, and how long it pauses after the next failure of the store.
 struct StoreFollower {
-    place: Option<ReadPosition>,
-    pause: Duration,
+    position: Option<ReadPosition>,
+    backoff: Duration,
     /// The reader that the node started by.
-    started_by: Option<NotedReader>,
+    startup_reader: Option<NotedReader>,
 }
 
 impl StoreFollower {
@@ -103,8 +104,9 @@
     async fn start(&mut self, control: &Control) {
         match start_from_noted_readers(control).await {
             StartupOutcome::ReadFromPeer(started) => {
-                self.place = Some(ReadPosition::Peer(started.reader.node.clone(), started.place));
-                self.started_by = Some(started.reader);
+                self.position =
+                    Some(ReadPosition::Peer(started.reader.node.clone(), started.place));
+                self.startup_reader = Some(started.reader);
             }
             StartupOutcome::ReadStore => {}
             StartupOutcome::NoNote => tokio::time::sleep(START_DELAY).await,
@@ -113,30 +115,30 @@
 
     /// Returns the reader that the node started by, while it has yet to learn of its peers.
     fn startup_reader(&self, now: Millis) -> Option<(NodeId, SocketAddr)> {
-        let reader = self.started_by.as_ref().filter(|_| now < PEER_DISCOVERY_TIME)?;
+        let reader = self.startup_reader.as_ref().filter(|_| now < PEER_DISCOVERY_TIME)?;
         Some((reader.node.clone(), reader.changes))
     }
 
     async fn read_from_store(&mut self, control: &Control) {
         let reads = control.peers.is_reader();
-        match read_store(control, self.place.as_ref()).await {
+        match read_store(control, self.position.as_ref()).await {
             Ok(revision) => {
-                self.place = Some(ReadPosition::Store(revision));
-                if control.known.borrow_mut().take_relist_due(control.now()) {
-                    self.place = None;
+                self.position = Some(ReadPosition::Store(revision));
+                if control.state.borrow_mut().take_relist_due(control.now()) {
+                    self.position = None;
                 }
-                self.pause = FAILURE_BACKOFF;
+                self.backoff = FAILURE_BACKOFF;
                 let between = match reads {
                     true => control.peers.watch_interval().max(MIN_READ_INTERVAL),
                     false => MIN_READ_INTERVAL_NON_READER,
                 };
-                let silence = control.known.borrow_mut().take_unconfirmed_outage();
+                let silence = control.state.borrow_mut().take_unconfirmed_outage();
                 if let Some(silence) = silence {
                     confirm_outage(control, silence).await;
                 }
                 tokio::time::sleep(control.read_pause(between)).await;
             }
-            Err(PlatformError::Forgotten | PlatformError::OtherEra) => self.place = None,
+            Err(PlatformError::Forgotten | PlatformError::OtherEra) => self.position = None,
             Err(err) => {
                 if !control.record_store_failure() {
                     log::info!("this daemon stood still while it read the store: {err}");
@@ -144,19 +146,19 @@
                 }
                 log::warn!("the store could not be read: {err}");
                 read_any_snapshot(control).await;
-                back_off_from_store(control, self.pause).await;
+                back_off_from_store(control, self.backoff).await;
                 let longest =
                     if reads { MAX_FAILURE_BACKOFF } else { MAX_FAILURE_BACKOFF_NON_READER };
-                self.pause = (self.pause * 2).min(longest);
+                self.backoff = (self.backoff * 2).min(longest);
             }
         }
     }
 
     async fn read_from_peer(&mut self, control: &Control, peer: NodeId, address: SocketAddr) {
-        let after = cursor_for(self.place.as_ref(), &peer);
+        let after = cursor_for(self.position.as_ref(), &peer);
         match read_changes(control, &peer, address, after).await {
             Ok(read) => {
-                self.place = Some(ReadPosition::Peer(peer, read));
+                self.position = Some(ReadPosition::Peer(peer, read));
                 let between = control.peers.poll_interval().max(MIN_READ_INTERVAL);
                 tokio::time::sleep(control.read_pause(between)).await;
             }
@@ -167,7 +169,7 @@
                 log::warn!(peer = peer.as_str(); "a peer is no source of changes: {err}");
                 let answered = matches!(err, ChangesError::NotServed(_));
                 control.peers.record_source_failure(&peer, answered);
-                self.started_by = None;
+                self.startup_reader = None;
                 read_any_snapshot(control).await;
             }
         }
@@ -195,7 +197,7 @@
 /// Says that the daemon is awake, for as long as the duty runs.
 pub(crate) async fn track_awake_time(control: Rc<Control>) {
     loop {
-        control.known.borrow_mut().record_awake(control.now());
+        control.state.borrow_mut().record_awake(control.now());
         tokio::time::sleep(Duration::from_millis(AwakeTime::TOLD_EVERY.0)).await;
     }
 }
@@ -229,9 +231,9 @@
 
 async fn read_store(
     control: &Control,
-    place: Option<&ReadPosition>,
+    position: Option<&ReadPosition>,
 ) -> Result<Revision, PlatformError> {
-    match place {
+    match position {
         Some(
             ReadPosition::Store(after)
             | ReadPosition::Peer(_, PeerPosition { store: Some(after), .. }),
@@ -250,7 +252,7 @@
     let mut pause = UNREACHABLE_BACKOFF;
     loop {
         tokio::time::sleep(OPERATOR_WATCH_INTERVAL).await;
-        let after = control.known.borrow().revision();
+        let after = control.state.borrow().revision();
         if control.peers.source().is_none() || after == Revision::NONE {
             continue;
         }
@@ -272,7 +274,7 @@
     match control.store.watch(Driver::OPERATORS, after, wait).await {
         Ok(changes) => {
             control.record_store_answer();
-            let news = control.known.borrow_mut().apply_operator_changes(&changes, control.now());
+            let news = control.state.borrow_mut().apply_operator_changes(&changes, control.now());
             if news {
                 control.publish_and_wake();
             }
@@ -298,7 +300,7 @@
     {
         return Err(PlatformError::OtherEra);
     }
-    let mut known = control.known.borrow_mut();
+    let mut known = control.state.borrow_mut();
     known.enter_era(boxes.revision, now);
     known.apply_operator_list(&operators, now);
     known.mark_missing_records_lost(&records);
@@ -334,11 +336,11 @@
 async fn watch_once(control: &Control, after: Revision) -> Result<Revision, PlatformError> {
     let changes = watch_hedged(control, after).await?;
     let revision = changes.revision.max(after);
-    let before = control.known.borrow().change_count();
-    control.time_apply(|| control.known.borrow_mut().apply_changes(&changes, control.now()));
+    let before = control.state.borrow().change_count();
+    control.time_apply(|| control.state.borrow_mut().apply_changes(&changes, control.now()));
     control.record_store_answer();
     // Most answers of a watch hold heartbeats that say nothing new.
-    let news = control.known.borrow().change_count() != before;
+    let news = control.state.borrow().change_count() != before;
     control.record_update(&ChangeSource::Store, Millis(0), news);
     // Orders that failed are sent again, and closings run out, without any news of boxes.
     control.wake.notify_one();
--- a/crates/cherrystandd/src/site/suspect_notes.rs
+++ b/crates/cherrystandd/src/site/suspect_notes.rs
@@ -22,7 +22,7 @@
         tokio::time::sleep(control.peers.jittered(LET_OTHERS_WRITE)).await;
         loop {
             let told = own.borrow_and_update().clone();
-            let (revision, stands) = control.known.borrow().suspects();
+            let (revision, stands) = control.state.borrow().suspects();
             let Some(next) = stands.merged_with(&told, clock::unix_millis()) else { break };
             if !write(&control, revision, &next).await {
                 tokio::time::sleep(control.peers.jittered(FAILURE_PAUSE)).await;
@@ -44,7 +44,7 @@
     if let Ok(Swap::Done(revision)) = swapped {
         let key = keys::SUSPECTS.into();
         let copy = Document { key, revision, body: body.into() };
-        control.known.borrow_mut().apply_suspects(&copy);
+        control.state.borrow_mut().apply_suspects(&copy);
         control.publish_and_wake();
         return true;
     }
@@ -53,12 +53,12 @@
     }
     match control.store.get(keys::SUSPECTS).await {
         Ok(Some(record)) => {
-            control.known.borrow_mut().apply_suspects(&record);
+            control.state.borrow_mut().apply_suspects(&record);
             control.publish_and_wake();
             swapped.is_ok()
         }
         Ok(None) => {
-            control.known.borrow_mut().mark_suspects_missing();
+            control.state.borrow_mut().mark_suspects_missing();
             swapped.is_ok()
         }
         Err(err) => {
