--- a/crates/cherrystandd/src/site/flight.rs
+++ b/crates/cherrystandd/src/site/active_attempt.rs
@@ -9,15 +9,15 @@
 
 use tokio::sync::Notify;
 
-use crate::site::front::Front;
+use crate::site::frontend::Frontend;
 use crate::site::request::SiteRequest;
 
 /// How often it is told that an endpoint stands still; its members are asked once a second.
-const STALL_TOLD_EVERY: Millis = Millis(1_000);
+const STALL_REPORT_INTERVAL: Millis = Millis(1_000);
 
 /// A request counted at its endpoint until this is dropped.
-pub(crate) struct Flight {
-    front: Rc<Front>,
+pub(crate) struct ActiveAttempt {
+    frontend: Rc<Frontend>,
     /// The request.
     req: Rc<SiteRequest>,
     /// The endpoint.
@@ -27,10 +27,10 @@
     /// The leave to send it, until it is sent.
     permit: Cell<Option<SendPermit>>,
     /// Whether the endpoint's rest had just ended.
-    comes_back: bool,
+    after_backoff: bool,
     /// Whether it has begun to answer.
     answered: Cell<bool>,
-    unread: Cell<f64>,
+    unread_tokens: Cell<f64>,
     /// When it was sent.
     pub(crate) sent: Millis,
     /// What was expected of it, where its engine is known.
@@ -38,50 +38,50 @@
     /// Its priority at the engine, where it has one.
     pub(crate) priority: Option<u8>,
     /// Whether it waits behind those that can still be in time.
-    waits_behind: Cell<bool>,
+    deferred: Cell<bool>,
     /// When it was last told that the endpoint stands still; nothing since something last came.
-    stall_told: Cell<Option<Millis>>,
+    stall_reported_at: Cell<Option<Millis>>,
     /// What was known of its silence at the last look, where it stood still.
-    standstill: Cell<Option<StallEvidence>>,
+    stall: Cell<Option<StallEvidence>>,
     /// Wakes the attempt once its answer cannot come any more.
-    lost: Notify,
+    aborted: Notify,
     /// Whether it is known to end its replica.
-    called_off: Cell<bool>,
+    cancelled: Cell<bool>,
 }
 
-impl Flight {
+impl ActiveAttempt {
     /// Counts a request as on its way, by the leave to send it.
     pub(crate) fn start(
         permit: SendPermit,
-        front: Rc<Front>,
+        frontend: Rc<Frontend>,
         req: Rc<SiteRequest>,
         key: TargetKey,
         target: BoxId,
         expected: Option<Prediction>,
         priority: Option<u8>,
     ) -> Self {
-        let now = front.now();
-        let prompt = req.prompt();
-        let waits_behind = expected.is_some_and(|expected| expected.deferred);
-        front.balancer.borrow_mut().record_start(key, prompt, waits_behind);
-        front.crashes.sent(&target, &req);
+        let now = frontend.now();
+        let prompt = req.prompt_tokens();
+        let deferred = expected.is_some_and(|expected| expected.deferred);
+        frontend.balancer.borrow_mut().record_start(key, prompt, deferred);
+        frontend.crashes.attempt_sent(&target, &req);
         Self {
-            front,
+            frontend,
             req,
             key,
             target,
-            comes_back: permit.comes_back(),
+            after_backoff: permit.comes_back(),
             permit: Cell::new(Some(permit)),
             answered: Cell::new(false),
-            unread: Cell::new(prompt),
+            unread_tokens: Cell::new(prompt),
             sent: now,
             expected,
             priority,
-            waits_behind: Cell::new(waits_behind),
-            stall_told: Cell::new(None),
-            standstill: Cell::new(None),
-            lost: Notify::new(),
-            called_off: Cell::new(false),
+            deferred: Cell::new(deferred),
+            stall_reported_at: Cell::new(None),
+            stall: Cell::new(None),
+            aborted: Notify::new(),
+            cancelled: Cell::new(false),
         }
     }
 
@@ -91,26 +91,26 @@
     }
 
     /// Notes that its answer has begun.
-    fn answers(&self) {
-        if self.comes_back && !self.answered.replace(true) {
-            let now = self.front.now();
-            self.front.balancer.borrow_mut().answered_after_rest(&self.target, now);
+    fn on_answer(&self) {
+        if self.after_backoff && !self.answered.replace(true) {
+            let now = self.frontend.now();
+            self.frontend.balancer.borrow_mut().answered_after_rest(&self.target, now);
         }
     }
 
     /// Notes that an event of its answer came.
-    pub(crate) fn event(&self) {
-        let now = self.front.now();
-        self.answers();
-        self.stall_told.set(None);
-        let mut balancer = self.front.balancer.borrow_mut();
+    pub(crate) fn on_event(&self) {
+        let now = self.frontend.now();
+        self.on_answer();
+        self.stall_reported_at.set(None);
+        let mut balancer = self.frontend.balancer.borrow_mut();
         balancer.record_progress(self.key, now);
-        let unread = self.unread.take();
-        if unread > 0.0 {
-            let waited_behind = self.waits_behind.take();
-            balancer.record_first_event(self.key, unread, waited_behind);
+        let unread_tokens = self.unread_tokens.take();
+        if unread_tokens > 0.0 {
+            let was_deferred = self.deferred.take();
+            balancer.record_first_event(self.key, unread_tokens, was_deferred);
             // What was put behind tells nothing of how long others take.
-            if let Some(expected) = self.expected.filter(|_| !waited_behind) {
+            if let Some(expected) = self.expected.filter(|_| !was_deferred) {
                 balancer.record_first_event_time(
                     self.key,
                     now.since(self.sent),
@@ -122,29 +122,30 @@
 
     /// Tells whether it is to be told now that the endpoint stands still: at once, and from time to
     /// time as long as it does, since what was asked about it may have stayed undecided.
-    pub(crate) fn tells_stall(&self) -> bool {
-        let now = self.front.now();
-        let due = self.stall_told.get().is_none_or(|at| now.since(at) >= STALL_TOLD_EVERY);
+    pub(crate) fn should_report_stall(&self) -> bool {
+        let now = self.frontend.now();
+        let due =
+            self.stall_reported_at.get().is_none_or(|at| now.since(at) >= STALL_REPORT_INTERVAL);
         if due {
-            self.stall_told.set(Some(now));
+            self.stall_reported_at.set(Some(now));
         }
         due
     }
 
     /// Ends the attempt, whose answer cannot come any more.
-    pub(crate) fn give_up(&self) {
-        self.lost.notify_one();
+    pub(crate) fn abort(&self) {
+        self.aborted.notify_one();
     }
 
     /// Ends the attempt, which would end its replica.
-    pub(crate) fn call_off(&self) {
-        self.called_off.set(true);
-        self.give_up();
+    pub(crate) fn cancel(&self) {
+        self.cancelled.set(true);
+        self.abort();
     }
 
     /// Tells whether it was called off.
-    pub(crate) fn is_called_off(&self) -> bool {
-        self.called_off.get()
+    pub(crate) fn is_cancelled(&self) -> bool {
+        self.cancelled.get()
     }
 
     /// Returns what names its request in all tries.
@@ -153,32 +154,32 @@
     }
 
     /// Waits until the answer cannot come any more.
-    pub(crate) async fn given_up(&self) {
-        self.lost.notified().await;
+    pub(crate) async fn aborted(&self) {
+        self.aborted.notified().await;
     }
 
     /// Notes what is known of the endpoint's silence, where it stands still.
-    pub(crate) fn note_standstill(&self, standstill: Option<StallEvidence>) {
-        self.standstill.set(standstill);
+    pub(crate) fn set_stall(&self, stall: Option<StallEvidence>) {
+        self.stall.set(stall);
     }
 
     /// Returns what was known of the endpoint's silence at the last look, where it stood still.
-    pub(crate) fn standstill(&self) -> Option<StallEvidence> {
-        self.standstill.get()
+    pub(crate) fn stall(&self) -> Option<StallEvidence> {
+        self.stall.get()
     }
 
     /// Notes that the endpoint answered well.
     pub(crate) fn succeeded(&self) {
-        let now = self.front.now();
-        self.answers();
-        self.front.balancer.borrow_mut().record_success(self.key, now);
-        self.front.crashes.served(&self.req);
+        let now = self.frontend.now();
+        self.on_answer();
+        self.frontend.balancer.borrow_mut().record_success(self.key, now);
+        self.frontend.crashes.request_served(&self.req);
     }
 
     /// Notes that the endpoint failed the request.
     pub(crate) fn failed(&self) {
-        let now = self.front.now();
-        self.front.balancer.borrow_mut().record_failure(self.key, now);
+        let now = self.frontend.now();
+        self.frontend.balancer.borrow_mut().record_failure(self.key, now);
     }
 
     /// Notes that the endpoint turned the request away.
@@ -191,28 +192,32 @@
     }
 
     /// Notes that the endpoint broke off its answer, or closed the connection before one.
-    pub(crate) fn cut(&self) {
+    pub(crate) fn interrupted(&self) {
         self.failed();
-        self.front.crashes.cut(&self.front, &self.target, self.req.fingerprint());
+        self.frontend.crashes.answer_interrupted(
+            &self.frontend,
+            &self.target,
+            self.req.fingerprint(),
+        );
     }
 
     /// Leaves the endpoint out of the choice for a while.
     pub(crate) fn avoid(&self) {
-        let now = self.front.now();
-        self.front.balancer.borrow_mut().eject(self.key, now);
+        let now = self.frontend.now();
+        self.frontend.balancer.borrow_mut().eject(self.key, now);
     }
 }
 
-impl Drop for Flight {
+impl Drop for ActiveAttempt {
     fn drop(&mut self) {
-        let mut balancer = self.front.balancer.borrow_mut();
-        balancer.record_finish(self.key, self.unread.get(), self.waits_behind.get());
-        if self.comes_back {
+        let mut balancer = self.frontend.balancer.borrow_mut();
+        balancer.record_finish(self.key, self.unread_tokens.get(), self.deferred.get());
+        if self.after_backoff {
             balancer.ended_after_rest(&self.target);
         }
         if self.permit.take().is_some() {
             balancer.limits_mut().not_sent(&self.target);
         }
-        self.front.crashes.ended_at(&self.target, &self.req);
+        self.frontend.crashes.attempt_ended(&self.target, &self.req);
     }
 }
--- a/crates/cherrystandd/src/site/box_calls.rs
+++ b/crates/cherrystandd/src/site/box_calls.rs
@@ -15,13 +15,13 @@
 use crate::site::{Driver, Hint};
 
 /// How long a box may take to answer an order.
-const ORDER_WITHIN: Duration = Duration::from_millis(250);
+const ORDER_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// How many others are asked beside a box that may be gone: one may be dead as well.
-const WITNESSES: usize = 2;
+const WITNESS_COUNT: usize = 2;
 
 /// How long a box is not asked again.
-const ASK_PAUSE: Millis = Millis(1_000);
+const PROBE_INTERVAL: Millis = Millis(1_000);
 
 impl Control {
     /// Sends an order that follows from a record at a revision, and learns from how it ends.
@@ -31,7 +31,7 @@
         order: MemberOrder,
         record: Revision,
     ) {
-        let end = self.call_box(&order, record).await;
+        let end = self.call_order(&order, record).await;
         match end {
             OrderEnd::Taken | OrderEnd::Unfit if order.task == MemberTask::Leave => {
                 // A box that says that the order does not fit is not in the replica.
@@ -47,7 +47,7 @@
             OrderEnd::Dark | OrderEnd::Silent => {
                 let known = self.state.borrow().listed_box(&order.target);
                 if let Some(known) = known {
-                    self.ask(known, Doubt::NoAnswer).await;
+                    self.probe(known, Doubt::NoAnswer).await;
                 }
             }
             _ => {}
@@ -60,7 +60,7 @@
 
     /// Takes in that a box leaves, which is planned for at once; by the store alone it is known only
     /// once the box's entry says so or is gone.
-    pub(super) fn leaves(&self, id: &BoxId) {
+    pub(super) fn box_leaving(&self, id: &BoxId) {
         if self.state.borrow_mut().mark_leaving(id) {
             log::info!(target_box = id.as_str(); "a box leaves, by its own answer");
             self.publish_and_wake();
@@ -68,27 +68,27 @@
     }
 
     /// Takes in whether a box says in an answer of its own that it leaves.
-    fn read_leaving(&self, id: &BoxId, answer: &Answer) {
+    fn check_leaving(&self, id: &BoxId, answer: &Answer) {
         if Driver::read_answer(answer.status, &answer.headers).leaving {
-            self.leaves(id);
+            self.box_leaving(id);
         }
     }
 
-    async fn call_box(&self, order: &MemberOrder, record: Revision) -> OrderEnd {
+    async fn call_order(&self, order: &MemberOrder, record: Revision) -> OrderEnd {
         let out = Driver::order_call(order, order.fence(record));
-        let sent = self.call_timed(order.task.as_str(), order.address, out, ORDER_WITHIN).await;
+        let sent = self.timed_call(order.task.as_str(), order.address, out, ORDER_TIMEOUT).await;
         let end = match &sent {
             Ok(answer) => Driver::order_end(answer.status),
             Err(CallError::Send(SendError::Connect { .. })) => OrderEnd::Refused,
             Err(CallError::Send(SendError::ConnectTimedOut(_))) => OrderEnd::Dark,
             Err(_) => OrderEnd::Silent,
         };
-        let is_there = matches!(end, OrderEnd::Taken | OrderEnd::Unfit | OrderEnd::Fenced);
-        if is_there {
+        let is_alive = matches!(end, OrderEnd::Taken | OrderEnd::Unfit | OrderEnd::Fenced);
+        if is_alive {
             self.state.borrow_mut().record_answer(&order.target, true, self.now());
         }
-        if let Some(answer) = sent.as_ref().ok().filter(|_| is_there) {
-            self.read_leaving(&order.target, answer);
+        if let Some(answer) = sent.as_ref().ok().filter(|_| is_alive) {
+            self.check_leaving(&order.target, answer);
         }
         let result = if end == OrderEnd::Taken { "followed" } else { "failed" };
         self.cx.metrics.orders.with_label_values(&[result]).inc();
@@ -101,19 +101,19 @@
     }
 
     /// Calls a box, keeping how long the answer took and whether there was one.
-    async fn call_timed(
+    async fn timed_call(
         &self,
         kind: &str,
         address: SocketAddr,
         out: BoxCall,
-        within: Duration,
+        timeout: Duration,
     ) -> Result<Answer, CallError> {
-        let answer = call_with(&self.pool, address, out, within);
-        self.note_call(kind, answer).await
+        let answer = call_with(&self.pool, address, out, timeout);
+        self.time_call(kind, answer).await
     }
 
     /// Waits for the answer to a call and notes how long it took and whether there was one.
-    async fn note_call<T, E>(
+    async fn time_call<T, E>(
         &self,
         kind: &str,
         answer: impl Future<Output = Result<T, E>>,
@@ -158,51 +158,51 @@
     }
 
     /// Tells whether a box was not asked just now for the same reason, and notes that it is.
-    fn may_ask(&self, id: &BoxId, doubt: Doubt) -> bool {
+    fn may_probe(&self, id: &BoxId, doubt: Doubt) -> bool {
         let now = self.now();
-        let mut asked = self.last_probed.borrow_mut();
-        asked.retain(|_, at| now.since(*at) < ASK_PAUSE);
+        let mut last_probed = self.last_probed.borrow_mut();
+        last_probed.retain(|_, at| now.since(*at) < PROBE_INTERVAL);
         let key = (id.clone(), doubt);
-        if asked.contains_key(&key) {
+        if last_probed.contains_key(&key) {
             return false;
         }
-        asked.insert(key, now);
+        last_probed.insert(key, now);
         true
     }
 
     /// Asks a box that may be gone whether it is there, again where this daemon may be held up.
-    async fn ask(self: &Rc<Self>, known: SiteBox, doubt: Doubt) {
-        if !self.may_ask(&known.id, doubt) {
+    async fn probe(self: &Rc<Self>, known: SiteBox, doubt: Doubt) {
+        if !self.may_probe(&known.id, doubt) {
             return;
         }
         self.probing.borrow_mut().insert(known.id.clone());
-        self.ask_until_known(&known, doubt).await;
+        self.probe_until_known(&known, doubt).await;
         self.probing.borrow_mut().remove(&known.id);
         // What waited for the answer goes on.
         self.wake.notify_one();
     }
 
-    async fn ask_until_known(self: &Rc<Self>, known: &SiteBox, doubt: Doubt) {
+    async fn probe_until_known(self: &Rc<Self>, known: &SiteBox, doubt: Doubt) {
         let mut check = SilenceCheck::default();
         loop {
-            let begun = self.now();
-            self.ask_somebody_else(known);
-            let within = Duration::from_millis(check.within().0);
+            let sent_at = self.now();
+            self.probe_witnesses(known);
+            let timeout = Duration::from_millis(check.within().0);
             let answer = self
-                .call_timed("report", known.address, Driver::report_call(&known.id), within)
+                .timed_call("report", known.address, Driver::report_call(&known.id), timeout)
                 .await;
             let verdict = match &answer {
-                Ok(answer) if is_another(known, answer) => SilenceVerdict::Silent,
+                Ok(answer) if is_other_box(known, answer) => SilenceVerdict::Silent,
                 Ok(answer) => {
                     self.count_probe("answered");
-                    self.read_leaving(&known.id, answer);
+                    self.check_leaving(&known.id, answer);
                     return self.state.borrow_mut().record_answer(&known.id, true, self.now());
                 }
                 Err(CallError::Send(SendError::Connect { .. })) => SilenceCheck::refused(doubt),
-                Err(_) => check.unanswered(begun, self.now(), &self.call_book.borrow()),
+                Err(_) => check.unanswered(sent_at, self.now(), &self.call_book.borrow()),
             };
             self.count_probe("silent");
-            self.log_verdict(&known.id, begun, verdict);
+            self.log_verdict(&known.id, sent_at, verdict);
             match verdict {
                 SilenceVerdict::AskAgain => {}
                 SilenceVerdict::Undecided => return,
@@ -216,28 +216,28 @@
 
     /// Calls a peer, or another box where there is none, whose answer shows that this daemon is not
     /// held up itself; unless some call has just begun that shows the same.
-    fn ask_somebody_else(self: &Rc<Self>, doubted: &SiteBox) {
+    fn probe_witnesses(self: &Rc<Self>, doubted: &SiteBox) {
         let now = self.now();
         if self.witness_probed_at.get().is_some_and(|at| now.since(at) <= WITNESS_BEFORE) {
             return;
         }
         self.witness_probed_at.set(Some(now));
-        for _ in 0..WITNESSES {
+        for _ in 0..WITNESS_COUNT {
             let control = self.clone();
             match self.peers.nearby_peer() {
                 Some(peer) => {
                     tokio::task::spawn_local(async move {
                         // Only whether it is answered counts, which the call book keeps.
-                        let _ = control.note_call("ping", ping(&control, peer)).await;
+                        let _ = control.time_call("ping", ping(&control, peer)).await;
                     });
                 }
                 None => {
                     let Some(other) = self.state.borrow().pick_witness(doubted) else { return };
                     tokio::task::spawn_local(async move {
                         let report = Driver::report_call(&other.id);
-                        let within = Duration::from_millis(SilenceCheck::default().within().0);
+                        let timeout = Duration::from_millis(SilenceCheck::default().within().0);
                         // As above.
-                        let _ = control.call_timed("witness", other.address, report, within).await;
+                        let _ = control.timed_call("witness", other.address, report, timeout).await;
                     });
                 }
             }
@@ -251,19 +251,19 @@
 
 /// Tells whether an answer comes from another box that has the address now, or from another life of
 /// the one asked.
-fn is_another(asked: &SiteBox, answer: &Answer) -> bool {
+fn is_other_box(asked: &SiteBox, answer: &Answer) -> bool {
     let start = asked.id.start().zip(Driver::report_start(&answer.body));
     Driver::order_end(answer.status) == OrderEnd::OtherBox
         || start.is_some_and(|(known, told)| known != told)
 }
 
 /// Has boxes looked at that the request path found silent.
-pub(super) async fn follow_hints(control: Rc<Control>) {
+pub(super) async fn handle_hints(control: Rc<Control>) {
     while let Ok(hint) = control.cx.hint_events.recv().await {
         let id = match hint {
             Hint::Stalled(id) | Hint::Unreachable(id) => id,
             Hint::Leaves(id) => {
-                control.leaves(&id);
+                control.box_leaving(&id);
                 continue;
             }
         };
@@ -273,7 +273,7 @@
         }
         // What is lost together is found together, spares among it that would take the places.
         members.extend(control.state.borrow().domain_spares(&id));
-        ask_each(&control, members, Doubt::NoAnswer);
+        probe_each(&control, members, Doubt::NoAnswer);
         let unknown = control.state.borrow().unknown_members(&id);
         for member in &unknown {
             control.state.borrow_mut().record_answer(member, false, control.now());
@@ -286,15 +286,15 @@
 
 /// Asks members of replicas whose entries went whether they are there: one that is only cut off
 /// from the store works on.
-pub(super) fn ask_unlisted(control: &Rc<Control>) {
+pub(super) fn probe_unlisted(control: &Rc<Control>) {
     let mut unlisted = control.state.borrow_mut().take_unverified();
     unlisted.retain(|known| control.decides_for(known));
-    ask_each(control, unlisted, Doubt::NotListed);
+    probe_each(control, unlisted, Doubt::NotListed);
 }
 
-fn ask_each(control: &Rc<Control>, boxes: Vec<SiteBox>, doubt: Doubt) {
+fn probe_each(control: &Rc<Control>, boxes: Vec<SiteBox>, doubt: Doubt) {
     for known in boxes {
         let control = control.clone();
-        tokio::task::spawn_local(async move { control.ask(known, doubt).await });
+        tokio::task::spawn_local(async move { control.probe(known, doubt).await });
     }
 }
--- a/crates/cherrystandd/src/site/control.rs
+++ b/crates/cherrystandd/src/site/control.rs
@@ -18,13 +18,13 @@
 use crate::counted::Counted;
 use crate::kernel::{Duty, Serves};
 use crate::settings::SiteSettings;
-use crate::site::box_calls::{ask_unlisted, follow_hints};
+use crate::site::box_calls::{handle_hints, probe_unlisted};
 use crate::site::change_sharing::serve_changes;
 use crate::site::peer_selector::PeerSelector;
 use crate::site::reader_notes::maintain_reader_note;
 use crate::site::site_state::SiteState;
 use crate::site::store_watch::{follow_store, track_awake_time, watch_operator_keys};
-use crate::site::suspect_notes::keep_suspects;
+use crate::site::suspect_writer::write_suspects;
 use crate::site::{ChangeSource, Driver, RefusedKind};
 use crate::state::{StateEvent, View};
 use crate::{DutyContext, DutyError, StopPhase, keys};
@@ -59,9 +59,9 @@
         tokio::task::spawn_local(follow_store(control.clone()));
         tokio::task::spawn_local(track_awake_time(control.clone()));
         tokio::task::spawn_local(watch_operator_keys(control.clone()));
-        tokio::task::spawn_local(follow_hints(control.clone()));
+        tokio::task::spawn_local(handle_hints(control.clone()));
         tokio::task::spawn_local(maintain_reader_note(control.clone()));
-        tokio::task::spawn_local(keep_suspects(control.clone()));
+        tokio::task::spawn_local(write_suspects(control.clone()));
         tokio::select! {
             () = control.clone().run_steps() => {}
             () = cx.stopping(StopPhase::Stopped) => {}
@@ -225,7 +225,7 @@
             if forgot || self.cx.site.borrow().nodes != view.alive().count() {
                 self.publish();
             }
-            ask_unlisted(&self);
+            probe_unlisted(&self);
             self.count_refused_values();
             self.announce_decides();
             self.exchange_documents(&view);
--- a/crates/cherrystandd/src/site/crash_watch.rs
+++ b/crates/cherrystandd/src/site/crash_watch.rs
@@ -15,25 +15,25 @@
 use cherrystand_peer::LoadNews;
 use tokio::net::TcpStream;
 
-use crate::site::flight::Flight;
-use crate::site::front::Front;
+use crate::site::active_attempt::ActiveAttempt;
+use crate::site::frontend::Frontend;
 use crate::site::load_exchange::LoadExchange;
 use crate::site::request::SiteRequest;
 use crate::{DutyContext, clock};
 
 /// How long a box may take to accept a connection that shows that it is there.
-const CONNECT_WITHIN: Duration = Duration::from_millis(250);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// How many requests of one box are taken from a peer's news; an engine has places for some 30, and as
 /// many wait.
-const MOST_AT_ONE_BOX: usize = 1_024;
+const MAX_REQUESTS_PER_BOX: usize = 1_024;
 
 /// For how long a node that found an end sees to it that the store's record tells of it; all others leave
 /// it to those, or hundreds would write the same.
-const WRITES_FOR: Millis = Millis(10_000);
+const PUBLISH_PERIOD: Millis = Millis(10_000);
 
 /// A service of which this node has served nothing whole for so long is out; streams last 0.3 to 2 s.
-const OUT_AFTER: Millis = Millis(2_000);
+const DOWN_AFTER: Millis = Millis(2_000);
 
 /// Keeps requests that were at boxes as these ended, and says which are sent no more.
 ///
@@ -41,44 +41,44 @@
 pub(crate) struct CrashWatch {
     pub(super) cx: DutyContext,
     loads: Rc<LoadExchange>,
-    pub(super) cut: RefCell<InterruptedAnswers>,
+    pub(super) interrupted: RefCell<InterruptedAnswers>,
     pub(super) suspects: RefCell<CrashSuspects>,
     /// The store's record as it was last taken over.
     recorded: RefCell<Arc<SuspectRecord>>,
-    pub(super) published: Cell<Millis>,
+    pub(super) published_at: Cell<Millis>,
     /// When this node last found that a box ended.
-    found: Cell<Option<Millis>>,
+    last_crash_at: Cell<Option<Millis>>,
     /// Where this node has requests that were at ends of boxes, or that are tried.
-    pub(super) under_way: RefCell<Vec<(BoxId, Fingerprint)>>,
+    pub(super) suspects_in_flight: RefCell<Vec<(BoxId, Fingerprint)>>,
     /// When this node last served a request of a service whole.
     served_at: RefCell<BTreeMap<ServiceName, Millis>>,
     /// All attempts under way, those that have ended since among them.
-    pub(super) copies: RefCell<Vec<Weak<Flight>>>,
+    pub(super) attempts: RefCell<Vec<Weak<ActiveAttempt>>>,
     /// This itself, for what is decided a little later.
-    pub(super) own: Weak<CrashWatch>,
+    pub(super) weak_self: Weak<CrashWatch>,
 }
 
 impl CrashWatch {
     /// Creates one that knows of no end.
     pub(crate) fn new(cx: DutyContext, loads: Rc<LoadExchange>) -> Rc<Self> {
-        Rc::new_cyclic(|own| Self {
+        Rc::new_cyclic(|weak_self| Self {
             cx,
             loads,
-            cut: RefCell::default(),
+            interrupted: RefCell::default(),
             suspects: RefCell::default(),
             recorded: RefCell::default(),
-            published: Cell::default(),
-            found: Cell::default(),
-            under_way: RefCell::default(),
+            published_at: Cell::default(),
+            last_crash_at: Cell::default(),
+            suspects_in_flight: RefCell::default(),
             served_at: RefCell::default(),
-            copies: RefCell::default(),
-            own: own.clone(),
+            attempts: RefCell::default(),
+            weak_self: weak_self.clone(),
         })
     }
 
     /// Tells whether no request is suspected.
     pub(super) fn is_idle(&self) -> bool {
-        self.suspects.borrow().is_empty() && self.cut.borrow().is_empty()
+        self.suspects.borrow().is_empty() && self.interrupted.borrow().is_empty()
     }
 
     /// Tells whether a request that has `open` attempts may be sent once more.
@@ -90,30 +90,30 @@
             return true;
         }
         let request = req.fingerprint();
-        let undecided = self.cut.borrow().pending_checks(request);
-        let ends = self.suspects.borrow().crash_count(request);
-        ends + undecided + (open as usize) < MAX_CRASHES
+        let undecided = self.interrupted.borrow().pending_checks(request);
+        let crashes = self.suspects.borrow().crash_count(request);
+        crashes + undecided + (open as usize) < MAX_CRASHES
     }
 
     /// Takes in that a request was served whole, so that what ended before did not end by it.
-    pub(crate) fn served(&self, req: &SiteRequest) {
+    pub(crate) fn request_served(&self, req: &SiteRequest) {
         let (request, now) = (req.fingerprint(), self.cx.clock.now());
-        self.note_served(&req.service, now);
-        let ends = self.suspects.borrow().crash_count(request);
+        self.set_served_at(&req.service, now);
+        let crashes = self.suspects.borrow().crash_count(request);
         if self.suspects.borrow_mut().record_served(request, now) {
-            if ends >= MAX_CRASHES {
+            if crashes >= MAX_CRASHES {
                 log::info!(
                     fingerprint = request.to_string();
                     "a refused request was served and is refused no more"
                 );
             }
             self.count_refused();
-            self.loads.tell_all(LoadNews::Served(vec![request]));
+            self.loads.broadcast(LoadNews::Served(vec![request]));
             self.publish();
         }
     }
 
-    fn note_served(&self, service: &ServiceName, now: Millis) {
+    fn set_served_at(&self, service: &ServiceName, now: Millis) {
         let mut served_at = self.served_at.borrow_mut();
         match served_at.get_mut(service) {
             Some(at) => *at = now,
@@ -122,9 +122,9 @@
     }
 
     /// Tells whether this node has served no request of a service for a while.
-    pub(super) fn is_out(&self, service: &ServiceName, now: Millis) -> bool {
+    pub(super) fn is_down(&self, service: &ServiceName, now: Millis) -> bool {
         let served_at = self.served_at.borrow();
-        served_at.get(service).is_none_or(|at| now.since(*at) >= OUT_AFTER)
+        served_at.get(service).is_none_or(|at| now.since(*at) >= DOWN_AFTER)
     }
 
     fn count_refused(&self) {
@@ -134,10 +134,14 @@
 
     /// Takes in what a peer tells of a box that ended: its own requests there count as well. Returns those
     /// of the peer's that this node served lately, which that peer is to be told.
-    pub(crate) fn peer_saw_end(&self, life: &BoxId, requests: &[Fingerprint]) -> Vec<Fingerprint> {
-        self.ended(life);
-        let requests = &requests[..requests.len().min(MOST_AT_ONE_BOX)];
-        self.note(life, requests);
+    pub(crate) fn peer_reported_crash(
+        &self,
+        incarnation: &BoxId,
+        requests: &[Fingerprint],
+    ) -> Vec<Fingerprint> {
+        self.box_crashed(incarnation);
+        let requests = &requests[..requests.len().min(MAX_REQUESTS_PER_BOX)];
+        self.count_crashes(incarnation, requests);
         let now = self.cx.clock.now();
         let suspects = self.suspects.borrow();
         let served =
@@ -146,7 +150,7 @@
     }
 
     /// Takes in that a peer served requests whole.
-    pub(crate) fn peer_served(&self, requests: &[Fingerprint]) {
+    pub(crate) fn peer_reported_served(&self, requests: &[Fingerprint]) {
         let now = self.cx.clock.now();
         let mut suspects = self.suspects.borrow_mut();
         requests.iter().for_each(|request| suspects.record_served_by_peer(*request, now));
@@ -155,29 +159,34 @@
     }
 
     /// Takes in that a box cut the answer to a request, and finds out whether the box ended.
-    pub(crate) fn cut(&self, front: &Rc<Front>, life: &BoxId, request: Fingerprint) {
+    pub(crate) fn answer_interrupted(
+        &self,
+        frontend: &Rc<Frontend>,
+        incarnation: &BoxId,
+        request: Fingerprint,
+    ) {
         // A box that says that it leaves ends as planned.
-        if front.is_leaving(life) {
+        if frontend.is_leaving(incarnation) {
             return;
         }
-        let step = self.cut.borrow_mut().record(life, request, self.cx.clock.now());
+        let step = self.interrupted.borrow_mut().record(incarnation, request, self.cx.clock.now());
         match step {
-            CrashCheck::Start => self.ask(front, life),
+            CrashCheck::Start => self.probe_box(frontend, incarnation),
             CrashCheck::Pending => {}
-            CrashCheck::Crashed => self.found(life, vec![request]),
+            CrashCheck::Crashed => self.record_crash(incarnation, vec![request]),
         }
     }
 
-    fn ask(&self, front: &Rc<Front>, life: &BoxId) {
-        let Some(address) = front.address_of(life) else { return };
-        let (front, life) = (front.clone(), life.clone());
+    fn probe_box(&self, frontend: &Rc<Frontend>, incarnation: &BoxId) {
+        let Some(address) = frontend.address_of(incarnation) else { return };
+        let (frontend, incarnation) = (frontend.clone(), incarnation.clone());
         tokio::task::spawn_local(async move {
-            match accepts(address).await {
+            match is_listening(address).await {
                 Some(true) => {
-                    front.crashes.cut.borrow_mut().record_accepting(&life);
-                    front.crashes.box_lives();
+                    frontend.crashes.interrupted.borrow_mut().record_accepting(&incarnation);
+                    frontend.crashes.box_is_alive();
                 }
-                Some(false) => front.crashes.ended(&life),
+                Some(false) => frontend.crashes.box_crashed(&incarnation),
                 // Its entry will tell.
                 None => {}
             }
@@ -185,9 +194,9 @@
     }
 
     /// Takes in by the newest view which boxes ended that cut answers, and the store's record.
-    pub(crate) fn follow(&self, view: &SiteView) {
-        let ended = self.cut.borrow().crashed_boxes(view);
-        ended.iter().for_each(|life| self.ended(life));
+    pub(crate) fn apply_view(&self, view: &SiteView) {
+        let ended = self.interrupted.borrow().crashed_boxes(view);
+        ended.iter().for_each(|incarnation| self.box_crashed(incarnation));
         if !Arc::ptr_eq(&view.suspects, &self.recorded.borrow()) {
             self.recorded.replace(view.suspects.clone());
             let now = self.cx.clock.now();
@@ -196,58 +205,59 @@
             suspects.merge_record(&view.suspects, clock::unix_millis(), now);
             drop(suspects);
             self.count_refused();
-            if self.found.get().is_some_and(|at| now.since(at) < WRITES_FOR) {
+            if self.last_crash_at.get().is_some_and(|at| now.since(at) < PUBLISH_PERIOD) {
                 self.publish();
             }
         }
     }
 
     /// Takes in that a box ended.
-    fn ended(&self, life: &BoxId) {
-        let requests = self.cut.borrow_mut().record_crash(life, self.cx.clock.now());
+    fn box_crashed(&self, incarnation: &BoxId) {
+        let requests = self.interrupted.borrow_mut().record_crash(incarnation, self.cx.clock.now());
         if !requests.is_empty() {
-            self.found(life, requests);
+            self.record_crash(incarnation, requests);
         }
     }
 
     /// Notes requests of this node that were at a box as it ended, and tells peers.
-    fn found(&self, life: &BoxId, requests: Vec<Fingerprint>) {
+    fn record_crash(&self, incarnation: &BoxId, requests: Vec<Fingerprint>) {
         self.cx.metrics.answers_ended_with_box.inc_by(requests.len() as u64);
-        self.found.set(Some(self.cx.clock.now()));
-        self.note(life, &requests);
+        self.last_crash_at.set(Some(self.cx.clock.now()));
+        self.count_crashes(incarnation, &requests);
         self.publish();
-        self.log_end(life, &requests);
+        self.log_crash(incarnation, &requests);
         let now = self.cx.clock.now();
         let suspects = self.suspects.borrow();
-        let told = requests.into_iter().filter(|one| !suspects.was_served_recently(*one, now));
-        let told: Vec<Fingerprint> = told.collect();
+        let reported = requests.into_iter().filter(|one| !suspects.was_served_recently(*one, now));
+        let reported: Vec<Fingerprint> = reported.collect();
         drop(suspects);
-        if !told.is_empty() {
-            self.loads.tell_all(LoadNews::Ended(life.clone(), told));
+        if !reported.is_empty() {
+            self.loads.broadcast(LoadNews::Ended(incarnation.clone(), reported));
         }
     }
 
     /// Writes down how often requests were at the ends of boxes, now that another one ended.
-    fn log_end(&self, life: &BoxId, requests: &[Fingerprint]) {
+    fn log_crash(&self, incarnation: &BoxId, requests: &[Fingerprint]) {
         let suspects = self.suspects.borrow();
-        let ends = |request: &Fingerprint| (suspects.crash_count(*request), *request);
-        let Some((most, request)) = requests.iter().map(ends).max() else { return };
-        let again = requests.iter().filter(|request| suspects.crash_count(**request) > 1).count();
+        let crashes = |request: &Fingerprint| (suspects.crash_count(*request), *request);
+        let Some((most, request)) = requests.iter().map(crashes).max() else { return };
+        let repeated =
+            requests.iter().filter(|request| suspects.crash_count(**request) > 1).count();
         log::warn!(
-            target_box = life.as_str(), requests = requests.len(), at_earlier_ends = again,
+            target_box = incarnation.as_str(), requests = requests.len(), at_earlier_ends = repeated,
             most_ends = most, fingerprint = request.to_string();
             "a box ended while it worked on requests"
         );
     }
 
     /// Notes requests whose answers ended with their box.
-    fn note(&self, life: &BoxId, requests: &[Fingerprint]) {
+    fn count_crashes(&self, incarnation: &BoxId, requests: &[Fingerprint]) {
         let now = self.cx.clock.now();
         for request in requests {
             let mut suspects = self.suspects.borrow_mut();
             let before = suspects.crash_count(*request);
-            let ends = suspects.record_crash(life, *request, now);
-            if before < MAX_CRASHES && ends >= MAX_CRASHES {
+            let crashes = suspects.record_crash(incarnation, *request, now);
+            if before < MAX_CRASHES && crashes >= MAX_CRASHES {
                 log::warn!(
                     fingerprint = request.to_string();
                     "a request is refused from now on: it was at the ends of {MAX_CRASHES} boxes"
@@ -261,7 +271,7 @@
     /// Publishes what this node has to say beside the store's record.
     pub(super) fn publish(&self) {
         let now = self.cx.clock.now();
-        self.published.set(now);
+        self.published_at.set(now);
         let alone = self.cx.view.borrow().alive().count() <= 1;
         let suspects = self.suspects.borrow();
         let own = suspects.to_record(&self.recorded.borrow(), alone, clock::unix_millis(), now);
@@ -272,8 +282,8 @@
 }
 
 /// Tells whether somebody listens at an address; nothing where it does not answer.
-async fn accepts(address: SocketAddr) -> Option<bool> {
-    match tokio::time::timeout(CONNECT_WITHIN, TcpStream::connect(address)).await {
+async fn is_listening(address: SocketAddr) -> Option<bool> {
+    match tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await {
         Ok(Ok(_)) => Some(true),
         Ok(Err(err)) if err.kind() == ErrorKind::ConnectionRefused => Some(false),
         _ => None,
--- a/crates/cherrystandd/src/site/attempt.rs
+++ b/crates/cherrystandd/src/site/endpoint_call.rs
@@ -13,21 +13,21 @@
 use hyper::{Response, StatusCode};
 
 use crate::site::Driver;
-use crate::site::flight::Flight;
-use crate::site::front::Front;
+use crate::site::active_attempt::ActiveAttempt;
+use crate::site::frontend::Frontend;
 use crate::site::request::SiteRequest;
 
 /// How long a connection may take to come about.
-const CONNECT_WITHIN: Duration = Duration::from_millis(250);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// The head of an answer that an endpoint gave, and the body that follows.
-pub(crate) struct Begun {
+pub(crate) struct StartedAnswer {
     /// The head.
     pub(crate) head: Parts,
     /// The body.
     pub(crate) body: PooledBody,
     /// Counts the request.
-    pub(crate) flight: Rc<Flight>,
+    pub(crate) attempt: Rc<ActiveAttempt>,
 }
 
 /// Sends a request to an endpoint and waits for the head of the answer.
@@ -35,58 +35,65 @@
 /// It ends only by what the endpoint does, or once its replica is known to be lost: how long to wait
 /// is for its caller to say.
 pub(crate) async fn send(
-    front: Rc<Front>,
+    frontend: Rc<Frontend>,
     req: Rc<SiteRequest>,
-    flight: Rc<Flight>,
+    attempt: Rc<ActiveAttempt>,
     last_event: Option<u64>,
-) -> Result<Begun, AttemptEnd> {
-    let Some(address) = front.address_of(&flight.target) else {
+) -> Result<StartedAnswer, AttemptEnd> {
+    let Some(address) = frontend.address_of(&attempt.target) else {
         return Err(AttemptEnd::NotSent);
     };
-    let Some(permit) = flight.take_permit() else {
+    let Some(permit) = attempt.take_permit() else {
         return Err(AttemptEnd::NotSent);
     };
-    req.note_run(true);
-    let sent = send_permitted(&front, &req, &flight, permit, address, last_event).await;
+    req.set_may_have_run(true);
+    let sent = send_permitted(&frontend, &req, &attempt, permit, address, last_event).await;
     if sent.as_ref().is_err_and(|end| end.outcome() == Outcome::NotRun) {
-        req.note_run(false);
+        req.set_may_have_run(false);
     }
-    sent.map(|(head, body)| Begun { head, body, flight })
+    sent.map(|(head, body)| StartedAnswer { head, body, attempt })
 }
 
 async fn send_permitted(
-    front: &Front,
+    frontend: &Frontend,
     req: &SiteRequest,
-    flight: &Flight,
+    attempt: &ActiveAttempt,
     permit: SendPermit,
     address: SocketAddr,
     last_event: Option<u64>,
 ) -> Result<(Parts, PooledBody), AttemptEnd> {
-    front.note_age_of_news(&flight.target, req);
-    let out = req.attempt::<Driver>(&flight.target, last_event, flight.priority, front.now());
-    let keep = front.kept_connections(&req.service);
+    frontend.observe_store_age(&attempt.target, req);
+    let out = req.endpoint_request::<Driver>(
+        &attempt.target,
+        last_event,
+        attempt.priority,
+        frontend.now(),
+    );
+    let max_idle = frontend.max_idle_connections(&req.service);
     let answer = tokio::select! {
-        answer = front.pool.send(permit, keep, address, out, CONNECT_WITHIN) => answer,
-        () = flight.given_up() => return Err(AttemptEnd::ReplicaLost),
+        answer = frontend.pool.send(permit, max_idle, address, out, CONNECT_TIMEOUT) => answer,
+        () = attempt.aborted() => return Err(AttemptEnd::ReplicaLost),
     };
     let answer = answer.map_err(|err| {
         match err {
-            SendError::Connect { .. } | SendError::ConnectTimedOut(_) => front.unreachable(flight),
+            SendError::Connect { .. } | SendError::ConnectTimedOut(_) => {
+                frontend.report_unreachable(attempt)
+            }
             SendError::NotSent(_) => {
-                flight.failed();
-                flight.avoid();
+                attempt.failed();
+                attempt.avoid();
             }
             SendError::Cut(_) => {
-                flight.cut();
-                flight.avoid();
+                attempt.interrupted();
+                attempt.avoid();
             }
         }
-        end_of(&err)
+        attempt_end(&err)
     })?;
-    check_head(front, req, answer, flight)
+    check_head(frontend, req, answer, attempt)
 }
 
-fn end_of(err: &SendError) -> AttemptEnd {
+fn attempt_end(err: &SendError) -> AttemptEnd {
     match err {
         SendError::Connect { .. } | SendError::ConnectTimedOut(_) => AttemptEnd::ConnectFailed,
         SendError::NotSent(_) => AttemptEnd::NotSent,
@@ -96,69 +103,73 @@
 
 /// Takes only an answer that names the request; any other belongs to somebody else.
 fn check_head(
-    front: &Front,
+    frontend: &Frontend,
     req: &SiteRequest,
     answer: Response<PooledBody>,
-    flight: &Flight,
+    attempt: &ActiveAttempt,
 ) -> Result<(Parts, PooledBody), AttemptEnd> {
     let facts = Driver::read_answer(answer.status(), answer.headers());
-    front.hear_wishes(flight, req, &facts);
-    front.hear_limit(flight, req, answer.status(), &facts);
-    front.hear_cold(flight, req, &facts);
+    frontend.apply_signals(attempt, req, &facts);
+    frontend.apply_limit(attempt, req, answer.status(), &facts);
+    frontend.apply_cold_start(attempt, req, &facts);
     let (head, body) = answer.into_parts();
     if facts.not_run {
         if head.status != StatusCode::MISDIRECTED_REQUEST {
-            flight.refused();
+            attempt.refused();
             return Err(AttemptEnd::Refused);
         }
-        front.not_serving(flight);
+        frontend.report_not_serving(attempt);
         return Err(AttemptEnd::NotServing);
     }
     if facts.request != req.facts.id {
         body.discard();
-        flight.failed();
+        attempt.failed();
         return Err(AttemptEnd::CutBeforeAnswer);
     }
     if head.status.is_success() && !facts.sealed {
         // It is not the endpoint's own word.
         body.discard();
-        flight.failed();
+        attempt.failed();
         return Err(AttemptEnd::AnswerCut);
     }
-    let promise = [
+    let claims_not_run = [
         StatusCode::SERVICE_UNAVAILABLE,
         StatusCode::TOO_MANY_REQUESTS,
         StatusCode::REQUEST_TIMEOUT,
     ];
-    if promise.contains(&head.status) {
+    if claims_not_run.contains(&head.status) {
         // It does not say that it did not run the request, and so neither may this node.
-        flight.failed();
+        attempt.failed();
         return Err(AttemptEnd::AnswerCut);
     }
     Ok((head, body))
 }
 
 /// Reads the rest of an answer whole; what has no room yet is not read, and one that never has is given up.
-pub(crate) async fn read_whole(
+pub(crate) async fn read_to_end(
     mut body: PooledBody,
-    room: &HeldBytes,
+    held_bytes: &HeldBytes,
 ) -> Result<(Bytes, HeldShare), AttemptEnd> {
     let announced = usize::try_from(body.size_hint().lower()).unwrap_or(usize::MAX);
-    let mut read = HeldBuf::new(hold(room, announced, announced).await?);
+    let mut read = HeldBuf::new(reserve(held_bytes, announced, announced).await?);
     while let Some(frame) = body.frame().await {
         let frame = frame.map_err(|_| AttemptEnd::AnswerCut)?;
         let Ok(data) = frame.into_data() else { continue };
-        let more = hold(room, read.beyond(&data), read.len() + data.len()).await?;
+        let more = reserve(held_bytes, read.beyond(&data), read.len() + data.len()).await?;
         read.push(&data, more);
     }
     Ok(read.finish())
 }
 
 /// Waits for room for more of an answer, which has `whole` bytes with that.
-async fn hold(room: &HeldBytes, more: usize, whole: usize) -> Result<HeldShare, AttemptEnd> {
-    if !room.may_fit(whole) {
-        log::warn!(bytes = whole as u64; "an answer is larger than all that may be held");
+async fn reserve(
+    held_bytes: &HeldBytes,
+    more: usize,
+    total: usize,
+) -> Result<HeldShare, AttemptEnd> {
+    if !held_bytes.may_fit(total) {
+        log::warn!(bytes = total as u64; "an answer is larger than all that may be held");
         return Err(AttemptEnd::AnswerCut);
     }
-    Ok(room.hold(more).await)
+    Ok(held_bytes.hold(more).await)
 }
--- a/crates/cherrystandd/src/site/wishes.rs
+++ b/crates/cherrystandd/src/site/endpoint_signals.rs
@@ -8,46 +8,51 @@
 use hyper::StatusCode;
 
 use crate::site::Hint;
-use crate::site::flight::Flight;
-use crate::site::front::Front;
+use crate::site::active_attempt::ActiveAttempt;
+use crate::site::frontend::Frontend;
 use crate::site::request::SiteRequest;
 
 /// Over what time those come back that were refused as all endpoints rest.
 ///
 /// The first of them has its answer begun within 0.1 to 0.2 s; the others find room as more of these come.
-const COME_BACK_OVER: Millis = Millis(500);
+const RETRY_AFTER_SPREAD: Millis = Millis(500);
 
 /// The longest time for which a request waits for a permit: the way to another daemon and back, with both busy.
-const PERMIT_WITHIN: Millis = Millis(25);
+const MAX_PERMIT_WAIT: Millis = Millis(25);
 
 /// The part of its objective that a request may wait for a permit.
-const PART_FOR_PERMITS: u64 = 8;
+const PERMIT_WAIT_DIVISOR: u64 = 8;
 
 /// Tells whether an answer names the request that it came to.
-fn answers(req: &SiteRequest, facts: &AnswerFacts) -> bool {
+fn is_answer_to(req: &SiteRequest, facts: &AnswerFacts) -> bool {
     facts.request.is_some() && facts.request == req.facts.id
 }
 
-impl Front {
+impl Frontend {
     /// Takes in what the head of a replica's answer asks of this node.
     ///
     /// An answer that names another request is somebody else's word.
-    pub(crate) fn hear_wishes(&self, flight: &Flight, req: &SiteRequest, facts: &AnswerFacts) {
+    pub(crate) fn apply_signals(
+        &self,
+        attempt: &ActiveAttempt,
+        req: &SiteRequest,
+        facts: &AnswerFacts,
+    ) {
         if facts.request.is_some() && facts.request != req.facts.id {
             return;
         }
         let mut balancer = self.balancer.borrow_mut();
-        if facts.leaving && balancer.hear_leaving(&flight.target) {
-            self.wish_notes.leaves(&flight.target);
-            self.cx.hint(Hint::Leaves(flight.target.clone()));
-            self.loads.tell_all(LoadNews::Leaves(flight.target.clone()));
+        if facts.leaving && balancer.hear_leaving(&attempt.target) {
+            self.signal_log.leaves(&attempt.target);
+            self.cx.hint(Hint::Leaves(attempt.target.clone()));
+            self.loads.broadcast(LoadNews::Leaves(attempt.target.clone()));
         }
         if facts.not_run {
             let until = match facts.asked_rest {
-                AskedRest::For(rest) => Some(balancer.hear_rest(&flight.target, rest, self.now())),
+                AskedRest::For(rest) => Some(balancer.hear_rest(&attempt.target, rest, self.now())),
                 _ => None,
             };
-            self.wish_notes.refused(&flight.target, facts, until);
+            self.signal_log.refused(&attempt.target, facts, until);
         }
     }
 
@@ -56,26 +61,26 @@
     /// An answer without a limit tells that there is none any more, so that it has to be an answer to this request
     /// for sure, and a good one: what turns requests away or fails may not say all that it otherwise does. One that
     /// names what is no number says neither.
-    pub(crate) fn hear_limit(
+    pub(crate) fn apply_limit(
         &self,
-        flight: &Flight,
+        attempt: &ActiveAttempt,
         req: &SiteRequest,
         status: StatusCode,
         facts: &AnswerFacts,
     ) {
-        if !answers(req, facts) {
+        if !is_answer_to(req, facts) {
             return;
         }
         let limit = match facts.limit {
             NamedLimit::None if facts.not_run || !status.is_success() => return,
             NamedLimit::None => None,
             NamedLimit::PerSecond(limit) => Some(limit),
-            NamedLimit::Unreadable => return self.wish_notes.unreadable_limit(&flight.target),
+            NamedLimit::Unreadable => return self.signal_log.invalid_limit(&attempt.target),
         };
-        let heard = LimitHeard { limit, sent: flight.sent };
+        let heard = LimitHeard { limit, sent: attempt.sent };
         let mut balancer = self.balancer.borrow_mut();
-        let is_new = balancer.limits_mut().hear_answer(&flight.target, heard, self.now());
-        self.wish_notes.limit(&flight.target, limit, is_new);
+        let is_new = balancer.limits_mut().hear_answer(&attempt.target, heard, self.now());
+        self.signal_log.limit(&attempt.target, limit, is_new);
         if is_new {
             self.loads.limits_due.notify_one();
         }
@@ -83,14 +88,19 @@
 
     /// Takes in that an answer to this request says that its endpoint is cold, which the endpoint's entry tells
     /// later.
-    pub(crate) fn hear_cold(&self, flight: &Flight, req: &SiteRequest, facts: &AnswerFacts) {
-        let own = facts.cold_left.filter(|_| answers(req, facts));
+    pub(crate) fn apply_cold_start(
+        &self,
+        attempt: &ActiveAttempt,
+        req: &SiteRequest,
+        facts: &AnswerFacts,
+    ) {
+        let own = facts.cold_left.filter(|_| is_answer_to(req, facts));
         let Some(left) = own.filter(|left| *left > Millis(0)) else { return };
         let view = self.view.borrow();
         let service = view.table.as_ref().and_then(|table| table.config().service(&req.service));
         let Some(cold) = service.and_then(|service| service.cold) else { return };
         let life = ColdWord { rate: cold.rate, left }.life(self.now());
-        self.balancer.borrow_mut().limits_mut().follow_cold(&flight.target, Some(life));
+        self.balancer.borrow_mut().limits_mut().follow_cold(&attempt.target, Some(life));
         self.loads.limits_due.notify_one();
     }
 
@@ -103,7 +113,7 @@
         }
         self.loads.limits_due.notify_one();
         let now = self.now();
-        let patience = Millis(req.route.latency_goal.0 / PART_FOR_PERMITS).min(PERMIT_WITHIN);
+        let max_wait = Millis(req.route.latency_goal.0 / PERMIT_WAIT_DIVISOR).min(MAX_PERMIT_WAIT);
         loop {
             let answered = self.loads.permits.notified();
             let may_come = {
@@ -114,7 +124,7 @@
                     .all(|id| limits.wait(id, self.now()).is_some_and(|wait| wait.is_err()))
                     && wanted.iter().any(|id| limits.may_come(id))
             };
-            if !may_come || self.by(now + patience, answered).await.is_none() {
+            if !may_come || self.timeout_at(now + max_wait, answered).await.is_none() {
                 return;
             }
         }
@@ -124,7 +134,7 @@
         if self.balancer.borrow().limits().is_empty() {
             return Vec::new();
         }
-        let view = self.follow();
+        let view = self.refresh_view();
         let Some(table) = view.table.as_ref() else { return Vec::new() };
         let engine = table.config().engine(&req.service);
         let ask = req.ask(engine, req.route.latency_goal);
@@ -146,10 +156,10 @@
 
     /// Returns when the caller of a request may come back that was refused as all rest: after the first
     /// rest, spread over a while, as all others that were refused come back as well.
-    pub(crate) fn come_back_after(&self, rests_until: Millis) -> Millis {
+    pub(crate) fn retry_after(&self, closed_until: Millis) -> Millis {
         let mut seed = self.seed.get();
-        let spread = seed.below(COME_BACK_OVER.0 as usize) as u64;
+        let spread = seed.below(RETRY_AFTER_SPREAD.0 as usize) as u64;
         self.seed.set(seed);
-        rests_until.since(self.now()) + Millis(spread)
+        closed_until.since(self.now()) + Millis(spread)
     }
 }
--- a/crates/cherrystandd/src/site/event_stream.rs
+++ b/crates/cherrystandd/src/site/event_stream.rs
@@ -7,45 +7,45 @@
 use cherrystand_core::{AttemptEnd, Millis, StallEvidence, StreamEnd};
 use cherrystand_platform::EventSender;
 
-use crate::site::attempt::Begun;
+use crate::site::active_attempt::ActiveAttempt;
+use crate::site::endpoint_call::StartedAnswer;
 use crate::site::failure_log::UnfinishedStream;
-use crate::site::flight::Flight;
-use crate::site::front::{Front, ReplicaLook, Urgency};
-use crate::site::open_attempts::{LOOK_EVERY, OpenAttempts};
+use crate::site::frontend::{AttemptPurpose, Frontend, ReplicaHealth};
+use crate::site::open_attempts::{CHECK_INTERVAL, OpenAttempts};
+use crate::site::replica_stream::{ReplicaStream, StreamStep, resume_stream};
 use crate::site::request::SiteRequest;
-use crate::site::stream_run::{RunStep, StreamRun, take_up};
-use crate::site::tries::Tries;
+use crate::site::request_attempts::RequestAttempts;
 
 /// How many endpoints are asked at the most each time that a stream breaks off or stands still, those
 /// that did not run it included.
-const SENT_TO_GO_ON: u32 = 3;
+const MAX_RESUME_ATTEMPTS: u32 = 3;
 
 /// How a stream ended for its caller.
-struct Ended {
+struct StreamOutcome {
     end: StreamEnd,
     /// How the last attempt ended, where that ended the stream.
-    attempt: Option<AttemptEnd>,
+    attempt_end: Option<AttemptEnd>,
 }
 
-impl Ended {
+impl StreamOutcome {
     fn by_caller(end: StreamEnd) -> Self {
-        Self { end, attempt: None }
+        Self { end, attempt_end: None }
     }
 
-    fn by(attempt: AttemptEnd) -> Self {
-        let end = match attempt {
+    fn by(end: AttemptEnd) -> Self {
+        let stream = match end {
             AttemptEnd::ReplicaLost => StreamEnd::ReplicaLost,
             _ => StreamEnd::BrokenOff,
         };
-        Self { end, attempt: Some(attempt) }
+        Self { end: stream, attempt_end: Some(end) }
     }
 }
 
 /// What was last known of the answer that is passed on.
 #[derive(Clone, Copy, Default)]
-struct LastSeen {
-    heard: Millis,
-    standstill: Option<StallEvidence>,
+struct LastReceived {
+    received_at: Millis,
+    stall: Option<StallEvidence>,
 }
 
 /// Passes one answer on to a caller, who learns by the cut connection where it is not whole.
@@ -55,86 +55,86 @@
 /// silence ends no answer, whatever becomes of the other attempt; an answer ends only by its replica's
 /// own doing, by evidence that the replica is lost, or with its caller's time.
 pub(crate) struct EventStream {
-    pub(crate) front: Rc<Front>,
+    pub(crate) frontend: Rc<Frontend>,
     pub(crate) req: Rc<SiteRequest>,
     pub(crate) tx: EventSender,
     /// What it was sent to, and what became of it there.
-    pub(crate) tries: Tries,
+    pub(crate) attempts: RequestAttempts,
     /// The id of the last event passed on.
-    pub(crate) last: Option<u64>,
+    pub(crate) last_event: Option<u64>,
 }
 
 impl EventStream {
     /// Passes on the answer that has begun, and goes on elsewhere where it breaks off.
-    pub(crate) async fn pass_on(mut self, first: Begun) {
-        let mut seen = LastSeen { heard: self.front.now(), standstill: None };
-        let ended = self.pass(first, &mut seen).await;
-        self.front.count_stream_end(ended.end);
-        if ended.end == StreamEnd::Whole {
+    pub(crate) async fn run(mut self, first: StartedAnswer) {
+        let mut last = LastReceived { received_at: self.frontend.now(), stall: None };
+        let outcome = self.forward(first, &mut last).await;
+        self.frontend.count_stream_end(outcome.end);
+        if outcome.end == StreamEnd::Whole {
             // One who has left needs no end.
             let _ = self.tx.end().await;
             return;
         }
-        self.front.failures.unfinished(&UnfinishedStream {
+        self.frontend.failures.unfinished(&UnfinishedStream {
             req: &self.req,
-            tried: &self.tries.tried,
-            end: ended.end,
-            attempt: ended.attempt,
-            silent: self.front.now().since(seen.heard),
-            standstill: seen.standstill,
+            tried: &self.attempts.tried,
+            end: outcome.end,
+            attempt_end: outcome.attempt_end,
+            silence: self.frontend.now().since(last.received_at),
+            stall: last.stall,
             attempts_left: self
                 .req
                 .route
                 .attempts
-                .saturating_sub(self.tries.ledger.max_executions()),
-            repeat_left: self.front.has_repeat(&self.req),
+                .saturating_sub(self.attempts.ledger.max_executions()),
+            repeat_left: self.frontend.has_retry(&self.req),
         });
     }
 
-    async fn pass(&mut self, first: Begun, seen: &mut LastSeen) -> Ended {
-        let mut current = Some(StreamRun::new(self.front.clone(), first));
-        let mut besides = OpenAttempts::new();
-        let mut sent_to_go_on = 0;
+    async fn forward(&mut self, first: StartedAnswer, last: &mut LastReceived) -> StreamOutcome {
+        let mut current = Some(ReplicaStream::new(self.frontend.clone(), first));
+        let mut resuming = OpenAttempts::new();
+        let mut resume_attempts = 0;
         loop {
-            let looked = self.front.now();
-            let left = Duration::from_millis(self.req.deadline.since(looked).0);
-            let last = self.last;
+            let checked_at = self.frontend.now();
+            let left = Duration::from_millis(self.req.deadline.since(checked_at).0);
+            let last_event = self.last_event;
             let step = tokio::select! {
-                step = next_of(&mut current, last) => step,
-                taken_up = besides.next() => match taken_up {
+                step = next_step(&mut current, last_event) => step,
+                resumed = resuming.next() => match resumed {
                     Ok((run, step)) => {
-                        self.tries.ledger.record_end(AttemptEnd::Answered);
+                        self.attempts.ledger.record_end(AttemptEnd::Answered);
                         current = Some(run);
                         step
                     }
                     Err(end) => {
-                        self.tries.ledger.record_end(end);
-                        if current.is_some() || !besides.is_empty() {
+                        self.attempts.ledger.record_end(end);
+                        if current.is_some() || !resuming.is_empty() {
                             continue;
                         }
-                        RunStep::Broken(end)
+                        StreamStep::Broken(end)
                     }
                 },
-                () = self.tx.closed() => return Ended::by_caller(StreamEnd::CallerLeft),
-                () = tokio::time::sleep(LOOK_EVERY.min(left)) => {
+                () = self.tx.closed() => return StreamOutcome::by_caller(StreamEnd::CallerLeft),
+                () = tokio::time::sleep(CHECK_INTERVAL.min(left)) => {
                     // What has arrived by the deadline was passed on before this.
                     if left.is_zero() {
-                        return Ended::by_caller(StreamEnd::DeadlinePassed);
+                        return StreamOutcome::by_caller(StreamEnd::DeadlinePassed);
                     }
                     // This thread was busy itself: what came meanwhile is read first.
-                    if self.front.was_busy(looked) {
+                    if self.frontend.was_busy(checked_at) {
                         continue;
                     }
-                    let look = self.look(&mut current, seen);
-                    let newest = besides.look(&self.front, &self.req).or(look);
+                    let health = self.check_replica(&mut current, last);
+                    let newest = resuming.check_replicas(&self.frontend, &self.req).or(health);
                     match newest {
-                        Some(ReplicaLook::Lost) if besides.is_empty() => {
-                            RunStep::Broken(AttemptEnd::ReplicaLost)
+                        Some(ReplicaHealth::Lost) if resuming.is_empty() => {
+                            StreamStep::Broken(AttemptEnd::ReplicaLost)
                         }
-                        Some(ReplicaLook::StandsStill) if sent_to_go_on < SENT_TO_GO_ON => {
-                            if let Some(flight) = self.begin_beside(AttemptEnd::TimedOut) {
-                                sent_to_go_on += 1;
-                                besides.push(flight.clone(), self.take_up(flight));
+                        Some(ReplicaHealth::Stalled) if resume_attempts < MAX_RESUME_ATTEMPTS => {
+                            if let Some(attempt) = self.start_resume(AttemptEnd::TimedOut) {
+                                resume_attempts += 1;
+                                resuming.push(attempt.clone(), self.resume_stream(attempt));
                             }
                             continue;
                         }
@@ -143,43 +143,44 @@
                 }
             };
             match step {
-                RunStep::Events(events, id) => {
+                StreamStep::Events(events, id) => {
                     // Whoever goes on first is the one; the others' places are freed at once.
-                    besides.clear();
-                    self.tries.ledger.record_remaining_ends(AttemptEnd::Overtaken);
-                    (sent_to_go_on, self.last) = (0, id);
-                    *seen = LastSeen { heard: self.front.now(), standstill: None };
-                    let handed = self.front.now();
-                    if let Some(end) = self.hand_on(events).await {
-                        return Ended::by_caller(end);
+                    resuming.clear();
+                    self.attempts.ledger.record_remaining_ends(AttemptEnd::Overtaken);
+                    (resume_attempts, self.last_event) = (0, id);
+                    *last = LastReceived { received_at: self.frontend.now(), stall: None };
+                    let sent_at = self.frontend.now();
+                    if let Some(end) = self.send_events(events).await {
+                        return StreamOutcome::by_caller(end);
                     }
-                    let taken = self.front.now();
+                    let taken_at = self.frontend.now();
                     if let Some(run) = current.as_mut()
-                        && StreamEnd::is_caller_stall(taken.since(handed))
+                        && StreamEnd::is_caller_stall(taken_at.since(sent_at))
                     {
-                        run.held_up = Some(taken);
+                        run.caller_stalled_at = Some(taken_at);
                     }
                 }
-                RunStep::LeftUnread => return Ended::by_caller(StreamEnd::CallerSlow),
-                RunStep::Whole => return Ended::by_caller(StreamEnd::Whole),
-                RunStep::Broken(end) => {
+                StreamStep::CallerSlow => return StreamOutcome::by_caller(StreamEnd::CallerSlow),
+                StreamStep::End => return StreamOutcome::by_caller(StreamEnd::Whole),
+                StreamStep::Broken(end) => {
                     current = None;
-                    if !besides.is_empty() {
+                    if !resuming.is_empty() {
                         continue;
                     }
-                    self.front.await_repeat(&self.req).await;
-                    let next = (sent_to_go_on < SENT_TO_GO_ON).then(|| self.begin_beside(end));
-                    let Some(flight) = next.flatten() else { return Ended::by(end) };
-                    sent_to_go_on += 1;
-                    besides.push(flight.clone(), self.take_up(flight));
+                    self.frontend.await_borrowed_retry(&self.req).await;
+                    let next =
+                        (resume_attempts < MAX_RESUME_ATTEMPTS).then(|| self.start_resume(end));
+                    let Some(attempt) = next.flatten() else { return StreamOutcome::by(end) };
+                    resume_attempts += 1;
+                    resuming.push(attempt.clone(), self.resume_stream(attempt));
                 }
             }
         }
     }
 
     /// Hands events to the caller, who may read slowly, but no longer than its time lasts.
-    async fn hand_on(&self, events: Bytes) -> Option<StreamEnd> {
-        match self.front.by(self.req.deadline, self.tx.pass(events)).await {
+    async fn send_events(&self, events: Bytes) -> Option<StreamEnd> {
+        match self.frontend.timeout_at(self.req.deadline, self.tx.pass(events)).await {
             Some(Ok(())) => None,
             Some(Err(_)) => Some(StreamEnd::CallerLeft),
             None => Some(StreamEnd::DeadlinePassed),
@@ -187,39 +188,44 @@
     }
 
     /// Looks at the replica whose answer is passed on.
-    fn look(&self, current: &mut Option<StreamRun>, seen: &mut LastSeen) -> Option<ReplicaLook> {
+    fn check_replica(
+        &self,
+        current: &mut Option<ReplicaStream>,
+        last: &mut LastReceived,
+    ) -> Option<ReplicaHealth> {
         let run = current.as_ref()?;
-        let look = self.front.look(&self.req, &run.flight, run.heard);
-        *seen = LastSeen { heard: run.heard, standstill: run.flight.standstill() };
-        if look == ReplicaLook::Lost {
+        let health = self.frontend.check_replica(&self.req, &run.attempt, run.received_at);
+        *last = LastReceived { received_at: run.received_at, stall: run.attempt.stall() };
+        if health == ReplicaHealth::Lost {
             *current = None;
         }
-        Some(look)
+        Some(health)
     }
 
     /// Chooses a replica that is to go on after the last event passed on.
     ///
     /// Its caller waits for the next event and leaves soon: it is never put behind.
-    fn begin_beside(&mut self, end: AttemptEnd) -> Option<Rc<Flight>> {
-        self.tries.begin_beside(&self.front, &self.req, Urgency::GoesOn, end)
+    fn start_resume(&mut self, end: AttemptEnd) -> Option<Rc<ActiveAttempt>> {
+        self.attempts.start_another(&self.frontend, &self.req, AttemptPurpose::Resume, end)
     }
 
-    fn take_up(
+    fn resume_stream(
         &self,
-        flight: Rc<Flight>,
-    ) -> impl Future<Output = (Rc<Flight>, Result<(StreamRun, RunStep), AttemptEnd>)> + use<> {
-        let (front, req, last) = (self.front.clone(), self.req.clone(), self.last);
-        async move { (flight.clone(), take_up(front, req, flight, last).await) }
+        attempt: Rc<ActiveAttempt>,
+    ) -> impl Future<Output = (Rc<ActiveAttempt>, Result<(ReplicaStream, StreamStep), AttemptEnd>)> + use<>
+    {
+        let (frontend, req, last) = (self.frontend.clone(), self.req.clone(), self.last_event);
+        async move { (attempt.clone(), resume_stream(frontend, req, attempt, last).await) }
     }
 }
 
 /// Waits for what comes next of the answer that is passed on; never ends where there is none.
-async fn next_of(current: &mut Option<StreamRun>, last: Option<u64>) -> RunStep {
+async fn next_step(current: &mut Option<ReplicaStream>, last_event: Option<u64>) -> StreamStep {
     let Some(run) = current else { return std::future::pending().await };
-    let flight = run.flight.clone();
+    let attempt = run.attempt.clone();
     tokio::select! {
         // Events that come often leave no time for a look.
-        () = flight.given_up() => RunStep::Broken(AttemptEnd::ReplicaLost),
-        step = run.next(last) => step,
+        () = attempt.aborted() => StreamStep::Broken(AttemptEnd::ReplicaLost),
+        step = run.next(last_event) => step,
     }
 }
--- a/crates/cherrystandd/src/site/failure_log.rs
+++ b/crates/cherrystandd/src/site/failure_log.rs
@@ -8,7 +8,7 @@
 use crate::site::request::SiteRequest;
 
 /// How many failed requests are logged each second; the others are counted.
-const FAILURES_LOGGED: u32 = 10;
+const FAILURES_LOGGED_PER_SECOND: u32 = 10;
 
 /// Holds what is written down of a stream that ended before it was whole.
 pub(crate) struct UnfinishedStream<'a> {
@@ -19,11 +19,11 @@
     /// How it ended for its caller.
     pub(crate) end: StreamEnd,
     /// How the last attempt ended, where that ended the stream.
-    pub(crate) attempt: Option<AttemptEnd>,
+    pub(crate) attempt_end: Option<AttemptEnd>,
     /// For how long the stream itself had brought nothing.
-    pub(crate) silent: Millis,
+    pub(crate) silence: Millis,
     /// What was known of its replica's silence, where that stood still.
-    pub(crate) standstill: Option<StallEvidence>,
+    pub(crate) stall: Option<StallEvidence>,
     /// At how many further boxes its route lets it run.
     pub(crate) attempts_left: u32,
     /// Whether this node had a repeat left.
@@ -39,7 +39,7 @@
 impl FailureLog {
     /// Creates a log that has room.
     pub(crate) fn new(clock: Clock) -> Self {
-        Self { clock, gate: RefCell::new(LogLimiter::new(FAILURES_LOGGED)) }
+        Self { clock, gate: RefCell::new(LogLimiter::new(FAILURES_LOGGED_PER_SECOND)) }
     }
 
     /// Writes down that no endpoint serves what a request asks for.
@@ -72,7 +72,7 @@
     }
 
     /// Writes down how the last attempt of a request ended and what its caller was told.
-    pub(crate) fn failed(&self, req: &SiteRequest, tried: &[BoxId], end: &str, told: &str) {
+    pub(crate) fn failed(&self, req: &SiteRequest, tried: &[BoxId], end: &str, result: &str) {
         let now = self.clock.now();
         let Some(left_out) = self.gate.borrow_mut().admit(now) else {
             return;
@@ -83,7 +83,7 @@
             fingerprint = fingerprint_of(req),
             route = req.route.name.as_str(), tried = tried.join(" "), end = end,
             left_ms = req.deadline.since(now).0, left_out = left_out;
-            "a request failed: {told}"
+            "a request failed: {result}"
         );
     }
 
@@ -93,7 +93,7 @@
         let Some(left_out) = self.gate.borrow_mut().admit(now) else {
             return;
         };
-        let told = match stream.end {
+        let result = match stream.end {
             StreamEnd::Whole => return,
             StreamEnd::DeadlinePassed => "its time was over before the stream was whole",
             StreamEnd::CallerLeft => "its caller left, or the connection to it failed",
@@ -103,22 +103,22 @@
             StreamEnd::BrokenOff | StreamEnd::ReplicaLost => "the stream was cut",
         };
         let tried: Vec<&str> = stream.tried.iter().map(BoxId::as_str).collect();
-        let still = stream.standstill;
+        let stall = stream.stall;
         let age = |age: Option<Millis>| age.map_or(-1, |age| age.0 as i64);
         log::warn!(
             request = stream.req.facts.id.as_deref().unwrap_or_default(),
             fingerprint = fingerprint_of(stream.req),
             route = stream.req.route.name.as_str(), tried = tried.join(" "),
-            stream = stream.end.as_str(), end = stream.attempt.map_or("", AttemptEnd::as_str),
-            left_ms = stream.req.deadline.since(now).0, silent_ms = stream.silent.0,
-            replica_silent_ms = age(still.map(|still| still.silence)),
-            longest_ms = age(still.map(|still| still.longest_expected)),
-            peers = still.map_or("", |still| still.peers.as_str()),
-            peers_age_ms = age(still.and_then(|still| still.peers_age)),
-            others_progress = still.and_then(|still| still.others_progressed).map_or(-1, i64::from),
+            stream = stream.end.as_str(), end = stream.attempt_end.map_or("", AttemptEnd::as_str),
+            left_ms = stream.req.deadline.since(now).0, silent_ms = stream.silence.0,
+            replica_silent_ms = age(stall.map(|stall| stall.silence)),
+            longest_ms = age(stall.map(|stall| stall.longest_expected)),
+            peers = stall.map_or("", |stall| stall.peers.as_str()),
+            peers_age_ms = age(stall.and_then(|stall| stall.peers_age)),
+            others_progress = stall.and_then(|stall| stall.others_progressed).map_or(-1, i64::from),
             attempts_left = stream.attempts_left, repeat_left = stream.repeat_left,
             left_out = left_out;
-            "a request failed: {told}"
+            "a request failed: {result}"
         );
     }
 }
--- a/crates/cherrystandd/src/site/front.rs
+++ b/crates/cherrystandd/src/site/frontend.rs
@@ -15,78 +15,78 @@
 use cherrystand_platform::{EndpointPool, HeldBytes};
 
 use crate::site::Hint;
+use crate::site::active_attempt::ActiveAttempt;
 use crate::site::crash_watch::CrashWatch;
 use crate::site::failure_log::FailureLog;
-use crate::site::flight::Flight;
 use crate::site::load_exchange::LoadExchange;
 use crate::site::request::SiteRequest;
 use crate::site::retry_shares::RetryShares;
-use crate::site::wish_notes::WishNotes;
+use crate::site::signal_log::SignalLog;
 use crate::{DutyContext, clock};
 
 /// A look that takes this long tells that the thread was busy; looks are 40 ms apart.
-const BUSY: Millis = Millis(100);
+const BUSY_THRESHOLD: Millis = Millis(100);
 
 /// News of the store that is older than this at a send is written down; usual is a tenth of it.
-const OLD_NEWS: Millis = Millis(1_000);
+const STALE_STORE_AGE: Millis = Millis(1_000);
 
 /// How many such lines are written each second.
-const OLD_NEWS_LOGGED: u32 = 5;
+const STALE_LOGS_PER_SECOND: u32 = 5;
 
 /// A request that comes within this time after the daemon's start waits until the daemon knows what
 /// is in service, as long as its readers may take to tell it.
 ///
 /// After a loss of all power daemons of 10 learned it within 130 ms and refused 23 requests
 /// meanwhile, those of 60 within 430 ms, those of 295 within 50 to 550 ms (logs of one day each).
-const KNOWS_WITHIN: Millis = Millis(1_000);
+const STARTUP_GRACE: Millis = Millis(1_000);
 
 /// Says what a look at the replica of an open attempt shows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum ReplicaLook {
+pub(crate) enum ReplicaHealth {
     /// It goes on, as far as can be told.
-    GoesOn,
+    Progressing,
     /// It stands still, and may go on at any moment.
-    StandsStill,
+    Stalled,
     /// So does everything that this node has requests at: a pause of the machines, rather.
-    Pauses,
+    AllStalled,
     /// It stands still and is known to be lost.
     Lost,
 }
 
 /// Says what a replica is chosen for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Urgency {
+pub(crate) enum AttemptPurpose {
     /// An answer that begins.
-    Begins,
+    FirstAnswer,
     /// A stream that broke off and goes on.
-    GoesOn,
+    Resume,
 }
 
 /// Holds it, on the one thread that serves callers.
-pub(crate) struct Front {
+pub(crate) struct Frontend {
     pub(super) cx: DutyContext,
     /// What the choice of an endpoint needs.
     pub(crate) balancer: Rc<RefCell<LoadBalancer>>,
     /// Its connections to endpoints.
     pub(crate) pool: EndpointPool,
     /// The room for bodies that are held whole.
-    pub(crate) room: HeldBytes,
+    pub(crate) held_bytes: HeldBytes,
     pub(super) view: RefCell<Arc<SiteView>>,
     addresses: RefCell<BTreeMap<BoxId, SocketAddr>>,
     pub(super) seed: Cell<Seed>,
     /// This node's share of the repeats.
-    pub(crate) repeats: RetryShares,
+    pub(crate) retries: RetryShares,
     /// Where failed requests are written down.
     pub(crate) failures: FailureLog,
-    pub(super) wish_notes: WishNotes,
-    old_news: RefCell<LogLimiter>,
+    pub(super) signal_log: SignalLog,
+    stale_log: RefCell<LogLimiter>,
     /// Requests that were at boxes as these ended.
     pub(crate) crashes: Rc<CrashWatch>,
     /// What peers have in flight.
     pub(super) loads: Rc<LoadExchange>,
 }
 
-impl Front {
+impl Frontend {
     /// Creates what requests share, with loads that are exchanged beside them.
     pub(crate) fn new(
         cx: DutyContext,
@@ -98,13 +98,16 @@
         Self {
             balancer,
             pool: EndpointPool::default(),
-            room: HeldBytes::new(cx.settings.limits.held_bytes(), cx.metrics.bytes_held.clone()),
+            held_bytes: HeldBytes::new(
+                cx.settings.limits.held_bytes(),
+                cx.metrics.bytes_held.clone(),
+            ),
             view: RefCell::default(),
             addresses: RefCell::default(),
-            repeats: RetryShares::new(cx.clone(), loads.clone()),
+            retries: RetryShares::new(cx.clone(), loads.clone()),
             failures: FailureLog::new(cx.clock),
-            wish_notes: WishNotes::new(cx.clock, cx.metrics.clone()),
-            old_news: RefCell::new(LogLimiter::new(OLD_NEWS_LOGGED)),
+            signal_log: SignalLog::new(cx.clock, cx.metrics.clone()),
+            stale_log: RefCell::new(LogLimiter::new(STALE_LOGS_PER_SECOND)),
             crashes,
             seed: Cell::new(Seed::new(clock::unix_millis())),
             loads,
@@ -118,12 +121,16 @@
     }
 
     /// Waits for something until a time at the longest; nothing where it does not come.
-    pub(crate) async fn by<T>(&self, at: Millis, awaited: impl Future<Output = T>) -> Option<T> {
+    pub(crate) async fn timeout_at<T>(
+        &self,
+        at: Millis,
+        awaited: impl Future<Output = T>,
+    ) -> Option<T> {
         self.cx.clock.by(at, awaited).await
     }
 
     /// Takes over the newest view.
-    pub(crate) fn follow(&self) -> Arc<SiteView> {
+    pub(crate) fn refresh_view(&self) -> Arc<SiteView> {
         let newest = self.cx.site.borrow().clone();
         if Arc::ptr_eq(&newest, &self.view.borrow()) {
             return newest;
@@ -136,31 +143,31 @@
         self.balancer.borrow_mut().set_targets(specs);
         let before = self.view.replace(newest.clone());
         if newest.silent != before.silent {
-            self.tell_lost(&before, &newest);
+            self.announce_lost_leaders(&before, &newest);
         }
-        self.crashes.follow(&newest);
+        self.crashes.apply_view(&newest);
         newest
     }
 
     /// Tells peers which leaders this node has found to be lost; by the store they learn of one that
     /// lost power after 3.6 s, and of one whose member did after 4 s.
-    fn tell_lost(&self, before: &SiteView, newest: &SiteView) {
+    fn announce_lost_leaders(&self, before: &SiteView, newest: &SiteView) {
         let known = before.lost_leaders();
         let lost = newest.lost_leaders().into_iter().filter(|leader| !known.contains(leader));
-        lost.for_each(|leader| self.loads.tell_left(leader, self.now()));
+        lost.for_each(|leader| self.loads.announce_stopped(leader, self.now()));
     }
 
     /// Takes over the newest view; one that says nothing yet, shortly after the daemon's start, is
     /// waited for.
-    pub(crate) async fn follow_once_known(&self) -> Arc<SiteView> {
-        let left = KNOWS_WITHIN.since(self.now());
+    pub(crate) async fn view_once_known(&self) -> Arc<SiteView> {
+        let left = STARTUP_GRACE.since(self.now());
         let mut site = self.cx.site.clone();
         if left > Millis(0) && !site.borrow().is_known() {
             let known = site.wait_for(|view| view.is_known());
             // Where it stays unknown the request is answered by what the daemon knows.
             let _ = tokio::time::timeout(Duration::from_millis(left.0), known).await;
         }
-        self.follow()
+        self.refresh_view()
     }
 
     /// Tells whether the answer to a request may be taken up at another replica after `runs`.
@@ -174,7 +181,7 @@
     }
 
     /// Returns how many idle connections this node keeps to each box of a service.
-    pub(crate) fn kept_connections(&self, service: &ServiceName) -> usize {
+    pub(crate) fn max_idle_connections(&self, service: &ServiceName) -> usize {
         let view = self.view.borrow();
         let known = view.table.as_ref().and_then(|table| table.config().service(service));
         kept_connections(known.and_then(|service| service.connections), view.nodes)
@@ -182,64 +189,71 @@
 
     /// Tells whether a box says that it leaves.
     pub(crate) fn is_leaving(&self, id: &BoxId) -> bool {
-        let said = self.balancer.borrow().is_leaving(id);
-        said || self.view.borrow().boxes.get(id).is_some_and(|known| known.leaving)
+        let by_answer = self.balancer.borrow().is_leaving(id);
+        by_answer || self.view.borrow().boxes.get(id).is_some_and(|known| known.leaving)
     }
 
     /// Chooses an endpoint and counts the request there.
     pub(crate) fn choose(
         self: &Rc<Self>,
         req: &Rc<SiteRequest>,
-        not: &[BoxId],
-        urgency: Urgency,
-    ) -> Option<Rc<Flight>> {
-        let view = self.follow();
+        tried: &[BoxId],
+        purpose: AttemptPurpose,
+    ) -> Option<Rc<ActiveAttempt>> {
+        let view = self.refresh_view();
         let engine = view.table.as_ref()?.config().engine(&req.service);
-        let objective = match urgency {
-            Urgency::Begins => req.objective_left(self.now()),
-            Urgency::GoesOn => req.route.latency_goal,
+        let objective = match purpose {
+            AttemptPurpose::FirstAnswer => req.objective_left(self.now()),
+            AttemptPurpose::Resume => req.route.latency_goal,
         };
         let ask = req.ask(engine, objective);
         let mut seed = self.seed.get();
-        self.loads.hand_over(&mut self.balancer.borrow_mut());
-        let mut apart = self.crashes.kept_apart(req);
+        self.loads.update_chooser(&mut self.balancer.borrow_mut());
+        let mut excluded = self.crashes.boxes_to_avoid(req);
         let balancer = self.balancer.borrow();
-        let key = match apart.is_empty() {
-            true => balancer.choose(ask, engine, not, self.now(), &mut seed),
+        let key = match excluded.is_empty() {
+            true => balancer.choose(ask, engine, tried, self.now(), &mut seed),
             false => {
-                apart.extend_from_slice(not);
-                let key = balancer.choose(ask, engine, &apart, self.now(), &mut seed);
-                key.or_else(|| balancer.choose(ask, engine, not, self.now(), &mut seed))
+                excluded.extend_from_slice(tried);
+                let key = balancer.choose(ask, engine, &excluded, self.now(), &mut seed);
+                key.or_else(|| balancer.choose(ask, engine, tried, self.now(), &mut seed))
             }
         };
         self.seed.set(seed);
         let key = key.or_else(|| balancer.choose(ask, engine, &[], self.now(), &mut seed))?;
         let target = balancer.id(key)?.clone();
         let expected = engine.and_then(|engine| balancer.predict(key, ask, engine));
-        let expected = expected.map(|expected| match urgency {
-            Urgency::Begins => expected,
-            Urgency::GoesOn => Prediction { deferred: false, ..expected },
+        let expected = expected.map(|expected| match purpose {
+            AttemptPurpose::FirstAnswer => expected,
+            AttemptPurpose::Resume => Prediction { deferred: false, ..expected },
         });
         drop(balancer);
         let rank = req.route.priority;
         let priority = expected.map(|expected| engine_priority(rank, expected.deferred));
         let permit = self.balancer.borrow_mut().permit(key, self.now())?;
-        let flight =
-            Flight::start(permit, self.clone(), req.clone(), key, target, expected, priority);
-        let flight = Rc::new(flight);
-        self.crashes.track_attempt(&flight);
-        Some(flight)
+        let attempt = ActiveAttempt::start(
+            permit,
+            self.clone(),
+            req.clone(),
+            key,
+            target,
+            expected,
+            priority,
+        );
+        let attempt = Rc::new(attempt);
+        self.crashes.track_attempt(&attempt);
+        Some(attempt)
     }
 
     /// Counts how old what this node knows of the store is as it sends a request, and writes it down where that is
     /// old: an endpoint that leaves gets requests for as long.
-    pub(super) fn note_age_of_news(&self, target: &BoxId, req: &SiteRequest) {
+    pub(super) fn observe_store_age(&self, target: &BoxId, req: &SiteRequest) {
         let age = self.cx.news_heard.age(self.now());
         self.cx.metrics.news_age_at_send.observe(age.as_secs_f64());
-        if age < OLD_NEWS {
+        if age < STALE_STORE_AGE {
             return;
         }
-        let Some(left_out) = self.old_news.borrow_mut().admit(self.now()) else { return };
+        let Some(left_out) = self.stale_log.borrow_mut().admit(self.now()) else { return };
         log::info!(
             target_box = target.as_str(), request = req.facts.id.as_deref(), age_ms = age.0,
             told_by = self.cx.news_heard.teller().to_string(), left_out = left_out;
@@ -249,39 +263,39 @@
 
     /// Tells whether this thread came back so late to a look begun at `looked` that it has yet to
     /// read what arrived meanwhile.
-    pub(crate) fn was_busy(&self, looked: Millis) -> bool {
-        self.now().since(looked) > BUSY
+    pub(crate) fn was_busy(&self, since: Millis) -> bool {
+        self.now().since(since) > BUSY_THRESHOLD
     }
 
     /// Returns what is known of the silence of the replica that a request is at, where neither the
     /// request nor any other one there, on this node, has made progress for longer than its engine
     /// can take.
-    fn standstill(
+    fn detect_stall(
         &self,
         req: &SiteRequest,
-        flight: &Flight,
-        heard: Millis,
+        attempt: &ActiveAttempt,
+        last_received: Millis,
     ) -> Option<StallEvidence> {
         let now = self.now();
-        let progress = self.balancer.borrow().last_progress(flight.key);
-        let progress = progress.unwrap_or_default().max(heard);
+        let progress = self.balancer.borrow().last_progress(attempt.key);
+        let progress = progress.unwrap_or_default().max(last_received);
         let silence = now.since(progress);
         // Most looks end here, and need not know what peers have in flight.
         if silence <= STALL_MARGIN {
             return None;
         }
-        self.loads.hand_over(&mut self.balancer.borrow_mut());
+        self.loads.update_chooser(&mut self.balancer.borrow_mut());
         let balancer = self.balancer.borrow();
-        let longest = self.max_silence(req, balancer.load(flight.key));
+        let longest = self.max_silence(req, balancer.load(attempt.key));
         if silence <= longest {
             return None;
         }
         let peers = match self.cx.settings.policy.ask_peers {
-            true => self.loads.peers_tell(&flight.target, now - longest, now),
+            true => self.loads.peer_progress(&attempt.target, now - longest, now),
             false => PeerProgress::NotAsked,
         };
-        let others = balancer.others_progress(flight.key, now - longest);
-        let peers_age = self.loads.peers_age(now);
+        let others = balancer.others_progress(attempt.key, now - longest);
+        let peers_age = self.loads.last_peer_answer_age(now);
         Some(StallEvidence {
             silence,
             longest_expected: longest,
@@ -307,63 +321,69 @@
     /// Silence alone ends no attempt: a replica that turns slow, or whose machine pauses, goes on. One
     /// that stands still is left out of the choice and has its members asked; what they, its entry or
     /// a peer tell may show that it is lost.
-    pub(crate) fn look(&self, req: &SiteRequest, flight: &Flight, heard: Millis) -> ReplicaLook {
-        if flight.is_called_off() {
-            return ReplicaLook::Lost;
+    pub(crate) fn check_replica(
+        &self,
+        req: &SiteRequest,
+        attempt: &ActiveAttempt,
+        last_received: Millis,
+    ) -> ReplicaHealth {
+        if attempt.is_cancelled() {
+            return ReplicaHealth::Lost;
         }
-        let still = self.standstill(req, flight, heard).filter(StallEvidence::is_stalled);
-        flight.note_standstill(still);
-        let Some(still) = still else {
-            return ReplicaLook::GoesOn;
+        let stall =
+            self.detect_stall(req, attempt, last_received).filter(StallEvidence::is_stalled);
+        attempt.set_stall(stall);
+        let Some(stall) = stall else {
+            return ReplicaHealth::Progressing;
         };
-        if flight.tells_stall() {
-            self.stalled(flight);
+        if attempt.should_report_stall() {
+            self.report_stalled(attempt);
         }
-        let lost = self.follow().is_lost(&flight.target)
-            || self.loads.ended_since(&flight.target, flight.sent);
+        let lost = self.refresh_view().is_lost(&attempt.target)
+            || self.loads.stopped_since(&attempt.target, attempt.sent);
         match lost {
-            true => ReplicaLook::Lost,
-            false if still.is_node_wide_pause() => ReplicaLook::Pauses,
-            false => ReplicaLook::StandsStill,
+            true => ReplicaHealth::Lost,
+            false if stall.is_node_wide_pause() => ReplicaHealth::AllStalled,
+            false => ReplicaHealth::Stalled,
         }
     }
 
     /// Leaves a replica out that stands still, and has its members looked at.
-    fn stalled(&self, flight: &Flight) {
-        flight.avoid();
-        self.cx.hint(Hint::Stalled(flight.target.clone()));
-        self.loads.tell_stalled(flight.target.clone());
+    fn report_stalled(&self, attempt: &ActiveAttempt) {
+        attempt.avoid();
+        self.cx.hint(Hint::Stalled(attempt.target.clone()));
+        self.loads.announce_stalled(attempt.target.clone());
     }
 
     /// Leaves a replica out whose leader says that it serves no more, here and at peers.
-    pub(crate) fn not_serving(&self, flight: &Flight) {
-        if !self.balancer.borrow().is_ejected(flight.key, self.now()) {
-            flight.avoid();
-            self.loads.tell_left(flight.target.clone(), self.now());
+    pub(crate) fn report_not_serving(&self, attempt: &ActiveAttempt) {
+        if !self.balancer.borrow().is_ejected(attempt.key, self.now()) {
+            attempt.avoid();
+            self.loads.announce_stopped(attempt.target.clone(), self.now());
         }
     }
 
     /// Leaves a box out that cannot be connected to, and has it looked at.
-    pub(crate) fn unreachable(&self, flight: &Flight) {
-        flight.failed();
-        flight.avoid();
-        self.cx.hint(Hint::Unreachable(flight.target.clone()));
+    pub(crate) fn report_unreachable(&self, attempt: &ActiveAttempt) {
+        attempt.failed();
+        attempt.avoid();
+        self.cx.hint(Hint::Unreachable(attempt.target.clone()));
     }
 
     /// Waits for a repeat where this node has none left and another one may lend it.
-    pub(crate) async fn await_repeat(&self, req: &SiteRequest) {
+    pub(crate) async fn await_borrowed_retry(&self, req: &SiteRequest) {
         let nodes = self.view.borrow().nodes;
-        self.repeats.await_one(&req.service, nodes).await;
+        self.retries.await_borrowed(&req.service, nodes).await;
     }
 
     /// Takes a repeat of a request out of this node's share.
-    pub(crate) fn may_repeat(&self, req: &SiteRequest, end: AttemptEnd) -> bool {
+    pub(crate) fn spend_retry(&self, req: &SiteRequest, end: AttemptEnd) -> bool {
         let nodes = self.view.borrow().nodes;
-        self.repeats.spend(&req.service, nodes, end)
+        self.retries.spend(&req.service, nodes, end)
     }
 
     /// Writes down that no endpoint serves what a request asks for.
-    pub(crate) fn note_none_serving(&self, req: &SiteRequest) {
+    pub(crate) fn log_none_serving(&self, req: &SiteRequest) {
         let targets = self.addresses.borrow().len();
         self.failures.none_serving(req, targets, || self.unavailable_until(req));
     }
@@ -374,8 +394,8 @@
     }
 
     /// Tells whether a repeat is left for a request, without taking it.
-    pub(crate) fn has_repeat(&self, req: &SiteRequest) -> bool {
-        self.repeats.has_left(&req.service, self.view.borrow().nodes)
+    pub(crate) fn has_retry(&self, req: &SiteRequest) -> bool {
+        self.retries.has_left(&req.service, self.view.borrow().nodes)
     }
 
     /// Counts how a stream ended.
--- a/crates/cherrystandd/src/site/front_duty.rs
+++ b/crates/cherrystandd/src/site/frontend_duty.rs
@@ -12,10 +12,10 @@
 
 use crate::kernel::{Duty, Serves};
 use crate::site::crash_watch::CrashWatch;
-use crate::site::flow::handle;
-use crate::site::front::Front;
+use crate::site::frontend::Frontend;
 use crate::site::load_exchange::{LoadExchange, exchange_loads};
 use crate::site::pages::{self, serve_pages};
+use crate::site::request_handler::handle;
 use crate::{DutyContext, DutyError, StopPhase};
 
 inventory::submit! {
@@ -42,11 +42,11 @@
     let crashes = CrashWatch::new(cx.clone(), loads.clone());
     let exchange = exchange_loads(cx.clone(), balancer.clone(), loads.clone(), crashes.clone());
     tokio::task::spawn_local(exchange);
-    let front = Rc::new(Front::new(cx.clone(), balancer, loads, crashes));
+    let frontend = Rc::new(Frontend::new(cx.clone(), balancer, loads, crashes));
     let (stop, stopped) = watch::channel(false);
     serve_pages(ready, cx.clone(), pages::readiness, stopped.clone());
     serve_pages(operators, cx.clone(), pages::operator_pages, stopped.clone());
-    let serving = serve_http(callers, move |req| handle(front.clone(), req), stopped);
+    let serving = serve_http(callers, move |req| handle(frontend.clone(), req), stopped);
     let stopping = async {
         cx.stopping(StopPhase::Draining).await;
         log::info!("draining: not ready any more, finishing what is in flight");
--- a/crates/cherrystandd/src/site/held_suspects.rs
+++ b/crates/cherrystandd/src/site/held_suspects.rs
@@ -20,18 +20,18 @@
     /// # Errors
     ///
     /// Returns why it is malformed; the one held stays.
-    pub(crate) fn take(
+    pub(crate) fn update(
         &mut self,
         copy: &Document,
-        is_old: bool,
+        is_from_copy: bool,
     ) -> Result<bool, serde_json::Error> {
         if self.revision >= copy.revision {
             return Ok(false);
         }
         let is_known = self.revision != Revision::NONE;
-        let is_old = is_old && self.revision.era() < copy.revision.era();
+        let is_from_copy = is_from_copy && self.revision.era() < copy.revision.era();
         self.revision = copy.revision;
-        if is_known && is_old {
+        if is_known && is_from_copy {
             return Ok(false);
         }
         self.record = Arc::new(serde_json::from_str(&copy.body)?);
@@ -40,7 +40,7 @@
     }
 
     /// Takes in that the store holds none; what is held is written as a new one.
-    pub(crate) fn restore(&mut self) {
+    pub(crate) fn mark_missing(&mut self) {
         self.revision = Revision::NONE;
     }
 
--- a/crates/cherrystandd/src/site/limit_exchange.rs
+++ b/crates/cherrystandd/src/site/limit_exchange.rs
@@ -13,73 +13,73 @@
 use crate::state::View;
 
 /// How often permits are given out and handed back while any are asked for.
-const STEP_EVERY: Millis = Millis(25);
+const STEP_INTERVAL: Millis = Millis(25);
 
 /// How often what is remembered is looked at, while nothing is asked for.
-const IDLE_STEP_EVERY: Millis = Millis(1_000);
+const IDLE_STEP_INTERVAL: Millis = Millis(1_000);
 
 /// What limits there are to keep up.
-enum AtWork {
+enum LimitActivity {
     /// None.
-    Nothing,
+    None,
     /// Some, and nobody asks for anything.
-    Remembers,
+    Idle,
     /// Some that are asked for.
-    Gives,
+    Active,
 }
 
 impl Exchange {
     /// Keeps limits up for as long as the front runs; it sleeps while there is none.
-    pub(super) async fn keep_limits(&self) {
+    pub(super) async fn limit_loop(&self) {
         let clock = self.cx.clock;
         let mut seen: Option<Arc<View>> = None;
         loop {
             let due = self.loads.limits_due.notified();
             // Nothing comes of being woken but the same step sooner.
-            match self.limits_at_work() {
-                AtWork::Nothing => due.await,
-                AtWork::Remembers => _ = clock.by(clock.now() + IDLE_STEP_EVERY, due).await,
-                AtWork::Gives => _ = clock.by(clock.now() + STEP_EVERY, due).await,
+            match self.limit_activity() {
+                LimitActivity::None => due.await,
+                LimitActivity::Idle => _ = clock.by(clock.now() + IDLE_STEP_INTERVAL, due).await,
+                LimitActivity::Active => _ = clock.by(clock.now() + STEP_INTERVAL, due).await,
             }
             self.step_limits(&mut seen).await;
         }
     }
 
-    fn limits_at_work(&self) -> AtWork {
-        let (balancer, repeats) = (self.balancer.borrow(), self.loads.repeats.borrow());
-        match balancer.limits().is_idle() && repeats.is_idle() {
-            false => AtWork::Gives,
-            true if balancer.limits().is_empty() && repeats.is_empty() => AtWork::Nothing,
-            true => AtWork::Remembers,
+    fn limit_activity(&self) -> LimitActivity {
+        let (balancer, lent_retries) = (self.balancer.borrow(), self.loads.lent_retries.borrow());
+        match balancer.limits().is_idle() && lent_retries.is_idle() {
+            false => LimitActivity::Active,
+            true if balancer.limits().is_empty() && lent_retries.is_empty() => LimitActivity::None,
+            true => LimitActivity::Idle,
         }
     }
 
     async fn step_limits(&self, seen: &mut Option<Arc<View>>) {
         let view = self.cx.view_now();
-        let is_other = !seen.as_ref().is_some_and(|seen| same_members(seen, &view));
+        let members_changed = !seen.as_ref().is_some_and(|seen| same_members(seen, &view));
         *seen = Some(view.clone());
-        let step = self.step_of(self.balancer.borrow_mut().limits_mut(), is_other, &view);
-        self.tell_step(step, LoadNews::Limit, &view).await;
-        let step = self.step_of(&mut self.loads.repeats.borrow_mut(), is_other, &view);
-        self.tell_step(step, LoadNews::Repeats, &view).await;
+        let step = self.step(self.balancer.borrow_mut().limits_mut(), members_changed, &view);
+        self.send_step(step, LoadNews::Limit, &view).await;
+        let step = self.step(&mut self.loads.lent_retries.borrow_mut(), members_changed, &view);
+        self.send_step(step, LoadNews::Repeats, &view).await;
     }
 
     /// Asks, gives and hands back what is due of one kind of limits.
-    fn step_of<K: Ord + Clone + Display>(
+    fn step<K: Ord + Clone + Display>(
         &self,
         limits: &mut EndpointLimits<K>,
-        is_other: bool,
+        members_changed: bool,
         view: &View,
     ) -> LimitStep<K> {
         let now = self.cx.clock.now();
         let keeper_of = |id: &K| limit_keeper_of(id, &view.own.node, &view.members);
-        if is_other {
+        if members_changed {
             limits.follow(now, keeper_of);
         }
         limits.step(now, keeper_of)
     }
 
-    async fn tell_step<K>(
+    async fn send_step<K>(
         &self,
         step: LimitStep<K>,
         news_of: impl Fn(K, LimitNews) -> LoadNews,
@@ -95,7 +95,7 @@
                 LimitTo::All => {
                     let others = view.alive().filter(|beat| beat.node != view.own.node);
                     let others: Vec<SocketAddr> = others.map(|beat| beat.address).collect();
-                    self.spread(news, &others).await;
+                    self.broadcast(news, &others).await;
                 }
             }
         }
--- a/crates/cherrystandd/src/site/load_exchange.rs
+++ b/crates/cherrystandd/src/site/load_exchange.rs
@@ -20,48 +20,48 @@
 use crate::{DutyContext, clock};
 
 /// The time between two tellings while requests are in flight.
-const TELL_EVERY: Millis = Millis(200);
+const SEND_INTERVAL: Millis = Millis(200);
 
 /// How many peers are told at a time, in turn; among more, each is told less often.
 ///
 /// Where there are more, only those of the own zone are told, and relays carry the sums of zones.
-const TOLD_AT_ONCE: usize = 12;
+const MAX_PEERS_PER_ROUND: usize = 12;
 
 /// Within this time peers answer what they were asked.
-const ANSWERED_WITHIN: Millis = Millis(25);
+const ANSWER_TIMEOUT: Millis = Millis(25);
 
 /// After this time they are asked anew.
-const ASKED_FOR: Millis = Millis(400);
+const ASK_INTERVAL: Millis = Millis(400);
 
 /// For how long it is remembered that a leader serves no more; longer than a route lets a request
 /// wait there.
-const ENDED_FOR: Millis = Millis(30_000);
+const STOPPED_TTL: Millis = Millis(30_000);
 
 /// To how many others one daemon passes news on, at the most: the root of a fleet far larger than any.
-const MOST_PASSED_ON: usize = 256;
+const MAX_FORWARDS: usize = 256;
 
 /// The largest datagram there is, in bytes: a zone's sum names each replica that it sends to.
-const LARGEST_NEWS: usize = 64 << 10;
+const MAX_DATAGRAM_BYTES: usize = 64 << 10;
 
 /// Keeps what peers told, and what is to be told to them at once.
 #[derive(Default)]
 pub(crate) struct LoadExchange {
     book: RefCell<PeerLoads>,
     stalled: RefCell<Vec<BoxId>>,
-    left: RefCell<Vec<BoxId>>,
+    stopped: RefCell<Vec<BoxId>>,
     /// When this node last learned that a leader serves no more, from its own word, a peer's, or by
     /// finding a member silent.
-    ended: RefCell<BTreeMap<BoxId, Millis>>,
+    stopped_at: RefCell<BTreeMap<BoxId, Millis>>,
     to_ask: RefCell<Vec<BoxId>>,
     /// What all peers are told at once beside.
-    to_all: RefCell<Vec<LoadNews>>,
+    to_broadcast: RefCell<Vec<LoadNews>>,
     /// When peers were last asked about a leader.
-    asked: RefCell<BTreeMap<BoxId, Millis>>,
+    asked_at: RefCell<BTreeMap<BoxId, Millis>>,
     /// When a peer last answered such a question, whatever it had seen.
-    answered: Cell<Option<Millis>>,
+    last_answer_at: Cell<Option<Millis>>,
     urgent: Notify,
     /// The repeats that daemons lend each other, by service.
-    pub(super) repeats: RefCell<EndpointLimits<ServiceName>>,
+    pub(super) lent_retries: RefCell<EndpointLimits<ServiceName>>,
     /// Wakes what keeps limits up.
     pub(super) limits_due: Notify,
     /// Wakes requests that wait for a permit.
@@ -71,70 +71,70 @@
 impl LoadExchange {
     /// Creates it with repeats that are lent by the bounds of all daemons together.
     pub(crate) fn new(bounds: RetryBounds) -> Self {
-        let mut repeats = EndpointLimits::with_at_once(bounds.max_loan());
-        repeats.number_from(clock::unix_millis());
-        Self { repeats: RefCell::new(repeats), ..Self::default() }
+        let mut lent_retries = EndpointLimits::with_at_once(bounds.max_loan());
+        lent_retries.number_from(clock::unix_millis());
+        Self { lent_retries: RefCell::new(lent_retries), ..Self::default() }
     }
 
     /// Tells peers at once that a replica stands still.
-    pub(crate) fn tell_stalled(&self, leader: BoxId) {
+    pub(crate) fn announce_stalled(&self, leader: BoxId) {
         self.stalled.borrow_mut().push(leader);
         self.urgent.notify_one();
     }
 
     /// Tells peers at once that a leader serves no more, before the store tells them.
-    pub(crate) fn tell_left(&self, leader: BoxId, now: Millis) {
-        self.note_ended(&leader, now);
-        self.left.borrow_mut().push(leader);
+    pub(crate) fn announce_stopped(&self, leader: BoxId, now: Millis) {
+        self.record_stopped(&leader, now);
+        self.stopped.borrow_mut().push(leader);
         self.urgent.notify_one();
     }
 
     /// Tells all peers something at once.
-    pub(crate) fn tell_all(&self, news: LoadNews) {
-        self.to_all.borrow_mut().push(news);
+    pub(crate) fn broadcast(&self, news: LoadNews) {
+        self.to_broadcast.borrow_mut().push(news);
         self.urgent.notify_one();
     }
 
     /// Notes that a leader serves no more.
-    fn note_ended(&self, leader: &BoxId, now: Millis) {
-        let mut ended = self.ended.borrow_mut();
-        ended.retain(|_, at| now.since(*at) < ENDED_FOR);
-        ended.insert(leader.clone(), now);
+    fn record_stopped(&self, leader: &BoxId, now: Millis) {
+        let mut stopped_at = self.stopped_at.borrow_mut();
+        stopped_at.retain(|_, at| now.since(*at) < STOPPED_TTL);
+        stopped_at.insert(leader.clone(), now);
     }
 
     /// Tells whether a leader was found to serve no more after `sent`.
-    pub(crate) fn ended_since(&self, leader: &BoxId, sent: Millis) -> bool {
-        self.ended.borrow().get(leader).is_some_and(|at| *at > sent)
+    pub(crate) fn stopped_since(&self, leader: &BoxId, sent: Millis) -> bool {
+        self.stopped_at.borrow().get(leader).is_some_and(|at| *at > sent)
     }
 
     /// Hands over what peers have in flight, where they told anything new since the last time.
-    pub(crate) fn hand_over(&self, balancer: &mut LoadBalancer) {
+    pub(crate) fn update_chooser(&self, balancer: &mut LoadBalancer) {
         if let Some(sums) = self.book.borrow_mut().changed_totals() {
             balancer.set_peer_loads(&sums);
         }
     }
 
     /// Returns how long ago a peer last answered what it saw of an endpoint, whatever that was.
-    pub(crate) fn peers_age(&self, now: Millis) -> Option<Millis> {
-        self.answered.get().map(|at| now.since(at))
+    pub(crate) fn last_peer_answer_age(&self, now: Millis) -> Option<Millis> {
+        self.last_answer_at.get().map(|at| now.since(at))
     }
 
     /// Says what peers tell of the progress of an endpoint since `since`, asking them first.
     ///
     /// Silence on this node alone says little: its own requests may all wait for others.
-    pub(crate) fn peers_tell(&self, id: &BoxId, since: Millis, now: Millis) -> PeerProgress {
+    pub(crate) fn peer_progress(&self, id: &BoxId, since: Millis, now: Millis) -> PeerProgress {
         if self.book.borrow().last_progress(id).is_some_and(|seen| seen > since) {
             return PeerProgress::Seen;
         }
-        let asked = self.asked.borrow().get(id).copied();
-        match asked.filter(|asked| now.since(*asked) < ASKED_FOR) {
-            Some(asked) if now.since(asked) < ANSWERED_WITHIN => PeerProgress::AskedJustNow,
-            Some(asked) if self.answered.get().is_some_and(|at| at >= asked) => {
+        let asked = self.asked_at.borrow().get(id).copied();
+        match asked.filter(|asked| now.since(*asked) < ASK_INTERVAL) {
+            Some(asked) if now.since(asked) < ANSWER_TIMEOUT => PeerProgress::AskedJustNow,
+            Some(asked) if self.last_answer_at.get().is_some_and(|at| at >= asked) => {
                 PeerProgress::NotSeen
             }
             Some(_) => PeerProgress::NoAnswer,
             None => {
-                self.asked.borrow_mut().insert(id.clone(), now);
+                self.asked_at.borrow_mut().insert(id.clone(), now);
                 self.to_ask.borrow_mut().push(id.clone());
                 self.urgent.notify_one();
                 PeerProgress::AskedJustNow
@@ -157,7 +157,7 @@
         Err(err) => return log::error!("no loads are exchanged, {address} cannot be bound: {err}"),
     };
     let exchange = Exchange { cx, balancer, loads, crashes, socket };
-    tokio::join!(exchange.hear(), exchange.tell(), exchange.keep_limits());
+    tokio::join!(exchange.receive_loop(), exchange.send_loop(), exchange.limit_loop());
 }
 
 /// The parts of the exchange, over one socket.
@@ -170,17 +170,17 @@
 }
 
 impl Exchange {
-    async fn hear(&self) {
-        let mut buf = vec![0; LARGEST_NEWS];
+    async fn receive_loop(&self) {
+        let mut buf = vec![0; MAX_DATAGRAM_BYTES];
         loop {
             let Ok((length, from)) = self.socket.recv_from(&mut buf).await else {
-                tokio::time::sleep(Duration::from_millis(TELL_EVERY.0)).await;
+                tokio::time::sleep(Duration::from_millis(SEND_INTERVAL.0)).await;
                 continue;
             };
             match decode::<LoadNews>(&buf[..length]) {
                 Ok(news) => {
                     self.count("in", &news, length);
-                    self.take_and_pass_on(news, from).await;
+                    self.handle_and_forward(news, from).await;
                 }
                 Err(err) => {
                     self.cx.metrics.peer_failures.inc();
@@ -191,15 +191,15 @@
     }
 
     /// Takes news in, and passes on to others what is for them as well.
-    async fn take_and_pass_on(&self, news: LoadNews, sender: SocketAddr) {
+    async fn handle_and_forward(&self, news: LoadNews, sender: SocketAddr) {
         let LoadNews::PassOn { from, news, to } = news else {
-            return self.take(news, sender).await;
+            return self.handle(news, sender).await;
         };
-        self.send_for(from, &news, &to[..to.len().min(MOST_PASSED_ON)]).await;
-        self.take(*news, from).await;
+        self.forward(from, &news, &to[..to.len().min(MAX_FORWARDS)]).await;
+        self.handle(*news, from).await;
     }
 
-    async fn take(&self, news: LoadNews, sender: SocketAddr) {
+    async fn handle(&self, news: LoadNews, sender: SocketAddr) {
         let now = self.cx.clock.now();
         let own_zone = &self.cx.settings.zone;
         let book = &self.loads.book;
@@ -212,30 +212,30 @@
                 }
             }
             LoadNews::Zone(told) => book.borrow_mut().record_zone(told, own_zone, now),
-            LoadNews::Asked(leaders) => self.answer(&leaders, sender).await,
+            LoadNews::Asked(leaders) => self.answer_progress(&leaders, sender).await,
             LoadNews::Seen(loads) => {
-                self.loads.answered.set(Some(now));
+                self.loads.last_answer_at.set(Some(now));
                 book.borrow_mut().record_progress(&loads, now);
             }
-            LoadNews::Stalled(leaders) => self.take_stalled(leaders, now),
+            LoadNews::Stalled(leaders) => self.handle_stalled(leaders, now),
             LoadNews::Left(leaders) => {
-                leaders.iter().for_each(|leader| self.loads.note_ended(leader, now));
+                leaders.iter().for_each(|leader| self.loads.record_stopped(leader, now));
                 self.avoid(&leaders, now);
             }
-            LoadNews::Ended(life, requests) => {
-                let served = self.crashes.peer_saw_end(&life, &requests);
+            LoadNews::Ended(incarnation, requests) => {
+                let served = self.crashes.peer_reported_crash(&incarnation, &requests);
                 if !served.is_empty() {
                     self.send(&LoadNews::Served(served), &[sender]).await;
                 }
             }
-            LoadNews::Served(requests) => self.crashes.peer_served(&requests),
+            LoadNews::Served(requests) => self.crashes.peer_reported_served(&requests),
             LoadNews::Leaves(id) => self.cx.hint(Hint::Leaves(id)),
             LoadNews::Limit(id, news) => {
                 self.balancer.borrow_mut().limits_mut().hear(sender, &id, news, now);
                 self.loads.limits_due.notify_one();
             }
             LoadNews::Repeats(service, news) => {
-                self.loads.repeats.borrow_mut().hear(sender, &service, news, now);
+                self.loads.lent_retries.borrow_mut().hear(sender, &service, news, now);
                 self.loads.limits_due.notify_one();
             }
             // It was passed on already.
@@ -243,7 +243,7 @@
         }
     }
 
-    fn take_stalled(&self, leaders: Vec<BoxId>, now: Millis) {
+    fn handle_stalled(&self, leaders: Vec<BoxId>, now: Millis) {
         self.avoid(&leaders, now);
         for leader in leaders {
             self.cx.hint(Hint::Stalled(leader));
@@ -258,58 +258,58 @@
 
     /// Tells one that asks when this node saw leaders make progress; that it saw none is an answer
     /// as well, by which the asker learns that answers reach it.
-    async fn answer(&self, leaders: &[BoxId], asker: SocketAddr) {
+    async fn answer_progress(&self, leaders: &[BoxId], asker: SocketAddr) {
         let mut seen = self.own_loads();
         seen.retain(|load| leaders.contains(&load.id));
         self.send(&LoadNews::Seen(seen), &[asker]).await;
     }
 
-    async fn tell(&self) {
-        let (mut told_any, mut turn) = (false, 0);
+    async fn send_loop(&self) {
+        let (mut sent_any, mut turn) = (false, 0);
         let clock = self.cx.clock;
-        let mut due = clock.now() + TELL_EVERY;
+        let mut due = clock.now() + SEND_INTERVAL;
         loop {
             let woken = self.loads.urgent.notified();
             let _ = clock.by(due, woken).await;
-            self.tell_urgent().await;
+            self.send_urgent().await;
             if clock.now() < due {
                 continue;
             }
-            due = clock.now() + TELL_EVERY;
+            due = clock.now() + SEND_INTERVAL;
             self.publish_model_loads();
             let loads = self.own_loads();
             let any = !loads.is_empty();
-            if self.cx.settings.policy.tell_loads && (any || told_any) {
-                self.tell_loads(loads, &mut turn).await;
+            if self.cx.settings.policy.tell_loads && (any || sent_any) {
+                self.send_loads(loads, &mut turn).await;
             }
-            told_any = any;
+            sent_any = any;
         }
     }
 
     /// Publishes what all daemons have in flight by model, for those that plan by it.
     fn publish_model_loads(&self) {
         let mut balancer = self.balancer.borrow_mut();
-        self.loads.hand_over(&mut balancer);
+        self.loads.update_chooser(&mut balancer);
         self.cx.publish_model_loads.send_replace(Arc::new(balancer.model_loads()));
     }
 
-    async fn tell_urgent(&self) {
+    async fn send_urgent(&self) {
         let stalled = std::mem::take(&mut *self.loads.stalled.borrow_mut());
-        let left = std::mem::take(&mut *self.loads.left.borrow_mut());
+        let stopped = std::mem::take(&mut *self.loads.stopped.borrow_mut());
         let asked = std::mem::take(&mut *self.loads.to_ask.borrow_mut());
-        let to_all = std::mem::take(&mut *self.loads.to_all.borrow_mut());
+        let to_broadcast = std::mem::take(&mut *self.loads.to_broadcast.borrow_mut());
         let view = self.cx.view_now();
         let alive: Vec<&Heartbeat> = view.alive().collect();
         let others = alive.iter().filter(|beat| beat.node != view.own.node);
         let all: Vec<SocketAddr> = others.clone().map(|beat| beat.address).collect();
         if !stalled.is_empty() {
-            self.spread(LoadNews::Stalled(stalled), &all).await;
+            self.broadcast(LoadNews::Stalled(stalled), &all).await;
         }
-        if !left.is_empty() {
-            self.spread(LoadNews::Left(left), &all).await;
+        if !stopped.is_empty() {
+            self.broadcast(LoadNews::Left(stopped), &all).await;
         }
-        for news in to_all {
-            self.spread(news, &all).await;
+        for news in to_broadcast {
+            self.broadcast(news, &all).await;
         }
         if !asked.is_empty() {
             // Those that are near, and of other zones the relays, which know their peers' loads.
@@ -322,7 +322,7 @@
 
     /// Tells what is in flight: to everybody where they are few, else to some of the own zone in
     /// turn, and from relay to relay as the sum of the zone.
-    async fn tell_loads(&self, loads: Vec<EndpointLoad>, turn: &mut usize) {
+    async fn send_loads(&self, loads: Vec<EndpointLoad>, turn: &mut usize) {
         let now = self.cx.clock.now();
         let view = self.cx.view_now();
         let alive: Vec<&Heartbeat> = view.alive().collect();
@@ -332,8 +332,8 @@
         let near = others.iter().filter(|beat| beat.zone == zone).map(|beat| beat.address);
         let near: Vec<SocketAddr> = near.collect();
         let book = &self.loads.book;
-        book.borrow_mut().remove_expired(near.len().div_ceil(TOLD_AT_ONCE), now);
-        if others.len() <= TOLD_AT_ONCE {
+        book.borrow_mut().remove_expired(near.len().div_ceil(MAX_PEERS_PER_ROUND), now);
+        if others.len() <= MAX_PEERS_PER_ROUND {
             let all: Vec<SocketAddr> = others.iter().map(|beat| beat.address).collect();
             let news = LoadNews::InFlight { from, zone, loads, zones: Vec::new() };
             return self.send(&news, &all).await;
@@ -347,7 +347,7 @@
             zones = book.borrow().other_zone_totals(now);
         }
         let news = LoadNews::InFlight { from, zone, loads, zones };
-        self.send(&news, &told_now(&near, turn)).await;
+        self.send(&news, &next_peers(&near, turn)).await;
     }
 
     /// Returns what this node has in flight itself.
@@ -364,7 +364,7 @@
     }
 
     /// Tells all others, by way of some of them where they are many.
-    pub(super) async fn spread(&self, news: LoadNews, others: &[SocketAddr]) {
+    pub(super) async fn broadcast(&self, news: LoadNews, others: &[SocketAddr]) {
         let from = self.cx.settings.listen.peers;
         for told in spread(others) {
             match told.pass_on_to.is_empty() {
@@ -378,7 +378,7 @@
     }
 
     /// Passes news of another daemon on, which those that hear it know as that one's.
-    async fn send_for(&self, from: SocketAddr, news: &LoadNews, to: &[SocketAddr]) {
+    async fn forward(&self, from: SocketAddr, news: &LoadNews, to: &[SocketAddr]) {
         let news = Box::new(news.clone());
         self.send(&LoadNews::PassOn { from, news, to: Vec::new() }, to).await;
     }
@@ -414,11 +414,11 @@
 }
 
 /// Returns the peers that are told this time: the next few in turn.
-fn told_now(peers: &[SocketAddr], turn: &mut usize) -> Vec<SocketAddr> {
-    if peers.len() <= TOLD_AT_ONCE {
+fn next_peers(peers: &[SocketAddr], turn: &mut usize) -> Vec<SocketAddr> {
+    if peers.len() <= MAX_PEERS_PER_ROUND {
         return peers.to_vec();
     }
     let first = *turn % peers.len();
-    *turn = first + TOLD_AT_ONCE;
-    peers.iter().cycle().skip(first).take(TOLD_AT_ONCE).copied().collect()
+    *turn = first + MAX_PEERS_PER_ROUND;
+    peers.iter().cycle().skip(first).take(MAX_PEERS_PER_ROUND).copied().collect()
 }
--- a/crates/cherrystandd/src/site/mod.rs
+++ b/crates/cherrystandd/src/site/mod.rs
@@ -1,6 +1,6 @@
 //! Serving where the store holds one configuration of routes and boxes tell of themselves.
 
-mod attempt;
+mod active_attempt;
 mod attempt_cancellation;
 mod box_calls;
 mod box_entries;
@@ -13,13 +13,13 @@
 mod crash_watch;
 mod domain_control;
 mod domain_records;
+mod endpoint_call;
+mod endpoint_signals;
 mod evacuation_state;
 mod event_stream;
 mod failure_log;
-mod flight;
-mod flow;
-mod front;
-mod front_duty;
+mod frontend;
+mod frontend_duty;
 mod held_suspects;
 mod hint;
 mod limit_exchange;
@@ -29,19 +29,19 @@
 mod peer_selector;
 mod reader_notes;
 mod refused_values;
+mod replica_stream;
 mod request;
+mod request_attempts;
+mod request_handler;
 mod retry_shares;
+mod signal_log;
 mod site_state;
 #[cfg(test)]
 mod site_state_tests;
 mod store_restore;
 mod store_watch;
-mod stream_run;
-mod suspect_notes;
+mod suspect_writer;
 mod trials;
-mod tries;
-mod wish_notes;
-mod wishes;
 
 pub(crate) use change_source::ChangeSource;
 pub(crate) use hint::Hint;
--- a/crates/cherrystandd/src/site/request.rs
+++ b/crates/cherrystandd/src/site/request.rs
@@ -37,7 +37,7 @@
     /// The service that it goes to.
     pub(crate) service: ServiceName,
     /// When it came.
-    pub(crate) came: Millis,
+    pub(crate) arrived: Millis,
     /// When its caller, or its route, gives it up.
     pub(crate) deadline: Millis,
     /// What names it in all its tries, once that was asked for.
@@ -49,7 +49,7 @@
 impl SiteRequest {
     /// Returns what is left of the time within which its first event is in time.
     pub(crate) fn objective_left(&self, now: Millis) -> Millis {
-        self.route.latency_goal - now.since(self.came)
+        self.route.latency_goal - now.since(self.arrived)
     }
 
     /// Returns what names it in all its tries: a hash of its host, path, caller and body.
@@ -65,9 +65,9 @@
     }
 
     /// Notes whether a box may have run it by now, where it is a trial.
-    pub(crate) fn note_run(&self, may_have_run: bool) {
+    pub(crate) fn set_may_have_run(&self, may_have_run: bool) {
         if let Some(trial) = self.trial.get() {
-            trial.note_run(may_have_run);
+            trial.set_may_have_run(may_have_run);
         }
     }
 
@@ -79,19 +79,19 @@
         RequestSpec {
             service: &self.service,
             model,
-            prompt: self.prompt(),
+            prompt: self.prompt_tokens(),
             latency_goal: objective,
             regions: homes,
         }
     }
 
     /// Returns the tokens of its prompt.
-    pub(crate) fn prompt(&self) -> f64 {
+    pub(crate) fn prompt_tokens(&self) -> f64 {
         f64::from(self.facts.prompt.unwrap_or_default())
     }
 
     /// Makes the request that is sent to a box.
-    pub(crate) fn attempt<D: SiteDriver>(
+    pub(crate) fn endpoint_request<D: SiteDriver>(
         &self,
         target: &BoxId,
         last_event: Option<u64>,
@@ -133,7 +133,7 @@
 }
 
 /// What a request is allowed by.
-pub(crate) struct AllowedBy {
+pub(crate) struct Authorization {
     /// Its route.
     pub(crate) route: Route,
     /// The tenant that its key stands for.
@@ -145,11 +145,11 @@
 }
 
 /// Finds a request's route, tenant and service.
-pub(crate) fn allow(
+pub(crate) fn authorize(
     table: &RouteTable,
     head: &Parts,
     facts: &RequestFacts,
-) -> Result<AllowedBy, StatusCode> {
+) -> Result<Authorization, StatusCode> {
     let found = table.find(host_of(head), head.uri.path(), facts.key.as_deref());
     let allowed = found.map_err(|reason| match reason {
         RouteError::NoRoute => StatusCode::NOT_FOUND,
@@ -158,7 +158,7 @@
     let id = facts.id.as_deref().unwrap_or_default();
     let service = allowed.route.service_of(hash_bytes(id.as_bytes()));
     let service = service.ok_or(StatusCode::NOT_FOUND)?.clone();
-    Ok(AllowedBy {
+    Ok(Authorization {
         route: allowed.route.clone(),
         tenant: allowed.tenant.map(|tenant| tenant.name.clone()),
         tenant_homes: allowed
@@ -170,10 +170,11 @@
 }
 
 /// Returns about how many bytes a head has on the wire.
-pub(crate) fn head_bytes(head: &Parts) -> usize {
+pub(crate) fn head_size(head: &Parts) -> usize {
     /// The colon, the space and the line's end beside each header.
-    const AROUND: usize = 4;
-    let lines = head.headers.iter().map(|(name, value)| name.as_str().len() + value.len() + AROUND);
+    const LINE_OVERHEAD: usize = 4;
+    let lines =
+        head.headers.iter().map(|(name, value)| name.as_str().len() + value.len() + LINE_OVERHEAD);
     lines.sum::<usize>() + head.uri.path().len() + head.uri.query().map_or(0, str::len)
 }
 
@@ -182,24 +183,24 @@
 /// A caller may take any time for it. One that finds no room is told to come back: nothing of its request has run.
 pub(crate) async fn read_body(
     mut body: Incoming,
-    most: usize,
-    room: &HeldBytes,
+    max_bytes: usize,
+    held_bytes: &HeldBytes,
 ) -> Result<(Bytes, HeldShare), StatusCode> {
     let announced = usize::try_from(body.size_hint().lower()).unwrap_or(usize::MAX);
-    if announced > most {
+    if announced > max_bytes {
         return Err(StatusCode::PAYLOAD_TOO_LARGE);
     }
-    let no_room = StatusCode::SERVICE_UNAVAILABLE;
-    let mut read = HeldBuf::new(room.try_hold(announced).ok_or(no_room)?);
+    let no_memory = StatusCode::SERVICE_UNAVAILABLE;
+    let mut read = HeldBuf::new(held_bytes.try_hold(announced).ok_or(no_memory)?);
     while let Some(frame) = body.frame().await {
         let frame = frame.map_err(|_| StatusCode::BAD_REQUEST)?;
         let Ok(data) = frame.into_data() else {
             continue;
         };
-        if read.len() + data.len() > most {
+        if read.len() + data.len() > max_bytes {
             return Err(StatusCode::PAYLOAD_TOO_LARGE);
         }
-        let more = room.try_hold(read.beyond(&data)).ok_or(no_room)?;
+        let more = held_bytes.try_hold(read.beyond(&data)).ok_or(no_memory)?;
         read.push(&data, more);
     }
     Ok(read.finish())
--- /dev/null
+++ b/crates/cherrystandd/src/site/request_attempts.rs
@@ -0,0 +1,124 @@
+//! What one request was sent to, and what became of it there.
+
+use std::rc::Rc;
+
+use cherrystand_core::{AttemptEnd, AttemptLedger, BoxId, FinalFailure};
+use hyper::StatusCode;
+
+use crate::site::active_attempt::ActiveAttempt;
+use crate::site::frontend::{AttemptPurpose, Frontend};
+use crate::site::request::SiteRequest;
+
+/// Keeps the boxes that one request was sent to, and the ends of its attempts.
+#[derive(Default)]
+pub(crate) struct RequestAttempts {
+    /// The boxes, in the order in which they were sent the request.
+    pub(crate) tried: Vec<BoxId>,
+    /// What became of it there.
+    pub(crate) ledger: AttemptLedger,
+    /// Whether it was counted that nothing was asked beside for want of a repeat.
+    withheld_counted: bool,
+}
+
+impl RequestAttempts {
+    /// Chooses an endpoint that was not tried, or else one that was, and counts the attempt.
+    pub(crate) fn start(
+        &mut self,
+        frontend: &Rc<Frontend>,
+        req: &Rc<SiteRequest>,
+    ) -> Option<Rc<ActiveAttempt>> {
+        let attempt = frontend.choose(req, &self.tried, AttemptPurpose::FirstAnswer);
+        let Some(attempt) = attempt else {
+            frontend.log_none_serving(req);
+            return None;
+        };
+        self.record(&attempt);
+        Some(attempt)
+    }
+
+    /// Chooses another replica for a stream beside those that have it, or after all of these failed;
+    /// `end` says why, as far as the repeat is counted by it.
+    pub(crate) fn start_another(
+        &mut self,
+        frontend: &Rc<Frontend>,
+        req: &Rc<SiteRequest>,
+        purpose: AttemptPurpose,
+        end: AttemptEnd,
+    ) -> Option<Rc<ActiveAttempt>> {
+        let may_resume = frontend.may_resume(&req.route, self.ledger.max_executions());
+        if !may_resume || frontend.now() >= req.deadline {
+            return None;
+        }
+        if !self.passes_crash_check(frontend, req) {
+            return None;
+        }
+        if !frontend.has_retry(req) {
+            // It is looked at 25 times a second.
+            if !std::mem::replace(&mut self.withheld_counted, true) {
+                frontend.retries.count_none_left();
+            }
+            return None;
+        }
+        let attempt = frontend.choose(req, &self.tried, purpose)?;
+        if self.tried.contains(&attempt.target) || !frontend.spend_retry(req, end) {
+            return None;
+        }
+        self.record(&attempt);
+        Some(attempt)
+    }
+
+    fn record(&mut self, attempt: &ActiveAttempt) {
+        self.tried.push(attempt.target.clone());
+        self.ledger.record_sent();
+    }
+
+    /// Takes in how an attempt ended, and tells whether another one follows.
+    pub(crate) async fn try_again(
+        &mut self,
+        frontend: &Frontend,
+        req: &SiteRequest,
+        end: AttemptEnd,
+    ) -> bool {
+        self.ledger.record_end(end);
+        let may_send = self.ledger.may_send(&req.route, frontend.now(), req.deadline);
+        // A repeat is not spent where nobody may be sent it.
+        if !may_send
+            || frontend.unavailable_until(req).is_some()
+            || !self.passes_crash_check(frontend, req)
+        {
+            return false;
+        }
+        frontend.await_borrowed_retry(req).await;
+        frontend.spend_retry(req, end)
+    }
+
+    /// Tells whether the request may be sent once more though it may be what ends its replicas.
+    fn passes_crash_check(&self, frontend: &Frontend, req: &SiteRequest) -> bool {
+        let may = frontend.crashes.may_send(req, self.ledger.open_attempts());
+        if !may {
+            frontend.retries.count_suspect();
+        }
+        may
+    }
+
+    /// Writes the failure down and says what the caller is told.
+    pub(crate) fn log_failure(
+        &self,
+        frontend: &Frontend,
+        req: &SiteRequest,
+        end: AttemptEnd,
+    ) -> StatusCode {
+        let status = self.failure_status();
+        frontend.failures.failed(req, &self.tried, end.as_str(), status.as_str());
+        status
+    }
+
+    /// Says what the caller is told if no further attempt is made.
+    pub(crate) fn failure_status(&self) -> StatusCode {
+        match self.ledger.failure() {
+            FinalFailure::NotRun => StatusCode::SERVICE_UNAVAILABLE,
+            FinalFailure::TimedOut => StatusCode::GATEWAY_TIMEOUT,
+            FinalFailure::AnswerLost => StatusCode::BAD_GATEWAY,
+        }
+    }
+}
--- /dev/null
+++ b/crates/cherrystandd/src/site/request_handler.rs
@@ -0,0 +1,299 @@
+//! One request from its arrival to its answer.
+
+use std::cell::OnceCell;
+use std::rc::Rc;
+
+use cherrystand_core::{AttemptEnd, Millis, RefusalReason, RouteKind};
+use cherrystand_platform::{CallerBody, SiteDriver};
+use hyper::body::Incoming;
+use hyper::header::HeaderValue;
+use hyper::{Request, Response, StatusCode};
+
+use crate::relay::headers::strip_connection;
+use crate::site::Driver;
+use crate::site::active_attempt::ActiveAttempt;
+use crate::site::endpoint_call::{self, StartedAnswer};
+use crate::site::event_stream::EventStream;
+use crate::site::frontend::{AttemptPurpose, Frontend, ReplicaHealth};
+use crate::site::open_attempts::{CHECK_INTERVAL, OpenAttempts};
+use crate::site::pages::empty_response;
+use crate::site::request::{Authorization, SiteRequest, authorize, head_size, read_body};
+use crate::site::request_attempts::RequestAttempts;
+use crate::site::trials::Permission;
+
+/// The time that a caller waits where it says nothing.
+const DEFAULT_TIMEOUT: Millis = Millis(30_000);
+
+/// When a caller may come back who met no endpoint in service.
+const DEFAULT_RETRY_AFTER: Millis = Millis(300);
+
+/// Answers one request of a caller.
+pub(crate) async fn handle(frontend: Rc<Frontend>, req: Request<Incoming>) -> Response<CallerBody> {
+    let id = Driver::read_request(req.headers()).id.unwrap_or_default();
+    let mut answer = match serve_request(&frontend, req).await {
+        Ok(answer) => return answer,
+        Err(refused) => {
+            frontend.count_refusal(refused.reason);
+            let mut answer = empty_response(refused.status);
+            if let Some(after) = refused.retry_after {
+                Driver::write_retry_after(answer.headers_mut(), after);
+            }
+            answer
+        }
+    };
+    if let Ok(id) = HeaderValue::from_str(&id) {
+        Driver::write_request_id(answer.headers_mut(), &id);
+    }
+    answer
+}
+
+/// An answer of the node's own.
+struct RefusedRequest {
+    status: StatusCode,
+    /// As metrics name it.
+    reason: &'static str,
+    /// When the caller may come back, where that makes sense.
+    retry_after: Option<Millis>,
+}
+
+impl From<StatusCode> for RefusedRequest {
+    fn from(status: StatusCode) -> Self {
+        let retryable = [StatusCode::SERVICE_UNAVAILABLE, StatusCode::TOO_MANY_REQUESTS];
+        let retry_after = retryable.contains(&status).then_some(DEFAULT_RETRY_AFTER);
+        Self { status, reason: refusal_reason(status), retry_after }
+    }
+}
+
+/// Refuses a request that ended each replica that ran it.
+///
+/// No promise goes with it, as its earlier tries have run, and no time to come back.
+fn refuse_crashing() -> RefusedRequest {
+    let reason = RefusalReason::EndsReplicas;
+    let status = StatusCode::from_u16(reason.status()).unwrap_or(StatusCode::BAD_GATEWAY);
+    RefusedRequest { status, reason: reason.as_str(), retry_after: None }
+}
+
+/// Makes the refusal of a request that was not served, which says so where all endpoints rest.
+fn refusal_for(frontend: &Frontend, req: &SiteRequest, status: StatusCode) -> RefusedRequest {
+    let refused = RefusedRequest::from(status);
+    if status != StatusCode::SERVICE_UNAVAILABLE {
+        return refused;
+    }
+    match frontend.unavailable_until(req) {
+        None => refused,
+        Some(until) => RefusedRequest {
+            reason: RefusalReason::EndpointsRest.as_str(),
+            retry_after: Some(frontend.retry_after(until)),
+            ..refused
+        },
+    }
+}
+
+/// Returns the reason for an answer of the node's own, as metrics name it.
+fn refusal_reason(status: StatusCode) -> &'static str {
+    match status {
+        StatusCode::UNAUTHORIZED => "no-key",
+        StatusCode::NOT_FOUND => "no-route",
+        StatusCode::PAYLOAD_TOO_LARGE | StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE => {
+            RefusalReason::TooLarge.as_str()
+        }
+        StatusCode::SERVICE_UNAVAILABLE => RefusalReason::NoneServing.as_str(),
+        StatusCode::GATEWAY_TIMEOUT => RefusalReason::DeadlinePassed.as_str(),
+        StatusCode::BAD_REQUEST => RefusalReason::BadRequest.as_str(),
+        _ => RefusalReason::EndpointsFailed.as_str(),
+    }
+}
+
+async fn serve_request(
+    frontend: &Rc<Frontend>,
+    req: Request<Incoming>,
+) -> Result<Response<CallerBody>, RefusedRequest> {
+    let arrived = frontend.now();
+    let view = frontend.view_once_known().await;
+    let table = view.table.as_ref().ok_or(StatusCode::SERVICE_UNAVAILABLE)?;
+    let (head, body) = req.into_parts();
+    if head_size(&head) > table.config().limits.header_bytes {
+        return Err(StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE.into());
+    }
+    let facts = Driver::read_request(&head.headers);
+    let Authorization { route, tenant, tenant_homes, service } = authorize(table, &head, &facts)?;
+    let max_bytes = table.config().limits.body_bytes;
+    let (body, held) = read_body(body, max_bytes, &frontend.held_bytes).await?;
+    let wait = facts.wait.unwrap_or(DEFAULT_TIMEOUT).min(route.timeout);
+    let deadline = arrived + wait;
+    let (fingerprint, trial) = (OnceCell::new(), OnceCell::new());
+    let req = SiteRequest {
+        facts,
+        head,
+        body,
+        _held: held,
+        route,
+        tenant,
+        tenant_homes,
+        service,
+        arrived,
+        deadline,
+        fingerprint,
+        trial,
+    };
+    let req = Rc::new(req);
+    frontend.retries.earn(&req.service);
+    match frontend.crashes.permission(&req) {
+        Permission::Send => {}
+        Permission::Trial(trial) => {
+            // There is none yet.
+            let _ = req.trial.set(trial);
+        }
+        Permission::Refuse => return Err(refuse_crashing()),
+    }
+    frontend.await_permit(&req).await;
+    let answer = match req.route.kind {
+        RouteKind::Streaming => serve_stream(frontend, req.clone()).await,
+        _ => serve_whole(frontend, &req).await,
+    };
+    answer.map_err(|status| refusal_for(frontend, &req, status))
+}
+
+async fn serve_stream(
+    frontend: &Rc<Frontend>,
+    req: Rc<SiteRequest>,
+) -> Result<Response<CallerBody>, StatusCode> {
+    let mut attempts = RequestAttempts::default();
+    let started = first_answer(frontend, &req, &mut attempts).await?;
+    if started.head.status != StatusCode::OK {
+        let answer = within_deadline(frontend, &req, buffer_answer(frontend, started)).await;
+        return answer.map_err(|end| {
+            attempts.ledger.record_end(end);
+            attempts.log_failure(frontend, &req, end)
+        });
+    }
+    let (tx, body) = CallerBody::events(frontend.held_bytes.clone());
+    let mut head = started.head.clone();
+    strip_connection(&mut head.headers);
+    head.headers.remove(hyper::header::CONTENT_LENGTH);
+    let last_event = req.facts.last_event;
+    let stream = EventStream { frontend: frontend.clone(), req, tx, attempts, last_event };
+    tokio::task::spawn_local(stream.run(started));
+    Ok(Response::from_parts(head, body))
+}
+
+/// Waits for the head of the first answer to a stream, from whichever replica it comes.
+///
+/// A replica that stands still keeps its attempt while another one is asked beside it: dropped at
+/// once, answers were lost that it would have brought, where the other one refused, failed or
+/// stood still as well.
+async fn first_answer(
+    frontend: &Rc<Frontend>,
+    req: &Rc<SiteRequest>,
+    attempts: &mut RequestAttempts,
+) -> Result<StartedAnswer, StatusCode> {
+    let send = |attempt: Rc<ActiveAttempt>| {
+        let (frontend, req) = (frontend.clone(), req.clone());
+        async move {
+            let last_event = req.facts.last_event;
+            (attempt.clone(), endpoint_call::send(frontend, req, attempt, last_event).await)
+        }
+    };
+    let mut open = OpenAttempts::new();
+    let first = attempts.start(frontend, req).ok_or_else(|| attempts.failure_status())?;
+    open.push(first.clone(), send(first));
+    loop {
+        let checked_at = frontend.now();
+        let ended = tokio::select! {
+            ended = open.next() => ended,
+            () = tokio::time::sleep(CHECK_INTERVAL) => {
+                if frontend.now() >= req.deadline {
+                    attempts.ledger.record_remaining_ends(AttemptEnd::TimedOut);
+                    return Err(attempts.log_failure(frontend, req, AttemptEnd::TimedOut));
+                }
+                let health = (!frontend.was_busy(checked_at)).then(|| open.check_replicas(frontend, req)).flatten();
+                if health == Some(ReplicaHealth::Stalled)
+                    && attempts.ledger.may_send(&req.route, frontend.now(), req.deadline)
+                    && let Some(attempt) =
+                        attempts.start_another(frontend, req, AttemptPurpose::FirstAnswer, AttemptEnd::TimedOut)
+                {
+                    open.push(attempt.clone(), send(attempt));
+                }
+                continue;
+            }
+        };
+        match ended {
+            Ok(started) => {
+                attempts.ledger.record_end(AttemptEnd::Answered);
+                attempts.ledger.record_remaining_ends(AttemptEnd::Overtaken);
+                return Ok(started);
+            }
+            // The others may bring the answer yet.
+            Err(end) if !open.is_empty() => attempts.ledger.record_end(end),
+            Err(end) if attempts.try_again(frontend, req, end).await => {
+                let attempt =
+                    attempts.start(frontend, req).ok_or_else(|| attempts.failure_status())?;
+                open.push(attempt.clone(), send(attempt));
+            }
+            Err(end) => return Err(attempts.log_failure(frontend, req, end)),
+        }
+    }
+}
+
+async fn serve_whole(
+    frontend: &Rc<Frontend>,
+    req: &Rc<SiteRequest>,
+) -> Result<Response<CallerBody>, StatusCode> {
+    let mut attempts = RequestAttempts::default();
+    // An endpoint's own failure, which is passed on unless a later attempt brings a better answer.
+    let mut last_answer: Option<Response<CallerBody>> = None;
+    loop {
+        let Some(attempt) = attempts.start(frontend, req) else {
+            return last_answer.ok_or_else(|| attempts.failure_status());
+        };
+        let end = match attempt_whole(frontend, req, attempt).await {
+            Ok(answer) if !answer.status().is_server_error() => return Ok(answer),
+            Ok(answer) => {
+                last_answer = Some(answer);
+                AttemptEnd::Answered
+            }
+            Err(end) => end,
+        };
+        if !attempts.try_again(frontend, req, end).await {
+            return last_answer.ok_or_else(|| attempts.log_failure(frontend, req, end));
+        }
+    }
+}
+
+async fn attempt_whole(
+    frontend: &Rc<Frontend>,
+    req: &Rc<SiteRequest>,
+    attempt: Rc<ActiveAttempt>,
+) -> Result<Response<CallerBody>, AttemptEnd> {
+    let exchange = async {
+        let started = endpoint_call::send(frontend.clone(), req.clone(), attempt, None).await?;
+        buffer_answer(frontend, started).await
+    };
+    within_deadline(frontend, req, exchange).await
+}
+
+/// Waits for an exchange until the request's time is over.
+async fn within_deadline<T>(
+    frontend: &Frontend,
+    req: &SiteRequest,
+    exchange: impl Future<Output = Result<T, AttemptEnd>>,
+) -> Result<T, AttemptEnd> {
+    frontend.timeout_at(req.deadline, exchange).await.unwrap_or(Err(AttemptEnd::TimedOut))
+}
+
+/// Reads an answer whole before its caller gets a byte of it.
+async fn buffer_answer(
+    frontend: &Frontend,
+    started: StartedAnswer,
+) -> Result<Response<CallerBody>, AttemptEnd> {
+    let StartedAnswer { mut head, body, attempt } = started;
+    let read = endpoint_call::read_to_end(body, &frontend.held_bytes).await;
+    let (bytes, share) = read.inspect_err(|_| attempt.interrupted())?;
+    if head.status.is_server_error() {
+        attempt.failed();
+    } else {
+        attempt.succeeded();
+    }
+    strip_connection(&mut head.headers);
+    Ok(Response::from_parts(head, CallerBody::held(bytes, share)))
+}
--- a/crates/cherrystandd/src/site/retry_shares.rs
+++ b/crates/cherrystandd/src/site/retry_shares.rs
@@ -10,7 +10,7 @@
 use crate::site::load_exchange::LoadExchange;
 
 /// The longest time for which a request waits for a repeat that another daemon lends: the way there and back.
-const LENT_WITHIN: Millis = Millis(25);
+const BORROW_TIMEOUT: Millis = Millis(25);
 
 /// Counts requests and repeats, and says whether another repeat fits.
 ///
@@ -37,34 +37,35 @@
     pub(crate) fn spend(&self, service: &ServiceName, nodes: usize, end: AttemptEnd) -> bool {
         let now = self.cx.clock.now();
         let within = self.with_share(service, |share| share.try_spend(now, nodes))
-            || self.has_lent(service) && self.loads.repeats.borrow_mut().take(service, now);
-        let may = within || !self.cx.settings.policy.retry_share;
+            || self.has_borrowed(service)
+                && self.loads.lent_retries.borrow_mut().take(service, now);
+        let allowed = within || !self.cx.settings.policy.retry_share;
         let metrics = &self.cx.metrics;
-        if may {
+        if allowed {
             metrics.retries.with_label_values(&[end.as_str()]).inc();
         } else {
             metrics.retries_withheld.with_label_values(&["budget-spent"]).inc();
         }
-        may
+        allowed
     }
 
     /// Tells whether a repeat is left, without taking it; where none is, another daemon is asked for one.
     pub(crate) fn has_left(&self, service: &ServiceName, nodes: usize) -> bool {
         let now = self.cx.clock.now();
         let within = self.with_share(service, |share| share.has_budget(now, nodes));
-        let has = within || self.has_lent(service) || !self.cx.settings.policy.retry_share;
+        let has = within || self.has_borrowed(service) || !self.cx.settings.policy.retry_share;
         if !has {
-            self.ask_for_one(service, nodes);
+            self.request_borrowed(service, nodes);
         }
         has
     }
 
     /// Waits until a repeat is left or none is lent; not longer than the way to the daemon that lends them takes.
-    pub(crate) async fn await_one(&self, service: &ServiceName, nodes: usize) {
-        let until = self.cx.clock.now() + LENT_WITHIN;
+    pub(crate) async fn await_borrowed(&self, service: &ServiceName, nodes: usize) {
+        let until = self.cx.clock.now() + BORROW_TIMEOUT;
         loop {
             let answered = self.loads.permits.notified();
-            let may_come = || self.loads.repeats.borrow().may_come(service);
+            let may_come = || self.loads.lent_retries.borrow().may_come(service);
             if self.has_left(service, nodes)
                 || !may_come()
                 || self.cx.clock.by(until, answered).await.is_none()
@@ -75,20 +76,20 @@
     }
 
     /// Tells whether another daemon has lent a repeat that is not used.
-    fn has_lent(&self, service: &ServiceName) -> bool {
-        let wait = self.loads.repeats.borrow().wait(service, self.cx.clock.now());
+    fn has_borrowed(&self, service: &ServiceName) -> bool {
+        let wait = self.loads.lent_retries.borrow().wait(service, self.cx.clock.now());
         wait == Some(Ok(()))
     }
 
-    fn ask_for_one(&self, service: &ServiceName, nodes: usize) {
+    fn request_borrowed(&self, service: &ServiceName, nodes: usize) {
         let bounds = self.bounds();
         if !bounds.is_lending(nodes) {
             return;
         }
         let now = self.cx.clock.now();
-        let mut repeats = self.loads.repeats.borrow_mut();
-        repeats.follow_cold(service, Some(bounds.loan_rate(now)));
-        repeats.want(service, now);
+        let mut lent_retries = self.loads.lent_retries.borrow_mut();
+        lent_retries.follow_cold(service, Some(bounds.loan_rate(now)));
+        lent_retries.want(service, now);
         self.loads.limits_due.notify_one();
     }
 
@@ -97,7 +98,7 @@
     }
 
     /// Counts a request that stays where it is since no repeat is left for it.
-    pub(crate) fn count_stay(&self) {
+    pub(crate) fn count_none_left(&self) {
         self.cx.metrics.retries_withheld.with_label_values(&["stays"]).inc();
     }
 
--- a/crates/cherrystandd/src/site/wish_notes.rs
+++ b/crates/cherrystandd/src/site/signal_log.rs
@@ -9,19 +9,19 @@
 use crate::{Clock, Metrics};
 
 /// How many wishes are logged each second; the others are counted.
-const WISHES_LOGGED: u32 = 10;
+const SIGNALS_LOGGED_PER_SECOND: u32 = 10;
 
 /// Writes wishes of replicas down.
-pub(crate) struct WishNotes {
+pub(crate) struct SignalLog {
     clock: Clock,
     metrics: Arc<Metrics>,
     gate: RefCell<LogLimiter>,
 }
 
-impl WishNotes {
+impl SignalLog {
     /// Creates notes that have room.
     pub(crate) fn new(clock: Clock, metrics: Arc<Metrics>) -> Self {
-        Self { clock, metrics, gate: RefCell::new(LogLimiter::new(WISHES_LOGGED)) }
+        Self { clock, metrics, gate: RefCell::new(LogLimiter::new(SIGNALS_LOGGED_PER_SECOND)) }
     }
 
     /// Writes down that a replica turned a request away, and what rest it asked for.
@@ -36,7 +36,7 @@
         if facts.asked_rest == AskedRest::None {
             return;
         }
-        let Some(left_out) = self.pass() else { return };
+        let Some(left_out) = self.admit() else { return };
         let rest_ms = until.map_or(0, |until| until.since(now).0);
         log::info!(
             target_box = id.as_str(), rest = rest, rest_ms = rest_ms, left_out = left_out;
@@ -49,7 +49,7 @@
         if limit.is_some() {
             self.metrics.limits_named.with_label_values(&["named"]).inc();
         }
-        let Some(left_out) = is_new.then(|| self.pass()).flatten() else { return };
+        let Some(left_out) = is_new.then(|| self.admit()).flatten() else { return };
         match limit {
             Some(limit) => log::info!(
                 target_box = id.as_str(), per_second = limit.as_f64(), left_out = left_out;
@@ -63,9 +63,9 @@
     }
 
     /// Writes down that what a replica names is no number of requests.
-    pub(crate) fn unreadable_limit(&self, id: &BoxId) {
+    pub(crate) fn invalid_limit(&self, id: &BoxId) {
         self.metrics.limits_named.with_label_values(&["unreadable"]).inc();
-        let Some(left_out) = self.pass() else { return };
+        let Some(left_out) = self.admit() else { return };
         log::info!(
             target_box = id.as_str(), left_out = left_out;
             "a replica names a limit of requests that is no number"
@@ -73,7 +73,7 @@
     }
 
     /// Returns how many lines were left out before the next one, where that may be written.
-    fn pass(&self) -> Option<u32> {
+    fn admit(&self) -> Option<u32> {
         self.gate.borrow_mut().admit(self.clock.now())
     }
 
--- a/crates/cherrystandd/src/site/site_state.rs
+++ b/crates/cherrystandd/src/site/site_state.rs
@@ -230,7 +230,7 @@
 
     /// Takes in the record of requests that end replicas, unless a later one is held.
     pub(crate) fn apply_suspects(&mut self, copy: &Document) {
-        match self.suspects.take(copy, self.is_restored(copy)) {
+        match self.suspects.update(copy, self.is_restored(copy)) {
             Ok(true) => self.change_log.record(copy.clone()),
             Ok(false) => {}
             Err(err) => self.refused.record(copy, RefusedKind::Suspects, &err),
--- a/crates/cherrystandd/src/site/store_restore.rs
+++ b/crates/cherrystandd/src/site/store_restore.rs
@@ -54,7 +54,7 @@
 
     /// Takes in that the record of requests that end replicas is not in the store.
     pub(crate) fn mark_suspects_missing(&mut self) {
-        self.suspects.restore();
+        self.suspects.mark_missing();
     }
 
     /// Tells whether everything is to be listed once more, as what the copy lacked is written again by now; it is told
--- a/crates/cherrystandd/src/site/suspect_notes.rs
+++ b/crates/cherrystandd/src/site/suspect_writer.rs
@@ -10,22 +10,22 @@
 use crate::{clock, keys};
 
 /// How long a daemon waits, on the mean, before it writes: all that saw a box end would write the same.
-const LET_OTHERS_WRITE: Duration = Duration::from_millis(150);
+const MEAN_WRITE_DELAY: Duration = Duration::from_millis(150);
 
 /// How long it waits after the store did not take the record.
-const FAILURE_PAUSE: Duration = Duration::from_millis(500);
+const RETRY_DELAY: Duration = Duration::from_millis(500);
 
 /// Writes what this node has to say beside the record, for as long as the duty runs.
-pub(crate) async fn keep_suspects(control: Rc<Control>) {
+pub(crate) async fn write_suspects(control: Rc<Control>) {
     let mut own = control.cx.suspects.clone();
     while own.changed().await.is_ok() {
-        tokio::time::sleep(control.peers.jittered(LET_OTHERS_WRITE)).await;
+        tokio::time::sleep(control.peers.jittered(MEAN_WRITE_DELAY)).await;
         loop {
-            let told = own.borrow_and_update().clone();
-            let (revision, stands) = control.state.borrow().suspects();
-            let Some(next) = stands.merged_with(&told, clock::unix_millis()) else { break };
+            let additions = own.borrow_and_update().clone();
+            let (revision, stored) = control.state.borrow().suspects();
+            let Some(next) = stored.merged_with(&additions, clock::unix_millis()) else { break };
             if !write(&control, revision, &next).await {
-                tokio::time::sleep(control.peers.jittered(FAILURE_PAUSE)).await;
+                tokio::time::sleep(control.peers.jittered(RETRY_DELAY)).await;
             }
         }
     }
--- a/crates/cherrystandd/src/site/trials.rs
+++ b/crates/cherrystandd/src/site/trials.rs
@@ -12,10 +12,10 @@
 
 /// How often a request that keeps coming is told anew to the store's record, which remembers it for an
 /// hour.
-const TOLD_ANEW_AFTER: Millis = Millis(600_000);
+const REPUBLISH_AFTER: Millis = Millis(600_000);
 
 /// Names what all daemons agree by on which of them tries what is refused.
-const TRIALS: &str = "trials of refused requests";
+const TRIAL_DUTY: &str = "trials of refused requests";
 
 /// One trial of a refused request, which is over once this is dropped.
 pub(crate) struct Trial {
@@ -27,14 +27,14 @@
 
 impl Trial {
     /// Notes whether a box may have run it by now.
-    pub(crate) fn note_run(&self, may_have_run: bool) {
+    pub(crate) fn set_may_have_run(&self, may_have_run: bool) {
         self.may_have_run.set(may_have_run);
     }
 }
 
 impl Drop for Trial {
     fn drop(&mut self) {
-        self.watch.trial_over(self.request, self.may_have_run.get());
+        self.watch.end_trial(self.request, self.may_have_run.get());
     }
 }
 
@@ -43,7 +43,7 @@
     /// It may.
     Send,
     /// It is refused otherwise and is sent once, as a trial.
-    Try(Trial),
+    Trial(Trial),
     /// It ended what ran it.
     Refuse,
 }
@@ -57,7 +57,7 @@
         let (request, now) = (req.fingerprint(), self.cx.clock.now());
         let refused = self.suspects.borrow_mut().check_refused(request, now);
         match refused {
-            true if self.begins_trial(req, now) => Permission::Try(Trial {
+            true if self.starts_trial(req, now) => Permission::Trial(Trial {
                 watch: self.clone(),
                 request,
                 may_have_run: Cell::new(false),
@@ -68,59 +68,62 @@
     }
 
     /// Tells whether a refused request is tried once, now and by this node.
-    fn begins_trial(&self, req: &SiteRequest, now: Millis) -> bool {
-        let (request, is_out) = (req.fingerprint(), self.is_out(&req.service, now));
-        if now.since(self.published.get()) >= TOLD_ANEW_AFTER {
+    fn starts_trial(&self, req: &SiteRequest, now: Millis) -> bool {
+        let (request, is_down) = (req.fingerprint(), self.is_down(&req.service, now));
+        if now.since(self.published_at.get()) >= REPUBLISH_AFTER {
             self.publish();
         }
-        let tries =
-            self.is_judge() && self.suspects.borrow_mut().try_start_trial(request, is_out, now);
-        if tries {
+        let starts =
+            self.runs_trials() && self.suspects.borrow_mut().try_start_trial(request, is_down, now);
+        if starts {
             self.publish();
             log::info!(fingerprint = request.to_string(); "a refused request is tried once");
         }
-        tries
+        starts
     }
 
     /// Tells whether it is this node that tries what is refused, among all that are alive.
-    fn is_judge(&self) -> bool {
+    fn runs_trials(&self) -> bool {
         let view = self.cx.view_now();
-        owner_of(TRIALS, view.alive()) == Some(&view.own.node)
+        owner_of(TRIAL_DUTY, view.alive()) == Some(&view.own.node)
     }
 
     /// Takes in that a trial is over; where it is not yet known whether its box ended, that is waited for.
-    fn trial_over(&self, request: Fingerprint, may_have_run: bool) {
-        if self.cut.borrow().pending_checks(request) == 0 {
+    fn end_trial(&self, request: Fingerprint, may_have_run: bool) {
+        if self.interrupted.borrow().pending_checks(request) == 0 {
             self.suspects.borrow_mut().end_trial(request, may_have_run);
         }
     }
 
     /// Takes in that a box lives whose answers broke off: a trial whose answer was among them is over.
-    pub(super) fn box_lives(&self) {
+    pub(super) fn box_is_alive(&self) {
         let Some(request) = self.suspects.borrow().trial_request() else { return };
-        let is_at_a_box = self.under_way.borrow().iter().any(|(_, held)| *held == request);
-        if !is_at_a_box {
-            self.trial_over(request, true);
+        let is_in_flight =
+            self.suspects_in_flight.borrow().iter().any(|(_, fingerprint)| *fingerprint == request);
+        if !is_in_flight {
+            self.end_trial(request, true);
         }
     }
 
     /// Notes that this node sends a request to a box, where it is suspected.
-    pub(crate) fn sent(&self, target: &BoxId, req: &SiteRequest) {
+    pub(crate) fn attempt_sent(&self, target: &BoxId, req: &SiteRequest) {
         if !self.is_idle() && self.is_suspected(req.fingerprint()) {
-            self.under_way.borrow_mut().push((target.clone(), req.fingerprint()));
+            self.suspects_in_flight.borrow_mut().push((target.clone(), req.fingerprint()));
         }
     }
 
     /// Notes that a box has a request of this node no more.
-    pub(crate) fn ended_at(&self, target: &BoxId, req: &SiteRequest) {
-        let mut under_way = self.under_way.borrow_mut();
+    pub(crate) fn attempt_ended(&self, target: &BoxId, req: &SiteRequest) {
+        let mut suspects_in_flight = self.suspects_in_flight.borrow_mut();
         // Most requests are at no place that is noted.
-        if under_way.is_empty() {
+        if suspects_in_flight.is_empty() {
             return;
         }
         let request = req.fingerprint();
-        let place = under_way.iter().position(|(at, held)| at == target && *held == request);
-        place.map(|place| under_way.swap_remove(place));
+        let index = suspects_in_flight
+            .iter()
+            .position(|(target_box, fingerprint)| target_box == target && *fingerprint == request);
+        index.map(|index| suspects_in_flight.swap_remove(index));
     }
 
     fn is_suspected(&self, request: Fingerprint) -> bool {
@@ -131,15 +134,16 @@
     /// Lists the boxes that a request keeps away from while there are others: a trial from those that have
     /// another suspect, and all others from the one that has a trial, or its end would say nothing of
     /// either.
-    pub(crate) fn kept_apart(&self, req: &SiteRequest) -> Vec<BoxId> {
-        if self.under_way.borrow().is_empty() {
+    pub(crate) fn boxes_to_avoid(&self, req: &SiteRequest) -> Vec<BoxId> {
+        if self.suspects_in_flight.borrow().is_empty() {
             return Vec::new();
         }
         let (request, suspects) = (req.fingerprint(), self.suspects.borrow());
         let is_trial = suspects.is_trial_request(request);
-        let under_way = self.under_way.borrow();
-        let others = under_way.iter().filter(|(_, held)| *held != request);
-        let apart = others.filter(|(_, held)| is_trial || suspects.is_trial_request(*held));
-        apart.map(|(target, _)| target.clone()).collect()
+        let suspects_in_flight = self.suspects_in_flight.borrow();
+        let others = suspects_in_flight.iter().filter(|(_, fingerprint)| *fingerprint != request);
+        let avoided =
+            others.filter(|(_, fingerprint)| is_trial || suspects.is_trial_request(*fingerprint));
+        avoided.map(|(target, _)| target.clone()).collect()
     }
 }
