--- a/crates/cherrystand_core/src/site/allowed_regions.rs
+++ b/crates/cherrystand_core/src/site/allowed_regions.rs
@@ -1,24 +1,25 @@
-//! In which regions a request may be answered.
+//! The regions in which a request may be answered.
 
 use crate::RegionId;
 
-/// The regions that a request is bound to, by its route and by its tenant.
+/// The regions that a request is restricted to, by its route and by its tenant.
 ///
-/// Where both name some, both bind. An empty list names none, and so binds nothing.
+/// If both name regions, both restrict the request. An empty list restricts nothing.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct AllowedRegions<'a> {
-    /// Those of its route.
+    /// The regions allowed by its route.
     pub route: &'a [RegionId],
-    /// Those of its tenant.
+    /// The regions allowed by its tenant.
     pub tenant: &'a [RegionId],
 }
 
 impl AllowedRegions<'_> {
-    /// Tells whether an endpoint in a region may get the request; one whose region is not known is in no home.
+    /// Returns whether an endpoint in a region may get the request. An endpoint of unknown region
+    /// may not, if the request is restricted at all.
     pub fn allow(&self, region: Option<&RegionId>) -> bool {
-        let is_home = |homes: &[RegionId]| {
-            homes.is_empty() || region.is_some_and(|region| homes.contains(region))
+        let is_allowed = |allowed: &[RegionId]| {
+            allowed.is_empty() || region.is_some_and(|region| allowed.contains(region))
         };
-        is_home(self.route) && is_home(self.tenant)
+        is_allowed(self.route) && is_allowed(self.tenant)
     }
 }
--- a/crates/cherrystand_core/src/site/attempt_ledger.rs
+++ b/crates/cherrystand_core/src/site/attempt_ledger.rs
@@ -1,83 +1,84 @@
-//! What became of all the attempts that one request got.
+//! Tracks the attempts of one request and what the caller is told if all of them fail.
 
 use crate::{AttemptEnd, Millis, Outcome, Route};
 
-/// How many endpoints one request is sent to at the most, those that did not run it included.
+/// The most endpoints that one request is sent to, including those that rejected it.
 ///
-/// Source: a third endpoint that refuses tells of a shortage that a fourth one shares.
-const MOST_SENT: u32 = 3;
+/// Once a third endpoint rejects a request, the shortage is general and a fourth would share it.
+const MAX_ATTEMPTS_SENT: u32 = 3;
 
-/// Says what a caller is told of a request that no endpoint answered.
+/// What a caller is told about a request that no endpoint answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FinalFailure {
-    /// No endpoint ran it, and none will: the caller may come back.
+    /// No endpoint executed it or still may: the caller can safely retry.
     NotRun,
-    /// An endpoint may have run it, and did not answer in time.
+    /// An endpoint may have executed it, and did not answer in time.
     TimedOut,
-    /// An endpoint may have run it, and its answer is lost.
+    /// An endpoint may have executed it, and its answer was lost.
     AnswerLost,
 }
 
-/// Counts the attempts of one request and remembers the worst of their ends.
+/// Counts the attempts of one request and keeps the last failure after which it may have been
+/// executed.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct AttemptLedger {
     sent: u32,
-    /// Attempts whose end is not known yet.
-    open: u32,
-    runs: u32,
-    /// The last end after which the request may have been run.
-    may_have_run: Option<AttemptEnd>,
+    /// Attempts that have not ended yet.
+    unfinished: u32,
+    executions: u32,
+    /// How the last attempt ended that may have executed the request.
+    last_possible_execution: Option<AttemptEnd>,
 }
 
 impl AttemptLedger {
-    /// Counts an attempt as begun.
+    /// Records that an attempt was sent.
     pub fn record_sent(&mut self) {
         self.sent += 1;
-        self.open += 1;
+        self.unfinished += 1;
     }
 
-    /// Takes in how an attempt ended, or that its answer has begun.
+    /// Records how an attempt ended, or that its answer has begun.
     pub fn record_end(&mut self, end: AttemptEnd) {
-        self.open = self.open.saturating_sub(1);
+        self.unfinished = self.unfinished.saturating_sub(1);
         if end.outcome() != Outcome::NotRun {
-            self.runs += 1;
-            self.may_have_run = Some(end);
+            self.executions += 1;
+            self.last_possible_execution = Some(end);
         }
     }
 
-    /// Ends all attempts whose answers are not waited for any more.
+    /// Records the same end for all unfinished attempts, as when their answers are no longer
+    /// awaited.
     pub fn record_remaining_ends(&mut self, end: AttemptEnd) {
-        while self.open > 0 {
+        while self.unfinished > 0 {
             self.record_end(end);
         }
     }
 
-    /// Returns how many attempts are open.
+    /// Returns the number of unfinished attempts.
     pub fn open_attempts(&self) -> u32 {
-        self.open
+        self.unfinished
     }
 
-    /// Returns on how many endpoints the request may have been run or may yet be, attempts that are
-    /// open among them.
+    /// Returns the most endpoints that may have executed the request, counting unfinished attempts.
     pub fn max_executions(&self) -> u32 {
-        self.runs + self.open
+        self.executions + self.unfinished
     }
 
-    /// Tells whether the request may go to a further endpoint, beside those that have it, as far as
-    /// its route, its attempts so far and its deadline go.
+    /// Returns whether the route, the attempts so far and the deadline allow sending the request to
+    /// a further endpoint.
     pub fn may_send(&self, route: &Route, now: Millis, deadline: Millis) -> bool {
-        let ran_nowhere = self.may_have_run.is_none() && self.open == 0;
-        let may_run_again = ran_nowhere || route.may_retry();
-        let runs_left = self.max_executions() < route.attempts.max(1);
-        may_run_again && runs_left && self.sent < MOST_SENT && now < deadline
+        let is_unexecuted = self.last_possible_execution.is_none() && self.unfinished == 0;
+        let may_execute_again = is_unexecuted || route.may_retry();
+        let has_executions_left = self.max_executions() < route.attempts.max(1);
+        may_execute_again && has_executions_left && self.sent < MAX_ATTEMPTS_SENT && now < deadline
     }
 
-    /// Returns what the caller is told where no attempt brought an answer.
+    /// Returns what the caller is told if no attempt produced an answer.
     ///
-    /// It follows from all attempts: one that was certainly not run says nothing about another
-    /// that may have been.
+    /// All attempts count: one that certainly did not execute the request says nothing about
+    /// another that may have.
     pub fn failure(&self) -> FinalFailure {
-        match self.may_have_run {
+        match self.last_possible_execution {
             None => FinalFailure::NotRun,
             Some(AttemptEnd::TimedOut) => FinalFailure::TimedOut,
             Some(_) => FinalFailure::AnswerLost,
--- a/crates/cherrystand_core/src/site/box_incarnations.rs
+++ b/crates/cherrystand_core/src/site/box_incarnations.rs
@@ -1,88 +1,92 @@
-//! Which life of a box an entry tells of.
+//! Derives the incarnation that a box's entry in the store describes.
 
 use std::collections::{BTreeMap, HashMap};
 
 use crate::{BoxId, BoxStart, ServiceName, SiteBox};
 
-/// What the entry of one box says of its start.
+/// The service and start time in the entry of one box.
 #[derive(Clone, Debug)]
-struct Told {
+struct BoxEntry {
     service: ServiceName,
     start: BoxStart,
 }
 
-/// How many entries of a service tell of their start, and how many do not.
+/// How many entries of a service report a start time, and how many do not.
 #[derive(Clone, Copy, Debug, Default)]
-struct Counts {
-    told: usize,
-    untold: usize,
+struct StartCounts {
+    reported: usize,
+    unreported: usize,
 }
 
-impl Counts {
-    fn of(&mut self, start: BoxStart) -> Option<&mut usize> {
+impl StartCounts {
+    fn counter_for(&mut self, start: BoxStart) -> Option<&mut usize> {
         match start {
-            BoxStart::At(_) => Some(&mut self.told),
-            BoxStart::Unreported => Some(&mut self.untold),
-            // One that writes what is no time says nothing of the others.
+            BoxStart::At(_) => Some(&mut self.reported),
+            BoxStart::Unreported => Some(&mut self.unreported),
+            // A malformed start time is no evidence about the other boxes of the service.
             BoxStart::Malformed => None,
         }
     }
 }
 
-/// Decides by what most entries of a service tell whether its boxes have lives.
+/// Decides by majority whether the boxes of a service report their start times, and derives each
+/// box's incarnation from that.
 ///
-/// Where most tell of their start, one that does not, or not in whole milliseconds, names no box;
-/// where most do not, a box has one life, which nobody knows. It is decided from the entries as they
-/// are and nothing else, so that every daemon that has them decides alike, however long it runs, and
-/// one odd writer decides nothing.
+/// Where most entries of a service report a start time, an entry that reports none, or a malformed
+/// one, is not used. Where most do not, each box has a single incarnation that is named after the
+/// box alone. The decision depends only on the current entries, so that all daemons that hold the
+/// same entries agree however long they have run, and a single faulty writer changes nothing.
 #[derive(Clone, Debug, Default)]
 pub struct BoxIncarnations {
-    told: BTreeMap<BoxId, Told>,
-    counts: HashMap<ServiceName, Counts>,
+    entries: BTreeMap<BoxId, BoxEntry>,
+    counts: HashMap<ServiceName, StartCounts>,
 }
 
 impl BoxIncarnations {
-    /// Takes in the entry of a box by its name, and tells whether its service is decided otherwise by
-    /// that.
-    pub fn update(&mut self, known: &SiteBox) -> bool {
-        let held = self.told.get(known.id.name());
-        // Most entries are heartbeats.
-        if held.is_some_and(|held| held.service == known.service && held.start == known.start) {
+    /// Records the entry of a box, and returns whether that changes the decision for its service.
+    pub fn update(&mut self, entry: &SiteBox) -> bool {
+        let previous = self.entries.get(entry.id.name());
+        // Fast path: most updates are heartbeats that change neither the service nor the start.
+        if previous.is_some_and(|previous| {
+            previous.service == entry.service && previous.start == entry.start
+        }) {
             return false;
         }
-        let before = self.reports_starts(&known.service);
-        let name = BoxId::new(known.id.name());
+        let before = self.reports_starts(&entry.service);
+        let name = BoxId::new(entry.id.name());
         self.remove(&name);
-        let told = Told { service: known.service.clone(), start: known.start };
-        if let Some(count) = self.counts.entry(told.service.clone()).or_default().of(told.start) {
+        let new_entry = BoxEntry { service: entry.service.clone(), start: entry.start };
+        if let Some(count) =
+            self.counts.entry(new_entry.service.clone()).or_default().counter_for(new_entry.start)
+        {
             *count += 1;
         }
-        self.told.insert(name, told);
-        self.reports_starts(&known.service) != before
+        self.entries.insert(name, new_entry);
+        self.reports_starts(&entry.service) != before
     }
 
-    /// Forgets the entry of a box, and returns its service where that is decided otherwise by that.
+    /// Removes the entry of a box, and returns its service if that changes the decision for it.
     pub fn remove(&mut self, name: &BoxId) -> Option<ServiceName> {
-        let told = self.told.remove(name)?;
-        let before = self.reports_starts(&told.service);
-        let counts = self.counts.entry(told.service.clone()).or_default();
-        if let Some(count) = counts.of(told.start) {
+        let removed = self.entries.remove(name)?;
+        let before = self.reports_starts(&removed.service);
+        let counts = self.counts.entry(removed.service.clone()).or_default();
+        if let Some(count) = counts.counter_for(removed.start) {
             *count -= 1;
         }
-        (self.reports_starts(&told.service) != before).then_some(told.service)
+        (self.reports_starts(&removed.service) != before).then_some(removed.service)
     }
 
-    /// Tells whether the boxes of a service tell of their starts.
+    /// Returns whether the boxes of a service report their start times.
     pub fn reports_starts(&self, service: &ServiceName) -> bool {
-        self.counts.get(service).is_some_and(|counts| counts.told > counts.untold)
+        self.counts.get(service).is_some_and(|counts| counts.reported > counts.unreported)
     }
 
-    /// Returns the life that an entry tells of; nothing where it names no box to use.
-    pub fn incarnation_of(&self, known: &SiteBox) -> Option<BoxId> {
-        match (self.reports_starts(&known.service), known.start) {
-            (true, BoxStart::At(start)) => Some(known.id.with_incarnation(start)),
+    /// Returns the incarnation that an entry describes, or `None` if the entry is not to be used.
+    pub fn incarnation_of(&self, entry: &SiteBox) -> Option<BoxId> {
+        match (self.reports_starts(&entry.service), entry.start) {
+            (true, BoxStart::At(start)) => Some(entry.id.with_incarnation(start)),
             (true, _) => None,
-            (false, _) => Some(BoxId::new(known.id.name())),
+            (false, _) => Some(BoxId::new(entry.id.name())),
         }
     }
 }
--- a/crates/cherrystand_core/src/site/capacity_planner.rs
+++ b/crates/cherrystand_core/src/site/capacity_planner.rs
@@ -1,8 +1,8 @@
-//! Which domain is given to another model, by what the models' requests keep busy.
+//! Moves domains between the models of a service, by the measured load of each model.
 //!
-//! The configured shares say nothing of how long a model's requests run: of two models with equal
-//! shares one may use 0.4 of its replicas and the other 0.85. Domains whose hosts hold the other
-//! model change hands within seconds, so the split follows what is measured.
+//! The configured work shares say nothing about how long a model's requests run: of two models with
+//! equal shares, one may use 0.4 of its replicas and the other 0.85. A domain whose hosts already
+//! hold the other model can be reassigned within seconds, so the split follows the measurement.
 //!
 //! Source: docs/design/0016-work-that-shifted.md.
 
@@ -10,88 +10,93 @@
 
 use crate::{DomainId, EngineSpec, Millis, ModelLoad, ModelSpec};
 
-/// The time constant by which measured work is smoothed: longer than the 0.5 s by which loads told
-/// by peers lag, shorter than the 3 s of a short burst.
-const SMOOTHED_OVER: Millis = Millis(1_500);
+/// The time constant of the load average: longer than the 0.5 s by which the loads reported by
+/// peers lag, shorter than a short burst of 3 s.
+const SMOOTHING_TIME: Millis = Millis(1_500);
 
-/// How long work is measured before anything is decided by it.
-const MEASURED_FOR: Millis = Millis(1_500);
+/// How long load is measured before the first decision.
+const MIN_MEASURED_TIME: Millis = Millis(1_500);
 
-/// A measurement after a longer gap begins anew: the daemon was paused, or did not plan.
-const LONGEST_GAP: Millis = Millis(2_000);
+/// After a longer gap between two samples the measurement starts again: the daemon was paused, or
+/// did not plan.
+const MAX_SAMPLE_GAP: Millis = Millis(2_000);
 
-/// How long a split has to be the better one before it is changed.
-const BETTER_FOR: Millis = Millis(600);
+/// How long the same change has to stay the best one before it is made.
+const MIN_BETTER_TIME: Millis = Millis(600);
 
-/// How long after a change nothing more is changed: replicas drain within 1 to 3 s, 8 at the most,
-/// and form within 2, and what requests keep busy meanwhile says little.
-const REST: Millis = Millis(5_000);
+/// How long no further change is made after one: replicas drain within 1 to 3 s, at most 8, and
+/// form within 2, and the load measured meanwhile is misleading.
+const COOLDOWN: Millis = Millis(5_000);
 
-/// How many replicas of each model count as lost: boxes crash every 3 s and are replaced within 2.
+/// How many replicas of each model are assumed to be lost: boxes crash every 3 s and are replaced
+/// within 2.
 ///
-/// Of a model with few replicas one is much: with none counted a split of six large replicas was
-/// preferred to eight, and 0.77 in place of 0.89 of a class's credit was earned while 20 boxes were
-/// cut off (one day each).
-const USUALLY_LOST: usize = 1;
+/// For a model with few replicas one is a large part. With none assumed lost, six large replicas
+/// were preferred to eight, and a class earned 0.77 of its credit instead of 0.89 while 20 boxes
+/// were cut off (one simulated day each).
+const ASSUMED_LOST_REPLICAS: usize = 1;
 
-/// A model whose replicas are busy by less than this has time for bursts.
-const BUSY: f64 = 0.7;
+/// Below this utilisation of the busiest model nothing is changed: there is room for bursts.
+const MIN_PEAK_UTILISATION: f64 = 0.7;
 
-/// How much less busy the busiest model has to become.
+/// By how much a change has to reduce the utilisation of the busiest model.
 ///
-/// Work that swings by 0.2 around its mean moves both models alike and changes no split; the
-/// margin covers the error of a model's measured work.
-const LEAST_GAIN: f64 = 0.05;
+/// Load that swings by 0.2 around its mean moves both models alike and causes no change; the margin
+/// covers the measurement error.
+const MIN_GAIN: f64 = 0.05;
 
-/// Describes a domain to the plan.
+/// The boxes of a domain and the models that they hold, as input to the planner.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DomainCapacity {
     /// The domain.
     pub id: DomainId,
-    /// The model that it is for.
+    /// Its home model: the one that its boxes serve.
     pub home: String,
     /// How many of its boxes hold each model, in memory or on their hosts; a box may hold two.
     ///
-    /// A box that has to load first counts for nothing. Counted as serving, a domain that was restarted
-    /// whole and had to load for 20 s made the plan give a second one of its model's three away.
+    /// A box that still has to load the model doesn't count. When it did, a domain that had
+    /// restarted entirely and was loading for 20 s made the planner reassign another of the model's
+    /// three domains.
     pub boxes_by_model: BTreeMap<String, usize>,
     /// How many of its boxes may serve.
     pub boxes: usize,
-    /// The model that its hosts are to hold besides, where they are to.
+    /// The model that its hosts also preload, if any.
     pub second: Option<String>,
 }
 
-/// Gives a domain to another model.
+/// Assigns a domain to another model.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HomeChange {
     /// The domain.
     pub domain: DomainId,
-    /// The model that it is for from now on.
+    /// Its new home model.
     pub home: String,
 }
 
-/// Follows the work of the models of one service and changes the split of its domains.
+/// Follows the load of the models of one service and reassigns domains.
 ///
-/// It keeps only what it measured; another daemon that plans begins to measure anew.
+/// It keeps only its own measurements: a daemon that takes over the planning starts to measure
+/// anew.
 #[derive(Clone, Debug, Default)]
 pub struct CapacityPlanner {
-    /// How many replicas each model keeps busy.
+    /// The number of replicas that each model keeps busy, smoothed.
     busy: BTreeMap<String, f64>,
-    since: Option<Millis>,
-    last: Millis,
-    /// The changes that are the best ones, and since when.
-    better: Option<(Vec<HomeChange>, Millis)>,
-    changed: Option<Millis>,
-    /// The domain whose hosts best hold another model besides, and since when.
-    worth_a_load: Option<(HomeChange, Millis)>,
+    measured_since: Option<Millis>,
+    last_sample: Millis,
+    /// The best changes found, and since when they have been the best.
+    pending_changes: Option<(Vec<HomeChange>, Millis)>,
+    last_change: Option<Millis>,
+    /// The best domain to preload another model, and since when it has been the best.
+    preload_candidate: Option<(HomeChange, Millis)>,
 }
 
 impl CapacityPlanner {
-    /// Takes in what is in flight now, and returns the changes that are worth making.
+    /// Records the current load, and returns the changes to make.
     ///
-    /// One domain changes at a time, or two of which one alone gains nothing, as where a domain that
-    /// was restarted serves sooner what another one gives up. Every model keeps at least one domain,
-    /// and a domain changes only to a model that its boxes hold, so that nothing is loaded for it.
+    /// One domain changes at a time, or two if neither change alone gains anything, as when a
+    /// domain that has restarted can serve sooner what another one gives up. Every model keeps at
+    /// least one domain, and a domain changes only to a model that its boxes already hold, so that
+    /// nothing has to be loaded.
     pub fn step(
         &mut self,
         now: Millis,
@@ -100,86 +105,93 @@
         domains: &[DomainCapacity],
     ) -> Vec<HomeChange> {
         self.measure(now, engine, loads);
-        let measured = self.since.is_some_and(|since| now.since(since) >= MEASURED_FOR);
-        let rests = self.changed.is_some_and(|at| now.since(at) < REST);
-        if !measured || rests {
-            self.better = None;
+        let measured =
+            self.measured_since.is_some_and(|since| now.since(since) >= MIN_MEASURED_TIME);
+        let cools_down = self.last_change.is_some_and(|at| now.since(at) < COOLDOWN);
+        if !measured || cools_down {
+            self.pending_changes = None;
             return Vec::new();
         }
         let changes = self.best_changes(engine, domains);
-        let since = match &self.better {
+        let since = match &self.pending_changes {
             Some((held, since)) if *held == changes => *since,
             _ => now,
         };
-        if changes.is_empty() || now.since(since) < BETTER_FOR {
-            self.better = Some((changes, since));
+        if changes.is_empty() || now.since(since) < MIN_BETTER_TIME {
+            self.pending_changes = Some((changes, since));
             return Vec::new();
         }
-        self.better = None;
-        self.changed = Some(now);
+        self.pending_changes = None;
+        self.last_change = Some(now);
         changes
     }
 
-    /// Returns the domain whose hosts are to load another model, so that it can change hands, where a model is
-    /// overloaded and no domain that could help holds it: as when a zone is emptied or lost.
+    /// Returns the domain whose hosts are to preload another model, so that it can be reassigned
+    /// later.
     ///
-    /// Its replicas serve on meanwhile. One domain at a time is prepared.
+    /// It is needed if a model is overloaded and no domain that could help holds it, as when a zone
+    /// is evacuated or lost. The replicas of the domain keep serving meanwhile. One domain is
+    /// preloaded at a time.
     pub fn preload(
         &mut self,
         now: Millis,
         engine: &EngineSpec,
         domains: &[DomainCapacity],
     ) -> Option<HomeChange> {
-        let best = self.best_load(engine, domains);
-        let since = match (&self.worth_a_load, &best) {
+        let best = self.best_preload(engine, domains);
+        let since = match (&self.preload_candidate, &best) {
             (Some((held, since)), Some(best)) if held == best => *since,
             _ => now,
         };
-        self.worth_a_load = best.map(|best| (best, since));
-        let (best, since) = self.worth_a_load.as_ref()?;
-        (now.since(*since) >= OVERLOADED_FOR).then(|| best.clone())
+        self.preload_candidate = best.map(|best| (best, since));
+        let (best, since) = self.preload_candidate.as_ref()?;
+        (now.since(*since) >= MIN_OVERLOAD_TIME).then(|| best.clone())
     }
 
-    fn best_load(&self, engine: &EngineSpec, domains: &[DomainCapacity]) -> Option<HomeChange> {
-        self.since?;
-        let is_prepared = |domain: &DomainCapacity| {
+    fn best_preload(&self, engine: &EngineSpec, domains: &[DomainCapacity]) -> Option<HomeChange> {
+        self.measured_since?;
+        let is_being_preloaded = |domain: &DomainCapacity| {
             let second = domain.second.as_ref().filter(|second| **second != domain.home);
             second.is_some_and(|second| {
                 domain.boxes_by_model.get(second) < domain.boxes_by_model.get(&domain.home)
             })
         };
-        let now = self.busiest(&engine.models, domains, &[]).filter(|now| *now >= OVERLOADED)?;
-        if domains.iter().any(is_prepared) || !self.best_changes(engine, domains).is_empty() {
+        let now = self
+            .peak_utilisation(&engine.models, domains, &[])
+            .filter(|now| *now >= OVERLOAD_UTILISATION)?;
+        if domains.iter().any(is_being_preloaded) || !self.best_changes(engine, domains).is_empty()
+        {
             return None;
         }
         let loaded: Vec<DomainCapacity> =
-            domains.iter().map(|domain| domain.with_all(engine)).collect();
-        let changes = possible_changes(&engine.models, &loaded).into_iter();
+            domains.iter().map(|domain| domain.with_all_models(engine)).collect();
+        let changes = feasible_changes(&engine.models, &loaded).into_iter();
         let worth = changes.filter_map(|change| {
-            let then = self.busiest(&engine.models, &loaded, std::slice::from_ref(&change))?;
-            (then < now - GAIN_OF_A_LOAD).then_some((then, change))
+            let then =
+                self.peak_utilisation(&engine.models, &loaded, std::slice::from_ref(&change))?;
+            (then < now - MIN_PRELOAD_GAIN).then_some((then, change))
         });
         worth.min_by(|(one, _), (other, _)| one.total_cmp(other)).map(|(_, change)| change)
     }
 
-    /// Returns how many replicas each model keeps busy, as measured.
+    /// Returns the number of replicas that each model keeps busy, as measured.
     pub fn busy_replicas(&self) -> &BTreeMap<String, f64> {
         &self.busy
     }
 
     fn measure(&mut self, now: Millis, engine: &EngineSpec, loads: &BTreeMap<String, ModelLoad>) {
         let idle = loads.values().all(|load| load.requests == 0.0);
-        let gap = now.since(self.last);
-        self.last = now;
-        if idle || gap > LONGEST_GAP {
-            self.since = None;
+        let gap = now.since(self.last_sample);
+        self.last_sample = now;
+        if idle || gap > MAX_SAMPLE_GAP {
+            self.measured_since = None;
             self.busy.clear();
         }
         if idle {
             return;
         }
-        self.since.get_or_insert(now);
-        let weight = 1.0 - (-(gap.0 as f64) / SMOOTHED_OVER.0 as f64).exp();
+        self.measured_since.get_or_insert(now);
+        let weight = 1.0 - (-(gap.0 as f64) / SMOOTHING_TIME.0 as f64).exp();
         for model in &engine.models {
             let Some(busy) = loads.get(&model.name).and_then(|load| load.busy_replicas(engine))
             else {
@@ -190,18 +202,19 @@
         }
     }
 
-    /// Returns the changes after which the busiest model is least busy, where that is worth it.
+    /// Returns the changes that most reduce the utilisation of the busiest model, if the gain is
+    /// worth it.
     fn best_changes(&self, engine: &EngineSpec, domains: &[DomainCapacity]) -> Vec<HomeChange> {
-        let Some(now) = self.busiest(&engine.models, domains, &[]) else {
+        let Some(now) = self.peak_utilisation(&engine.models, domains, &[]) else {
             return Vec::new();
         };
-        if now < BUSY {
+        if now < MIN_PEAK_UTILISATION {
             return Vec::new();
         }
-        let single = possible_changes(&engine.models, domains);
+        let single = feasible_changes(&engine.models, domains);
         let alone: Vec<Vec<HomeChange>> =
             single.iter().map(|change| vec![change.clone()]).collect();
-        let best = self.least_busy(engine, domains, now, &alone);
+        let best = self.lowest_peak(engine, domains, now, &alone);
         if !best.is_empty() {
             return best;
         }
@@ -212,11 +225,11 @@
             .filter(|(one, other)| one.domain != other.domain && one.home != other.home)
             .map(|(one, other)| vec![one.clone(), other.clone()])
             .collect();
-        self.least_busy(engine, domains, now, &pairs)
+        self.lowest_peak(engine, domains, now, &pairs)
     }
 
-    /// Returns the best of some changes, where it is worth it; none otherwise.
-    fn least_busy(
+    /// Returns the best of the given sets of changes, or none if no gain is worth it.
+    fn lowest_peak(
         &self,
         engine: &EngineSpec,
         domains: &[DomainCapacity],
@@ -225,8 +238,10 @@
     ) -> Vec<HomeChange> {
         let mut best: Option<(f64, &Vec<HomeChange>)> = None;
         for changes in all {
-            let Some(then) = self.busiest(&engine.models, domains, changes) else { continue };
-            let least = best.map_or(now - LEAST_GAIN, |(least, _)| least);
+            let Some(then) = self.peak_utilisation(&engine.models, domains, changes) else {
+                continue;
+            };
+            let least = best.map_or(now - MIN_GAIN, |(least, _)| least);
             if then < least {
                 best = Some((then, changes));
             }
@@ -234,44 +249,48 @@
         best.map(|(_, changes)| changes.clone()).unwrap_or_default()
     }
 
-    /// Returns how busy the busiest model is, or would be after changes; nothing where the work of
-    /// a model is not known, or one would be left without a domain.
-    fn busiest(
+    /// Returns the utilisation of the busiest model, now or after changes.
+    ///
+    /// Returns `None` if the load of a model is unknown, or if the changes leave one without a
+    /// domain.
+    fn peak_utilisation(
         &self,
         models: &[ModelSpec],
         domains: &[DomainCapacity],
         changes: &[HomeChange],
     ) -> Option<f64> {
-        let mut busiest: f64 = 0.0;
+        let mut peak_utilisation: f64 = 0.0;
         for model in models {
             let busy = self.busy.get(&model.name)?;
             let at_home = domains.iter().filter(|domain| home_after(domain, changes) == model.name);
             if !changes.is_empty() && at_home.clone().next().is_none() {
                 return None;
             }
-            let replicas: usize = at_home.map(|domain| replicas_in(domain, model)).sum();
-            let serving = replicas.saturating_sub(USUALLY_LOST) as f64;
-            busiest = busiest.max(busy / serving.max(LEAST_SERVING));
+            let replicas: usize = at_home.map(|domain| replicas_without_load(domain, model)).sum();
+            let serving = replicas.saturating_sub(ASSUMED_LOST_REPLICAS) as f64;
+            peak_utilisation = peak_utilisation.max(busy / serving.max(MIN_SERVING_REPLICAS));
         }
-        Some(busiest)
+        Some(peak_utilisation)
     }
 }
 
-/// From here on a model is overloaded: what its requests want is more than its replicas do.
-const OVERLOADED: f64 = 1.0;
+/// From this utilisation on a model is overloaded: its requests need more than its replicas
+/// provide.
+const OVERLOAD_UTILISATION: f64 = 1.0;
 
-/// How much less busy the busiest model has to become where a domain's hosts have to load for it.
-const GAIN_OF_A_LOAD: f64 = 0.15;
+/// By how much the utilisation of the busiest model has to fall to make a preload worthwhile.
+const MIN_PRELOAD_GAIN: f64 = 0.15;
 
-/// How long that has to be so: loads take 12 to 16 s, and a burst is over by then.
-const OVERLOADED_FOR: Millis = Millis(1_500);
+/// How long a preload has to stay worthwhile before it is started. A load takes 12 to 16 s, and a
+/// burst is over by then.
+const MIN_OVERLOAD_TIME: Millis = Millis(1_500);
 
-/// Stands for no replica at all where something is divided by how many serve.
-const LEAST_SERVING: f64 = 0.1;
+/// Stands for zero serving replicas where it is a divisor.
+const MIN_SERVING_REPLICAS: f64 = 0.1;
 
 impl DomainCapacity {
     /// Returns the domain as it would be with all models on its hosts.
-    fn with_all(&self, engine: &EngineSpec) -> Self {
+    fn with_all_models(&self, engine: &EngineSpec) -> Self {
         let mut all = self.clone();
         for model in engine.models.iter().filter(|model| model.name != self.home) {
             all.boxes_by_model.insert(model.name.clone(), self.boxes);
@@ -280,24 +299,24 @@
     }
 }
 
-/// Returns the model that a domain is for after changes.
+/// Returns the home model of a domain after changes.
 fn home_after<'a>(domain: &'a DomainCapacity, changes: &'a [HomeChange]) -> &'a str {
     let change = changes.iter().find(|change| change.domain == domain.id);
     change.map_or(&domain.home, |change| &change.home)
 }
 
-/// Lists the changes to models of which a domain holds a replica.
-fn possible_changes(models: &[ModelSpec], domains: &[DomainCapacity]) -> Vec<HomeChange> {
+/// Lists the changes to models that a domain can serve without loading them.
+fn feasible_changes(models: &[ModelSpec], domains: &[DomainCapacity]) -> Vec<HomeChange> {
     let changes = domains.iter().flat_map(|domain| {
         let others = models.iter().filter(|model| model.name != domain.home);
-        let held = others.filter(|model| replicas_in(domain, model) > 0);
+        let held = others.filter(|model| replicas_without_load(domain, model) > 0);
         held.map(|model| HomeChange { domain: domain.id.clone(), home: model.name.clone() })
     });
     changes.collect()
 }
 
-/// Returns how many replicas of a model a domain can serve without a load.
-fn replicas_in(domain: &DomainCapacity, model: &ModelSpec) -> usize {
+/// Returns how many replicas of a model a domain can serve without loading it.
+fn replicas_without_load(domain: &DomainCapacity, model: &ModelSpec) -> usize {
     let boxes = domain.boxes_by_model.get(&model.name).copied().unwrap_or_default();
     boxes / model.span.max(1) as usize
 }
--- a/crates/cherrystand_core/src/site/cold_boxes.rs
+++ b/crates/cherrystand_core/src/site/cold_boxes.rs
@@ -1,36 +1,37 @@
-//! Until when boxes are cold.
+//! Keeps until when boxes are cold, that is, take fewer requests after their start.
 
 use std::collections::BTreeMap;
 
 use crate::requests::cold_life::LONGEST_COLD;
 use crate::{BoxId, Millis};
 
-/// A telling by which a box is cold for longer by no more than this says the same as the one before: each is some
-/// time on its way.
-const SAME: Millis = Millis(100);
+/// Reports that extend a cold period by no more than this change nothing: they differ only by their
+/// time in transit.
+const JITTER: Millis = Millis(100);
 
-/// Keeps until when boxes are cold, by the life of each, on the clock of the node that was told.
+/// Keeps until when boxes are cold, by incarnation and on this node's clock.
 ///
-/// News takes its time, so that a box is cold no longer than it is held to be.
+/// Reports take time to arrive, so a box is never cold for longer than it is assumed to be.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ColdBoxes {
     until: BTreeMap<BoxId, Millis>,
 }
 
 impl ColdBoxes {
-    /// Takes in how much longer a box says that it is cold; tells whether that is news.
+    /// Records how much longer a box says that it is cold, and returns whether that changes
+    /// anything.
     ///
-    /// The longest word holds until the box says that it is warm.
-    pub fn record(&mut self, id: &BoxId, left: Millis, now: Millis) -> bool {
-        let until = now + left.min(LONGEST_COLD);
-        let held = self.until.get(id).copied();
-        match held {
-            None if left == Millis(0) => false,
-            Some(held) if left == Millis(0) => {
+    /// The longest report holds until the box says that it is warm.
+    pub fn record(&mut self, id: &BoxId, remaining: Millis, now: Millis) -> bool {
+        let until = now + remaining.min(LONGEST_COLD);
+        let known_until = self.until.get(id).copied();
+        match known_until {
+            None if remaining == Millis(0) => false,
+            Some(known_until) if remaining == Millis(0) => {
                 self.until.remove(id);
-                held > now
+                known_until > now
             }
-            Some(held) if until <= held + SAME => false,
+            Some(known_until) if until <= known_until + JITTER => false,
             _ => {
                 self.until.insert(id.clone(), until);
                 true
@@ -38,20 +39,21 @@
         }
     }
 
-    /// Takes a box for cold for a while, unless it is longer; it is told otherwise by its next word.
-    pub fn assume(&mut self, id: &BoxId, lasts: Millis, now: Millis) {
+    /// Assumes that a box is cold for at least the given time, until its next report says
+    /// otherwise.
+    pub fn assume(&mut self, id: &BoxId, duration: Millis, now: Millis) {
         let until = self.until.entry(id.clone()).or_default();
-        *until = (now + lasts.min(LONGEST_COLD)).max(*until);
+        *until = (now + duration.min(LONGEST_COLD)).max(*until);
     }
 
-    /// Forgets boxes that are cold no more; tells whether there were any.
+    /// Removes the boxes that are no longer cold, and returns whether there were any.
     pub fn remove_expired(&mut self, now: Millis) -> bool {
         let before = self.until.len();
         self.until.retain(|_, until| now < *until);
         self.until.len() < before
     }
 
-    /// Returns until when a box is cold, where it is.
+    /// Returns until when a box is cold, if it is.
     pub fn until(&self, id: &BoxId) -> Option<Millis> {
         self.until.get(id).copied()
     }
@@ -61,7 +63,7 @@
         self.until.iter().map(|(id, until)| (id, *until))
     }
 
-    /// Tells whether no box is cold.
+    /// Returns whether no box is cold.
     pub fn is_empty(&self) -> bool {
         self.until.is_empty()
     }
--- a/crates/cherrystand_core/src/site/domain_draft.rs
+++ b/crates/cherrystand_core/src/site/domain_draft.rs
@@ -212,7 +212,7 @@
     fn free_boxes(&self, model: &str) -> Vec<BoxId> {
         let mut free = self.free();
         if self.at.record.last_epoch != Epoch(0) {
-            free.retain(|known| model_location(known, model) != ModelLocation::Load);
+            free.retain(|known| model_location(known, model) != ModelLocation::WeightStore);
         }
         free.sort_by_key(|known| (model_location(known, model), known.id.clone()));
         free.into_iter().map(|known| known.id.clone()).collect()
@@ -331,7 +331,9 @@
             return;
         }
         let is_load = match &task {
-            MemberTask::Join { model, .. } => model_location(known, model) == ModelLocation::Load,
+            MemberTask::Join { model, .. } => {
+                model_location(known, model) == ModelLocation::WeightStore
+            }
             MemberTask::Stage { .. } => true,
             _ => false,
         };
--- a/crates/cherrystand_core/src/site/domain_spares.rs
+++ b/crates/cherrystand_core/src/site/domain_spares.rs
@@ -90,7 +90,7 @@
         };
         for known in self.free() {
             let is_cold = known.member.is_none() && !warmed.contains(&known.id);
-            if is_cold && model_location(known, &home.name) == ModelLocation::Staged {
+            if is_cold && model_location(known, &home.name) == ModelLocation::Host {
                 let name = format!("{}{}", spare_prefix(self.at.domain), known.id);
                 let members = vec![known.id.clone()];
                 let task = MemberTask::Join { model: home.name.clone(), members };
--- a/crates/cherrystand_core/src/site/evacuations.rs
+++ b/crates/cherrystand_core/src/site/evacuations.rs
@@ -1,4 +1,4 @@
-//! Which availability zones operators have emptied.
+//! The availability zones that operators have evacuated.
 
 use std::collections::BTreeSet;
 
@@ -6,23 +6,24 @@
 
 use crate::{Revision, ZoneId};
 
-/// The zones as one daemon passes them on to others.
+/// The evacuated zones as one daemon passes them to others.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EvacuatedZones {
-    /// The zones whose replicas are to get nothing.
+    /// The zones whose replicas get no requests.
     pub zones: BTreeSet<ZoneId>,
 }
 
-/// Keeps the zones whose replicas are to get nothing, as the store has them.
+/// Keeps the zones whose replicas get no requests, as stored.
 ///
-/// The whole set is held as of a revision, and only a later one counts. So daemons agree that hear of it by
-/// different ways and in any order, and a zone that was taken back is not emptied again by old news.
+/// The whole set belongs to a revision, and only a later revision replaces it. Daemons therefore
+/// agree although they learn of it in different ways and orders, and outdated messages cannot
+/// evacuate a zone again that was reopened.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Evacuations {
     zones: BTreeSet<ZoneId>,
     /// The revision up to which the set is known.
     as_of: Revision,
-    /// The revision by which it last changed, or was first known.
+    /// The revision at which the set last changed, or was first known.
     changed: Revision,
 }
 
@@ -32,40 +33,40 @@
         &self.zones
     }
 
-    /// Returns the revision by which the set last changed; 0 while nothing is known.
+    /// Returns the revision at which the set last changed; 0 while nothing is known.
     pub fn changed_at(&self) -> Revision {
         self.changed
     }
 
-    /// Returns the set for others.
+    /// Returns the set to pass on to other daemons.
     pub fn snapshot(&self) -> EvacuatedZones {
         EvacuatedZones { zones: self.zones.clone() }
     }
 
-    /// Takes in all zones that are emptied as of a revision; tells whether that changes anything.
+    /// Replaces the set by the one as of a revision, and returns whether it changed.
     pub fn replace(&mut self, zones: BTreeSet<ZoneId>, as_of: Revision) -> bool {
         let is_first = self.changed == Revision::NONE;
         if as_of < self.as_of || (as_of == self.as_of && !is_first) {
             return false;
         }
         self.as_of = as_of;
-        let is_other = self.zones != zones;
-        if is_other || is_first {
+        let is_different = self.zones != zones;
+        if is_different || is_first {
             (self.zones, self.changed) = (zones, as_of);
         }
-        is_other
+        is_different
     }
 
-    /// Takes in what changed up to a revision; tells whether that changes anything.
+    /// Applies the changes up to a revision, and returns whether the set changed.
     pub fn apply_changes(
         &mut self,
-        emptied: impl IntoIterator<Item = ZoneId>,
-        taken_back: impl IntoIterator<Item = ZoneId>,
+        evacuated: impl IntoIterator<Item = ZoneId>,
+        reopened: impl IntoIterator<Item = ZoneId>,
         as_of: Revision,
     ) -> bool {
         let mut zones = self.zones.clone();
-        zones.extend(emptied);
-        for zone in taken_back {
+        zones.extend(evacuated);
+        for zone in reopened {
             zones.remove(&zone);
         }
         self.replace(zones, as_of)
--- a/crates/cherrystand_core/src/site/model_location.rs
+++ b/crates/cherrystand_core/src/site/model_location.rs
@@ -1,26 +1,26 @@
-//! How soon a box can join a model.
+//! Where a box gets a model from when it joins a replica.
 
 use crate::SiteBox;
 
-/// Says how soon, the soonest first.
+/// Where a box gets a model from, the fastest first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum ModelLocation {
-    /// Its memory holds the model.
-    Loaded,
-    /// Its host holds the model.
-    Staged,
-    /// It has to load it from the weight store.
-    Load,
+    /// The memory of the box already holds the model.
+    Memory,
+    /// The host of the box holds the model.
+    Host,
+    /// The box has to load the model from the weight store.
+    WeightStore,
 }
 
-/// Returns how soon a box can join a model.
-pub(crate) fn model_location(known: &SiteBox, model: &str) -> ModelLocation {
+/// Returns from where a box would load a model.
+pub(crate) fn model_location(site_box: &SiteBox, model: &str) -> ModelLocation {
     let holds = |models: &[String]| models.iter().any(|held| held == model);
-    if holds(&known.loaded) {
-        ModelLocation::Loaded
-    } else if holds(&known.staged) {
-        ModelLocation::Staged
+    if holds(&site_box.loaded) {
+        ModelLocation::Memory
+    } else if holds(&site_box.staged) {
+        ModelLocation::Host
     } else {
-        ModelLocation::Load
+        ModelLocation::WeightStore
     }
 }
