--- a/crates/cherrystandd/src/site/box_calls.rs
+++ b/crates/cherrystandd/src/site/box_calls.rs
@@ -45,9 +45,9 @@
             }
             // It may carry the order out later, or not be there at all, or this daemon is held up.
             OrderEnd::Dark | OrderEnd::Silent => {
-                let known = self.state.borrow().listed_box(&order.target);
-                if let Some(known) = known {
-                    self.probe(known, Doubt::NoAnswer).await;
+                let site_box = self.state.borrow().listed_box(&order.target);
+                if let Some(site_box) = site_box {
+                    self.probe(site_box, Doubt::NoAnswer).await;
                 }
             }
             _ => {}
@@ -130,7 +130,7 @@
 
     /// Writes a verdict down with the state of the one that gives it: where many calls are open or
     /// unanswered at once, the daemon is busy rather than the box dead.
-    fn log_verdict(&self, id: &BoxId, asked: Millis, verdict: SilenceVerdict) {
+    fn log_verdict(&self, id: &BoxId, sent_at: Millis, verdict: SilenceVerdict) {
         self.cx.metrics.silence_verdicts.with_label_values(&[verdict.as_str()]).inc();
         let now = self.now();
         let calls = self.call_book.borrow();
@@ -141,19 +141,19 @@
             SilenceVerdict::Undecided => "a box did not answer; nothing follows, as nobody did",
         };
         log::info!(
-            target_box = id.as_str(), waited_ms = now.since(asked).0, open = state.open,
+            target_box = id.as_str(), waited_ms = now.since(sent_at).0, open = state.open,
             unanswered = state.unanswered, answered = state.answered,
             slowest_ms = state.slowest.0,
             quickest_since_ms =
-                calls.answered_between(asked, now).map_or(-1, |took| took.0 as i64);
+                calls.answered_between(sent_at, now).map_or(-1, |took| took.0 as i64);
             "{text}"
         );
     }
 
     /// Tells whether this node decides for the domain of a box, where it has one.
-    fn decides_for(&self, known: &SiteBox) -> bool {
+    fn decides_for(&self, site_box: &SiteBox) -> bool {
         let view = self.cx.view_now();
-        let domain = known.domain.as_ref();
+        let domain = site_box.domain.as_ref();
         domain.is_none_or(|domain| owns_domain(&view, &readers_in(&view), domain))
     }
 
@@ -171,43 +171,43 @@
     }
 
     /// Asks a box that may be gone whether it is there, again where this daemon may be held up.
-    async fn probe(self: &Rc<Self>, known: SiteBox, doubt: Doubt) {
-        if !self.may_probe(&known.id, doubt) {
+    async fn probe(self: &Rc<Self>, site_box: SiteBox, doubt: Doubt) {
+        if !self.may_probe(&site_box.id, doubt) {
             return;
         }
-        self.probing.borrow_mut().insert(known.id.clone());
-        self.probe_until_known(&known, doubt).await;
-        self.probing.borrow_mut().remove(&known.id);
+        self.probing.borrow_mut().insert(site_box.id.clone());
+        self.probe_until_known(&site_box, doubt).await;
+        self.probing.borrow_mut().remove(&site_box.id);
         // What waited for the answer goes on.
         self.wake.notify_one();
     }
 
-    async fn probe_until_known(self: &Rc<Self>, known: &SiteBox, doubt: Doubt) {
+    async fn probe_until_known(self: &Rc<Self>, site_box: &SiteBox, doubt: Doubt) {
         let mut check = SilenceCheck::default();
         loop {
             let sent_at = self.now();
-            self.probe_witnesses(known);
+            self.probe_witnesses(site_box);
             let timeout = Duration::from_millis(check.within().0);
             let answer = self
-                .timed_call("report", known.address, Driver::report_call(&known.id), timeout)
+                .timed_call("report", site_box.address, Driver::report_call(&site_box.id), timeout)
                 .await;
             let verdict = match &answer {
-                Ok(answer) if is_other_box(known, answer) => SilenceVerdict::Silent,
+                Ok(answer) if is_other_box(site_box, answer) => SilenceVerdict::Silent,
                 Ok(answer) => {
                     self.count_probe("answered");
-                    self.check_leaving(&known.id, answer);
-                    return self.state.borrow_mut().record_answer(&known.id, true, self.now());
+                    self.check_leaving(&site_box.id, answer);
+                    return self.state.borrow_mut().record_answer(&site_box.id, true, self.now());
                 }
                 Err(CallError::Send(SendError::Connect { .. })) => SilenceCheck::refused(doubt),
                 Err(_) => check.unanswered(sent_at, self.now(), &self.call_book.borrow()),
             };
             self.count_probe("silent");
-            self.log_verdict(&known.id, sent_at, verdict);
+            self.log_verdict(&site_box.id, sent_at, verdict);
             match verdict {
                 SilenceVerdict::AskAgain => {}
                 SilenceVerdict::Undecided => return,
                 SilenceVerdict::Silent => {
-                    self.state.borrow_mut().record_answer(&known.id, false, self.now());
+                    self.state.borrow_mut().record_answer(&site_box.id, false, self.now());
                     return self.publish_and_wake();
                 }
             }
@@ -251,10 +251,10 @@
 
 /// Tells whether an answer comes from another box that has the address now, or from another life of
 /// the one asked.
-fn is_other_box(asked: &SiteBox, answer: &Answer) -> bool {
-    let start = asked.id.start().zip(Driver::report_start(&answer.body));
+fn is_other_box(site_box: &SiteBox, answer: &Answer) -> bool {
+    let start = site_box.id.start().zip(Driver::report_start(&answer.body));
     Driver::order_end(answer.status) == OrderEnd::OtherBox
-        || start.is_some_and(|(known, told)| known != told)
+        || start.is_some_and(|(expected, reported)| expected != reported)
 }
 
 /// Has boxes looked at that the request path found silent.
@@ -288,13 +288,13 @@
 /// from the store works on.
 pub(super) fn probe_unlisted(control: &Rc<Control>) {
     let mut unlisted = control.state.borrow_mut().take_unverified();
-    unlisted.retain(|known| control.decides_for(known));
+    unlisted.retain(|site_box| control.decides_for(site_box));
     probe_each(control, unlisted, Doubt::NotListed);
 }
 
 fn probe_each(control: &Rc<Control>, boxes: Vec<SiteBox>, doubt: Doubt) {
-    for known in boxes {
+    for site_box in boxes {
         let control = control.clone();
-        tokio::task::spawn_local(async move { control.probe(known, doubt).await });
+        tokio::task::spawn_local(async move { control.probe(site_box, doubt).await });
     }
 }
--- a/crates/cherrystandd/src/site/crash_watch.rs
+++ b/crates/cherrystandd/src/site/crash_watch.rs
@@ -44,7 +44,7 @@
     pub(super) interrupted: RefCell<InterruptedAnswers>,
     pub(super) suspects: RefCell<CrashSuspects>,
     /// The store's record as it was last taken over.
-    recorded: RefCell<Arc<SuspectRecord>>,
+    stored_record: RefCell<Arc<SuspectRecord>>,
     pub(super) published_at: Cell<Millis>,
     /// When this node last found that a box ended.
     last_crash_at: Cell<Option<Millis>>,
@@ -66,7 +66,7 @@
             loads,
             interrupted: RefCell::default(),
             suspects: RefCell::default(),
-            recorded: RefCell::default(),
+            stored_record: RefCell::default(),
             published_at: Cell::default(),
             last_crash_at: Cell::default(),
             suspects_in_flight: RefCell::default(),
@@ -197,8 +197,8 @@
     pub(crate) fn apply_view(&self, view: &SiteView) {
         let ended = self.interrupted.borrow().crashed_boxes(view);
         ended.iter().for_each(|incarnation| self.box_crashed(incarnation));
-        if !Arc::ptr_eq(&view.suspects, &self.recorded.borrow()) {
-            self.recorded.replace(view.suspects.clone());
+        if !Arc::ptr_eq(&view.suspects, &self.stored_record.borrow()) {
+            self.stored_record.replace(view.suspects.clone());
             let now = self.cx.clock.now();
             let mut suspects = self.suspects.borrow_mut();
             suspects.remove_expired(now);
@@ -228,7 +228,8 @@
         self.log_crash(incarnation, &requests);
         let now = self.cx.clock.now();
         let suspects = self.suspects.borrow();
-        let reported = requests.into_iter().filter(|one| !suspects.was_served_recently(*one, now));
+        let reported =
+            requests.into_iter().filter(|request| !suspects.was_served_recently(*request, now));
         let reported: Vec<Fingerprint> = reported.collect();
         drop(suspects);
         if !reported.is_empty() {
@@ -274,7 +275,8 @@
         self.published_at.set(now);
         let alone = self.cx.view.borrow().alive().count() <= 1;
         let suspects = self.suspects.borrow();
-        let own = suspects.to_record(&self.recorded.borrow(), alone, clock::unix_millis(), now);
+        let own =
+            suspects.to_record(&self.stored_record.borrow(), alone, clock::unix_millis(), now);
         if !own.requests.is_empty() {
             self.cx.publish_suspects.send_replace(Arc::new(own));
         }
--- a/crates/cherrystandd/src/site/failure_log.rs
+++ b/crates/cherrystandd/src/site/failure_log.rs
@@ -33,13 +33,13 @@
 /// Writes failed requests down.
 pub(crate) struct FailureLog {
     clock: Clock,
-    gate: RefCell<LogLimiter>,
+    limiter: RefCell<LogLimiter>,
 }
 
 impl FailureLog {
     /// Creates a log that has room.
     pub(crate) fn new(clock: Clock) -> Self {
-        Self { clock, gate: RefCell::new(LogLimiter::new(FAILURES_LOGGED_PER_SECOND)) }
+        Self { clock, limiter: RefCell::new(LogLimiter::new(FAILURES_LOGGED_PER_SECOND)) }
     }
 
     /// Writes down that no endpoint serves what a request asks for.
@@ -53,7 +53,7 @@
         closed_until: impl FnOnce() -> Option<Millis>,
     ) {
         let now = self.clock.now();
-        let Some(left_out) = self.gate.borrow_mut().admit(now) else {
+        let Some(left_out) = self.limiter.borrow_mut().admit(now) else {
             return;
         };
         let closed_until = closed_until();
@@ -74,7 +74,7 @@
     /// Writes down how the last attempt of a request ended and what its caller was told.
     pub(crate) fn failed(&self, req: &SiteRequest, tried: &[BoxId], end: &str, result: &str) {
         let now = self.clock.now();
-        let Some(left_out) = self.gate.borrow_mut().admit(now) else {
+        let Some(left_out) = self.limiter.borrow_mut().admit(now) else {
             return;
         };
         let tried: Vec<&str> = tried.iter().map(BoxId::as_str).collect();
@@ -90,7 +90,7 @@
     /// Writes down why a stream ended before it was whole, and what was left to it.
     pub(crate) fn unfinished(&self, stream: &UnfinishedStream<'_>) {
         let now = self.clock.now();
-        let Some(left_out) = self.gate.borrow_mut().admit(now) else {
+        let Some(left_out) = self.limiter.borrow_mut().admit(now) else {
             return;
         };
         let result = match stream.end {
--- a/crates/cherrystandd/src/site/frontend.rs
+++ b/crates/cherrystandd/src/site/frontend.rs
@@ -208,7 +208,7 @@
         };
         let ask = req.ask(engine, objective);
         let mut seed = self.seed.get();
-        self.loads.update_chooser(&mut self.balancer.borrow_mut());
+        self.loads.update_balancer(&mut self.balancer.borrow_mut());
         let mut excluded = self.crashes.boxes_to_avoid(req);
         let balancer = self.balancer.borrow();
         let key = match excluded.is_empty() {
@@ -284,7 +284,7 @@
         if silence <= STALL_MARGIN {
             return None;
         }
-        self.loads.update_chooser(&mut self.balancer.borrow_mut());
+        self.loads.update_balancer(&mut self.balancer.borrow_mut());
         let balancer = self.balancer.borrow();
         let longest = self.max_silence(req, balancer.load(attempt.key));
         if silence <= longest {
--- a/crates/cherrystandd/src/site/limit_exchange.rs
+++ b/crates/cherrystandd/src/site/limit_exchange.rs
@@ -21,7 +21,7 @@
 /// What limits there are to keep up.
 enum LimitActivity {
     /// None.
-    None,
+    Unused,
     /// Some, and nobody asks for anything.
     Idle,
     /// Some that are asked for.
@@ -37,7 +37,7 @@
             let due = self.loads.limits_due.notified();
             // Nothing comes of being woken but the same step sooner.
             match self.limit_activity() {
-                LimitActivity::None => due.await,
+                LimitActivity::Unused => due.await,
                 LimitActivity::Idle => _ = clock.by(clock.now() + IDLE_STEP_INTERVAL, due).await,
                 LimitActivity::Active => _ = clock.by(clock.now() + STEP_INTERVAL, due).await,
             }
@@ -49,7 +49,9 @@
         let (balancer, lent_retries) = (self.balancer.borrow(), self.loads.lent_retries.borrow());
         match balancer.limits().is_idle() && lent_retries.is_idle() {
             false => LimitActivity::Active,
-            true if balancer.limits().is_empty() && lent_retries.is_empty() => LimitActivity::None,
+            true if balancer.limits().is_empty() && lent_retries.is_empty() => {
+                LimitActivity::Unused
+            }
             true => LimitActivity::Idle,
         }
     }
--- a/crates/cherrystandd/src/site/load_exchange.rs
+++ b/crates/cherrystandd/src/site/load_exchange.rs
@@ -52,7 +52,7 @@
     /// When this node last learned that a leader serves no more, from its own word, a peer's, or by
     /// finding a member silent.
     stopped_at: RefCell<BTreeMap<BoxId, Millis>>,
-    to_ask: RefCell<Vec<BoxId>>,
+    progress_queries: RefCell<Vec<BoxId>>,
     /// What all peers are told at once beside.
     to_broadcast: RefCell<Vec<LoadNews>>,
     /// When peers were last asked about a leader.
@@ -108,7 +108,7 @@
     }
 
     /// Hands over what peers have in flight, where they told anything new since the last time.
-    pub(crate) fn update_chooser(&self, balancer: &mut LoadBalancer) {
+    pub(crate) fn update_balancer(&self, balancer: &mut LoadBalancer) {
         if let Some(sums) = self.book.borrow_mut().changed_totals() {
             balancer.set_peer_loads(&sums);
         }
@@ -135,7 +135,7 @@
             Some(_) => PeerProgress::NoAnswer,
             None => {
                 self.asked_at.borrow_mut().insert(id.clone(), now);
-                self.to_ask.borrow_mut().push(id.clone());
+                self.progress_queries.borrow_mut().push(id.clone());
                 self.urgent.notify_one();
                 PeerProgress::AskedJustNow
             }
@@ -207,11 +207,11 @@
             LoadNews::InFlight { from, zone, loads, zones } => {
                 let mut book = book.borrow_mut();
                 book.record_node(from, zone, loads, now);
-                for told in zones {
-                    book.record_zone(told, own_zone, now);
+                for zone_loads in zones {
+                    book.record_zone(zone_loads, own_zone, now);
                 }
             }
-            LoadNews::Zone(told) => book.borrow_mut().record_zone(told, own_zone, now),
+            LoadNews::Zone(zone_loads) => book.borrow_mut().record_zone(zone_loads, own_zone, now),
             LoadNews::Asked(leaders) => self.answer_progress(&leaders, sender).await,
             LoadNews::Seen(loads) => {
                 self.loads.last_answer_at.set(Some(now));
@@ -265,7 +265,7 @@
     }
 
     async fn send_loop(&self) {
-        let (mut sent_any, mut turn) = (false, 0);
+        let (mut sent_any, mut next_peer) = (false, 0);
         let clock = self.cx.clock;
         let mut due = clock.now() + SEND_INTERVAL;
         loop {
@@ -280,7 +280,7 @@
             let loads = self.own_loads();
             let any = !loads.is_empty();
             if self.cx.settings.policy.tell_loads && (any || sent_any) {
-                self.send_loads(loads, &mut turn).await;
+                self.send_loads(loads, &mut next_peer).await;
             }
             sent_any = any;
         }
@@ -289,14 +289,14 @@
     /// Publishes what all daemons have in flight by model, for those that plan by it.
     fn publish_model_loads(&self) {
         let mut balancer = self.balancer.borrow_mut();
-        self.loads.update_chooser(&mut balancer);
+        self.loads.update_balancer(&mut balancer);
         self.cx.publish_model_loads.send_replace(Arc::new(balancer.model_loads()));
     }
 
     async fn send_urgent(&self) {
         let stalled = std::mem::take(&mut *self.loads.stalled.borrow_mut());
         let stopped = std::mem::take(&mut *self.loads.stopped.borrow_mut());
-        let asked = std::mem::take(&mut *self.loads.to_ask.borrow_mut());
+        let queries = std::mem::take(&mut *self.loads.progress_queries.borrow_mut());
         let to_broadcast = std::mem::take(&mut *self.loads.to_broadcast.borrow_mut());
         let view = self.cx.view_now();
         let alive: Vec<&Heartbeat> = view.alive().collect();
@@ -311,18 +311,18 @@
         for news in to_broadcast {
             self.broadcast(news, &all).await;
         }
-        if !asked.is_empty() {
+        if !queries.is_empty() {
             // Those that are near, and of other zones the relays, which know their peers' loads.
             let near = others.filter(|beat| beat.zone == view.own.zone).map(|beat| beat.address);
             let far = relays_elsewhere(&view.own.zone, &alive);
             let all: Vec<SocketAddr> = near.chain(far.iter().map(|beat| beat.address)).collect();
-            self.send(&LoadNews::Asked(asked), &all).await;
+            self.send(&LoadNews::Asked(queries), &all).await;
         }
     }
 
     /// Tells what is in flight: to everybody where they are few, else to some of the own zone in
     /// turn, and from relay to relay as the sum of the zone.
-    async fn send_loads(&self, loads: Vec<EndpointLoad>, turn: &mut usize) {
+    async fn send_loads(&self, loads: Vec<EndpointLoad>, next_peer: &mut usize) {
         let now = self.cx.clock.now();
         let view = self.cx.view_now();
         let alive: Vec<&Heartbeat> = view.alive().collect();
@@ -347,7 +347,7 @@
             zones = book.borrow().other_zone_totals(now);
         }
         let news = LoadNews::InFlight { from, zone, loads, zones };
-        self.send(&news, &next_peers(&near, turn)).await;
+        self.send(&news, &next_peers(&near, next_peer)).await;
     }
 
     /// Returns what this node has in flight itself.
@@ -366,12 +366,12 @@
     /// Tells all others, by way of some of them where they are many.
     pub(super) async fn broadcast(&self, news: LoadNews, others: &[SocketAddr]) {
         let from = self.cx.settings.listen.peers;
-        for told in spread(others) {
-            match told.pass_on_to.is_empty() {
-                true => self.send(&news, &[told.to]).await,
+        for hop in spread(others) {
+            match hop.pass_on_to.is_empty() {
+                true => self.send(&news, &[hop.to]).await,
                 false => {
-                    let (news, to) = (Box::new(news.clone()), told.pass_on_to);
-                    self.send(&LoadNews::PassOn { from, news, to }, &[told.to]).await;
+                    let (news, to) = (Box::new(news.clone()), hop.pass_on_to);
+                    self.send(&LoadNews::PassOn { from, news, to }, &[hop.to]).await;
                 }
             }
         }
@@ -398,7 +398,7 @@
         }
     }
 
-    fn count(&self, way: &str, news: &LoadNews, bytes: usize) {
+    fn count(&self, direction: &str, news: &LoadNews, bytes: usize) {
         let kind = match news {
             LoadNews::InFlight { .. } => "loads",
             LoadNews::Zone(_) => "zone-loads",
@@ -409,16 +409,16 @@
             LoadNews::Repeats(..) => "repeats",
             LoadNews::PassOn { .. } => "passed-on",
         };
-        self.cx.metrics.peer_bytes.with_label_values(&[way, kind]).inc_by(bytes as u64);
+        self.cx.metrics.peer_bytes.with_label_values(&[direction, kind]).inc_by(bytes as u64);
     }
 }
 
 /// Returns the peers that are told this time: the next few in turn.
-fn next_peers(peers: &[SocketAddr], turn: &mut usize) -> Vec<SocketAddr> {
+fn next_peers(peers: &[SocketAddr], next_peer: &mut usize) -> Vec<SocketAddr> {
     if peers.len() <= MAX_PEERS_PER_ROUND {
         return peers.to_vec();
     }
-    let first = *turn % peers.len();
-    *turn = first + MAX_PEERS_PER_ROUND;
+    let first = *next_peer % peers.len();
+    *next_peer = first + MAX_PEERS_PER_ROUND;
     peers.iter().cycle().skip(first).take(MAX_PEERS_PER_ROUND).copied().collect()
 }
--- a/crates/cherrystandd/src/site/request_attempts.rs
+++ b/crates/cherrystandd/src/site/request_attempts.rs
@@ -94,11 +94,11 @@
 
     /// Tells whether the request may be sent once more though it may be what ends its replicas.
     fn passes_crash_check(&self, frontend: &Frontend, req: &SiteRequest) -> bool {
-        let may = frontend.crashes.may_send(req, self.ledger.open_attempts());
-        if !may {
+        let allowed = frontend.crashes.may_send(req, self.ledger.open_attempts());
+        if !allowed {
             frontend.retries.count_suspect();
         }
-        may
+        allowed
     }
 
     /// Writes the failure down and says what the caller is told.
--- a/crates/cherrystandd/src/site/retry_shares.rs
+++ b/crates/cherrystandd/src/site/retry_shares.rs
@@ -36,10 +36,10 @@
     /// Takes a repeat after an attempt that ended so, with a number of nodes alive.
     pub(crate) fn spend(&self, service: &ServiceName, nodes: usize, end: AttemptEnd) -> bool {
         let now = self.cx.clock.now();
-        let within = self.with_share(service, |share| share.try_spend(now, nodes))
+        let in_share = self.with_share(service, |share| share.try_spend(now, nodes))
             || self.has_borrowed(service)
                 && self.loads.lent_retries.borrow_mut().take(service, now);
-        let allowed = within || !self.cx.settings.policy.retry_share;
+        let allowed = in_share || !self.cx.settings.policy.retry_share;
         let metrics = &self.cx.metrics;
         if allowed {
             metrics.retries.with_label_values(&[end.as_str()]).inc();
@@ -52,8 +52,8 @@
     /// Tells whether a repeat is left, without taking it; where none is, another daemon is asked for one.
     pub(crate) fn has_left(&self, service: &ServiceName, nodes: usize) -> bool {
         let now = self.cx.clock.now();
-        let within = self.with_share(service, |share| share.has_budget(now, nodes));
-        let has = within || self.has_borrowed(service) || !self.cx.settings.policy.retry_share;
+        let in_share = self.with_share(service, |share| share.has_budget(now, nodes));
+        let has = in_share || self.has_borrowed(service) || !self.cx.settings.policy.retry_share;
         if !has {
             self.request_borrowed(service, nodes);
         }
@@ -107,9 +107,9 @@
         self.cx.metrics.retries_withheld.with_label_values(&["ends-replicas"]).inc();
     }
 
-    fn with_share<T>(&self, service: &ServiceName, act: impl FnOnce(&mut RetryShare) -> T) -> T {
+    fn with_share<T>(&self, service: &ServiceName, update: impl FnOnce(&mut RetryShare) -> T) -> T {
         let mut shares = self.shares.borrow_mut();
         let fresh = || RetryShare::new(self.bounds());
-        act(shares.entry(service.clone()).or_insert_with(fresh))
+        update(shares.entry(service.clone()).or_insert_with(fresh))
     }
 }
--- a/crates/cherrystandd/src/site/signal_log.rs
+++ b/crates/cherrystandd/src/site/signal_log.rs
@@ -15,13 +15,13 @@
 pub(crate) struct SignalLog {
     clock: Clock,
     metrics: Arc<Metrics>,
-    gate: RefCell<LogLimiter>,
+    limiter: RefCell<LogLimiter>,
 }
 
 impl SignalLog {
     /// Creates notes that have room.
     pub(crate) fn new(clock: Clock, metrics: Arc<Metrics>) -> Self {
-        Self { clock, metrics, gate: RefCell::new(LogLimiter::new(SIGNALS_LOGGED_PER_SECOND)) }
+        Self { clock, metrics, limiter: RefCell::new(LogLimiter::new(SIGNALS_LOGGED_PER_SECOND)) }
     }
 
     /// Writes down that a replica turned a request away, and what rest it asked for.
@@ -74,7 +74,7 @@
 
     /// Returns how many lines were left out before the next one, where that may be written.
     fn admit(&self) -> Option<u32> {
-        self.gate.borrow_mut().admit(self.clock.now())
+        self.limiter.borrow_mut().admit(self.clock.now())
     }
 
     /// Writes down that a replica leaves.
