--- a/crates/cherrystand_core/src/lib.rs
+++ b/crates/cherrystand_core/src/lib.rs
@@ -101,7 +101,7 @@
     pub(crate) mod cold_boxes;
     pub(crate) mod crash_suspects;
     pub(crate) mod domain_draft;
-    pub(crate) mod domain_places;
+    pub(crate) mod domain_former_assignments;
     pub(crate) mod domain_spares;
     pub(crate) mod engine_priority;
     pub(crate) mod engine_spec;
--- a/crates/cherrystand_core/src/site/domain_spares.rs
+++ b/crates/cherrystand_core/src/site/domain_spares.rs
@@ -1,40 +1,40 @@
-//! What a step has the free boxes of a domain load, so that they join soon where one is lost.
+//! Preloads models on the free boxes of a domain, so that they can replace a lost box quickly.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::site::domain_draft::{DomainDraft, Standing};
+use crate::site::domain_draft::{DomainDraft, ReplicaStatus};
 use crate::site::formation::replica_name;
 use crate::site::model_location::{ModelLocation, model_location};
 use crate::{Assignment, BoxId, DomainId, Epoch, MemberTask, Millis, ModelSpec, ReplicaId};
 
-/// The epoch that spares join under, below all that are given out.
+/// The epoch that spares join under, below all epochs that are assigned.
 pub(crate) const SPARE_EPOCH: Epoch = Epoch(0);
 
 impl<'a> DomainDraft<'a> {
-    /// Returns the model that the domain is for, where it is for one.
-    fn home(&self) -> Option<&'a ModelSpec> {
-        self.at.engine.models.iter().find(|model| Some(model.name.as_str()) == self.at.home)
+    /// Returns the home model of the domain, if it has one.
+    fn home_model(&self) -> Option<&'a ModelSpec> {
+        self.input.engine.models.iter().find(|model| Some(model.name.as_str()) == self.input.home)
     }
 
-    /// Lets free boxes load a model to their hosts.
+    /// Makes free boxes load a model to their hosts.
     ///
-    /// In a domain that is for one model every box holds that one, so that any of them can take
-    /// the place of any other.
+    /// In a domain with a home model every box holds that one, so that any box can replace any
+    /// other.
     pub(crate) fn stage_spares(&mut self, staging: &BTreeMap<BoxId, Millis>) {
-        let free = self.free();
+        let free = self.free_boxes();
         let staged = |model: &ModelSpec| {
-            free.iter().filter(|known| known.staged.contains(&model.name)).count()
+            free.iter().filter(|site_box| site_box.staged.contains(&model.name)).count()
         };
-        let models = &self.at.engine.models;
+        let models = &self.input.engine.models;
         let mut counts: Vec<usize> = models.iter().map(staged).collect();
-        let home = self.home();
-        for known in free.iter().filter(|known| !staging.contains_key(&known.id)) {
+        let home = self.home_model();
+        for site_box in free.iter().filter(|site_box| !staging.contains_key(&site_box.id)) {
             let model = match home {
-                Some(home) if known.staged.contains(&home.name) => continue,
-                // It joins out of its memory, and its host holds the other model.
-                Some(home) if known.loaded.contains(&home.name) => continue,
+                Some(home) if site_box.staged.contains(&home.name) => continue,
+                // It joins from memory, and its host holds the second model.
+                Some(home) if site_box.loaded.contains(&home.name) => continue,
                 Some(home) => home,
-                None if !known.staged.is_empty() => continue,
+                None if !site_box.staged.is_empty() => continue,
                 None => {
                     let least = (0..models.len()).min_by_key(|index| counts[*index]);
                     let Some(index) = least else { return };
@@ -42,65 +42,67 @@
                     &models[index]
                 }
             };
-            self.order(known, "", Epoch(0), MemberTask::Stage { model: model.name.clone() });
+            self.add_order(site_box, "", Epoch(0), MemberTask::Stage { model: model.name.clone() });
         }
     }
 
-    /// Lets the hosts of boxes that have the home model in memory load the other one, once all that
-    /// the domain has boxes for serves.
+    /// Makes the hosts of boxes with the home model in memory load the second model, once all
+    /// replicas of the domain serve.
     ///
-    /// Only what a box tells of its memory counts: one that was taken to hold the home model since it
-    /// refused to be warmed was ranked as one that has to load it, and given neither, for good.
-    pub(crate) fn stage_second(&mut self, staging: &BTreeMap<BoxId, Millis>) {
-        let (Some(home), Some(second)) = (self.home(), self.at.second) else {
+    /// Only what a box reports about its memory counts. When a box that refused to be warmed was
+    /// assumed to hold the home model, it was ranked as one that has to load that model, and was
+    /// given neither, permanently.
+    pub(crate) fn stage_second_model(&mut self, staging: &BTreeMap<BoxId, Millis>) {
+        let (Some(home), Some(second)) = (self.home_model(), self.input.second) else {
             return;
         };
-        if self.changed || !self.all_serve() {
+        if self.changed || !self.all_replicas_serve() {
             return;
         }
-        for known in self.at.boxes.iter().copied() {
-            let holds = known.staged.iter().any(|name| name == second);
-            let is_done = holds || staging.contains_key(&known.id);
-            if !is_done && !known.leaving && known.loaded.contains(&home.name) {
+        for site_box in self.input.boxes.iter().copied() {
+            let holds = site_box.staged.iter().any(|name| name == second);
+            let is_staged = holds || staging.contains_key(&site_box.id);
+            if !is_staged && !site_box.leaving && site_box.loaded.contains(&home.name) {
                 let task = MemberTask::Stage { model: second.to_owned() };
-                self.order(known, "", Epoch(0), task);
+                self.add_order(site_box, "", Epoch(0), task);
             }
         }
     }
 
-    /// Tells whether each replica of the record serves, and there is one.
-    fn all_serve(&self) -> bool {
-        let replicas = &self.at.record.replicas;
+    /// Returns whether the record has replicas and all of them serve.
+    fn all_replicas_serve(&self) -> bool {
+        let replicas = &self.input.record.replicas;
         let serves = |(id, held): (&ReplicaId, &Assignment)| {
-            let name = replica_name(self.at.domain, id);
-            matches!(self.standing(&name, held), Standing::Whole)
+            let name = replica_name(self.input.domain, id);
+            matches!(self.replica_status(&name, held), ReplicaStatus::Serving)
         };
         !replicas.is_empty() && replicas.iter().all(serves)
     }
 
-    /// Lets free boxes that never joined take the home model from their hosts into memory, each in
-    /// a replica of its own that is never opened, so that it joins at once where it is needed.
+    /// Makes free boxes that never joined a replica load the home model from their hosts into
+    /// memory.
     ///
-    /// It joins under an epoch below all that are given out: a box that is in a replica after all
+    /// Each joins a replica of its own that is never opened, and can then join a real one at once.
+    /// It joins under an epoch below all assigned ones: a box that is in a replica after all
     /// refuses it.
     pub(crate) fn warm_spares(&mut self, warmed: &BTreeSet<BoxId>) {
-        let formed_before = self.at.record.last_epoch != Epoch(0);
-        let Some(home) = self.home().filter(|_| formed_before) else {
+        let has_formed = self.input.record.last_epoch != Epoch(0);
+        let Some(home) = self.home_model().filter(|_| has_formed) else {
             return;
         };
-        for known in self.free() {
-            let is_cold = known.member.is_none() && !warmed.contains(&known.id);
-            if is_cold && model_location(known, &home.name) == ModelLocation::Host {
-                let name = format!("{}{}", spare_prefix(self.at.domain), known.id);
-                let members = vec![known.id.clone()];
+        for site_box in self.free_boxes() {
+            let is_unused = site_box.member.is_none() && !warmed.contains(&site_box.id);
+            if is_unused && model_location(site_box, &home.name) == ModelLocation::Host {
+                let name = format!("{}{}", spare_prefix(self.input.domain), site_box.id);
+                let members = vec![site_box.id.clone()];
                 let task = MemberTask::Join { model: home.name.clone(), members };
-                self.order(known, &name, SPARE_EPOCH, task);
+                self.add_order(site_box, &name, SPARE_EPOCH, task);
             }
         }
     }
 }
 
-/// Returns what the names of replicas begin with that spares of a domain are kept warm in.
+/// Returns the prefix of the names of the replicas in which spares of a domain are kept warm.
 pub(crate) fn spare_prefix(domain: &DomainId) -> String {
     format!("{domain}.spare.")
 }
--- a/crates/cherrystand_core/tests/site_formation.rs
+++ b/crates/cherrystand_core/tests/site_formation.rs
@@ -85,9 +85,9 @@
             boxes: &boxes,
             departed: &departed,
             silent: &silent,
-            asked: &asked,
-            ended: &node.ended,
-            left: &node.left,
+            probed: &asked,
+            ended_replicas: &node.ended,
+            left_epochs: &node.left,
             loads_allowed: u32::MAX,
             home: Some(self.home),
             second: self.second,
@@ -112,7 +112,7 @@
             }
             node.left.insert((order.target.clone(), order.epoch), order.record_epoch);
         }
-        if let Some(next) = step.write
+        if let Some(next) = step.new_record
             && node.read.0 == self.revision
         {
             next.check().expect("a sound record");
--- a/crates/cherrystand_core/tests/site_losses.rs
+++ b/crates/cherrystand_core/tests/site_losses.rs
@@ -153,9 +153,9 @@
             boxes: &boxes,
             departed: &departed,
             silent: &self.found,
-            asked: &asked,
-            ended: &self.ended,
-            left: &self.left,
+            probed: &asked,
+            ended_replicas: &self.ended,
+            left_epochs: &self.left,
             loads_allowed: u32::MAX,
             home: Some("large"),
             second: None,
@@ -173,7 +173,7 @@
                 self.left.insert((order.target.clone(), order.epoch), order.record_epoch);
             }
         }
-        if let Some(next) = step.write {
+        if let Some(next) = step.new_record {
             let before: BTreeSet<Epoch> = epochs(&self.record);
             self.formings += epochs(&next).difference(&before).count();
             self.revision += 1;
--- a/crates/cherrystandd/src/site/domain_control.rs
+++ b/crates/cherrystandd/src/site/domain_control.rs
@@ -58,7 +58,7 @@
                 control.send_order(&domain, order, revision).await;
             });
         }
-        if let Some(next) = step.write {
+        if let Some(next) = step.new_record {
             self.write_record(domain, revision, next).await;
         }
     }
@@ -86,9 +86,9 @@
             boxes: &boxes,
             departed: &departed,
             silent: &silent,
-            asked: &self.probing.borrow(),
-            ended: known.ended_replicas(),
-            left: known.left_epochs(),
+            probed: &self.probing.borrow(),
+            ended_replicas: known.ended_replicas(),
+            left_epochs: known.left_epochs(),
             loads_allowed: self.loads_allowed(domain, engine.loads_per_s, domains),
             home: homes.home.get(domain).map(String::as_str),
             second: homes.second.get(domain).map(String::as_str),
@@ -96,12 +96,12 @@
         };
         let mut formations = self.formations.borrow_mut();
         let mut step = formations.entry(domain.clone()).or_default().step(input);
-        if step.write.is_none()
+        if step.new_record.is_none()
             && (known.has_outdated_box_ids(domain) || known.is_record_lost(domain))
         {
             // A box that starts again is told from its life before only where the record names that. What the store
             // lost is written again by the one that decides.
-            step.write = Some(record);
+            step.new_record = Some(record);
         }
         Some((revision, step))
     }
