--- a/crates/cherrystandd/src/site/box_entries.rs
+++ b/crates/cherrystandd/src/site/box_entries.rs
@@ -1,4 +1,4 @@
-//! How what boxes tell of themselves changes what a node knows, box by box and life by life.
+//! Applies the boxes' entries to the state, per box and incarnation.
 //!
 //! Source: docs/design/0017-lives-and-other-writers.md.
 
@@ -30,10 +30,10 @@
         }
         self.entries.insert(name.clone(), entry.clone());
         match Driver::read_box(&entry.key, &entry.body) {
-            Ok(known) if self.incarnations.update(&known) => {
-                self.reapply_entries(&known.service, now)
+            Ok(site_box) if self.incarnations.update(&site_box) => {
+                self.reapply_entries(&site_box.service, now)
             }
-            Ok(known) => self.apply_box(known, entry, now),
+            Ok(site_box) => self.apply_box(site_box, entry, now),
             Err(err) => {
                 self.refused.record(entry, RefusedKind::BoxEntry, &err);
                 self.replace_with_unusable(&name, entry, now);
@@ -44,32 +44,32 @@
         }
     }
 
-    /// Takes in all entries of a service anew, whose boxes are told apart otherwise from now on.
+    /// Applies all entries of a service again, after the way its boxes are identified changed.
     fn reapply_entries(&mut self, service: &ServiceName, now: Millis) {
         let entries: Vec<Document> = self.entries.values().cloned().collect();
         for entry in &entries {
             let read = Driver::read_box(&entry.key, &entry.body).ok();
-            if let Some(known) = read.filter(|known| &known.service == service) {
-                self.apply_box(known, entry, now);
+            if let Some(site_box) = read.filter(|site_box| &site_box.service == service) {
+                self.apply_box(site_box, entry, now);
             }
         }
     }
 
-    /// Takes in what a box tells of itself, in the life that its entry tells of.
-    fn apply_box(&mut self, mut known: SiteBox, entry: &Document, now: Millis) {
-        let name = known.id.clone();
-        let Some(id) = self.incarnations.incarnation_of(&known) else {
+    /// Applies a box's entry to the incarnation that the entry belongs to.
+    fn apply_box(&mut self, mut site_box: SiteBox, entry: &Document, now: Millis) {
+        let name = site_box.id.clone();
+        let Some(id) = self.incarnations.incarnation_of(&site_box) else {
             let reason =
-                "it does not tell its start in whole milliseconds, as others do".to_owned();
+                "it does not state its start time in whole milliseconds, as other entries of the service do".to_owned();
             let err = FormatError { key: entry.key.to_string(), reason };
             self.refused.record(entry, RefusedKind::BoxEntry, &err);
             return self.replace_with_unusable(&name, entry, now);
         };
-        known.id = id.clone();
-        known.leaving |= self.leaving.contains(&id);
-        let is_cold_news = self.apply_cold(&mut known, entry, now);
+        site_box.id = id.clone();
+        site_box.leaving |= self.leaving.contains(&id);
+        let is_cold_news = self.apply_cold(&mut site_box, entry, now);
         if self.listed_incarnations.get(&name) != Some(&id) {
-            self.list_incarnation(name, &mut known);
+            self.list_incarnation(name, &mut site_box);
         }
         let departed = self.departed.remove(&id).map(|gone| gone.site_box);
         if departed.is_some() {
@@ -77,89 +77,92 @@
         }
         let departed = departed.filter(|_| !self.ended_incarnations.contains(&id));
         if let Some(earlier) = self.boxes.get(&id).or(departed.as_ref()) {
-            known.carry_over_loaded_models(earlier);
+            site_box.carry_over_loaded_models(earlier);
         }
         self.ended_incarnations.remove(&id);
         self.unlisted.remove(&id);
-        // What it tells now, it tells after it was silent.
+        // The entry was written after the box was found silent.
         self.silent_since.remove(&id);
         if !self.boxes.contains_key(&id) {
             self.last_new_box_at = now;
         }
-        if known.leaving && self.boxes.get(&id).is_some_and(|held| !held.leaving) {
+        if site_box.leaving && self.boxes.get(&id).is_some_and(|held| !held.leaving) {
             self.log_box_transition(BoxTransition::Leaving, &id, now);
         }
         let held = self.boxes.get(&id);
-        if !is_cold_news && held.is_some_and(|held| **held == known) {
+        if !is_cold_news && held.is_some_and(|held| **held == site_box) {
             return;
         }
-        // Peers need not hear of a heartbeat that says nothing new but how many orders it took.
-        if is_cold_news || held.is_none_or(|held| held.differs_from(&known)) {
+        // Peers do not need a heartbeat that changes nothing but the count of orders taken.
+        if is_cold_news || held.is_none_or(|held| held.differs_from(&site_box)) {
             self.change_log.record(entry.clone());
         }
-        Arc::make_mut(&mut self.boxes).insert(id, Arc::new(known));
+        Arc::make_mut(&mut self.boxes).insert(id, Arc::new(site_box));
     }
 
-    /// Takes in how much longer a box is cold, and tells whether that is news; one that does not tell is cold
-    /// for as long as its service says, if it came while this node listened.
-    fn apply_cold(&mut self, known: &mut SiteBox, entry: &Document, now: Millis) -> bool {
-        let told = known.cold_remaining.take();
-        if self.evacuations.returned_after(&known.zone, entry.revision) {
-            // It says how the box was while nothing was sent there.
+    /// Applies the remaining cold time that an entry states. Returns whether that is new.
+    ///
+    /// A box whose entry states none is cold for as long as its service configures, if it appeared
+    /// after this node had listed the boxes.
+    fn apply_cold(&mut self, site_box: &mut SiteBox, entry: &Document, now: Millis) -> bool {
+        let stated = site_box.cold_remaining.take();
+        if self.evacuations.returned_after(&site_box.zone, entry.revision) {
+            // The entry was written while the zone was evacuated and nothing was sent there.
             return false;
         }
-        let is_new = self.is_listed() && !self.boxes.contains_key(&known.id);
-        let left = match told {
-            Some(left) => left,
-            None if is_new => self.cold_start_duration(&known.service),
+        let is_new = self.is_listed() && !self.boxes.contains_key(&site_box.id);
+        let remaining = match stated {
+            Some(remaining) => remaining,
+            None if is_new => self.cold_start_duration(&site_box.service),
             None => Millis(0),
         };
-        if left == Millis(0) && self.cold.until(&known.id).is_none() {
+        if remaining == Millis(0) && self.cold.until(&site_box.id).is_none() {
             return false;
         }
-        Arc::make_mut(&mut self.cold).record(&known.id, left, now)
+        Arc::make_mut(&mut self.cold).record(&site_box.id, remaining, now)
     }
 
-    /// Lists a box under a life that it was not listed under.
-    fn list_incarnation(&mut self, name: BoxId, known: &mut SiteBox) {
+    /// Lists a box under an incarnation that it was not listed under.
+    fn list_incarnation(&mut self, name: BoxId, site_box: &mut SiteBox) {
         self.assigned.take();
         let departed =
-            self.departed.keys().filter(|departed| departed.is_other_incarnation_of(&known.id));
+            self.departed.keys().filter(|departed| departed.is_other_incarnation_of(&site_box.id));
         for before in departed.cloned().collect::<Vec<_>>() {
             self.end_incarnation(before);
         }
-        match self.listed_incarnations.insert(name, known.id.clone()) {
-            Some(before) if before.is_other_incarnation_of(&known.id) => {
+        match self.listed_incarnations.insert(name, site_box.id.clone()) {
+            Some(before) if before.is_other_incarnation_of(&site_box.id) => {
                 self.end_incarnation(before)
             }
-            // Told apart otherwise, it is the same box as before.
+            // The ID differs only in whether it names an incarnation: it is the same box.
             Some(before) => {
                 if let Some(held) = Arc::make_mut(&mut self.boxes).remove(&before) {
-                    known.loaded.clone_from(&held.loaded);
+                    site_box.loaded.clone_from(&held.loaded);
                 }
             }
             None => {}
         }
     }
 
-    /// Ends a life of a box that has started again: nothing of it is there any more.
+    /// Ends an incarnation of a box that has restarted: nothing of it is left.
     ///
-    /// Its replica is known to be broken at once. Known by its standstill alone, it took requests for
-    /// up to 4 s.
+    /// Its replica counts as broken at once. Detected only by its stalled requests, it kept getting
+    /// requests for up to 4 s.
     fn end_incarnation(&mut self, before: BoxId) {
-        log::info!(target_box = before.as_str(); "a box has started again");
+        log::info!(target_box = before.as_str(); "a box has restarted");
         Arc::make_mut(&mut self.boxes).remove(&before);
         self.departed.remove(&before);
         self.unlisted.remove(&before);
         self.left_epochs.retain(|(left, _), _| left != &before);
-        self.unverified.retain(|known| known.id != before);
+        self.unverified.retain(|site_box| site_box.id != before);
         self.ended_incarnations.insert(before);
     }
 
-    /// Takes a box out whose entry names no box to use; what stands there now is passed on.
+    /// Removes a box whose entry cannot be used, and records the entry without its body as a
+    /// change.
     fn replace_with_unusable(&mut self, name: &BoxId, entry: &Document, now: Millis) {
-        // Other writers may make any number of values, up to 1 MB each: of these, only that they
-        // are there is kept.
+        // Other writers may write any number of values of up to 1 MB each, so only the fact that an
+        // entry is there is kept.
         let hidden = Document { body: Arc::from(""), ..entry.clone() };
         if self.remove_listed(name, now) {
             self.change_log.record(hidden.clone());
@@ -167,8 +170,8 @@
         self.entries.insert(name.clone(), hidden);
     }
 
-    /// Takes a box out that is listed no more as of a revision, or keeps it for a while where the store may only
-    /// have lost its entry.
+    /// Removes a box that is no longer listed as of a revision, or keeps it for a while if the
+    /// store may have lost its entry in an outage.
     pub(super) fn delist(&mut self, name: &BoxId, as_of: Revision, now: Millis) {
         let id = self.listed_incarnations.get(name).filter(|id| self.boxes.contains_key(*id));
         match id.filter(|_| self.store_outage.keeps(now)).cloned() {
@@ -180,7 +183,7 @@
         }
     }
 
-    /// Takes a box out whose entry is gone as of a revision, unless it came later.
+    /// Removes a box whose entry is gone as of a revision, unless the entry held is newer.
     pub(super) fn remove_box(&mut self, name: &BoxId, as_of: Revision, now: Millis) {
         if self.entries.get(name).is_some_and(|held| held.revision > as_of) {
             return;
@@ -195,7 +198,7 @@
         }
     }
 
-    /// Takes a box out, and tells whether it was there.
+    /// Removes a box. Returns whether it was listed.
     fn remove_listed(&mut self, name: &BoxId, now: Millis) -> bool {
         let Some(id) = self.listed_incarnations.remove(name) else {
             return false;
@@ -203,25 +206,25 @@
         self.assigned.take();
         self.left_epochs.retain(|(left, _), _| left != &id);
         self.unlisted.remove(&id);
-        let Some(known) = Arc::make_mut(&mut self.boxes).remove(&id) else {
+        let Some(site_box) = Arc::make_mut(&mut self.boxes).remove(&id) else {
             return false;
         };
-        if known.member.is_some() && !self.silent_since.contains_key(&id) {
-            self.unverified.push(SiteBox::clone(&known));
+        if site_box.member.is_some() && !self.silent_since.contains_key(&id) {
+            self.unverified.push(SiteBox::clone(&site_box));
         }
         self.log_box_transition(BoxTransition::Removed, &id, now);
-        self.departed.insert(id, DepartedBox { site_box: known, departed_at: now });
+        self.departed.insert(id, DepartedBox { site_box, departed_at: now });
         true
     }
 
-    /// Returns the names of the boxes known that a list does not have.
+    /// Returns the names of the known boxes that are missing from a list.
     pub(super) fn missing_from(&self, list: &[Document]) -> Vec<BoxId> {
-        let there: BTreeSet<&str> = list.iter().map(|entry| entry.key.as_ref()).collect();
-        let known = self.entries.keys();
-        known.filter(|id| !there.contains(Driver::box_key(id).as_str())).cloned().collect()
+        let listed: BTreeSet<&str> = list.iter().map(|entry| entry.key.as_ref()).collect();
+        let names = self.entries.keys();
+        names.filter(|id| !listed.contains(Driver::box_key(id).as_str())).cloned().collect()
     }
 
-    /// Forgets lives that ended and that no record names any more.
+    /// Removes ended incarnations that no domain record names any more.
     pub(super) fn expire_ended_incarnations(&mut self) {
         if self.ended_incarnations.is_empty() {
             return;
@@ -230,14 +233,14 @@
         self.ended_incarnations.retain(|id| records.names_box(id));
     }
 
-    /// Tells whether a domain's record names boxes whose lives it does not tell, or that are told apart
-    /// otherwise now.
+    /// Returns whether a domain's record names boxes by IDs that differ from the listed ones in
+    /// whether they name an incarnation.
     pub(crate) fn has_outdated_box_ids(&self, domain: &DomainId) -> bool {
         self.domain_records.assigned_boxes(domain).any(|id| self.listed_id_for(id).is_some())
     }
 
-    /// Returns the id under which a box is listed that a record names, where either of them names no
-    /// certain life.
+    /// Returns the ID under which a box named by a record is listed, if the two differ and one of
+    /// them names no incarnation.
     pub(super) fn listed_id_for(&self, id: &BoxId) -> Option<BoxId> {
         let listed = self.listed_incarnations.get(id.name())?;
         let is_uncertain = id.start().is_none() || listed.start().is_none();
--- a/crates/cherrystandd/src/site/site_state.rs
+++ b/crates/cherrystandd/src/site/site_state.rs
@@ -1,4 +1,4 @@
-//! What a node knows of the site, and how news changes it.
+//! The state of the site as one node knows it, and how changes update it.
 
 use std::cell::OnceCell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -22,84 +22,86 @@
 use crate::site::refused_values::{RefusedKind, RefusedValues};
 use crate::site::store_restore::StoreRestore;
 
-/// For how long a box that is listed no more is remembered.
+/// How long a departed box is remembered.
 const DEPARTED_RETENTION: Millis = Millis(12_000);
 
-/// For how long a box counts as silent after it did not answer; the entry of one that is dead goes
+/// How long a listed box counts as silent after it did not answer. A box that is dead is delisted
 /// sooner.
 const SILENCE_RETENTION: Millis = Millis(4_500);
 
-/// A box that is listed no more.
+/// A box that is no longer listed.
 #[derive(Clone, Debug)]
 pub(super) struct DepartedBox {
     pub(super) site_box: Arc<SiteBox>,
     pub(super) departed_at: Millis,
 }
 
-/// Keeps what one node knows of the site; it does no I/O.
+/// Holds the state of the site as one node knows it. It does no I/O.
 #[derive(Default)]
 pub(crate) struct SiteState {
-    /// The configuration in force; its revision is its version.
+    /// The active configuration. Its revision is the configuration's version.
     config: Option<Document>,
-    /// The revision of the last one that the store told, whether it is in force or not.
+    /// The revision of the last configuration read from the store, active or not.
     pub(super) stored_config_revision: Revision,
     table: Option<Arc<RouteTable>>,
-    /// What boxes tell of themselves, as it stands in the store, by their names; also what cannot be
-    /// read, which hides what stood there before.
+    /// The boxes' entries as they stand in the store, by box name. An entry that cannot be parsed
+    /// is kept as well, and hides the one before it.
     pub(super) entries: BTreeMap<BoxId, Document>,
-    /// As of when entries are gone.
+    /// The revisions as of which deleted entries are known to be gone.
     pub(super) tombstones: Absences<BoxId>,
-    /// Which lives of boxes entries tell of.
+    /// Decides which incarnation of a box an entry belongs to.
     pub(super) incarnations: BoxIncarnations,
-    /// The life of each box that is listed, by its name.
+    /// The ID, with its incarnation, of each listed box, by box name.
     pub(super) listed_incarnations: BTreeMap<BoxId, BoxId>,
-    /// Lives that ended as their boxes started again, for as long as a record names them.
+    /// Incarnations that ended when their boxes restarted, kept while a domain record names them.
     pub(super) ended_incarnations: BTreeSet<BoxId>,
-    /// The boxes of each replica by the records, as they are listed; made when it is asked for, once
-    /// for all views until a record or a listed life changes. Made for each view it took a look-up a
-    /// box.
+    /// The boxes assigned to each replica by the domain records, under the IDs by which they are
+    /// listed.
+    /// Computed on first use and shared by all views until a record or a listed incarnation
+    /// changes: computing it for each view takes a lookup per box.
     pub(super) assigned: OnceCell<Arc<AssignedBoxes>>,
-    /// Values that cannot be used.
+    /// Values from the store that could not be used.
     pub(super) refused: RefusedValues,
     pub(super) boxes: Arc<BTreeMap<BoxId, Arc<SiteBox>>>,
-    /// Until when boxes are cold.
+    /// Until when each cold box stays cold.
     pub(super) cold: Arc<ColdBoxes>,
-    /// Which availability zones operators have emptied.
+    /// The availability zones that operators have evacuated.
     pub(super) evacuations: EvacuationState,
     pub(super) departed: BTreeMap<BoxId, DepartedBox>,
     pub(super) domain_records: DomainRecords,
     pub(super) suspects: HeldSuspects,
     pub(super) silent_since: BTreeMap<BoxId, Millis>,
-    /// Lives of boxes that said in their answers that they leave, whatever their entries say.
+    /// Incarnations of boxes that announced in an answer that they are leaving, whatever their
+    /// entries say.
     pub(super) leaving: LeavingLives<BoxId>,
-    /// Members of replicas whose entries went, and that nobody asked since whether they are there.
+    /// Replica members whose entries are gone and that have not been probed since.
     pub(super) unverified: Vec<SiteBox>,
-    /// Replicas whose leaders left them, with the last epoch of the record that they were ordered
-    /// to by.
+    /// Replicas whose leaders left them, by name and epoch, with the last epoch of the domain
+    /// record that the order to leave followed from.
     ended_replicas: BTreeMap<(String, Epoch), Epoch>,
-    /// The epochs that boxes said they left, with the last epoch of the record that they were
-    /// ordered to by.
+    /// The epochs that boxes confirmed they left, with the last epoch of the domain record that the
+    /// order to leave followed from.
     pub(super) left_epochs: BTreeMap<(BoxId, Epoch), Epoch>,
     has_listing: bool,
     pub(super) store_outage: StoreOutage,
     pub(super) store_restore: StoreRestore,
-    /// When a box last came that was not known.
+    /// When a box that was not known before last appeared.
     pub(super) last_new_box_at: Millis,
-    /// Boxes that are kept though they are listed no more.
+    /// Boxes that are kept although the store no longer lists them.
     pub(super) unlisted: BTreeSet<BoxId>,
     /// The revision up to which the entries are known.
     revision: Revision,
-    /// Who tells what is being taken in.
+    /// Where the changes being applied came from.
     pub(super) source: ChangeSource,
     box_log: BoxLog,
-    /// What changed lately, for peers that read from this node.
+    /// The recent changes, for peers that read from this node.
     pub(super) change_log: ChangeLog,
 }
 
 impl SiteState {
-    /// Takes in a peer's copy of the configuration, whose revision is its version.
+    /// Applies a peer's copy of the configuration, whose revision is its version.
     ///
-    /// Only a later one counts, whoever brings it.
+    /// Only a later version than the one held is applied, whichever peer sends it.
     pub(crate) fn apply_config(&mut self, document: &Document) -> bool {
         if document.revision <= self.config_revision() {
             return false;
@@ -113,7 +115,8 @@
         }
     }
 
-    /// Puts a configuration in force, unless a later one is, and tells whether it did.
+    /// Activates a configuration unless the same or a later version is active. Returns whether it
+    /// was activated.
     pub(super) fn activate_config(&mut self, config: SiteConfig, document: Document) -> bool {
         let held = self.table.as_ref().map(|table| table.config().version);
         if held.is_some_and(|held| held >= config.version) {
@@ -123,7 +126,7 @@
             );
             return false;
         }
-        log::info!(version = config.version; "a configuration is in force");
+        log::info!(version = config.version; "configuration activated");
         self.table = Some(Arc::new(RouteTable::new(config)));
         self.change_log.record(document.clone());
         self.config = Some(document);
@@ -134,7 +137,7 @@
         self.refused.record(document, RefusedKind::Configuration, err);
     }
 
-    /// Takes in what changed in the store.
+    /// Applies changes read from the store.
     pub(crate) fn apply_changes(&mut self, changes: &Changes, now: Millis) {
         self.source = ChangeSource::Store;
         self.store_outage.answered(now);
@@ -150,7 +153,7 @@
         self.revision = self.revision.max(changes.revision);
     }
 
-    /// Takes in all boxes that are listed now.
+    /// Applies a complete list of boxes read from the store.
     pub(crate) fn apply_list(&mut self, list: &[Document], revision: Revision, now: Millis) {
         self.source = ChangeSource::Store;
         self.store_outage.answered(now);
@@ -160,15 +163,15 @@
         self.apply_records(list, revision, now);
     }
 
-    /// Takes in a peer's copy of all boxes, which says nothing of whether the store answers.
+    /// Applies a peer's snapshot of all boxes, which does not show whether the store answers.
     pub(crate) fn apply_snapshot(
         &mut self,
-        teller: ChangeSource,
+        source: ChangeSource,
         list: &[Document],
         revision: Revision,
         now: Millis,
     ) {
-        self.source = teller;
+        self.source = source;
         for name in self.missing_from(list) {
             self.remove_box(&name, revision, now);
         }
@@ -176,12 +179,12 @@
         self.apply_records(list, revision, now);
     }
 
-    /// Takes in what a peer that reads the store passes on.
+    /// Applies changes passed on by a peer that reads the store.
     ///
-    /// The peer has judged which boxes to keep after an outage of the store.
+    /// The peer has already decided which boxes to keep after a store outage.
     pub(crate) fn apply_peer_changes(
         &mut self,
-        teller: ChangeSource,
+        source: ChangeSource,
         news: &ChangeNews,
         batch: &ChangesSince,
         now: Millis,
@@ -189,9 +192,9 @@
         let steady_since = now - news.steady_for;
         self.store_outage.answered_peer(now - news.store_age, steady_since, now);
         if news.whole {
-            return self.apply_snapshot(teller, &batch.records, news.revision, now);
+            return self.apply_snapshot(source, &batch.records, news.revision, now);
         }
-        self.source = teller;
+        self.source = source;
         for record in &batch.records {
             self.apply_record(record, now);
         }
@@ -223,59 +226,67 @@
         }
     }
 
-    /// Writes down what became of a box by what is being taken in.
-    pub(super) fn log_box_transition(&mut self, turn: BoxTransition, id: &BoxId, now: Millis) {
-        self.box_log.log(turn, id, &self.source, self.revision, now);
+    /// Logs what the change being applied means for a box.
+    pub(super) fn log_box_transition(
+        &mut self,
+        transition: BoxTransition,
+        id: &BoxId,
+        now: Millis,
+    ) {
+        self.box_log.log(transition, id, &self.source, self.revision, now);
     }
 
-    /// Takes in the record of requests that end replicas, unless a later one is held.
-    pub(crate) fn apply_suspects(&mut self, copy: &Document) {
-        match self.suspects.update(copy, self.is_restored(copy)) {
-            Ok(true) => self.change_log.record(copy.clone()),
+    /// Applies the record of requests that crash replicas, unless a later one is held.
+    pub(crate) fn apply_suspects(&mut self, document: &Document) {
+        match self.suspects.update(document, self.is_restored(document)) {
+            Ok(true) => self.change_log.record(document.clone()),
             Ok(false) => {}
-            Err(err) => self.refused.record(copy, RefusedKind::Suspects, &err),
+            Err(err) => self.refused.record(document, RefusedKind::Suspects, &err),
         }
     }
 
-    /// Returns the record of requests that end replicas and its revision.
+    /// Returns the record of requests that crash replicas and its revision.
     pub(crate) fn suspects(&self) -> (Revision, Arc<SuspectRecord>) {
         self.suspects.get()
     }
 
-    /// Notes that the store does not answer, and tells whether that says anything of the store.
+    /// Records that a call to the store failed. Returns whether the failure counts against the
+    /// store rather than against a pause of this daemon.
     pub(crate) fn record_store_failure(&mut self, now: Millis) -> bool {
         self.store_outage.failed(now)
     }
 
-    /// Notes that the daemon is awake.
+    /// Records that the daemon is running.
     pub(crate) fn record_awake(&mut self, now: Millis) {
         self.store_outage.awake(now);
     }
 
-    /// Returns for how long the store was silent, where a peer is to be asked whether it was out.
+    /// Returns how long the store was silent if boxes are being kept because of an outage that no
+    /// peer has confirmed yet. The outage is returned once.
     pub(crate) fn take_unconfirmed_outage(&mut self) -> Option<Millis> {
         self.keeps_unlisted().then(|| self.store_outage.take_doubt()).flatten()
     }
 
-    /// Notes that the store answered others while it was silent here: what it lists no more is gone.
+    /// Records that the store kept answering other daemons while it was silent here, so that boxes
+    /// it does not list are gone.
     pub(crate) fn dismiss_outage(&mut self) {
         self.store_outage.was_none();
     }
 
-    /// Returns for how long the store has answered without a break.
+    /// Returns how long the store has answered without interruption.
     pub(crate) fn steady_for(&self, now: Millis) -> Millis {
         self.store_outage.steady_for(now)
     }
 
-    /// Takes in a domain's record, unless a later one is held.
-    pub(crate) fn apply_domain_record(&mut self, copy: &Document) {
-        match self.domain_records.apply(copy, self.is_restored(copy)) {
+    /// Applies a domain's record, unless a later one is held.
+    pub(crate) fn apply_domain_record(&mut self, document: &Document) {
+        match self.domain_records.apply(document, self.is_restored(document)) {
             Ok(true) => {
                 self.assigned.take();
-                self.change_log.record(copy.clone());
+                self.change_log.record(document.clone());
             }
             Ok(false) => {}
-            Err(err) => self.refused.record(copy, RefusedKind::DomainRecord, &err),
+            Err(err) => self.refused.record(document, RefusedKind::DomainRecord, &err),
         }
     }
 
@@ -284,7 +295,7 @@
         self.refused.take_counts()
     }
 
-    /// Notes that a box did not answer, or that it did.
+    /// Records whether a box answered.
     pub(crate) fn record_answer(&mut self, id: &BoxId, answered: bool, now: Millis) {
         if answered {
             self.silent_since.remove(id);
@@ -293,7 +304,7 @@
         }
     }
 
-    /// Takes in that a box said in an answer that it leaves, and tells whether that is new.
+    /// Records that a box announced in an answer that it is leaving. Returns whether that is new.
     pub(crate) fn mark_leaving(&mut self, id: &BoxId) -> bool {
         if !self.leaving.add(id) {
             return false;
@@ -301,42 +312,43 @@
         if let Some(listed) = Arc::make_mut(&mut self.boxes).get_mut(id) {
             Arc::make_mut(listed).leaving = true;
         }
-        if let Some(gone) = self.departed.get_mut(id) {
-            Arc::make_mut(&mut gone.site_box).leaving = true;
+        if let Some(departed) = self.departed.get_mut(id) {
+            Arc::make_mut(&mut departed.site_box).leaving = true;
         }
         true
     }
 
-    /// Returns the members of replicas whose entries went since the last call; whether they are
-    /// there has to be asked of them.
+    /// Returns the replica members whose entries went away since the last call. They have to be
+    /// probed to find out whether they are still running.
     pub(crate) fn take_unverified(&mut self) -> Vec<SiteBox> {
         std::mem::take(&mut self.unverified)
     }
 
-    /// Notes that a box followed an order to leave; what it tells of itself follows.
+    /// Records that a box followed an order to leave a replica, before its own entry says so.
     pub(crate) fn mark_left(&mut self, order: &MemberOrder) {
         let (id, replica, epoch) = (&order.target, &order.replica, order.epoch);
         if self.boxes.contains_key(id) {
             let as_of = self.left_epochs.entry((id.clone(), epoch)).or_default();
             *as_of = order.record_epoch.max(*as_of);
         }
-        let Some(known) = Arc::make_mut(&mut self.boxes).get_mut(id) else {
+        let Some(site_box) = Arc::make_mut(&mut self.boxes).get_mut(id) else {
             return;
         };
-        let known = Arc::make_mut(known);
-        match known.member.as_mut().filter(|member| &member.replica == replica) {
+        let site_box = Arc::make_mut(site_box);
+        match site_box.member.as_mut().filter(|member| &member.replica == replica) {
             Some(member) if member.epoch == epoch && member.rank == 0 => {
-                // It serves no more; that it led is needed until it tells of itself again.
+                // It no longer serves, but the fact that it led is needed until its next entry
+                // arrives.
                 member.state = MemberState::Ready;
                 let as_of = self.ended_replicas.entry((replica.clone(), epoch)).or_default();
                 *as_of = order.record_epoch.max(*as_of);
             }
-            Some(member) if member.epoch == epoch => known.member = None,
+            Some(member) if member.epoch == epoch => site_box.member = None,
             _ => {}
         }
     }
 
-    /// Forgets what is too old, and tells whether boxes are gone by that.
+    /// Removes expired state. Returns whether that changed what is known.
     pub(crate) fn remove_expired(&mut self, now: Millis) -> bool {
         let changes = self.change_count();
         if !self.store_outage.keeps(now) {
@@ -348,7 +360,7 @@
         if !self.cold.is_empty() {
             Arc::make_mut(&mut self.cold).remove_expired(now);
         }
-        self.departed.retain(|_, gone| now.since(gone.departed_at) < DEPARTED_RETENTION);
+        self.departed.retain(|_, departed| now.since(departed.departed_at) < DEPARTED_RETENTION);
         self.expire_ended_replicas();
         let boxes = &self.boxes;
         let life = |id: &BoxId| {
@@ -358,28 +370,29 @@
         self.change_count() != changes
     }
 
-    /// Forgets the end of replicas that no box tells of any more.
+    /// Removes ended replicas that no listed or departed box is a member of.
     fn expire_ended_replicas(&mut self) {
         if self.ended_replicas.is_empty() {
             return;
         }
-        let departed = self.departed.values().map(|gone| &gone.site_box);
-        let told = self.boxes.values().chain(departed).filter_map(|known| known.member.as_ref());
-        let told: BTreeSet<_> = told.map(|member| (&member.replica, member.epoch)).collect();
-        self.ended_replicas.retain(|(replica, epoch), _| told.contains(&(replica, *epoch)));
+        let departed = self.departed.values().map(|departed| &departed.site_box);
+        let members =
+            self.boxes.values().chain(departed).filter_map(|site_box| site_box.member.as_ref());
+        let members: BTreeSet<_> = members.map(|member| (&member.replica, member.epoch)).collect();
+        self.ended_replicas.retain(|(replica, epoch), _| members.contains(&(replica, *epoch)));
     }
 
-    /// Returns the replicas whose leaders serve no more.
+    /// Returns the replicas whose leaders no longer serve.
     pub(crate) fn ended_replicas(&self) -> &BTreeMap<(String, Epoch), Epoch> {
         &self.ended_replicas
     }
 
-    /// Returns the epochs that boxes said they left.
+    /// Returns the epochs that boxes confirmed they left.
     pub(crate) fn left_epochs(&self) -> &BTreeMap<(BoxId, Epoch), Epoch> {
         &self.left_epochs
     }
 
-    /// Returns the configuration in force.
+    /// Returns the route table of the active configuration.
     pub(crate) fn table(&self) -> Option<&Arc<RouteTable>> {
         self.table.as_ref()
     }
@@ -389,58 +402,59 @@
         self.revision
     }
 
-    /// Returns how many changes there have been.
+    /// Returns how many changes have been recorded.
     pub(crate) fn change_count(&self) -> u64 {
         self.change_log.count()
     }
 
-    /// Tells whether all changes after the first `count` are kept.
+    /// Returns whether all changes after the first `count` are still held.
     pub(crate) fn keeps_changes_since(&self, count: u64) -> bool {
         self.change_log.keeps_since(count)
     }
 
-    /// Returns what changed after the first `count` changes, where that is known.
+    /// Returns the changes after the first `count`, if they are still held.
     ///
-    /// The configuration travels by itself.
+    /// The configuration is left out, as it is sent separately.
     pub(crate) fn changes_since(&self, count: u64) -> Option<ChangesSince> {
         let mut since = self.change_log.since(count)?;
         since.records.retain(|record| &*record.key != Driver::CONFIG_KEY);
         Some(since)
     }
 
-    /// Returns the domains' records and all entries as they stand.
+    /// Returns everything but the configuration, as documents.
     pub(crate) fn snapshot(&self) -> Vec<Document> {
         let domains = self.domain_records.documents();
         let kept = domains.chain(self.entries.values()).chain(self.suspects.copy());
         kept.cloned().chain(self.evacuations.document()).collect()
     }
 
-    /// Tells whether boxes are kept that the store lists no more.
+    /// Returns whether any box is kept that the store no longer lists.
     pub(crate) fn keeps_unlisted(&self) -> bool {
         !self.unlisted.is_empty()
     }
 
-    /// Returns how many boxes are listed.
+    /// Returns the number of listed boxes.
     pub(crate) fn box_count(&self) -> usize {
         self.boxes.len()
     }
 
-    /// Tells whether the boxes were listed at least once.
+    /// Returns whether a complete list of boxes has been applied.
     pub(crate) fn is_listed(&self) -> bool {
         self.has_listing
     }
 
-    /// Returns the version of the configuration in force as a revision; none where there is none.
+    /// Returns the version of the active configuration as a revision, or none if there is no active
+    /// configuration.
     pub(crate) fn config_revision(&self) -> Revision {
         self.config.as_ref().map(|held| held.revision).unwrap_or_default()
     }
 
-    /// Returns the configuration in force as it was written.
+    /// Returns the active configuration as it was written.
     pub(crate) fn config(&self) -> Option<&Document> {
         self.config.as_ref()
     }
 
-    /// Returns the copies of what operators wrote that peers are to have.
+    /// Returns the documents written by operators that are passed on to peers.
     pub(crate) fn operator_documents(&self) -> Vec<Document> {
         let config = self.config.iter().map(|held| Document {
             key: Arc::from(keys::SITE_CONFIG),
@@ -450,7 +464,7 @@
         config.chain(self.evacuations.document()).collect()
     }
 
-    /// Returns what tells one state of all that operators wrote from another.
+    /// Returns revisions that change whenever any document written by operators changes.
     pub(crate) fn operator_revisions(&self) -> (Revision, Revision) {
         (self.config_revision(), self.evacuations.changed_at())
     }
@@ -461,8 +475,10 @@
         })
     }
 
-    /// Returns all of it as one value; `serve_unlisted` says whether members that are listed no more
-    /// may count as there, for which the assignments are needed.
+    /// Returns an immutable view of the state.
+    ///
+    /// With `serve_unlisted`, replica members that are no longer listed may count as present, for
+    /// which the view includes the assigned boxes.
     pub(crate) fn view(&self, nodes: usize, serve_unlisted: bool) -> SiteView {
         SiteView {
             table: self.table.clone(),
