--- a/crates/cherrystandd/src/keys.rs
+++ b/crates/cherrystandd/src/keys.rs
@@ -24,7 +24,7 @@
 pub(crate) const SITE_CONFIG: &str = "site/config";
 
 /// Names the copy of which availability zones operators have emptied.
-pub(crate) const EMPTIED_ZONES: &str = "site/emptied-zones";
+pub(crate) const EVACUATED_ZONES: &str = "site/emptied-zones";
 
 /// Below this stand the claims on calls.
 const CLAIMS: &str = "cherrystand/claims/";
--- a/crates/cherrystandd/src/site/box_log.rs
+++ b/crates/cherrystandd/src/site/box_log.rs
@@ -1,22 +1,22 @@
-//! Lines for boxes that come and go, by whose word they do.
+//! Log lines for boxes that are listed, delisted or leaving.
 
 use cherrystand_core::{BoxId, LogLimiter, Millis, Revision};
 
 use crate::site::change_source::ChangeSource;
 
-/// How many lines are written each second; a loss of many boxes needs no line for each.
+/// Lines logged per second at most. The loss of many boxes needs no line for each.
 const MAX_LINES_PER_S: u32 = 20;
 
-/// Says what became of a box in the list that a node keeps.
+/// How the state of a box changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum BoxTransition {
-    /// It is listed no more, and kept, as the store may only have lost its entry.
+    /// No longer listed, but kept, as the store may only have lost its entry.
     Kept,
-    /// It is listed no more, and taken out.
+    /// No longer listed, and removed.
     Removed,
-    /// It was taken out before and is listed again.
+    /// Listed again after it was removed.
     Relisted,
-    /// Its entry says that it leaves.
+    /// Its entry says that it is leaving.
     Leaving,
 }
 
@@ -31,7 +31,7 @@
     }
 }
 
-/// Writes these lines, a bounded number of them.
+/// Logs changes of boxes at a limited rate.
 #[derive(Debug)]
 pub(super) struct BoxLog(LogLimiter);
 
@@ -42,18 +42,18 @@
 }
 
 impl BoxLog {
-    /// Writes down what became of a box as of a revision of the store, and by whose word.
+    /// Logs how a box changed as of a revision of the store, and where the change came from.
     pub(super) fn log(
         &mut self,
-        turn: BoxTransition,
+        transition: BoxTransition,
         id: &BoxId,
-        teller: &ChangeSource,
+        source: &ChangeSource,
         as_of: Revision,
         now: Millis,
     ) {
         let Some(left_out) = self.0.admit(now) else { return };
         log::info!(
-            target_box = id.as_str(), turn = turn.as_str(), told_by = teller.to_string(),
+            target_box = id.as_str(), turn = transition.as_str(), told_by = source.to_string(),
             as_of = as_of.to_string(), left_out = left_out;
             "what is known of a box changed"
         );
--- a/crates/cherrystandd/src/site/change_source.rs
+++ b/crates/cherrystandd/src/site/change_source.rs
@@ -1,16 +1,16 @@
-//! Whose word it is that a node knows something by.
+//! Where a change to the site's state came from.
 
 use std::fmt;
 
 use cherrystand_core::NodeId;
 
-/// Says who told.
+/// The sender of a change.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) enum ChangeSource {
     /// The store itself.
     #[default]
     Store,
-    /// A daemon that reads it, or that reads from one that does.
+    /// A daemon that reads the store, or that reads from one that does.
     Peer(NodeId),
 }
 
--- a/crates/cherrystandd/src/site/control.rs
+++ b/crates/cherrystandd/src/site/control.rs
@@ -245,7 +245,7 @@
         for document in &view.passed_on {
             news |= match &*document.key {
                 keys::SITE_CONFIG => known.apply_config(document),
-                keys::EMPTIED_ZONES => known.apply_evacuation_document(document, now),
+                keys::EVACUATED_ZONES => known.apply_evacuation_document(document, now),
                 _ => false,
             };
         }
--- a/crates/cherrystandd/src/site/domain_records.rs
+++ b/crates/cherrystandd/src/site/domain_records.rs
@@ -1,4 +1,4 @@
-//! The domains' records as the store last told them.
+//! The domain records as last read from the store.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -7,57 +7,59 @@
     AssignedBoxes, BoxId, Document, DomainId, DomainRecord, Revision, replica_name,
 };
 
-/// A domain's record and the copy that peers get.
+/// A domain record and the document that is passed on to peers.
 #[derive(Clone, Debug)]
 struct HeldRecord {
     record: DomainRecord,
-    /// Its revision is the one at which the store holds the record, or an earlier one of it.
+    /// The record as a document, at the revision at which the store holds this record or an earlier
+    /// one.
     document: Document,
-    /// Whether the store lacks it, or holds an earlier one, since it came back from a copy.
+    /// Whether the store, since it was restored from a backup, holds no record or an earlier one.
     is_lost: bool,
 }
 
 impl HeldRecord {
-    /// Tells whether it is newer than a record of a later era, which a store that came back from a copy may have held
-    /// before that.
-    fn supersedes(&self, record: &DomainRecord, is_old: bool) -> bool {
-        let (held, told) = (self.record.last_epoch, record.last_epoch);
-        held > told || (held == told && is_old)
+    /// Returns whether the held record is newer than one of a later era. `is_restored` says that
+    /// the latter comes from the backup that the store was restored from.
+    fn supersedes(&self, record: &DomainRecord, is_restored: bool) -> bool {
+        let (held, received) = (self.record.last_epoch, record.last_epoch);
+        held > received || (held == received && is_restored)
     }
 }
 
-/// Keeps the latest record of each domain, and which boxes the records give to which replica.
+/// Holds the latest record of each domain, and which boxes the records assign to each replica.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct DomainRecords {
     held: BTreeMap<DomainId, HeldRecord>,
-    /// Shared with the published view; only what a new record changes is worked out anew.
+    /// Shared with the published view. Only the part that a new record changes is recomputed.
     assigned: Arc<AssignedBoxes>,
 }
 
 impl DomainRecords {
-    /// Takes in a record, unless a later one is held, and tells whether it did; `is_old` says that a store which came
-    /// back from a copy held it before that.
+    /// Applies a record, unless a later one is held. Returns whether it was applied.
+    ///
+    /// `is_restored` says that the record comes from the backup that the store was restored from.
     ///
     /// # Errors
     ///
-    /// Returns why it is malformed; the one held stays.
+    /// Returns an error if the record is malformed; the one held stays.
     pub(crate) fn apply(
         &mut self,
-        copy: &Document,
-        is_old: bool,
+        document: &Document,
+        is_restored: bool,
     ) -> Result<bool, serde_json::Error> {
-        let record: DomainRecord = serde_json::from_str(&copy.body)?;
+        let record: DomainRecord = serde_json::from_str(&document.body)?;
         let held = self.held.get(&record.domain);
-        if held.is_some_and(|held| held.document.revision >= copy.revision) {
+        if held.is_some_and(|held| held.document.revision >= document.revision) {
             return Ok(false);
         }
         if let Some(held) = self.held.get_mut(&record.domain)
-            && held.document.revision.era() < copy.revision.era()
-            && held.supersedes(&record, is_old)
+            && held.document.revision.era() < document.revision.era()
+            && held.supersedes(&record, is_restored)
         {
-            // Boxes follow the epochs of the record held, which are not given out again.
+            // Boxes follow the epochs of the held record, and epochs are never reused.
             held.is_lost = held.record != record;
-            held.document.revision = copy.revision;
+            held.document.revision = document.revision;
             return Ok(false);
         }
         let held = self.held.get(&record.domain);
@@ -68,19 +70,20 @@
         assigned.extend(replica_boxes(&record));
         self.held.insert(
             record.domain.clone(),
-            HeldRecord { record, document: copy.clone(), is_lost: false },
+            HeldRecord { record, document: document.clone(), is_lost: false },
         );
         Ok(true)
     }
 
-    /// Has records written again that the store no longer holds, by the copies that are held of them.
+    /// Marks the records that the store no longer holds as lost, so that they are written again
+    /// from the held documents.
     pub(crate) fn mark_lost(&mut self, is_missing: impl Fn(&Document) -> bool) {
         for held in self.held.values_mut().filter(|held| is_missing(&held.document)) {
             (held.document.revision, held.is_lost) = (Revision::NONE, true);
         }
     }
 
-    /// Tells whether a domain's record is to be written again as it is held.
+    /// Returns whether the held record of a domain has to be written to the store again.
     pub(crate) fn is_lost(&self, domain: &DomainId) -> bool {
         self.held.get(domain).is_some_and(|held| held.is_lost)
     }
@@ -90,7 +93,7 @@
         self.held.keys()
     }
 
-    /// Returns a domain's record and its revision; an empty one where there is none.
+    /// Returns a domain's record and its revision, or an empty record if there is none.
     pub(crate) fn get(&self, domain: &DomainId) -> (Revision, DomainRecord) {
         match self.held.get(domain) {
             Some(held) => (held.document.revision, held.record.clone()),
@@ -98,49 +101,50 @@
         }
     }
 
-    /// Returns the boxes that a domain's record gives to replicas.
+    /// Returns the boxes that a domain's record assigns to replicas.
     pub(crate) fn assigned_boxes(&self, domain: &DomainId) -> impl Iterator<Item = &BoxId> {
         let record = self.held.get(domain).map(|held| &held.record);
         record.into_iter().flat_map(|record| record.replicas.values()).flat_map(|held| &held.boxes)
     }
 
-    /// Returns the model that each domain is for, where its record names one.
+    /// Returns the home model of each domain whose record names one.
     pub(crate) fn home_models(&self) -> BTreeMap<DomainId, String> {
-        let named =
+        let homes =
             self.held.iter().filter_map(|(id, held)| Some((id.clone(), held.record.home.clone()?)));
-        named.collect()
+        homes.collect()
     }
 
-    /// Returns the model that each domain's hosts are to hold besides, where its record names one.
+    /// Returns the second model for the hosts of each domain whose record names one.
     pub(crate) fn second_models(&self) -> BTreeMap<DomainId, String> {
-        let named = self.held.iter();
-        named.filter_map(|(id, held)| Some((id.clone(), held.record.second.clone()?))).collect()
+        let seconds = self.held.iter();
+        seconds.filter_map(|(id, held)| Some((id.clone(), held.record.second.clone()?))).collect()
     }
 
-    /// Returns the boxes of each replica.
+    /// Returns the boxes assigned to each replica.
     pub(crate) fn assigned(&self) -> &Arc<AssignedBoxes> {
         &self.assigned
     }
 
-    /// Returns the boxes of each replica, those named otherwise that `as_listed` has another id for.
+    /// Returns the boxes assigned to each replica, each under the ID that `listed_id_for` returns
+    /// for it, if any.
     pub(crate) fn assigned_with_listed_ids(
         &self,
-        as_listed: impl Fn(&BoxId) -> Option<BoxId>,
+        listed_id_for: impl Fn(&BoxId) -> Option<BoxId>,
     ) -> Arc<AssignedBoxes> {
-        let is_listed_so = |id: &BoxId| as_listed(id).is_none();
-        if self.assigned.values().flatten().all(is_listed_so) {
+        let has_listed_id = |id: &BoxId| listed_id_for(id).is_none();
+        if self.assigned.values().flatten().all(has_listed_id) {
             return self.assigned.clone();
         }
         let mut assigned = self.assigned.clone();
         for id in Arc::make_mut(&mut assigned).values_mut().flatten() {
-            if let Some(listed) = as_listed(id) {
+            if let Some(listed) = listed_id_for(id) {
                 *id = listed;
             }
         }
         assigned
     }
 
-    /// Tells whether any record names a box.
+    /// Returns whether any record names a box.
     pub(crate) fn names_box(&self, id: &BoxId) -> bool {
         let mut records = self.held.values().map(|held| &held.record);
         records.any(|record| !record.is_free(id))
@@ -152,7 +156,7 @@
     }
 }
 
-/// Returns the boxes of each replica of one domain.
+/// Returns the boxes assigned to each replica of one domain.
 fn replica_boxes(record: &DomainRecord) -> AssignedBoxes {
     let replicas = record.replicas.iter();
     let named = replicas
--- a/crates/cherrystandd/src/site/peer_selector.rs
+++ b/crates/cherrystandd/src/site/peer_selector.rs
@@ -1,4 +1,4 @@
-//! Which peers this node reads from, and whom it asks now and then.
+//! Selects the peers that this node reads from, and those that it asks occasionally.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -11,10 +11,11 @@
 
 use crate::{DutyContext, clock};
 
-/// One copy of this many is asked of a peer anywhere, so that a zone that knows nothing learns.
+/// One in this many random peers is picked from all zones, so that a zone whose nodes know nothing
+/// new can catch up.
 const ANY_ZONE_ONE_IN: usize = 3;
 
-/// Chooses them from the newest view.
+/// Selects peers by the latest view of the nodes.
 pub(crate) struct PeerSelector {
     cx: DutyContext,
     source_chooser: RefCell<SourceChooser>,
@@ -27,19 +28,20 @@
         Self { cx, source_chooser: RefCell::default(), seed }
     }
 
-    /// Tells whether this node is a reader of its zone.
+    /// Returns whether this node is a reader of its zone.
     pub(crate) fn is_reader(&self) -> bool {
         self.with_alive(is_reader)
     }
 
-    /// Answers by this node's heartbeat and those of all that are alive.
-    fn with_alive<T>(&self, ask: impl FnOnce(&Heartbeat, &[&Heartbeat]) -> T) -> T {
+    /// Calls `f` with this node's heartbeat and the heartbeats of all nodes that are alive.
+    fn with_alive<T>(&self, f: impl FnOnce(&Heartbeat, &[&Heartbeat]) -> T) -> T {
         let view = self.cx.view_now();
         let alive: Vec<&Heartbeat> = view.alive().collect();
-        ask(&view.own, &alive)
+        f(&view.own, &alive)
     }
 
-    /// Returns where this node reads now: the peer's name and address, or nothing for the store.
+    /// Returns the name and address of the peer that this node reads from now, or `None` if it
+    /// reads the store.
     pub(crate) fn source(&self) -> Option<(NodeId, SocketAddr)> {
         if !self.cx.settings.policy.readers {
             return None;
@@ -53,18 +55,18 @@
         })
     }
 
-    /// Returns how long a reader of the store leaves between two watches.
+    /// Returns the pause between two watches of the store for a reader.
     pub(crate) fn watch_interval(&self) -> Duration {
         Duration::from_millis(self.with_alive(|_, alive| between_watches(alive)).0)
     }
 
-    /// Returns how long this node leaves between two questions to the peer that it reads from.
+    /// Returns the pause between two polls of the peer that this node reads from.
     pub(crate) fn poll_interval(&self) -> Duration {
-        let between = self.with_alive(between_questions_of);
-        Duration::from_millis(between.0)
+        let interval = self.with_alive(between_questions_of);
+        Duration::from_millis(interval.0)
     }
 
-    /// Notes that a peer failed as a source, or that it answered that it knows nothing fresh.
+    /// Records that a peer failed as a source, or, if it `answered`, that it has no fresh state.
     pub(crate) fn record_source_failure(&self, peer: &NodeId, answered: bool) {
         let mut sources = self.source_chooser.borrow_mut();
         match answered {
@@ -73,38 +75,38 @@
         }
     }
 
-    /// Returns any peer of this zone, or of another where there is none.
+    /// Returns a random peer of this zone, or of another zone if this one has no other node.
     pub(crate) fn nearby_peer(&self) -> Option<SocketAddr> {
         self.pick_peer(false).map(|(_, address)| address)
     }
 
-    /// Returns any peer, the near ones more often.
+    /// Returns a random peer, preferring this zone.
     pub(crate) fn random_peer(&self) -> Option<(NodeId, SocketAddr)> {
-        let far = self.random_below(ANY_ZONE_ONE_IN) == 0;
-        self.pick_peer(far)
+        let from_all_zones = self.random_below(ANY_ZONE_ONE_IN) == 0;
+        self.pick_peer(from_all_zones)
     }
 
-    /// Returns a time between half of a pause and one and a half, by chance.
+    /// Returns a random duration between 0.5 and 1.5 times a pause.
     pub(crate) fn jittered(&self, pause: Duration) -> Duration {
         pause / 2 + Duration::from_millis(self.random_below(pause.as_millis() as usize) as u64)
     }
 
-    fn pick_peer(&self, far: bool) -> Option<(NodeId, SocketAddr)> {
+    fn pick_peer(&self, from_all_zones: bool) -> Option<(NodeId, SocketAddr)> {
         let view = self.cx.view_now();
         let others = view.alive().filter(|beat| beat.node != view.own.node);
         let others: Vec<&Heartbeat> = others.filter(|beat| beat.changes.is_some()).collect();
-        let near = others.iter().copied().filter(|beat| beat.zone == view.own.zone);
-        let near: Vec<&Heartbeat> = near.collect();
-        let from = if far || near.is_empty() { others } else { near };
-        let drawn = from.get(self.random_below(from.len()))?;
-        Some((drawn.node.clone(), drawn.changes?))
+        let in_zone = others.iter().copied().filter(|beat| beat.zone == view.own.zone);
+        let in_zone: Vec<&Heartbeat> = in_zone.collect();
+        let candidates = if from_all_zones || in_zone.is_empty() { others } else { in_zone };
+        let picked = candidates.get(self.random_below(candidates.len()))?;
+        Some((picked.node.clone(), picked.changes?))
     }
 
     fn random_below(&self, bound: usize) -> usize {
         let mut seed = self.seed.get();
-        let drawn = seed.below(bound);
+        let picked = seed.below(bound);
         self.seed.set(seed);
-        drawn
+        picked
     }
 }
 
--- a/crates/cherrystandd/src/site/refused_values.rs
+++ b/crates/cherrystandd/src/site/refused_values.rs
@@ -1,4 +1,4 @@
-//! Values of the store that are not what they should be, counted and written down once.
+//! Counts and logs values from the store that cannot be used.
 
 use std::collections::BTreeMap;
 use std::fmt::Display;
@@ -6,35 +6,35 @@
 
 use cherrystand_core::{Document, Revision};
 
-/// How many keys are remembered whose values were written down; other writers may make any number.
+/// Keys whose refused values are remembered, so that each is logged once. Other writers may write
+/// any number of values.
 const MAX_REMEMBERED_KEYS: usize = 4_096;
 
-/// How many refused values are written down before the counts alone are kept, until the counts are
-/// taken.
+/// Refused values logged until the counts are next taken; further ones are only counted.
 const MAX_LOGGED_VALUES: u64 = 10;
 
-/// How much of a reason is written down, in characters; it may repeat the value.
+/// Characters logged of a reason, which may repeat the value.
 const MAX_REASON_CHARS: usize = 300;
 
-/// Says what a refused value should have been.
+/// What a refused value should have been.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum RefusedKind {
-    /// What a box tells of itself.
+    /// A box's entry.
     BoxEntry,
     /// The operators' configuration.
     Configuration,
-    /// The record of a domain.
+    /// A domain's record.
     DomainRecord,
-    /// The record of requests that end replicas.
+    /// The record of requests that crash replicas.
     Suspects,
-    /// Which availability zones operators have emptied, or a key that names none.
+    /// The evacuated availability zones, or a key that names no zone.
     EvacuatedZones,
     /// The store's era in one of its answers.
     Era,
 }
 
 impl RefusedKind {
-    /// Lists them all.
+    /// All kinds.
     pub(crate) const ALL: [Self; 6] = [
         Self::BoxEntry,
         Self::Configuration,
@@ -44,7 +44,7 @@
         Self::Era,
     ];
 
-    /// Returns the name that metrics and logs use.
+    /// Returns the name used in metrics and logs.
     pub(crate) fn as_str(self) -> &'static str {
         match self {
             Self::BoxEntry => "entry",
@@ -57,7 +57,7 @@
     }
 }
 
-/// Counts values that cannot be used, each once by its key and revision.
+/// Counts values that cannot be used, each once per key and revision.
 #[derive(Debug, Default)]
 pub(crate) struct RefusedValues {
     seen: BTreeMap<Arc<str>, Revision>,
@@ -66,8 +66,9 @@
 }
 
 impl RefusedValues {
-    /// Notes a value that cannot be used; what was in force before stays, but for entries of boxes,
-    /// which name none then.
+    /// Records a value that cannot be used.
+    ///
+    /// The value held before stays in force, except that a box whose entry is refused is removed.
     pub(crate) fn record(&mut self, value: &Document, kind: RefusedKind, reason: &dyn Display) {
         if self.seen.get(&value.key) == Some(&value.revision) {
             return;
--- a/crates/cherrystandd/src/site/site_state.rs
+++ b/crates/cherrystandd/src/site/site_state.rs
@@ -221,7 +221,7 @@
             self.apply_domain_record(record);
         } else if &*record.key == keys::SUSPECTS {
             self.apply_suspects(record);
-        } else if &*record.key == keys::EMPTIED_ZONES {
+        } else if &*record.key == keys::EVACUATED_ZONES {
             self.apply_evacuation_document(record, now);
         }
     }
