--- a/crates/cherrystandd/src/site/box_calls.rs
+++ b/crates/cherrystandd/src/site/box_calls.rs
@@ -64,7 +64,7 @@
     /// this is known only once the box's entry says so or is gone.
     pub(super) fn box_leaving(&self, id: &BoxId) {
         if self.state.borrow_mut().mark_leaving(id) {
-            log::info!(target_box = id.as_str(); "a box leaves, by its own answer");
+            log::info!(target_box = id.as_str(); "a box announced in an answer that it is leaving");
             self.publish_and_wake();
         }
     }
@@ -139,8 +139,8 @@
         let state = calls.state(now);
         let text = match verdict {
             SilenceVerdict::Silent => "a box is taken for silent",
-            SilenceVerdict::AskAgain => "a box did not answer; it is asked again",
-            SilenceVerdict::Undecided => "a box did not answer; nothing follows, as nobody did",
+            SilenceVerdict::AskAgain => "a box did not answer and is probed again",
+            SilenceVerdict::Undecided => "a box did not answer, but nor did any witness: undecided",
         };
         log::info!(
             target_box = id.as_str(), waited_ms = now.since(sent_at).0, open = state.open,
--- a/crates/cherrystandd/src/site/endpoint_call.rs
+++ b/crates/cherrystandd/src/site/endpoint_call.rs
@@ -169,7 +169,7 @@
     total: usize,
 ) -> Result<HeldShare, AttemptEnd> {
     if !held_bytes.may_fit(total) {
-        log::warn!(bytes = total as u64; "an answer is larger than all that may be held");
+        log::warn!(bytes = total as u64; "an answer exceeds the memory limit for buffered bodies");
         return Err(AttemptEnd::AnswerCut);
     }
     Ok(held_bytes.hold(more).await)
--- a/crates/cherrystandd/src/site/load_exchange.rs
+++ b/crates/cherrystandd/src/site/load_exchange.rs
@@ -160,7 +160,7 @@
     let socket = match UdpSocket::bind(address).await {
         Ok(socket) => Rc::new(socket),
         // The exchange only improves the choice of endpoints, so the daemon runs without it.
-        Err(err) => return log::error!("no loads are exchanged, {address} cannot be bound: {err}"),
+        Err(err) => return log::error!("load exchange is off, cannot bind {address}: {err}"),
     };
     let exchange = Exchange { cx, balancer, loads, crashes, socket };
     tokio::join!(exchange.receive_loop(), exchange.send_loop(), exchange.limit_loop());
@@ -190,7 +190,7 @@
                 }
                 Err(err) => {
                     self.cx.metrics.peer_failures.inc();
-                    log::debug!("a peer's news cannot be read: {err}");
+                    log::debug!("failed to decode a message from a peer: {err}");
                 }
             }
         }
@@ -393,13 +393,13 @@
     pub(super) async fn send(&self, news: &LoadNews, peers: &[SocketAddr]) {
         let bytes = match encode(news) {
             Ok(bytes) => bytes,
-            Err(err) => return log::error!("news for peers cannot be written: {err}"),
+            Err(err) => return log::error!("failed to encode a message for peers: {err}"),
         };
         for peer in peers {
             // A lost message is made up for by the next one.
             if let Err(err) = self.socket.send_to(&bytes, peer).await {
                 self.cx.metrics.peer_failures.inc();
-                log::debug!("no news could be sent to {peer}: {err}");
+                log::debug!("failed to send a message to {peer}: {err}");
             }
             self.count("out", news, bytes.len());
         }
--- a/crates/cherrystandd/src/site/signal_log.rs
+++ b/crates/cherrystandd/src/site/signal_log.rs
@@ -57,7 +57,7 @@
             ),
             None => log::info!(
                 target_box = id.as_str(), left_out = left_out;
-                "a replica names no limit of requests any more"
+                "a replica no longer names a rate limit"
             ),
         }
     }
@@ -68,7 +68,7 @@
         let Some(left_out) = self.admit() else { return };
         log::info!(
             target_box = id.as_str(), left_out = left_out;
-            "a replica names a limit of requests that is no number"
+            "a replica names a rate limit that is not a number"
         );
     }
 
--- a/crates/cherrystandd/src/site/suspect_writer.rs
+++ b/crates/cherrystandd/src/site/suspect_writer.rs
@@ -36,7 +36,7 @@
     let body = match serde_json::to_string(next) {
         Ok(body) => body,
         Err(err) => {
-            log::error!("no record of requests that end replicas is written: {err}");
+            log::error!("failed to encode the record of requests that crash replicas: {err}");
             return false;
         }
     };
@@ -49,7 +49,7 @@
         return true;
     }
     if let Err(err) = &swapped {
-        log::warn!("the record of requests that end replicas may not be written: {err}");
+        log::warn!("failed to write the record of requests that crash replicas: {err}");
     }
     match control.store.get(keys::SUSPECTS).await {
         Ok(Some(record)) => {
@@ -62,7 +62,7 @@
             swapped.is_ok()
         }
         Err(err) => {
-            log::warn!("the record of requests that end replicas could not be read: {err}");
+            log::warn!("failed to read the record of requests that crash replicas: {err}");
             false
         }
     }
