--- a/crates/cherrystand_core/src/config/model_group.rs
+++ b/crates/cherrystand_core/src/config/model_group.rs
@@ -1,10 +1,10 @@
-//! Serving groups of model replicas.
+//! Groups of model replicas.
 
 use serde::{Deserialize, Serialize};
 
 use crate::{Class, DomainId};
 
-/// States what a model group should be.
+/// The configuration of a model group.
 ///
 /// Source: brief, "The product"; docs/operators/settings.md.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -12,33 +12,33 @@
 pub struct ModelGroup {
     /// The group's name, unique within the workspace.
     pub name: String,
-    /// The model that callers ask for.
+    /// The model name in requests.
     pub model: String,
     /// The version of the weights.
     pub version: String,
-    /// Adapters to load beside the weights.
+    /// Adapters to load in addition to the weights.
     #[serde(default)]
     pub adapters: Vec<String>,
     /// The role of the engines, such as `serve`, `prefill` or `decode`.
     #[serde(default = "default_role")]
     pub role: String,
-    /// How many replicas to run.
+    /// The number of replicas.
     pub replicas: u32,
-    /// How many boxes one replica spans.
+    /// The number of boxes one replica spans.
     pub boxes_per_replica: u32,
-    /// The fabric domains that may hold replicas; empty for all of them.
+    /// The fabric domains that may hold replicas; all if empty.
     #[serde(default)]
     pub domains: Vec<DomainId>,
     /// The class of the group's requests.
     #[serde(default = "default_class")]
     pub class: Class,
-    /// How many replicas a rollout keeps serving; one fewer than `replicas` where it is left out.
+    /// How many replicas a rollout keeps in service. The default is one fewer than `replicas`.
     #[serde(default)]
     pub floor: Option<u32>,
-    /// The price of a second in which a replica cannot serve.
+    /// The price of a second in which a replica can't serve.
     #[serde(default = "default_weight")]
     pub downtime_weight: f64,
-    /// The price of a second in which a healthy box stands idle.
+    /// The price of a second in which a healthy box is idle.
     #[serde(default = "default_weight")]
     pub stranded_weight: f64,
 }
@@ -66,25 +66,25 @@
         }
     }
 
-    /// Returns how many replicas must stay ready while others are changed on purpose.
+    /// Returns how many replicas a planned change must leave in service.
     pub fn capacity_floor(&self) -> u32 {
         self.floor.unwrap_or(self.replicas.saturating_sub(1))
     }
 
-    /// Tells whether the group may use `domain`.
+    /// Returns whether the group may use `domain`.
     pub fn allows(&self, domain: &DomainId) -> bool {
         self.domains.is_empty() || self.domains.contains(domain)
     }
 }
 
-/// Says what an engine has to load.
+/// What an engine has to load.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadSpec {
     /// The model's name.
     pub model: String,
     /// The version of the weights.
     pub version: String,
-    /// Adapters to load beside the weights.
+    /// Adapters to load in addition to the weights.
     pub adapters: Vec<String>,
     /// The engine's role.
     pub role: String,
--- a/crates/cherrystand_core/src/config/service_group.rs
+++ b/crates/cherrystand_core/src/config/service_group.rs
@@ -1,4 +1,4 @@
-//! Serving groups of plain services.
+//! Groups of plain services.
 
 use std::net::SocketAddr;
 
@@ -6,34 +6,34 @@
 
 use crate::{Class, ZoneId};
 
-/// States where a plain service runs and how its calls are treated.
+/// The configuration of a plain service: its endpoints and how its requests are handled.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServiceGroup {
     /// The group's name, unique within the workspace.
     pub name: String,
-    /// Requests whose path starts with this go to the service.
+    /// The path prefix of requests to the service.
     pub path_prefix: String,
     /// The endpoints of the service.
     pub endpoints: Vec<ServiceEndpoint>,
     /// The class of the group's requests.
     #[serde(default = "default_class")]
     pub class: Class,
-    /// Methods whose calls must not be repeated.
+    /// HTTP methods whose requests must not be retried.
     #[serde(default)]
     pub not_repeatable: Vec<String>,
-    /// How many requests one endpoint takes at once at the most.
+    /// The maximum number of concurrent requests per endpoint.
     #[serde(default = "default_concurrency")]
     pub concurrency: u32,
 }
 
-/// Says where one endpoint of a service listens.
+/// One endpoint of a service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServiceEndpoint {
     /// The availability zone of the endpoint.
     pub zone: ZoneId,
-    /// Its address, by IP number.
+    /// Its IP address and port.
     pub address: SocketAddr,
 }
 
--- a/crates/cherrystand_core/src/config/settings_error.rs
+++ b/crates/cherrystand_core/src/config/settings_error.rs
@@ -1,21 +1,21 @@
-//! Faults in settings.
+//! Errors in settings.
 
 use std::fmt;
 
 use serde::de::DeserializeOwned;
 
-/// Says what kind of fault a setting has.
+/// The kind of an error in settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SettingsErrorKind {
     /// The text is not TOML, a key is unknown or missing, or a value has the wrong type.
     Malformed,
-    /// The value has the right type but cannot be.
+    /// The value has the right type but isn't valid.
     InvalidValue,
-    /// Two settings exclude one another.
+    /// Two settings contradict each other.
     Conflict,
 }
 
-/// Tells which setting is at fault, where it stands and what is allowed.
+/// An error in one setting, with its key, its line and the values allowed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub struct SettingsError {
     kind: SettingsErrorKind,
@@ -25,7 +25,7 @@
 }
 
 impl SettingsError {
-    /// Creates an error about the value of `key`, saying what is `allowed`.
+    /// Creates an error about the value of `key`, which should be one of `allowed`.
     pub fn new(
         kind: SettingsErrorKind,
         key: &str,
@@ -40,22 +40,22 @@
         }
     }
 
-    /// Returns the kind of fault.
+    /// Returns the kind of error.
     pub fn kind(&self) -> SettingsErrorKind {
         self.kind
     }
 
-    /// Returns the key at fault; empty where the text is not TOML at all.
+    /// Returns the key; empty if the text isn't valid TOML.
     pub fn key(&self) -> &str {
         &self.key
     }
 
-    /// Returns the line at fault, counted from 1, where it is known.
+    /// Returns the line, counted from 1, if known.
     pub fn line(&self) -> Option<usize> {
         self.line
     }
 
-    /// Finds the line on which the key stands with the value at fault.
+    /// Finds the line of the key with the invalid value.
     #[must_use]
     pub fn locate(mut self, text: &str) -> Self {
         let value = self.message.split('`').nth(1).unwrap_or_default();
@@ -79,11 +79,11 @@
     }
 }
 
-/// Reads settings from TOML.
+/// Parses settings from TOML.
 ///
 /// # Errors
 ///
-/// Returns a [`SettingsError`] with the key and line of the fault.
+/// Returns a [`SettingsError`] with the key and line.
 pub fn settings_from_toml<T: DeserializeOwned>(text: &str) -> Result<T, SettingsError> {
     toml::from_str(text).map_err(|err| from_toml_error(&err, text))
 }
@@ -104,7 +104,7 @@
     }
 }
 
-/// Returns the key that a message says is missing; it stands on no line.
+/// Returns the key that an error message reports as missing, since it has no line to be read from.
 fn missing_key(message: &str) -> Option<String> {
     let rest = message.strip_prefix("missing field `")?;
     rest.split('`').next().map(str::to_owned)
--- a/crates/cherrystand_core/src/config/workspace_config.rs
+++ b/crates/cherrystand_core/src/config/workspace_config.rs
@@ -4,12 +4,12 @@
 
 use crate::{GroupId, ModelGroup, ServiceGroup, SettingsError, SettingsErrorKind, WorkspaceId};
 
-/// The most boxes that one replica may span.
+/// The maximum number of boxes that one replica may span.
 ///
 /// Source: brief, "Our workloads".
 pub const MAX_BOXES_PER_REPLICA: u32 = 32;
 
-/// States all serving groups of one workspace.
+/// The groups of one workspace.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct WorkspaceConfig {
@@ -18,7 +18,7 @@
     /// The model groups.
     #[serde(default, rename = "model")]
     pub models: Vec<ModelGroup>,
-    /// The groups of plain services.
+    /// The service groups.
     #[serde(default, rename = "service")]
     pub services: Vec<ServiceGroup>,
 }
@@ -29,23 +29,23 @@
         Self { workspace, models: Vec::new(), services: Vec::new() }
     }
 
-    /// Reads and checks a configuration written in TOML.
+    /// Parses and checks a configuration in TOML.
     ///
     /// # Errors
     ///
-    /// Returns a [`SettingsError`] with the key and line for unknown keys, wrong types, values
-    /// that cannot be, and groups that clash.
+    /// Returns a [`SettingsError`] with the key and line for unknown keys, wrong types, invalid
+    /// values and conflicting groups.
     pub fn from_toml(text: &str) -> Result<Self, SettingsError> {
         let config: Self = crate::settings_from_toml(text)?;
         config.check().map_err(|err| err.locate(text))?;
         Ok(config)
     }
 
-    /// Checks what the types alone do not say.
+    /// Checks the constraints that the types don't express.
     ///
     /// # Errors
     ///
-    /// Returns the first fault found, with the key it concerns.
+    /// Returns the first error found, with its key.
     pub fn check(&self) -> Result<(), SettingsError> {
         check_name("workspace", self.workspace.as_str())?;
         let mut names: Vec<&str> = Vec::new();
@@ -62,12 +62,12 @@
         check_unique("model", self.models.iter().map(|group| group.model.as_str()))
     }
 
-    /// Returns the model group called `name`.
+    /// Returns the model group with a name.
     pub fn model(&self, name: &str) -> Option<&ModelGroup> {
         self.models.iter().find(|group| group.name == name)
     }
 
-    /// Returns the id of the group called `name`.
+    /// Returns the id of the group with a name.
     pub fn group_id(&self, name: &str) -> GroupId {
         GroupId::new(self.workspace.clone(), name)
     }
--- a/crates/cherrystand_core/src/control/controller.rs
+++ b/crates/cherrystand_core/src/control/controller.rs
@@ -1,10 +1,9 @@
 //! The controller of one fabric domain.
 //!
-//! Each step compares what the accepted configurations ask for, what the domain's record says
-//! and what is known of the boxes, and answers with at most one new record, to be written by
-//! compare-and-swap, and the orders that follow from the record as it is. Orders never follow
-//! from a record that has not been read back, so a lost answer or a lost race costs a step and
-//! nothing else.
+//! Each step compares the accepted configurations, the domain's record and what is known of the
+//! boxes. It returns at most one new record, to be written by compare-and-swap, and the orders that
+//! follow from the record as read. No order follows from a record that hasn't been read back, so a
+//! lost response or a lost race costs one step and nothing else.
 //!
 //! Source: docs/design/0002-replica-life.md.
 
@@ -21,57 +20,57 @@
     ReplicaId, choose_repair,
 };
 
-/// How long a draining replica is given for the news to reach every node that may still route to
-/// it; only then does an idle engine mean that no request can be on its way.
+/// How long a draining replica waits for its record to reach every node that may still route to it.
+/// Before that, an idle engine doesn't mean that no request is on its way.
 pub const DRAIN_GRACE: Millis = Millis(4_000);
 
-/// How many times its usual time a load may take before its box is given up on.
+/// How many times its expected duration a load may take before its boxes count as stalled.
 const LOAD_TIMEOUT_FACTOR: f64 = 5.0;
 
-/// The least time that a load is given.
+/// The minimum load timeout.
 const MIN_LOAD_TIMEOUT: Millis = Millis(30_000);
 
-/// For how long a box whose load did not end is left out.
+/// How long a box is excluded after its load stalled.
 const STALLED_BOX_EXCLUSION: Millis = Millis::from_secs(900);
 
-/// Holds what a step decides from.
+/// The input of a controller step.
 #[derive(Clone, Copy, Debug)]
 pub struct ControllerInput<'a> {
-    /// The record as it was last read.
+    /// The record as last read.
     pub record: &'a DomainRecord,
-    /// What the accepted configurations ask for in this domain.
+    /// The replicas that the accepted configurations place in this domain.
     pub desired: &'a [DesiredReplica],
     /// The listed boxes.
     pub fleet: &'a Fleet,
-    /// What is known of them.
+    /// The latest reports of the boxes.
     pub observations: &'a Observations,
-    /// The time now, on the clock of the observations.
+    /// The current time, on the clock of the observations.
     pub now: Millis,
-    /// The time now for people, in seconds since 1970.
+    /// The current wall-clock time, in seconds since 1970.
     pub unix_secs: u64,
 }
 
-/// Holds what a step decided.
+/// The result of a controller step.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ControllerStep {
-    /// The record to write, where it changes.
+    /// The record to write, if it changes.
     pub write: Option<DomainRecord>,
     /// The orders to send, which follow from the record as read.
     pub orders: Vec<Order>,
-    /// The rule that the record read, or the one made from it, breaks; nothing is written then.
+    /// The rule that the record, as read or as changed, violates. Nothing is written then.
     pub fault: Option<RecordFault>,
 }
 
 /// Decides for one fabric domain.
 ///
-/// It keeps nothing that safety needs: another controller, or this one after a restart, decides
-/// from the record and fresh observations, and waits some graces once more.
+/// Its state isn't needed for safety: another controller, or this one after a restart, decides from
+/// the record and new observations, and only waits out some grace periods again.
 #[derive(Clone, Debug)]
 pub struct Controller {
     policy: RepairPolicy,
-    /// Since when this controller has known each replica to be in its phase.
+    /// The phase of each replica, and since when this controller has known it.
     phases: BTreeMap<ReplicaId, (Epoch, Phase, Millis)>,
-    /// When each box was given up on, since its load did not end.
+    /// When the load of each box was found to be stalled.
     stalled: BTreeMap<BoxId, Millis>,
 }
 
@@ -119,7 +118,7 @@
         }
     }
 
-    /// Gives up on boxes whose loads have taken far longer than they should.
+    /// Excludes boxes whose loads have exceeded their timeout.
     fn track_stalled_loads(&mut self, input: &ControllerInput<'_>) {
         self.stalled.retain(|_, since| input.now.since(*since) < STALLED_BOX_EXCLUSION);
         for (replica, assignment) in &input.record.replicas {
@@ -131,7 +130,7 @@
         }
     }
 
-    /// Tells whether a replica has been loading for far longer than it should.
+    /// Returns whether a replica has been loading for longer than its timeout.
     fn is_load_overdue(&self, replica: &ReplicaId, now: Millis) -> bool {
         let timeout = Millis((self.policy.load_secs * LOAD_TIMEOUT_FACTOR * 1_000.0) as u64);
         let since = self.in_phase_since(replica, Phase::Loading, now);
@@ -169,7 +168,7 @@
         }
     }
 
-    /// Repairs broken replicas, the dearest first.
+    /// Repairs broken replicas, those with the highest downtime weight first.
     fn repair_broken(&self, change: &mut DomainChange<'_>) {
         let mut broken = change.broken_replicas();
         broken.sort_by(|a, b| b.downtime_weight.total_cmp(&a.downtime_weight));
--- a/crates/cherrystand_core/src/control/desired_replica.rs
+++ b/crates/cherrystand_core/src/control/desired_replica.rs
@@ -1,8 +1,8 @@
-//! What a domain should have.
+//! The desired state of a domain's replicas.
 
 use crate::{Assignment, BoxId, LoadSpec, ReplicaId};
 
-/// States what one replica in the domain should be.
+/// The desired state of one replica.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DesiredReplica {
     /// The replica.
@@ -11,23 +11,23 @@
     pub load: LoadSpec,
     /// How many boxes it spans.
     pub span: u32,
-    /// The boxes that the confirmed plan named.
+    /// The boxes named by the confirmed plan.
     pub planned: Vec<BoxId>,
     /// Whether the replica may go out of service now to load something else.
     pub may_reload: bool,
-    /// The price of a second in which it cannot serve.
+    /// The price of a second in which it can't serve.
     pub downtime_weight: f64,
-    /// The price of a second in which a healthy box stands idle.
+    /// The price of a second in which a healthy box is idle.
     pub stranded_weight: f64,
 }
 
 impl DesiredReplica {
-    /// Tells whether an assignment is of the size asked for.
+    /// Returns whether an assignment has the desired number of boxes.
     pub(crate) fn fits(&self, assignment: &Assignment) -> bool {
         assignment.boxes.len() == self.span as usize
     }
 
-    /// Tells whether an assignment is what is asked for.
+    /// Returns whether an assignment has the desired number of boxes and load.
     pub(crate) fn matches(&self, assignment: &Assignment) -> bool {
         self.fits(assignment) && self.load == assignment.load
     }
--- a/crates/cherrystand_core/src/control/domain_change.rs
+++ b/crates/cherrystand_core/src/control/domain_change.rs
@@ -1,4 +1,4 @@
-//! The next record of a domain, in the making.
+//! Builds the next record of a domain.
 
 use std::collections::BTreeSet;
 
@@ -7,42 +7,45 @@
     Explanation, Millis, Phase, Prices, RecordFault, RepairPolicy, ReplicaId, fresh_report,
 };
 
-/// The share of a domain's listed boxes that may be missing before repairs are held back.
+/// The share of a domain's listed boxes that may be missing before repairs are suspended.
 ///
-/// Beyond it the likelier cause is the observer's own connection or the list.
+/// With more boxes missing, the observer's own connection or the list is the more likely cause.
 pub const MAX_MISSING_SHARE: f64 = 0.5;
 
 /// Builds the next record from the one that was read.
 pub(crate) struct DomainChange<'a> {
-    /// What is decided from.
+    /// The input of the step.
     pub(crate) input: ControllerInput<'a>,
-    /// The record as it will be.
+    /// The record as changed so far.
     pub(crate) next: DomainRecord,
     changed: bool,
     stalled: BTreeSet<BoxId>,
 }
 
 impl<'a> DomainChange<'a> {
-    /// Begins with the record as it was read.
+    /// Starts from the record as read.
     pub(crate) fn new(input: ControllerInput<'a>, stalled: BTreeSet<BoxId>) -> Self {
         let next = input.record.clone();
         Self { input, next, changed: false, stalled }
     }
 
-    /// Returns the next record, if it differs from the one read.
+    /// Returns the next record if it differs from the one read.
     ///
-    /// A record that breaks a rule is never returned; the fault is.
+    /// # Errors
+    ///
+    /// Returns a [`RecordFault`] in place of a record that violates a rule.
     pub(crate) fn finish(self) -> Result<Option<DomainRecord>, RecordFault> {
         self.next.check()?;
         Ok(self.changed.then_some(self.next))
     }
 
-    /// Returns the replicas that the record has now.
+    /// Returns the replicas of the record as changed so far.
     pub(crate) fn replicas(&self) -> Vec<ReplicaId> {
         self.next.replicas.keys().cloned().collect()
     }
 
-    /// Frees boxes that answer that they are idle, so that no earlier order acts on them any more.
+    /// Frees released boxes that report to be idle, on which no earlier order takes effect any
+    /// more.
     pub(crate) fn free_released_boxes(&mut self) {
         let idle: Vec<BoxId> =
             self.next.releasing.keys().filter(|id| self.is_idle(id)).cloned().collect();
@@ -55,7 +58,7 @@
         report.is_some_and(|report| report.state == EngineState::Idle)
     }
 
-    /// Tells whether so many boxes are silent that nothing should be formed.
+    /// Returns whether so many boxes are silent that no replica should be formed or repaired.
     pub(crate) fn suspends_formation(&self) -> bool {
         let listed = self.input.fleet.of_domain(&self.next.domain);
         let (mut all, mut missing) = (0.0, 0.0);
@@ -68,13 +71,13 @@
         missing > all * MAX_MISSING_SHARE
     }
 
-    /// Returns those boxes that the list marks as leaving.
+    /// Returns the boxes that the list marks as leaving.
     pub(crate) fn leaving_boxes(&self, boxes: &[BoxId]) -> Vec<BoxId> {
         let leaving = |id: &&BoxId| self.input.fleet.get(id).is_some_and(|info| info.leaving);
         boxes.iter().filter(leaving).cloned().collect()
     }
 
-    /// Returns the boxes that cannot be members now: silent, stalled, or about to leave.
+    /// Returns the boxes that can't be members now: those that are silent, stalled or leaving.
     pub(crate) fn unusable_boxes(&self, boxes: &[BoxId]) -> Vec<BoxId> {
         let leaving = self.leaving_boxes(boxes);
         let silent =
@@ -85,9 +88,9 @@
         unusable.cloned().collect()
     }
 
-    /// Tells whether a box that passes for usable has yet to answer after the replica broke.
+    /// Returns whether a box that counts as usable hasn't reported since the replica broke.
     ///
-    /// Until then it may be the very one that is gone.
+    /// Until it does, it may be the one that failed.
     pub(crate) fn awaits_report(
         &self,
         boxes: &[BoxId],
@@ -101,7 +104,7 @@
         boxes.iter().any(|id| !unusable.contains(id) && !answered(id))
     }
 
-    /// Returns the boxes that a replica could be formed on now.
+    /// Returns the boxes on which a replica can be formed now.
     pub(crate) fn free_boxes(&self) -> Vec<BoxId> {
         let listed = self.input.fleet.of_domain(&self.next.domain);
         let usable = listed
@@ -111,14 +114,14 @@
         usable.map(|info| info.id.clone()).collect()
     }
 
-    /// Returns for how long the longest missing of some boxes has been silent.
+    /// Returns for how long the box that has been silent longest is missing.
     pub(crate) fn longest_missing_secs(&self, boxes: &[BoxId]) -> f64 {
         let ages = boxes.iter().filter_map(|id| self.input.observations.get(id));
         let longest = ages.map(|observation| self.input.now.since(observation.last_heard)).max();
         longest.unwrap_or_default().as_secs_f64()
     }
 
-    /// Counts the boxes of an assignment that do not have their weights yet.
+    /// Counts the boxes of an assignment that haven't loaded their weights yet.
     fn loads_needed(&self, assignment: &Assignment) -> usize {
         let lacks = |id: &&BoxId| {
             let report = fresh_report(self.input.observations, id, self.input.now);
@@ -133,12 +136,12 @@
         assignments.map(|assignment| self.loads_needed(assignment)).sum()
     }
 
-    /// Counts the boxes that have to load before any other can.
+    /// Counts the loads that are running or waiting for their turn.
     pub(crate) fn loads_queued(&self) -> usize {
         self.loads_in(Phase::Reserved) + self.loads_in(Phase::Loading)
     }
 
-    /// Returns what the broken replicas should be.
+    /// Returns the desired state of the broken replicas.
     pub(crate) fn broken_replicas(&self) -> Vec<DesiredReplica> {
         let is_broken = |desired: &&DesiredReplica| {
             let assignment = self.next.replicas.get(&desired.replica);
@@ -157,7 +160,7 @@
         self.record_decision(replica, epoch, Some(phase), evidence, None);
     }
 
-    /// Takes a replica out of the record and releases its boxes.
+    /// Removes a replica from the record and releases its boxes.
     pub(crate) fn remove(&mut self, replica: &ReplicaId, evidence: Evidence) {
         let Some(assignment) = self.next.replicas.remove(replica) else {
             return;
@@ -173,7 +176,7 @@
         }
     }
 
-    /// Gives a replica its boxes under a new epoch and releases those it no longer has.
+    /// Assigns boxes to a replica under a new epoch and releases those it no longer has.
     pub(crate) fn assign(
         &mut self,
         desired: &DesiredReplica,
@@ -196,7 +199,7 @@
         self.record_decision(&desired.replica, epoch, Some(Phase::Reserved), evidence, prices);
     }
 
-    /// Puts spares in the places of lost members.
+    /// Replaces lost members by spares.
     pub(crate) fn swap(
         &mut self,
         desired: &DesiredReplica,
@@ -217,8 +220,8 @@
         self.assign(desired, boxes, Evidence::Swapped { lost, spares }, Some(prices));
     }
 
-    /// Frees the healthy boxes of one broken replica when they can mend another one and neither
-    /// is likely to get its own boxes back soon.
+    /// Frees the healthy boxes of one broken replica if they suffice to repair another one whose
+    /// missing boxes are unlikely to restart.
     pub(crate) fn dissolve_for_another(
         &mut self,
         broken: &[DesiredReplica],
@@ -253,14 +256,14 @@
         assignment.map(|assignment| self.unusable_boxes(&assignment.boxes)).unwrap_or_default()
     }
 
-    /// Tells whether no healthy box is on its way to be free, which would make giving up a
-    /// replica premature.
+    /// Returns whether no healthy box is about to be released. If one is, dissolving a replica
+    /// would be premature.
     fn has_no_pending_release(&self) -> bool {
         let mut releasing = self.next.releasing.keys();
         releasing.all(|id| fresh_report(self.input.observations, id, self.input.now).is_none())
     }
 
-    /// Forms the replicas that are asked for and not in the record.
+    /// Forms the desired replicas that the record lacks.
     pub(crate) fn form_missing_replicas(&mut self) {
         for desired in self.input.desired {
             if self.next.replicas.contains_key(&desired.replica) {
@@ -273,7 +276,7 @@
         }
     }
 
-    /// Lets reserved replicas load as far as turns allow.
+    /// Starts the loads of reserved replicas, up to `loads_at_once` boxes at a time.
     pub(crate) fn start_loads(&mut self, loads_at_once: u32) {
         let mut running = self.loads_in(Phase::Loading);
         for replica in self.replicas() {
@@ -309,7 +312,7 @@
     }
 }
 
-/// Picks the planned boxes where they are free, and others for the rest.
+/// Picks the planned boxes that are free, and others for the rest.
 fn pick_boxes(desired: &DesiredReplica, free: &[BoxId]) -> Option<Vec<BoxId>> {
     let span = desired.span as usize;
     if free.len() < span {
--- a/crates/cherrystand_core/src/control/domain_record.rs
+++ b/crates/cherrystand_core/src/control/domain_record.rs
@@ -6,12 +6,12 @@
 
 use crate::{BoxId, DomainId, Epoch, Explanation, LoadSpec, RecentWrites, ReplicaId};
 
-/// How many decisions the record remembers with their reasons.
+/// The number of decisions the record keeps with their reasons.
 pub const MAX_EXPLANATIONS: usize = 64;
 
-/// Holds every assignment of one domain's boxes.
+/// Every assignment of one domain's boxes.
 ///
-/// Every change is one compare-and-swap on the whole record, so no box can belong to two replicas
+/// Each change is one compare-and-swap of the whole record, so no box can belong to two replicas,
 /// whoever writes and however late.
 ///
 /// Source: docs/design/0001-records.md.
@@ -19,55 +19,56 @@
 pub struct DomainRecord {
     /// The domain.
     pub domain: DomainId,
-    /// The last epoch given out.
+    /// The last epoch issued.
     pub last_epoch: Epoch,
-    /// The model that the domain is for; nothing where it is for all of them, or none was chosen
+    /// The model that the domain serves; `None` if it serves all models or none has been chosen
     /// yet.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub home: Option<String>,
-    /// The model that its hosts are to hold besides, so that it can change hands.
+    /// A second model whose weights its hosts are to keep, so that the domain can switch to it
+    /// quickly.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub second: Option<String>,
     /// The replicas formed in the domain.
     pub replicas: BTreeMap<ReplicaId, Assignment>,
-    /// Boxes given up, with the epoch that they may still act on.
+    /// Boxes that are being released, with the last epoch they may still act on.
     pub releasing: BTreeMap<BoxId, Epoch>,
-    /// The places that boxes were taken out of and may have come to since they last told of
-    /// themselves, oldest first; by the boxes' names, since an order that was sent to one life of a box
-    /// may be carried out by the next.
+    /// Assignments that boxes were removed from and may have joined since their last report, oldest
+    /// first. Keyed by the name of the box, because an order sent to one incarnation may be carried
+    /// out by the next.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
     pub former: BTreeMap<BoxId, Vec<FormerAssignment>>,
     /// The last decisions, oldest first.
     pub explanations: Vec<Explanation>,
-    /// The identities of the last writes.
+    /// The ids of the last writes.
     pub writes: RecentWrites,
 }
 
-/// Assigns boxes to one replica.
+/// The boxes of one replica.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Assignment {
     /// The epoch of the assignment, which fences orders and requests.
     pub epoch: Epoch,
-    /// The boxes in rank order; rank 0 takes the requests.
+    /// The boxes by rank; rank 0 receives the requests.
     pub boxes: Vec<BoxId>,
     /// What the engines load.
     pub load: LoadSpec,
-    /// How far the replica is.
+    /// The phase of the replica.
     pub phase: Phase,
 }
 
-/// Says where a box was assigned before.
+/// An assignment that a box was removed from.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FormerAssignment {
     /// The replica.
     pub replica: ReplicaId,
     /// The epoch of that assignment.
     pub epoch: Epoch,
-    /// The last epoch given out when the box was taken out of it.
+    /// The last epoch issued when the box was removed.
     pub closed_at: Epoch,
 }
 
-/// Says how far a replica is in its life.
+/// The phase of a replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Phase {
@@ -77,14 +78,14 @@
     Loading,
     /// It serves while every member acknowledges its epoch.
     Ready,
-    /// It takes no new requests and finishes those it has.
+    /// It accepts no new requests and finishes those in flight.
     Draining,
     /// A member is missing; it must not serve.
     Broken,
 }
 
 impl Phase {
-    /// Returns the name that tables and metrics use.
+    /// Returns the name used in tables and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             Phase::Reserved => "reserved",
@@ -96,7 +97,7 @@
     }
 }
 
-/// Tells what makes a record one that must never be written.
+/// A rule that a record violates; such a record must never be written.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RecordFault {
     /// A box belongs to two replicas.
@@ -105,13 +106,13 @@
     /// A box is assigned while it is still being released.
     #[error("box `{0}` is assigned while an earlier epoch may still act on it")]
     BoxReleasing(BoxId),
-    /// An epoch is above the last one given out, or given out twice.
+    /// An epoch was never issued, or was issued twice.
     #[error("epoch {0} was not given out once")]
     InvalidEpoch(Epoch),
 }
 
 impl DomainRecord {
-    /// Creates the record of a domain that has no replicas.
+    /// Creates the record of a domain without replicas.
     pub fn empty(domain: DomainId) -> Self {
         Self {
             domain,
@@ -126,7 +127,7 @@
         }
     }
 
-    /// Checks what every written record must satisfy.
+    /// Checks the rules that every written record must satisfy.
     ///
     /// # Errors
     ///
@@ -150,7 +151,7 @@
         Ok(())
     }
 
-    /// Returns the record with boxes named otherwise that `other` has another id for.
+    /// Returns the record with each box replaced by the id that `other` maps it to, if any.
     pub fn with_boxes_renamed(mut self, other: impl Fn(&BoxId) -> Option<BoxId>) -> Self {
         let named = |id: &BoxId| other(id).unwrap_or_else(|| id.clone());
         let assigned = self.replicas.values_mut().flat_map(|assignment| &mut assignment.boxes);
@@ -160,24 +161,25 @@
         self
     }
 
-    /// Returns the places that a box, in whichever life, was taken out of and may have come to.
+    /// Returns the assignments that a box, in any incarnation, was removed from and may have
+    /// joined.
     pub fn former_assignments(&self, id: &BoxId) -> impl Iterator<Item = &FormerAssignment> {
         self.former.get(id.name()).into_iter().flatten()
     }
 
-    /// Gives out the next epoch.
+    /// Issues the next epoch.
     pub fn take_epoch(&mut self) -> Epoch {
         self.last_epoch = self.last_epoch.next();
         self.last_epoch
     }
 
-    /// Tells whether a box is neither assigned nor being released.
+    /// Returns whether a box is neither assigned nor being released.
     pub fn is_free(&self, id: &BoxId) -> bool {
         let assigned = self.replicas.values().any(|assignment| assignment.boxes.contains(id));
         !assigned && !self.releasing.contains_key(id)
     }
 
-    /// Adds a decision, forgetting the oldest beyond [`MAX_EXPLANATIONS`].
+    /// Adds a decision and drops the oldest beyond [`MAX_EXPLANATIONS`].
     pub fn explain(&mut self, explanation: Explanation) {
         self.explanations.push(explanation);
         let excess = self.explanations.len().saturating_sub(MAX_EXPLANATIONS);
--- a/crates/cherrystand_core/src/control/explanation.rs
+++ b/crates/cherrystand_core/src/control/explanation.rs
@@ -1,4 +1,4 @@
-//! Reasons kept with each decision about a replica.
+//! The reasons recorded with each decision about a replica.
 
 use std::fmt;
 
@@ -6,24 +6,24 @@
 
 use crate::{BoxId, Epoch, Phase, Prices, ReplicaId};
 
-/// Says why a replica's assignment changed.
+/// Why a replica's assignment changed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Explanation {
-    /// When, in seconds since 1970 by the deciding daemon's clock.
+    /// When, in seconds since 1970 by the clock of the deciding daemon.
     pub at_unix_secs: u64,
     /// The replica.
     pub replica: ReplicaId,
     /// The epoch after the decision.
     pub epoch: Epoch,
-    /// The phase after the decision; nothing once the replica is gone.
+    /// The phase after the decision; `None` if the replica was removed.
     pub phase: Option<Phase>,
-    /// What was seen.
+    /// What the decision is based on.
     pub evidence: Evidence,
-    /// What the weighed repairs would have cost, where there was a choice.
+    /// The expected price of each repair considered, if there was a choice.
     pub prices: Option<Prices>,
 }
 
-/// Says what a decision rests on.
+/// What a decision is based on.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", tag = "seen")]
 pub enum Evidence {
@@ -54,7 +54,7 @@
         /// Those members.
         boxes: Vec<BoxId>,
     },
-    /// Every member is there again.
+    /// Every member is back.
     MembersReturned,
     /// The engine finished its last request.
     Drained,
@@ -62,14 +62,14 @@
     Swapped {
         /// The members replaced.
         lost: Vec<BoxId>,
-        /// Their replacements.
+        /// The spares that replaced them.
         spares: Vec<BoxId>,
     },
     /// The replica was formed anew on other boxes.
     Reformed,
-    /// The replica gave its boxes to another broken one.
+    /// The replica gave up its boxes to repair another one.
     Dissolved {
-        /// The replica that can be mended with them.
+        /// The replica that is repaired with them.
         beneficiary: ReplicaId,
     },
 }
--- a/crates/cherrystand_core/src/control/fleet.rs
+++ b/crates/cherrystand_core/src/control/fleet.rs
@@ -7,24 +7,24 @@
 
 use crate::{BoxId, DomainId, ZoneId};
 
-/// Describes one box as the platform's lagging list does.
+/// A box as the platform's list describes it; the list lags behind.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BoxInfo {
     /// The box's name.
     pub id: BoxId,
-    /// The fabric domain that the box belongs to for good.
+    /// The fabric domain of the box, which never changes.
     pub domain: DomainId,
     /// The availability zone of the domain.
     pub zone: ZoneId,
-    /// Where its engine listens, by IP number.
+    /// The address of its engine, as an IP address and port.
     pub address: SocketAddr,
-    /// How many accelerators it carries.
+    /// The number of its accelerators.
     #[serde(default = "one")]
     pub accelerators: u32,
     /// Whether the platform has announced that the box will leave.
     #[serde(default)]
     pub leaving: bool,
-    /// Whether the box's engine refuses orders with an old epoch.
+    /// Whether the box's engine refuses orders with an outdated epoch.
     #[serde(default = "yes")]
     pub checks_orders: bool,
 }
@@ -37,14 +37,14 @@
     true
 }
 
-/// Holds the listed boxes, by name.
+/// The listed boxes by name.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Fleet {
     boxes: BTreeMap<BoxId, BoxInfo>,
 }
 
 impl Fleet {
-    /// Creates a fleet from a list; of two entries with one name the first one counts.
+    /// Creates a fleet from a list. Of entries with the same name, the first one counts.
     pub fn new(list: impl IntoIterator<Item = BoxInfo>) -> Self {
         let mut boxes = BTreeMap::new();
         for info in list {
@@ -58,12 +58,12 @@
         self.boxes.get(id)
     }
 
-    /// Returns all boxes in the order of their names.
+    /// Returns all boxes, ordered by name.
     pub fn iter(&self) -> impl Iterator<Item = &BoxInfo> {
         self.boxes.values()
     }
 
-    /// Returns the boxes of one domain in the order of their names.
+    /// Returns the boxes of one domain, ordered by name.
     pub fn of_domain<'a>(&'a self, domain: &'a DomainId) -> impl Iterator<Item = &'a BoxInfo> {
         self.iter().filter(move |info| &info.domain == domain)
     }
--- a/crates/cherrystand_core/src/control/formed_replicas.rs
+++ b/crates/cherrystand_core/src/control/formed_replicas.rs
@@ -4,9 +4,9 @@
 
 use crate::{Assignment, BoxId, DomainId, DomainRecord, Phase, ReplicaId};
 
-/// Holds the assignments of all domains by replica.
+/// The assignments of all domains by replica.
 ///
-/// A replica that moves is formed in two domains for a while.
+/// While a replica moves, it is formed in two domains.
 #[derive(Clone, Debug, Default)]
 pub struct FormedReplicas {
     replicas: BTreeMap<ReplicaId, Vec<(DomainId, Assignment)>>,
@@ -25,7 +25,7 @@
         formed
     }
 
-    /// Returns the assignments of a replica that are ready, with their domains.
+    /// Returns the ready assignments of a replica, with their domains.
     pub fn ready<'a>(
         &'a self,
         replica: &ReplicaId,
@@ -35,7 +35,7 @@
         ready.map(|(domain, assignment)| (domain, assignment))
     }
 
-    /// Returns every assignment that is ready.
+    /// Returns every ready assignment.
     pub fn all_ready(&self) -> impl Iterator<Item = (&DomainId, &ReplicaId, &Assignment)> {
         let all = self.replicas.keys();
         all.flat_map(|replica| {
@@ -49,7 +49,7 @@
         self.replicas.iter().filter(move |(_, list)| has(list)).map(|(replica, _)| replica)
     }
 
-    /// Returns the boxes that each replica holds, in all domains.
+    /// Returns the boxes assigned to each replica, in all domains.
     pub fn boxes(&self) -> BTreeMap<ReplicaId, Vec<BoxId>> {
         let boxes = |list: &[(DomainId, Assignment)]| {
             list.iter().flat_map(|(_, assignment)| assignment.boxes.clone()).collect()
@@ -57,7 +57,7 @@
         self.replicas.iter().map(|(replica, list)| (replica.clone(), boxes(list))).collect()
     }
 
-    /// Returns the replica that holds a box.
+    /// Returns the replica to which a box is assigned.
     pub fn replica_with_box(&self, id: &BoxId) -> Option<&ReplicaId> {
         let holds = |list: &[(DomainId, Assignment)]| {
             list.iter().any(|(_, assignment)| assignment.boxes.contains(id))
--- a/crates/cherrystand_core/src/control/lifecycle.rs
+++ b/crates/cherrystand_core/src/control/lifecycle.rs
@@ -1,21 +1,21 @@
-//! What the members of a replica make of its phase.
+//! Phase transitions of a replica, by what its members report.
 
 use crate::control::domain_change::DomainChange;
 use crate::{Assignment, DesiredReplica, Evidence, MemberSummary, Millis, Phase, ReplicaId};
 
-/// One replica whose context it is in a step.
+/// One replica in a controller step.
 pub(crate) struct ReplicaContext<'a> {
     /// The replica.
     pub(crate) replica: &'a ReplicaId,
     /// Its assignment.
     pub(crate) assignment: &'a Assignment,
-    /// What its members answered.
+    /// What its members report.
     pub(crate) members: MemberSummary,
-    /// What it should be, if it is asked for.
+    /// Its desired state, if the configuration asks for it.
     pub(crate) desired: Option<&'a DesiredReplica>,
 }
 
-/// Puts a replica into service once every member acknowledged its epoch.
+/// Puts a replica into service once every member has acknowledged its epoch.
 pub(crate) fn advance_loading(
     change: &mut DomainChange<'_>,
     context: ReplicaContext<'_>,
@@ -41,7 +41,7 @@
     }
 }
 
-/// Takes a replica out of service when members are lost, will leave, or have to load anew.
+/// Takes a replica out of service if members are lost, are leaving or have to load something else.
 pub(crate) fn advance_ready(change: &mut DomainChange<'_>, context: ReplicaContext<'_>) {
     if let Some(evidence) = context.members.failure_evidence() {
         return change.set_phase(context.replica, Phase::Broken, evidence);
@@ -58,7 +58,7 @@
     change.set_phase(context.replica, Phase::Draining, evidence);
 }
 
-/// Ends the draining of a replica once nothing can be on its way to it and it is idle.
+/// Ends the draining of a replica once it is idle and no request can be on its way to it.
 pub(crate) fn advance_draining(
     change: &mut DomainChange<'_>,
     context: ReplicaContext<'_>,
@@ -76,7 +76,7 @@
     }
 }
 
-/// Puts a replica back into service that was whole all the while, as after a false alarm.
+/// Puts a replica back into service that was complete all the time, as after a false alarm.
 pub(crate) fn advance_broken(
     change: &mut DomainChange<'_>,
     context: ReplicaContext<'_>,
--- a/crates/cherrystand_core/src/control/observation.rs
+++ b/crates/cherrystand_core/src/control/observation.rs
@@ -1,4 +1,4 @@
-//! What is known of each box right now.
+//! The latest reports of the boxes.
 
 use std::collections::BTreeMap;
 
@@ -6,74 +6,74 @@
 
 use crate::{Assignment, BoxId, Epoch, Evidence, LoadSpec, Millis, Phase};
 
-/// After this long without an answer a box counts as missing.
+/// A box that hasn't answered for this long counts as missing.
 ///
-/// It bounds how long a replica can be taken for whole after a member is gone.
-/// Source: docs/design/0002-replica-life.md.
+/// It bounds how long a replica can be taken to be complete after it lost a member. Source:
+/// docs/design/0002-replica-life.md.
 pub const MISSING_AFTER: Millis = Millis(2_500);
 
-/// Says what an engine reports about itself.
+/// An engine's report about itself.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineReport {
     /// The epoch that the engine acts on; 0 while it is idle.
     pub epoch: Epoch,
-    /// How far it is with it.
+    /// Its state within the epoch.
     pub state: EngineState,
     /// What it has loaded, if anything.
     pub loaded: Option<LoadSpec>,
     /// Requests in flight, as of a moment ago.
     pub in_flight: u32,
-    /// Requests waiting inside the engine, as of a moment ago.
+    /// Requests queued in the engine, as of a moment ago.
     pub waiting: u32,
 }
 
-/// Says how far an engine is with its epoch.
+/// The state of an engine within its epoch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum EngineState {
-    /// It has no epoch to act on.
+    /// It has no epoch.
     Idle,
-    /// It loads weights.
+    /// It is loading weights.
     Loading,
-    /// It serves, or helps its leader to.
+    /// It serves requests, or its share of the leader's.
     Ready,
-    /// It finishes what it has and refuses new requests.
+    /// It finishes its requests and refuses new ones.
     Draining,
     /// Its replica has come apart.
     Broken,
 }
 
-/// Holds the newest report of a box and when it came.
+/// The latest report of a box and when it arrived.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Observation {
     /// When the box last answered, or when the observer started to ask.
     pub last_heard: Millis,
-    /// What it answered; nothing if it never did.
+    /// Its last report; `None` if it never answered.
     pub report: Option<EngineReport>,
 }
 
-/// Holds what is known of the boxes of a domain.
+/// The observations of a domain's boxes.
 pub type Observations = BTreeMap<BoxId, Observation>;
 
-/// Sums up the members of one replica.
+/// The state of one replica's members.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct MemberSummary {
-    /// Members that do not answer, or that answer for no or another epoch although they served.
+    /// Members that don't answer, or that served and now report no epoch or another one.
     pub lost: Vec<BoxId>,
-    /// Members that answer, but have yet to get ready for the epoch.
+    /// Members that answer but aren't ready under the epoch yet.
     pub unready: Vec<BoxId>,
     /// Whether a member reports that the replica has come apart.
     pub came_apart: bool,
-    /// Members whose acknowledgement of the epoch is fresh and that are ready.
+    /// Members that are ready and whose acknowledgement of the epoch is fresh.
     pub ready: usize,
-    /// Those of them that take requests, or help their leader to.
+    /// Those of the ready members that aren't draining.
     pub serving: usize,
-    /// Requests in flight at the leader, as far as reported.
+    /// Requests in flight or queued at the leader, as reported.
     pub in_flight: u32,
 }
 
 impl MemberSummary {
-    /// Sums up `assignment` from what is known at `now`.
+    /// Summarizes the members of `assignment` at `now`.
     pub fn of(assignment: &Assignment, observations: &Observations, now: Millis) -> Self {
         let mut summary = Self::default();
         let was_serving = matches!(assignment.phase, Phase::Ready | Phase::Draining);
@@ -101,7 +101,7 @@
         summary
     }
 
-    /// Returns why the replica must not serve, if that is so.
+    /// Returns why the replica must not serve, if so.
     pub fn failure_evidence(&self) -> Option<Evidence> {
         if !self.lost.is_empty() {
             let boxes = self.lost.clone();
@@ -111,7 +111,7 @@
     }
 }
 
-/// Returns a box's report if it is fresh.
+/// Returns the report of a box if it is fresh.
 pub fn fresh_report<'a>(
     observations: &'a Observations,
     id: &BoxId,
--- a/crates/cherrystand_core/src/control/orders.rs
+++ b/crates/cherrystand_core/src/control/orders.rs
@@ -4,7 +4,7 @@
     Assignment, BoxId, ControllerInput, EngineState, Order, Phase, ReplicaId, Task, fresh_report,
 };
 
-/// Lists the orders that the record calls for and that the boxes have not yet followed.
+/// Returns the orders that the record requires and the boxes haven't carried out yet.
 pub(crate) fn orders_of(input: ControllerInput<'_>) -> Vec<Order> {
     let mut orders = Vec::new();
     for (replica, assignment) in &input.record.replicas {
@@ -64,8 +64,8 @@
         .collect()
 }
 
-/// Releases engines that act although the record gives their boxes to nobody, as after an order
-/// that arrived long after it was sent.
+/// Releases engines that act on an epoch although the record assigns their boxes to no replica, as
+/// after an order that arrived long after it was sent.
 fn orphan_orders(input: ControllerInput<'_>) -> Vec<Order> {
     let free =
         input.fleet.of_domain(&input.record.domain).filter(|info| input.record.is_free(&info.id));
--- a/crates/cherrystand_core/src/control/placement.rs
+++ b/crates/cherrystand_core/src/control/placement.rs
@@ -1,19 +1,19 @@
-//! Choice of the domain and boxes of new replicas.
+//! Placement of new replicas on domains and boxes.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::{BoxId, DomainId, Fleet, ModelGroup, ZoneId};
 
-/// Says where one replica goes.
+/// The place of one replica.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Placement {
     /// The domain.
     pub domain: DomainId,
-    /// The boxes, in rank order.
+    /// The boxes, by rank.
     pub boxes: Vec<BoxId>,
 }
 
-/// Tells that no allowed domain has room for one more replica.
+/// No allowed domain has room for another replica.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error(
     "group `{group}` needs {needed} free boxes in one domain and the most free in any allowed \
@@ -22,14 +22,14 @@
 pub struct PlacementError {
     /// The group's name.
     pub group: String,
-    /// How many boxes a replica spans.
+    /// The number of boxes a replica spans.
     pub needed: u32,
-    /// The most free boxes in any allowed domain.
+    /// The largest number of free boxes in any allowed domain.
     pub most_free: u32,
 }
 
-/// Places replicas one after the other, so that the group spreads over zones and domains keep
-/// few boxes that no replica of the same size can use.
+/// Places replicas one after the other, so that a group spreads over zones and domains are left
+/// with few boxes that no replica of the same size can use.
 ///
 /// Source: docs/design/0003-placement.md.
 #[derive(Clone, Debug)]
@@ -40,7 +40,7 @@
 }
 
 impl<'a> Placer<'a> {
-    /// Creates a placer over the boxes that are neither taken nor leaving.
+    /// Creates a placer for the boxes that are neither taken nor leaving.
     pub fn new(fleet: &'a Fleet, taken: &BTreeSet<BoxId>) -> Self {
         let mut free: BTreeMap<DomainId, Vec<BoxId>> = BTreeMap::new();
         let usable = fleet.iter().filter(|info| !info.leaving && !taken.contains(&info.id));
@@ -50,7 +50,7 @@
         Self { fleet, free, replicas_by_zone: BTreeMap::new() }
     }
 
-    /// Forgets the zones counted so far and counts those of the domains given.
+    /// Starts a group whose placed replicas are in the given domains.
     pub fn start_group<'d>(&mut self, domains: impl IntoIterator<Item = &'d DomainId>) {
         self.replicas_by_zone.clear();
         for domain in domains {
@@ -62,7 +62,7 @@
     ///
     /// # Errors
     ///
-    /// Returns a [`PlacementError`] when no allowed domain has enough free boxes.
+    /// Returns a [`PlacementError`] if no allowed domain has enough free boxes.
     pub fn place(&mut self, group: &ModelGroup) -> Result<Placement, PlacementError> {
         let span = group.boxes_per_replica as usize;
         let domain = self.best_domain(group, span)?;
--- a/crates/cherrystand_core/src/control/plan.rs
+++ b/crates/cherrystand_core/src/control/plan.rs
@@ -1,4 +1,4 @@
-//! Plans: what a change of configuration would do.
+//! Plans, which show the effects of a configuration change before it is confirmed.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -10,24 +10,24 @@
     ReplicaId, Slot, WorkspaceConfig, WorkspaceRecord,
 };
 
-/// States what confirming would change, before anything does.
+/// What confirming a configuration would change.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Plan {
-    /// The plan's name.
+    /// The plan's id.
     pub id: PlanId,
-    /// The generation that the plan was made from.
+    /// The generation that the plan is based on.
     pub base: Generation,
-    /// The configuration that it would put in force.
+    /// The configuration that confirming puts in force.
     pub config: WorkspaceConfig,
     /// Where each replica would be formed.
     pub slots: Vec<Slot>,
-    /// What would change, in the order in which operators read it.
+    /// The changes, in the order shown to operators.
     pub changes: Vec<Change>,
-    /// What the change costs each model group.
+    /// The serving capacity of each model group during the change.
     pub costs: Vec<CapacityCost>,
 }
 
-/// Describes one change that a plan would make.
+/// One change that a plan would make.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", tag = "change")]
 pub enum Change {
@@ -37,7 +37,7 @@
         replica: ReplicaId,
         /// Its domain.
         domain: DomainId,
-        /// Its boxes in rank order.
+        /// Its boxes, by rank.
         boxes: Vec<BoxId>,
     },
     /// A replica would be drained and its boxes freed.
@@ -55,43 +55,43 @@
         from: Vec<BoxId>,
         /// The domain that forms it anew.
         domain: DomainId,
-        /// Its boxes afterwards, in rank order.
+        /// Its new boxes, by rank.
         to: Vec<BoxId>,
     },
-    /// A replica would be drained, loaded anew and put back.
+    /// A replica would be drained, reloaded and put back into service.
     Reload {
         /// The replica.
         replica: ReplicaId,
-        /// The boxes that load.
+        /// The boxes that reload.
         boxes: Vec<BoxId>,
-        /// Model and version now.
+        /// What they load now.
         from: String,
-        /// Model and version afterwards.
+        /// What they would load.
         to: String,
     },
     /// The endpoints or rules of a plain service would change.
     Service {
         /// The group.
         group: GroupId,
-        /// What happens to it: `added`, `changed` or `removed`.
+        /// Whether it is added, changed or removed.
         what: ServiceChange,
     },
-    /// Settings of a model group that need no reload would change.
+    /// Settings of a model group would change that need no reload.
     Policy {
         /// The group.
         group: GroupId,
     },
 }
 
-/// Says what happens to a service group.
+/// What happens to a service group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ServiceChange {
-    /// It is new.
+    /// It is added.
     Added,
     /// Its settings change.
     Changed,
-    /// It goes away.
+    /// It is removed.
     Removed,
 }
 
@@ -129,26 +129,26 @@
     names.join(" ")
 }
 
-/// Says how many replicas of a group serve before, during and after a change.
+/// The number of serving replicas of a group before, during and after a change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CapacityCost {
     /// The group.
     pub group: GroupId,
     /// Replicas before.
     pub before: u32,
-    /// The fewest that the change itself leaves serving on the way.
+    /// The fewest replicas that the change itself leaves in service.
     pub least: u32,
     /// Replicas afterwards.
     pub after: u32,
 }
 
-/// Tells why no plan could be made.
+/// Why no plan could be made.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PlanError {
-    /// A replica fits no allowed domain.
+    /// No allowed domain has room for a replica.
     #[error(transparent)]
     Placement(#[from] PlacementError),
-    /// A reload needs a replica out of service and the floor allows none.
+    /// The change takes replicas out of service one after the other, but the floor permits none.
     #[error(
         "group `{group}` must reload its replicas, but its floor {floor} of {replicas} lets none \
          go out of service; lower `floor` or add a replica first"
@@ -158,23 +158,23 @@
         group: String,
         /// The floor.
         floor: u32,
-        /// The replicas.
+        /// The number of replicas.
         replicas: u32,
     },
-    /// The configuration is the one in force.
+    /// The configuration is already in force.
     #[error("nothing would change: generation {0} says the same")]
     NoChanges(Generation),
 }
 
-/// Says what boxes are assigned now, as the domains' records have it.
+/// The boxes assigned to each replica now, according to the domains' records.
 pub type BoxesByReplica = BTreeMap<ReplicaId, Vec<BoxId>>;
 
-/// Works out what putting `config` in force would change.
+/// Computes the effects of putting `config` in force.
 ///
 /// # Errors
 ///
-/// Returns a [`PlanError`] when a replica fits nowhere, when a floor forbids the reload, or when
-/// nothing would change.
+/// Returns a [`PlanError`] if a replica fits nowhere, a floor forbids the change, or nothing would
+/// change.
 pub fn make_plan(
     id: PlanId,
     record: &WorkspaceRecord,
@@ -200,7 +200,7 @@
 ) -> Result<Vec<Slot>, PlanError> {
     let kept: BTreeMap<ReplicaId, &Slot> =
         config.models.iter().flat_map(|group| kept_slots(record, config, group)).collect();
-    // Boxes of this workspace's other replicas are free once those are drained.
+    // Boxes of this workspace's other replicas become free once those are drained.
     let stays = |replica: &ReplicaId| {
         kept.contains_key(replica) || replica.group.workspace != config.workspace
     };
@@ -233,7 +233,7 @@
     Ok(Slot { replica, domain: place.domain, planned: place.boxes })
 }
 
-/// Returns the slots of `group` that the new configuration leaves where they are.
+/// Returns the slots of `group` that stay in their domains under the new configuration.
 fn kept_slots<'a>(
     record: &'a WorkspaceRecord,
     config: &WorkspaceConfig,
@@ -375,7 +375,7 @@
     Ok(())
 }
 
-/// Tells whether replicas of a group go out of service one after the other.
+/// Returns whether a change takes replicas of a group out of service one after the other.
 fn restarts_replicas(changes: &[Change], group: &GroupId) -> bool {
     changes.iter().any(|change| match change {
         Change::Reload { replica, .. } | Change::Reform { replica, .. } => &replica.group == group,
--- a/crates/cherrystand_core/src/control/ready_since.rs
+++ b/crates/cherrystand_core/src/control/ready_since.rs
@@ -4,20 +4,20 @@
 
 use crate::{DomainId, Epoch, FormedReplicas, Millis, ReplicaId};
 
-/// After this long every node that is in touch has evidence of a replica that has become ready.
+/// The time after which every connected node has evidence that a replica became ready.
 ///
-/// A record that says `ready` outruns the evidence that nodes route by; whatever relies on a
-/// replica being in service waits for this long.
+/// A record that says `ready` spreads faster than the evidence by which nodes route. Whatever
+/// relies on a replica being in service waits for this long.
 pub const SETTLED_AFTER: Millis = Millis(5_000);
 
-/// Remembers when replicas were first seen to be ready under their epoch.
+/// Since when each replica has been ready under its epoch.
 #[derive(Clone, Debug, Default)]
 pub struct ReadySince {
     since: BTreeMap<(DomainId, ReplicaId), (Epoch, Millis)>,
 }
 
 impl ReadySince {
-    /// Takes in which replicas are ready now.
+    /// Updates which replicas are ready.
     pub fn observe(&mut self, formed: &FormedReplicas, now: Millis) {
         let mut since = BTreeMap::new();
         for (domain, replica, assignment) in formed.all_ready() {
@@ -29,7 +29,7 @@
         self.since = since;
     }
 
-    /// Tells whether a replica has been ready in a domain for so long that all nodes know.
+    /// Returns whether a replica has been ready in a domain for [`SETTLED_AFTER`].
     pub fn is_settled(&self, domain: &DomainId, replica: &ReplicaId, now: Millis) -> bool {
         let since = self.since.get(&(domain.clone(), replica.clone()));
         since.is_some_and(|(_, since)| now.since(*since) >= SETTLED_AFTER)
--- a/crates/cherrystand_core/src/control/repair.rs
+++ b/crates/cherrystand_core/src/control/repair.rs
@@ -2,53 +2,53 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Describes a broken replica and what could mend it.
+/// A broken replica and the means to repair it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RepairCase {
-    /// How many boxes the replica spans.
+    /// The number of boxes the replica spans.
     pub span: u32,
     /// How many of them are missing.
     pub missing: u32,
-    /// For how many seconds they have been missing.
+    /// How long they have been missing, in seconds.
     pub missing_secs: f64,
-    /// How many free boxes the domain has.
+    /// The number of free boxes in the domain.
     pub free: u32,
-    /// Seconds until the weight store would start a load.
+    /// Seconds until the weight store could start a load.
     pub queue_secs: f64,
-    /// Seconds that loading one box's weights takes.
+    /// Seconds to load one box's weights.
     pub load_secs: f64,
     /// How many boxes may load at once.
     pub loads_at_once: u32,
-    /// Seconds that a box with its weights in memory takes to join anew.
+    /// Seconds for a box with its weights in memory to join again.
     pub rejoin_secs: f64,
-    /// The price of a second in which the replica cannot serve.
+    /// The price of a second in which the replica can't serve.
     pub downtime_weight: f64,
-    /// The price of a second in which a healthy box stands idle.
+    /// The price of a second in which a healthy box is idle.
     pub stranded_weight: f64,
 }
 
 impl RepairCase {
-    /// Returns how many seconds it takes until `boxes` have loaded and the rest has joined.
+    /// Returns the seconds until `boxes` have loaded and the others have joined again.
     fn load_time(&self, boxes: u32) -> f64 {
         let rounds = boxes.div_ceil(self.loads_at_once.max(1));
         (f64::from(rounds) * self.load_secs).max(self.rejoin_secs)
     }
 }
 
-/// Estimates how missing boxes return.
+/// A model of how missing boxes return.
 ///
-/// A lost box either restarts, after a time that is exponentially distributed, or never returns.
-/// The longer it has been away the likelier it is the latter.
+/// A lost box either restarts, after an exponentially distributed time, or never returns. The
+/// longer it has been missing, the more likely it never returns.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ReturnModel {
     /// The share of losses that are restarts.
     pub restart_share: f64,
-    /// The mean time that a restart takes, in seconds.
+    /// The mean duration of a restart, in seconds.
     pub mean_restart_secs: f64,
 }
 
 impl Default for ReturnModel {
-    /// Returns the prior: 1,900 restarts to 79 failures a day, a restart taking 45 s.
+    /// The prior: 1,900 restarts to 79 failures a day, and 45 s for a restart.
     ///
     /// Source: docs/CAPACITY.md, "The ordinary day".
     fn default() -> Self {
@@ -57,17 +57,17 @@
 }
 
 impl ReturnModel {
-    /// Returns the probability that a box missing for `secs` is restarting.
+    /// Returns the probability that a box that has been missing for `secs` is restarting.
     pub fn restart_probability(&self, secs: f64) -> f64 {
         let alive = self.restart_share * (-secs / self.mean_restart_secs).exp();
         alive / (alive + (1.0 - self.restart_share)).max(f64::MIN_POSITIVE)
     }
 }
 
-/// Holds the expected price of each repair; infinite where it cannot be done.
+/// The expected price of each repair; `None` if it can't be done.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Prices {
-    /// Waiting for the boxes, and repairing after all once they have been away for long.
+    /// Waiting for the boxes, and repairing later if they stay away.
     pub wait: Option<f64>,
     /// Swapping spares in now.
     pub swap: Option<f64>,
@@ -75,24 +75,24 @@
     pub reform: Option<f64>,
 }
 
-/// Names the repair chosen.
+/// The chosen repair.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Repair {
     /// Wait for the missing boxes.
     Wait,
-    /// Put spares in the place of missing boxes.
+    /// Replace the missing boxes by spares.
     Swap,
     /// Form the replica anew on other boxes and free the healthy ones.
     Reform,
 }
 
-/// The longest further wait that is weighed, in mean restart times.
+/// The longest wait considered, in mean restart times.
 const MAX_WAIT_RESTARTS: f64 = 6.0;
 
-/// How many waits are weighed.
+/// How many waits up to it are considered.
 const WAIT_STEPS: u32 = 24;
 
-/// Chooses the cheapest repair and says what each would cost.
+/// Returns the cheapest repair and the price of each.
 ///
 /// Source: docs/design/0004-repair.md.
 pub fn choose_repair(case: &RepairCase, model: &ReturnModel) -> (Repair, Prices) {
@@ -119,7 +119,8 @@
     }
 }
 
-/// Prices one second in which the replica is down and `idle` healthy boxes are held for it.
+/// Returns the price of a second in which the replica is down and `idle` healthy boxes are reserved
+/// for it.
 fn price_per_second(case: &RepairCase, idle: u32) -> f64 {
     case.downtime_weight + case.stranded_weight * f64::from(idle)
 }
@@ -140,9 +141,8 @@
     Some(secs * price_per_second(case, case.span))
 }
 
-/// Prices waiting up to the best moment to give up, and acting for `act` then.
-///
-/// Returns nothing where acting is possible and the best moment is now.
+/// Returns the price of waiting up to the best moment to give up and then repairing for the price
+/// `repair_now`.
 fn wait_price(case: &RepairCase, model: &ReturnModel, repair_now: Option<f64>) -> Option<f64> {
     let mean = model.mean_restart_secs;
     let restart_probability =
--- a/crates/cherrystand_core/src/control/repair_policy.rs
+++ b/crates/cherrystand_core/src/control/repair_policy.rs
@@ -1,30 +1,30 @@
-//! How repairs are priced, paced and chosen.
+//! The policy for repairs of broken replicas.
 
 use crate::ReturnModel;
 
-/// Describes how the weight store and the boxes behave, for pricing and pacing.
+/// The behavior of the weight store and the boxes, by which repairs are priced and paced.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RepairPolicy {
     /// How many boxes of the domain may load at once.
     pub loads_at_once: u32,
-    /// Seconds that loading one box's weights takes.
+    /// Seconds to load one box's weights.
     pub load_secs: f64,
-    /// Seconds that a box with its weights in memory takes to join anew.
+    /// Seconds for a box with its weights in memory to join again.
     pub rejoin_secs: f64,
-    /// How missing boxes return.
+    /// The model of how missing boxes return.
     pub returns: ReturnModel,
     /// The rule that chooses the repair.
     pub rule: RepairRule,
 }
 
-/// Names the rule that chooses repairs; the baselines exist to be compared with.
+/// The rule that chooses a repair. All but `Priced` are baselines for comparison.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RepairRule {
-    /// The cheapest by expected price.
+    /// The repair with the lowest expected price.
     Priced,
-    /// Always form the replica anew at once where that is possible.
+    /// Form the replica anew at once, if possible.
     ReformAtOnce,
-    /// Always wait for the boxes.
+    /// Always wait for the missing boxes.
     WaitForBox,
 }
 
--- a/crates/cherrystand_core/src/control/rollout.rs
+++ b/crates/cherrystand_core/src/control/rollout.rs
@@ -5,19 +5,19 @@
     ReplicaId, Slot, WorkspaceRecord,
 };
 
-/// Holds the replicas formed in all domains and since when they have been ready.
+/// The replicas formed in all domains, and since when they have been ready.
 #[derive(Clone, Copy, Debug)]
 pub struct ServingState<'a> {
-    /// The replicas formed, as this node knows them.
+    /// The formed replicas, as this node knows them.
     pub formed: &'a FormedReplicas,
     /// Since when they have been ready.
     pub settling: &'a ReadySince,
-    /// The time now.
+    /// The current time.
     pub now: Millis,
 }
 
 impl<'a> ServingState<'a> {
-    /// Returns the assignments of a replica that every node can route to.
+    /// Returns the assignments of a replica that all nodes know to be ready.
     fn settled_assignments(
         self,
         replica: &ReplicaId,
@@ -27,12 +27,12 @@
     }
 }
 
-/// Lists what a workspace asks for in one domain.
+/// Returns what a workspace asks for in one domain.
 ///
-/// A rollout goes through a group's slots in their order: a replica may reload once every earlier
-/// slot serves the new load, so at most one is out on purpose wherever the group's domains are
-/// controlled from, and a replica that fails to come back halts the rest. A replica that moves to
-/// another domain stays where it is until it is in service there.
+/// A rollout goes through a group's slots in order. A replica may reload once every earlier slot
+/// serves the new load, so at most one is out of service on purpose, whichever daemons control the
+/// group's domains, and a replica that fails to come back halts the rollout. A replica that moves
+/// to another domain stays in the old one until it is in service in the new one.
 ///
 /// Source: docs/design/0005-rollout.md.
 pub fn desired_in_domain(
@@ -67,14 +67,14 @@
     }
 }
 
-/// Tells whether a replica that moves away from `domain` is still needed there.
+/// Returns whether a replica that moves away from `domain` is still needed there.
 fn is_needed_until_moved(slot: &Slot, domain: &DomainId, service: ServingState<'_>) -> bool {
     let here = service.formed.in_domain(domain).any(|replica| replica == &slot.replica);
     let mut ready = service.settled_assignments(&slot.replica);
     here && !ready.any(|(at, _)| at == &slot.domain)
 }
 
-/// Tells whether `replica` may go out of service to become what `group` asks for now.
+/// Returns whether `replica` may go out of service to load what `group` asks for now.
 pub fn may_reload(group: &ModelGroup, replica: &ReplicaId, service: ServingState<'_>) -> bool {
     let load = group.load_spec();
     let span = group.boxes_per_replica as usize;
--- a/crates/cherrystand_core/src/control/workspace_record.rs
+++ b/crates/cherrystand_core/src/control/workspace_record.rs
@@ -1,4 +1,4 @@
-//! The record that holds the configuration of a workspace.
+//! The record of a workspace's configuration.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,62 +7,62 @@
     WorkspaceId, WriteId,
 };
 
-/// How many plans may await confirmation; the oldest one gives way.
+/// The number of plans that may be pending; beyond it, the oldest is dropped.
 pub const MAX_PENDING_PLANS: usize = 8;
 
-/// How many accepted changes the record remembers.
+/// The number of accepted changes the record keeps.
 pub const MAX_HISTORY: usize = 64;
 
-/// Holds one workspace's accepted configuration and what awaits confirmation.
+/// The accepted configuration of one workspace and its pending plans.
 ///
-/// Every change is one compare-and-swap on the record, so of two operators who race one wins and
-/// the other one is told what got in first.
+/// Each change is one compare-and-swap of the record. Of two operators who race, one wins, and the
+/// other is told which change came first.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct WorkspaceRecord {
-    /// The number of the accepted configuration; it only grows.
+    /// The number of the accepted configuration, which only increases.
     pub generation: Generation,
     /// The accepted configuration.
     pub config: WorkspaceConfig,
-    /// The domain that holds each replica.
+    /// The domain of each replica.
     pub slots: Vec<Slot>,
-    /// Plans that await confirmation, oldest first.
+    /// Pending plans, oldest first.
     pub plans: Vec<Plan>,
-    /// AcceptedChange changes, oldest first.
+    /// Accepted changes, oldest first.
     pub history: Vec<AcceptedChange>,
-    /// The identities of the last writes.
+    /// The ids of the last writes.
     pub writes: RecentWrites,
 }
 
-/// Assigns one replica to a domain.
+/// The place of one replica slot.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Slot {
     /// The replica.
     pub replica: ReplicaId,
     /// The domain that forms it.
     pub domain: DomainId,
-    /// The boxes that the confirmed plan named for it.
+    /// The boxes named for it by the confirmed plan.
     pub planned: Vec<BoxId>,
 }
 
-/// Remembers one accepted change.
+/// One accepted change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AcceptedChange {
-    /// The generation that the change made.
+    /// The generation created by the change.
     pub generation: Generation,
     /// The plan that was confirmed.
     pub plan: PlanId,
     /// Who confirmed it.
     pub operator: String,
-    /// When, in seconds since 1970 by the confirming daemon's clock.
+    /// When, in seconds since 1970 by the clock of the confirming daemon.
     pub at_unix_secs: u64,
-    /// The plan's changes, a line each.
+    /// The plan's changes, one line each.
     pub summary: Vec<String>,
 }
 
-/// Tells why a plan could not be confirmed.
+/// Why a plan could not be confirmed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ConfirmError {
-    /// No such plan awaits confirmation.
+    /// No such plan is pending.
     #[error("plan `{0}` is not pending; make it again with `cherrystand plan`")]
     UnknownPlan(PlanId),
     /// Another change was accepted after the plan was made.
@@ -72,17 +72,17 @@
         .first.operator, .first.generation, .first.summary.join("; ")
     )]
     Conflict {
-        /// The plan that lost.
+        /// The refused plan.
         plan: PlanId,
-        /// The generation that it was made from.
+        /// The generation that it is based on.
         base: Generation,
-        /// The change that got in first.
+        /// The change that came first.
         first: AcceptedChange,
     },
 }
 
 impl WorkspaceRecord {
-    /// Creates the record of a workspace that has no groups yet.
+    /// Creates the record of a workspace without groups.
     pub fn empty(workspace: WorkspaceId) -> Self {
         Self {
             generation: Generation(0),
@@ -108,8 +108,8 @@
     ///
     /// # Errors
     ///
-    /// Returns a [`ConfirmError`] when the plan is not pending or was made from a generation that
-    /// is no longer the accepted one.
+    /// Returns a [`ConfirmError`] if the plan isn't pending, or is based on a generation that is no
+    /// longer in force.
     pub fn confirm(
         &self,
         id: &PlanId,
--- a/crates/cherrystand_core/src/counters.rs
+++ b/crates/cherrystand_core/src/counters.rs
@@ -1,4 +1,4 @@
-//! Numbers that only grow: epochs, generations, revisions, incarnations.
+//! Monotonic counters: epochs, generations, revisions, incarnations.
 
 use std::fmt;
 
@@ -14,7 +14,7 @@
         pub struct $name(pub u64);
 
         impl $name {
-            /// Returns the number that follows this one.
+            /// Returns the next number.
             #[must_use]
             pub fn next(self) -> Self {
                 Self(self.0 + 1)
@@ -30,27 +30,29 @@
 }
 
 counter_type!(
-    /// Numbers the assignments made in a fabric domain; orders carry it as their fence.
+    /// Counts the assignments made in a fabric domain; orders carry it as a fencing token.
     Epoch
 );
 counter_type!(
-    /// Numbers the accepted configurations of a workspace.
+    /// Counts the accepted configurations of a workspace.
     Generation
 );
 counter_type!(
-    /// Numbers the times that the platform's store has come back from a copy, in which its writes of the last seconds
-    /// are missing and revisions are given out again.
+    /// Counts how often the platform's store was restored from a backup. A backup lacks the writes
+    /// of the last seconds, so the store issues their revisions again.
     Era
 );
 counter_type!(
-    /// Numbers the lives of one daemon, a return from a long pause counting as a new life.
+    /// Counts the incarnations of one daemon; resuming after a long pause starts a new one.
     Incarnation
 );
 
-/// Says when something was written in the platform's store, or as of when it is known.
+/// When something was written to the platform's store, or the state of the store as of which it is
+/// known.
 ///
-/// The store's own number grows only within one era; the order is by the era first. Only the store's client makes one
-/// from what the store tells, so that no bare number is ever compared.
+/// The store's own number increases only within one era, so revisions are ordered by era first.
+/// Only the store's client creates revisions from the store's numbers, so that bare numbers are
+/// never compared.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -60,7 +62,7 @@
 }
 
 impl Revision {
-    /// Of what is not there, before all others.
+    /// The revision of a missing value, before all others.
     pub const NONE: Self = Self::new(0);
 
     /// Creates a revision of the first era.
@@ -78,7 +80,7 @@
         self.era
     }
 
-    /// Returns its number within the era, for the store that gave it.
+    /// Returns its number within the era, as the store issued it.
     pub fn number(self) -> u64 {
         self.number
     }
@@ -93,37 +95,38 @@
     }
 }
 
-/// Identifies one write, so that a write whose answer was lost can be found again by reading.
+/// Identifies one write, so that a write whose response was lost can be confirmed by reading the
+/// record.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct WriteId {
     /// The daemon that wrote.
     pub node: crate::NodeId,
-    /// The life of the daemon in which it wrote.
+    /// The daemon's incarnation.
     pub incarnation: Incarnation,
-    /// The number of the write within that life.
+    /// The number of the write within the incarnation.
     pub sequence: u64,
 }
 
-/// Holds the identities of the last few writes of a record, oldest first.
+/// The ids of the last writes of a record, oldest first.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct RecentWrites(Vec<WriteId>);
 
 impl RecentWrites {
-    /// How many writes are remembered.
+    /// How many writes are kept.
     ///
-    /// A writer reads back within one step of its own, so this has to exceed only the writers
-    /// that can race on one record meanwhile.
+    /// A writer reads a record back within one step of its write, so this only has to exceed the
+    /// number of writers that can race on the record meanwhile.
     pub const CAPACITY: usize = 16;
 
-    /// Adds a write, forgetting the oldest one beyond [`RecentWrites::CAPACITY`].
+    /// Adds a write and drops the oldest beyond [`RecentWrites::CAPACITY`].
     pub fn push(&mut self, id: WriteId) {
         self.0.push(id);
         let excess = self.0.len().saturating_sub(Self::CAPACITY);
         self.0.drain(..excess);
     }
 
-    /// Tells whether the write took effect and is still remembered.
+    /// Returns whether the write took effect and is still remembered.
     pub fn contains(&self, id: &WriteId) -> bool {
         self.0.contains(id)
     }
--- a/crates/cherrystand_core/src/lib.rs
+++ b/crates/cherrystand_core/src/lib.rs
@@ -1,14 +1,16 @@
-//! Pure serving decisions.
+//! Serving decisions as pure functions and state machines.
 //!
-//! Nothing in this crate does I/O, reads a clock or draws random numbers: time, events and seeds
-//! come in, and records to write, orders to send and choices come out. A failure can therefore be
-//! replayed from its inputs, and any driver can be put underneath.
+//! Nothing in this crate does I/O, reads a clock or draws random numbers. Its inputs are times,
+//! events and seeds; its outputs are records to write, orders to send and choices. A failure can
+//! therefore be replayed from its inputs, and the crate can run on any driver, including a
+//! simulation.
 //!
-//! - `config`: what operators state.
-//! - `control`: plans, placement, the life of replicas, repair and rollout.
+//! - `config`: the configuration written by operators.
+//! - `control`: plans, placement, the replica lifecycle, repair and rollout.
 //! - `requests`: admission, routing, retries, outcomes and claims.
-//! - `site`: routes, replicas and choices where the store holds one configuration for all.
-//! - `nodes`: membership, records passed on between daemons, evidence and its age.
+//! - `site`: routes, replicas and choices for a platform whose store holds one configuration for
+//!   all.
+//! - `nodes`: membership, gossip between daemons, evidence and its age.
 
 mod counters;
 mod millis;
--- a/crates/cherrystand_core/src/millis.rs
+++ b/crates/cherrystand_core/src/millis.rs
@@ -1,12 +1,12 @@
-//! Time as decisions see it.
+//! Time in milliseconds.
 
 use std::ops::{Add, Sub};
 
 use serde::{Deserialize, Serialize};
 
-/// A time or a span in milliseconds, on the clock of whoever drives the decisions.
+/// A point in time or a duration in milliseconds, on the clock of the caller.
 ///
-/// Differences never fall below zero, so a clock that steps back makes things look younger, not
+/// Differences saturate at zero, so a clock that steps back makes things look recent, not
 /// infinitely old.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
@@ -15,17 +15,17 @@
 pub struct Millis(pub u64);
 
 impl Millis {
-    /// Creates a span of whole seconds.
+    /// Creates a duration of whole seconds.
     pub const fn from_secs(secs: u64) -> Self {
         Self(secs * 1_000)
     }
 
-    /// Returns the span in seconds.
+    /// Returns the duration in seconds.
     pub fn as_secs_f64(self) -> f64 {
         self.0 as f64 / 1_000.0
     }
 
-    /// Returns how long ago `earlier` was.
+    /// Returns the time elapsed since `earlier`.
     #[must_use]
     pub fn since(self, earlier: Self) -> Self {
         Self(self.0.saturating_sub(earlier.0))
--- a/crates/cherrystand_core/src/names.rs
+++ b/crates/cherrystand_core/src/names.rs
@@ -1,4 +1,4 @@
-//! Names of the things that the system handles.
+//! Identifiers.
 
 use std::borrow::Borrow;
 use std::fmt;
@@ -6,7 +6,7 @@
 
 use serde::{Deserialize, Serialize};
 
-// Names are shared, not copied: a published view of 295 daemons and 1,107 boxes holds some 5,000.
+// Names are reference-counted: a view of 295 daemons and 1,107 boxes holds some 5,000 of them.
 macro_rules! name_type {
     ($(#[$doc:meta])* $name:ident) => {
         $(#[$doc])*
@@ -15,7 +15,7 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// Creates the name from text.
+            /// Creates a name from text.
             pub fn new(name: impl Into<Arc<str>>) -> Self {
                 Self(name.into())
             }
@@ -35,54 +35,53 @@
 }
 
 name_type!(
-    /// Names one box that a model engine runs on.
+    /// Identifies a box that runs a model engine, with or without its incarnation.
     BoxId
 );
-/// Maps by box are looked into by text, without making a name for it.
+/// Maps by box can be searched by text without allocating a name.
 impl Borrow<str> for BoxId {
     fn borrow(&self) -> &str {
         &self.0
     }
 }
 
-/// Stands between a box's name and the start of one of its lives; no name holds it.
+/// Separates a box's name from its incarnation; no name contains it.
 const INCARNATION_SEPARATOR: char = '@';
 
 impl BoxId {
-    /// Names one life of the box that this names: the one that started at `start`, in Unix
-    /// milliseconds.
+    /// Returns the id of this box's incarnation that started at `start`, in Unix milliseconds.
     ///
-    /// A box that starts again under its name holds and knows nothing of before. Whatever is
-    /// remembered of a box is kept by its life, so that a new one is a box that nobody knows yet.
+    /// A box that restarts under its name has lost its state. What is remembered of a box is keyed
+    /// by incarnation, so that a new incarnation counts as an unknown box.
     pub fn with_incarnation(&self, start: u64) -> Self {
         Self::new(format!("{}{INCARNATION_SEPARATOR}{start}", self.name()))
     }
 
-    /// Returns the box's own name, whatever its life.
+    /// Returns the box's name without the incarnation.
     pub fn name(&self) -> &str {
         self.split_incarnation().map_or(&self.0, |(name, _)| name)
     }
 
-    /// Returns when the life that this names started, in Unix milliseconds; nothing where it names no
-    /// certain one.
+    /// Returns when the incarnation started, in Unix milliseconds, if the id has one.
     pub fn start(&self) -> Option<u64> {
         self.split_incarnation().map(|(_, start)| start)
     }
 
-    /// Tells whether both name the same box, in whichever life.
+    /// Returns whether both are the same box, in any incarnation.
     pub fn is_same_box(&self, other: &Self) -> bool {
         self.name() == other.name()
     }
 
-    /// Tells whether both name the same box in different lives.
+    /// Returns whether both are the same box in different incarnations.
     pub fn is_other_incarnation_of(&self, other: &Self) -> bool {
         let starts = self.start().zip(other.start());
         starts.is_some_and(|(one, two)| one != two) && self.is_same_box(other)
     }
 
-    /// Tells whether a text may name a box: it goes into headers, records and logs.
+    /// Returns whether a text is valid as the name of a box, which is used in headers, records and
+    /// logs.
     pub fn is_valid_name(text: &str) -> bool {
-        /// The longest name, in bytes.
+        /// The maximum length in bytes.
         const MAX_BYTES: usize = 128;
         let is_allowed = |byte: u8| {
             byte.is_ascii_graphic() && byte != b'/' && byte != INCARNATION_SEPARATOR as u8
@@ -97,39 +96,39 @@
 }
 
 name_type!(
-    /// Names an availability zone.
+    /// Identifies an availability zone.
     ZoneId
 );
 name_type!(
-    /// Names a region, in which availability zones lie.
+    /// Identifies a region, which contains availability zones.
     RegionId
 );
 name_type!(
-    /// Names a fabric domain: the boxes that one replica may span.
+    /// Identifies a fabric domain, the set of boxes that one replica may span.
     DomainId
 );
 name_type!(
-    /// Names a workspace, the unit that operators configure.
+    /// Identifies a workspace, the unit of configuration.
     WorkspaceId
 );
 name_type!(
-    /// Names one daemon.
+    /// Identifies a daemon.
     NodeId
 );
 name_type!(
-    /// Names a service behind routes.
+    /// Identifies a service that routes refer to.
     ServiceName
 );
 name_type!(
-    /// Names a plan that awaits confirmation.
+    /// Identifies a plan that is pending confirmation.
     PlanId
 );
 
-/// Names a serving group within its workspace.
+/// Identifies a group within its workspace.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(into = "String", try_from = "String")]
 pub struct GroupId {
-    /// The workspace that states the group.
+    /// The workspace of the group.
     pub workspace: WorkspaceId,
     /// The group's name, unique within the workspace.
     pub name: String,
@@ -149,11 +148,11 @@
     }
 }
 
-/// Names one replica slot of a group, counted from 0.
+/// Identifies one replica slot of a group, counted from 0.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(into = "String", try_from = "String")]
 pub struct ReplicaId {
-    /// The group that the replica serves.
+    /// The group of the replica.
     pub group: GroupId,
     /// The slot within the group.
     pub slot: u32,
@@ -172,15 +171,15 @@
     }
 }
 
-/// Tells that a text is not the name it should be.
+/// A text that isn't a valid name.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("`{text}` is not a {expected}; write it as {form}")]
 pub struct NameError {
-    /// The text that was read.
+    /// The text.
     pub text: String,
     /// What it should name.
     pub expected: &'static str,
-    /// The form such a name has.
+    /// The expected form.
     pub form: &'static str,
 }
 
