--- a/crates/cherrystand_core/src/config/settings_error.rs
+++ b/crates/cherrystand_core/src/config/settings_error.rs
@@ -36,7 +36,7 @@
             kind,
             key: key.to_owned(),
             line: None,
-            message: format!("`{value}` cannot be; allowed is {allowed}"),
+            message: format!("invalid value `{value}`, expected {allowed}"),
         }
     }
 
--- a/crates/cherrystand_core/src/control/domain_record.rs
+++ b/crates/cherrystand_core/src/control/domain_record.rs
@@ -107,7 +107,7 @@
     #[error("box `{0}` is assigned while an earlier epoch may still act on it")]
     BoxReleasing(BoxId),
     /// An epoch was never issued, or was issued twice.
-    #[error("epoch {0} was not given out once")]
+    #[error("epoch {0} was never issued, or was issued twice")]
     InvalidEpoch(Epoch),
 }
 
--- a/crates/cherrystand_core/src/control/plan.rs
+++ b/crates/cherrystand_core/src/control/plan.rs
@@ -162,7 +162,7 @@
         replicas: u32,
     },
     /// The configuration is already in force.
-    #[error("nothing would change: generation {0} says the same")]
+    #[error("nothing would change: the configuration is that of generation {0}")]
     NoChanges(Generation),
 }
 
