--- a/crates/cherrystandd/src/site/attempt_cancellation.rs
+++ b/crates/cherrystandd/src/site/attempt_cancellation.rs
@@ -1,4 +1,4 @@
-//! Copies of a request that is known to end what runs it, which are under way as that gets known.
+//! Cancels the attempts in flight of a request that is found to crash the boxes that run it.
 //!
 //! Source: docs/design/0021-trials-of-refused-requests.md.
 
@@ -10,27 +10,29 @@
 use crate::site::active_attempt::ActiveAttempt;
 use crate::site::crash_watch::CrashWatch;
 
-/// How long after the third end copies are called off: until then peers have told which others of their requests were
-/// at the same ends and may be the cause as well.
+/// How long after a request is first refused its attempts are cancelled. By then peers have
+/// reported which of their requests were involved in the same crashes and may be the cause as well.
 const CANCEL_DELAY: Duration = Duration::from_millis(50);
 
-/// From this many attempts on, those that have ended are forgotten.
+/// From this many tracked attempts on, finished ones are removed.
 const PRUNE_THRESHOLD: usize = 64;
 
 impl CrashWatch {
-    /// Follows an attempt for as long as it is under way.
+    /// Tracks an attempt until it finishes.
     pub(crate) fn track_attempt(&self, attempt: &Rc<ActiveAttempt>) {
-        let mut copies = self.attempts.borrow_mut();
-        if copies.len() >= PRUNE_THRESHOLD && copies.len() == copies.capacity() {
-            copies.retain(|copy| copy.strong_count() > 0);
+        let mut attempts = self.attempts.borrow_mut();
+        if attempts.len() >= PRUNE_THRESHOLD && attempts.len() == attempts.capacity() {
+            attempts.retain(|attempt| attempt.strong_count() > 0);
         }
-        copies.push(Rc::downgrade(attempt));
+        attempts.push(Rc::downgrade(attempt));
     }
 
-    /// Calls off the copies of a request that are under way, once it is clear that nothing else explains its ends.
+    /// Cancels the attempts of a request in flight shortly after it is refused, if no other request
+    /// explains its crashes.
     ///
-    /// They would end their replicas: where a tenth of the requests of a kind was one that does, two to five replicas
-    /// ended after the third, up to a second later. What others explain as well is left alone: it may be innocent.
+    /// Left running, they would crash their replicas: with a tenth of the requests of one kind
+    /// being such, two to five more replicas crashed up to a second after the third crash. If other
+    /// requests explain the crashes as well, this one may be harmless and keeps running.
     pub(super) fn cancel_attempts_soon(&self, request: Fingerprint) {
         let own = self.weak_self.clone();
         tokio::task::spawn_local(async move {
@@ -47,14 +49,14 @@
             return;
         }
         drop(suspects);
-        let copies: Vec<Rc<ActiveAttempt>> =
+        let attempts: Vec<Rc<ActiveAttempt>> =
             self.attempts.borrow().iter().filter_map(Weak::upgrade).collect();
-        let copies = copies.iter().filter(|copy| copy.fingerprint() == request);
-        let called_off = copies.map(|copy| copy.cancel()).count();
-        if called_off > 0 {
+        let attempts = attempts.iter().filter(|attempt| attempt.fingerprint() == request);
+        let cancelled = attempts.map(|attempt| attempt.cancel()).count();
+        if cancelled > 0 {
             log::info!(
-                fingerprint = request.to_string(), copies = called_off;
-                "copies of a refused request are called off"
+                fingerprint = request.to_string(), copies = cancelled;
+                "attempts of a refused request were cancelled"
             );
         }
     }
--- a/crates/cherrystandd/src/site/capacity.rs
+++ b/crates/cherrystandd/src/site/capacity.rs
@@ -1,4 +1,4 @@
-//! Giving domains to the models that are asked for.
+//! Assigns domains to models by demand.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,52 +11,54 @@
 use crate::site::site_state::SiteState;
 use crate::state::View;
 
-/// What the daemon that plans is chosen by, among those that decide for domains.
+/// The key that determines which of the daemons that decide for domains plans capacity.
 const PLANNER_KEY: &str = "capacity";
 
-/// For how long after the first start of all daemons hosts are given a second model: their loads
-/// cost nothing before the first request.
+/// How long after the first start of all daemons hosts are given a second model. Loads cost nothing
+/// before the first request.
 const FREE_LOAD_PERIOD: Millis = Millis(8_500);
 
-/// Which model each domain is for, and which one its hosts are to hold besides.
+/// The models that the domains are assigned to.
 #[derive(Clone, Debug, Default)]
 pub(super) struct HomeModels {
-    /// The model that each domain is for.
+    /// The home model of each domain: the one that its replicas serve.
     pub(super) home: BTreeMap<DomainId, String>,
-    /// The model that hosts are to hold besides, where loads are free or it is worth them.
+    /// The model that each domain's hosts hold in addition, if loads are free or it is worth a
+    /// load.
     pub(super) second: BTreeMap<DomainId, String>,
 }
 
 impl Control {
-    /// Returns which models the domains are for.
-    pub(super) fn choose_home_models(&self, known: &SiteState, engine: &EngineSpec) -> HomeModels {
+    /// Chooses the models that the domains are assigned to.
+    pub(super) fn choose_home_models(&self, state: &SiteState, engine: &EngineSpec) -> HomeModels {
         let policy = self.cx.settings.policy;
         if !policy.home_models {
             return HomeModels::default();
         }
-        let first = home_models(engine, &known.boxes_by_domain(), &known.home_models());
+        let home = home_models(engine, &state.boxes_by_domain(), &state.home_models());
         let free = self.is_first_start() && self.now() < FREE_LOAD_PERIOD && self.is_idle();
         let mut second = match policy.follow_demand {
-            true => known.second_models(),
+            true => state.second_models(),
             false => BTreeMap::new(),
         };
-        second.retain(|domain, model| first.get(domain) != Some(model));
+        second.retain(|domain, model| home.get(domain) != Some(model));
         if policy.follow_demand && free {
-            second.extend(second_models(engine, &first));
+            second.extend(second_models(engine, &home));
         }
-        HomeModels { home: first, second }
+        HomeModels { home, second }
     }
 
-    /// Tells whether no model has any request in flight.
+    /// Returns whether no model has a request in flight.
     fn is_idle(&self) -> bool {
         let loads = self.cx.model_loads.borrow();
         loads.values().flat_map(BTreeMap::values).all(|load| load.requests == 0.0)
     }
 
-    /// Gives a domain to another model where the requests in flight want that; one daemon plans.
+    /// Assigns domains to other models if the requests in flight call for it. Only one daemon
+    /// plans.
     pub(super) async fn plan_capacity(&self, view: &View, readers: &[&Heartbeat]) {
-        let plans = owner_of(PLANNER_KEY, readers.iter().copied()) == Some(&view.own.node);
-        if !plans || !self.cx.settings.policy.follow_demand {
+        let is_planner = owner_of(PLANNER_KEY, readers.iter().copied()) == Some(&view.own.node);
+        if !is_planner || !self.cx.settings.policy.follow_demand {
             return;
         }
         for change in self.home_changes() {
@@ -82,10 +84,10 @@
         }
     }
 
-    /// Says how many replicas each model keeps busy, for the log.
+    /// Formats how many replicas each model keeps busy, for the log.
     fn busy_replicas(&self) -> String {
-        let plans = self.capacity_plans.borrow();
-        let models = plans.values().flat_map(|plan| plan.busy_replicas());
+        let planners = self.capacity_planners.borrow();
+        let models = planners.values().flat_map(|planner| planner.busy_replicas());
         let busy: Vec<String> = models.map(|(model, busy)| format!("{model} {busy:.1}")).collect();
         busy.join(", ")
     }
@@ -93,59 +95,59 @@
     fn home_changes(&self) -> Vec<HomeChange> {
         let now = self.now();
         let loads = self.cx.model_loads.borrow().clone();
-        let planned =
-            self.with_each_plan(|plan, service, engine, domains| match loads.get(service) {
-                Some(loads) => plan.step(now, engine, loads, domains),
+        let changes =
+            self.with_each_planner(|planner, service, engine, domains| match loads.get(service) {
+                Some(loads) => planner.step(now, engine, loads, domains),
                 None => Vec::new(),
             });
-        planned.concat()
+        changes.concat()
     }
 
     fn preload_changes(&self) -> Vec<HomeChange> {
         let now = self.now();
-        let planned =
-            self.with_each_plan(|plan, _, engine, domains| plan.preload(now, engine, domains));
-        planned.into_iter().flatten().collect()
+        let changes = self
+            .with_each_planner(|planner, _, engine, domains| planner.preload(now, engine, domains));
+        changes.into_iter().flatten().collect()
     }
 
-    /// Asks the plan of each service with an engine that requests are in flight for.
-    fn with_each_plan<T>(
+    /// Calls `f` with the planner of each service that has an engine and requests in flight.
+    fn with_each_planner<T>(
         &self,
-        mut ask: impl FnMut(&mut CapacityPlanner, &ServiceName, &EngineSpec, &[DomainCapacity]) -> T,
+        mut f: impl FnMut(&mut CapacityPlanner, &ServiceName, &EngineSpec, &[DomainCapacity]) -> T,
     ) -> Vec<T> {
-        let known = self.state.borrow();
-        let Some(table) = known.table() else {
+        let state = self.state.borrow();
+        let Some(table) = state.table() else {
             return Vec::new();
         };
-        let homes = known.home_models();
-        let mut plans = self.capacity_plans.borrow_mut();
+        let homes = state.home_models();
+        let mut planners = self.capacity_planners.borrow_mut();
         let services: Vec<ServiceName> = self.cx.model_loads.borrow().keys().cloned().collect();
-        let asked = services.iter().filter_map(|service| {
+        let results = services.iter().filter_map(|service| {
             let engine = table.config().engine(service)?;
-            let domains = domain_uses(&known, service, &homes);
-            let plan = plans.entry(service.clone()).or_default();
-            Some(ask(plan, service, engine, &domains))
+            let domains = domain_capacities(&state, service, &homes);
+            let planner = planners.entry(service.clone()).or_default();
+            Some(f(planner, service, engine, &domains))
         });
-        asked.collect()
+        results.collect()
     }
 }
 
-/// Describes the domains of a service to the plan; boxes of emptied zones count for nothing.
-fn domain_uses(
-    known: &SiteState,
+/// Describes the domains of a service to the planner, without the boxes in evacuated zones.
+fn domain_capacities(
+    state: &SiteState,
     service: &ServiceName,
     homes: &BTreeMap<DomainId, String>,
 ) -> Vec<DomainCapacity> {
-    let by_domain = known.boxes_by_domain();
-    let (emptied, seconds) = (known.evacuations.since(), known.second_models());
-    let described = homes.iter().filter_map(|(id, home)| {
+    let by_domain = state.boxes_by_domain();
+    let (evacuated, seconds) = (state.evacuations.since(), state.second_models());
+    let capacities = homes.iter().filter_map(|(id, home)| {
         let boxes = by_domain.get(id)?;
-        let serves = |known: &&&SiteBox| !emptied.contains_key(&known.zone);
+        let serves = |site_box: &&&SiteBox| !evacuated.contains_key(&site_box.zone);
         let boxes: Vec<&SiteBox> = boxes.iter().filter(serves).copied().collect();
-        let of_service = boxes.first().is_some_and(|known| &known.service == service);
-        of_service.then(|| describe_domain(id, home, seconds.get(id), &boxes))
+        let is_of_service = boxes.first().is_some_and(|site_box| &site_box.service == service);
+        is_of_service.then(|| describe_domain(id, home, seconds.get(id), &boxes))
     });
-    described.collect()
+    capacities.collect()
 }
 
 fn describe_domain(
@@ -155,13 +157,13 @@
     boxes: &[&SiteBox],
 ) -> DomainCapacity {
     let mut held: BTreeMap<String, usize> = BTreeMap::new();
-    for known in boxes.iter().filter(|known| !known.leaving) {
-        let models: BTreeSet<&String> = known.staged.iter().chain(&known.loaded).collect();
+    for site_box in boxes.iter().filter(|site_box| !site_box.leaving) {
+        let models: BTreeSet<&String> = site_box.staged.iter().chain(&site_box.loaded).collect();
         for model in models {
             *held.entry(model.clone()).or_default() += 1;
         }
     }
-    let boxes = boxes.iter().filter(|known| !known.leaving).count();
+    let boxes = boxes.iter().filter(|site_box| !site_box.leaving).count();
     let (id, home, second) = (id.clone(), home.to_owned(), second.cloned());
     DomainCapacity { id, home, boxes_by_model: held, boxes, second }
 }
--- a/crates/cherrystandd/src/site/control.rs
+++ b/crates/cherrystandd/src/site/control.rs
@@ -1,4 +1,4 @@
-//! The duty that watches over the store and over this node's share of domains.
+//! The duty that follows the store and decides for this node's share of the domains.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -29,16 +29,16 @@
 use crate::state::{StateEvent, View};
 use crate::{DutyContext, DutyError, StopPhase, keys};
 
-/// The time between two steps where nothing happens.
+/// The time between two steps when nothing wakes the duty.
 const STEP_INTERVAL: Duration = Duration::from_millis(250);
 
-/// The time that news gathers before a step.
+/// How long changes are collected before a step.
 const COALESCE_DELAY: Duration = Duration::from_millis(4);
 
-/// How many times as long as it took to take news in nothing more is read.
+/// The pause after applying changes, as a multiple of the time that applying them took.
 const READ_PAUSE_FACTOR: u32 = 3;
 
-/// How often peers are given the newest configuration, which they compare first.
+/// How often the newest operator documents are passed on to peers even if they have not changed.
 const PASS_ON_INTERVAL: Millis = Millis(1_000);
 
 inventory::submit! {
@@ -70,43 +70,44 @@
     })?
 }
 
-/// Keeps what the duty knows and does.
+/// The state of the duty and its connections.
 pub(crate) struct Control {
     pub(super) cx: DutyContext,
     /// The store.
     pub(crate) store: Counted<<Driver as SiteDriver>::Store>,
-    /// What is known of the site.
+    /// The state of the site.
     pub(crate) state: RefCell<SiteState>,
-    /// What was passed on of it last.
+    /// The batches of changes last packed for peers.
     pub(super) packed_batches: RefCell<ChangeBatches>,
     /// Connections to boxes and peers.
     pub(super) pool: HttpPool,
-    /// How its calls to boxes fared lately.
+    /// The results of recent calls to boxes.
     pub(super) call_book: RefCell<CallBook>,
-    /// When others were last asked beside a box that may be gone.
+    /// When other boxes or peers were last probed to check this node's own network.
     pub(super) witness_probed_at: Cell<Option<Millis>>,
     pub(super) wake: Notify,
     pub(super) formations: RefCell<BTreeMap<DomainId, Formation>>,
-    /// Which split of its domains each service's work wants.
-    pub(super) capacity_plans: RefCell<BTreeMap<ServiceName, CapacityPlanner>>,
+    /// The planner that splits each service's domains between its models.
+    pub(super) capacity_planners: RefCell<BTreeMap<ServiceName, CapacityPlanner>>,
     pub(super) recent_loads: RefCell<BTreeMap<DomainId, VecDeque<Millis>>>,
-    /// When boxes were last asked whether they are there, by the reason.
+    /// When each box was last probed, by the reason for the probe.
     pub(super) last_probed: RefCell<BTreeMap<(BoxId, Doubt), Millis>>,
-    /// Boxes that are being asked whether they are there.
+    /// Boxes that are being probed.
     pub(super) probing: RefCell<BTreeSet<BoxId>>,
-    /// How long each step of the way of a change may take.
+    /// How long each hop of a change may take.
     pub(super) budget: NewsBudget,
     store_reach: Cell<StoreReach>,
     announced_decides: Cell<bool>,
     passed_on_at: Cell<Millis>,
     passed_on_revisions: Cell<(Revision, Revision)>,
-    /// How long the last news took to be taken in.
+    /// How long applying the last changes took.
     last_apply_took: Cell<Duration>,
-    /// Whether what changed in the configuration did not fit the one held.
+    /// Whether a configuration difference did not apply to the one held, so that the next one is
+    /// requested in full.
     needs_full_config: Cell<bool>,
-    /// Which peers it reads from and asks.
+    /// Selects the peers that this node reads from and asks.
     pub(crate) peers: PeerSelector,
-    /// Tells how many changes there have been, to peers that wait for one.
+    /// Publishes the number of changes to peers that wait for one.
     pub(crate) change_count: watch::Sender<u64>,
 }
 
@@ -122,7 +123,7 @@
             witness_probed_at: Cell::default(),
             wake: Notify::new(),
             formations: RefCell::default(),
-            capacity_plans: RefCell::default(),
+            capacity_planners: RefCell::default(),
             recent_loads: RefCell::default(),
             last_probed: RefCell::default(),
             probing: RefCell::default(),
@@ -139,7 +140,7 @@
         }
     }
 
-    /// Returns the time now.
+    /// Returns the current time.
     pub(crate) fn now(&self) -> Millis {
         self.cx.clock.now()
     }
@@ -151,66 +152,68 @@
         out
     }
 
-    /// Notes that the store answered this node itself.
+    /// Records that the store answered this node directly.
     pub(crate) fn record_store_answer(&self) {
         self.update_reach(StoreReach::reached);
     }
 
-    /// Tells whether the store did not answer this node the last time.
+    /// Returns whether this node's last direct call to the store failed.
     pub(crate) fn is_store_unreachable(&self) -> bool {
         self.store_reach.get().fails()
     }
 
-    /// Notes that the store does not answer this node itself, which reads from a peer.
+    /// Records that the store did not answer this node directly, while it may still read from a
+    /// peer.
     pub(crate) fn record_store_miss(&self) {
         self.update_reach(StoreReach::missed);
         self.wake.notify_one();
     }
 
-    /// Takes note of news that the store gave `age` ago and `teller` passed on, and has it looked at.
-    pub(crate) fn record_update(&self, teller: &ChangeSource, age: Millis, changes: bool) {
+    /// Records an update that the store made `age` ago and that arrived from `source`. With
+    /// `has_changes`, publishes the new state and wakes the duty.
+    pub(crate) fn record_update(&self, source: &ChangeSource, age: Millis, has_changes: bool) {
         let at = self.now() - age;
-        self.cx.news_heard.told(at, teller);
+        self.cx.news_heard.told(at, source);
         self.update_reach(|reach| reach.told(at));
-        if changes {
+        if has_changes {
             self.publish_and_wake();
         }
     }
 
-    /// Hands what is known now to the request path and to peers, and has it looked at.
+    /// Publishes the state to the request path and to peers, and wakes the duty.
     pub(crate) fn publish_and_wake(&self) {
         self.publish();
         self.wake.notify_one();
     }
 
-    /// Returns how long ago the store is known to have answered, this node or one that it reads
+    /// Returns how long ago the store is known to have answered this node or the peer that it reads
     /// from.
     pub(crate) fn store_age(&self) -> Option<Millis> {
         self.store_reach.get().age(self.now())
     }
 
-    /// Tells whether all daemons start for the very first time.
+    /// Returns whether this is the very first start of all daemons.
     pub(crate) fn is_first_start(&self) -> bool {
         self.cx.settings.site.as_ref().is_some_and(|site| site.first_start)
     }
 
-    /// Returns the number of this life of the process.
+    /// Returns the incarnation of this process.
     pub(crate) fn incarnation(&self) -> u64 {
         self.cx.view.borrow().own.incarnation.0
     }
 
     fn publish(&self) {
         let nodes = self.cx.view.borrow().alive().count();
-        let known = self.state.borrow();
-        if let Some(config) = known.config() {
+        let state = self.state.borrow();
+        if let Some(config) = state.config() {
             self.cx.config_versions.note(config);
         }
-        let view = known.view(nodes, self.cx.settings.policy.serve_unlisted);
+        let view = state.view(nodes, self.cx.settings.policy.serve_unlisted);
         self.cx.metrics.zones_evacuated.set(view.evacuated.len() as i64);
-        self.cx.metrics.store_era.set(known.revision().era().0 as i64);
+        self.cx.metrics.store_era.set(state.revision().era().0 as i64);
         self.cx.metrics.endpoints_cold.set(view.cold.iter().count() as i64);
         self.cx.publish_site.send_replace(Arc::new(view));
-        self.change_count.send_replace(known.change_count());
+        self.change_count.send_replace(state.change_count());
     }
 
     async fn run_steps(self: Rc<Self>) {
@@ -220,9 +223,9 @@
                 tokio::time::sleep(COALESCE_DELAY).await;
             }
             let view = self.cx.view_now();
-            let forgot = self.state.borrow_mut().remove_expired(self.now());
-            // The share of the repeats that a node may make hangs on how many there are.
-            if forgot || self.cx.site.borrow().nodes != view.alive().count() {
+            let has_expired = self.state.borrow_mut().remove_expired(self.now());
+            // A node's share of the retries depends on the number of nodes.
+            if has_expired || self.cx.site.borrow().nodes != view.alive().count() {
                 self.publish();
             }
             probe_unlisted(&self);
@@ -237,32 +240,33 @@
         }
     }
 
-    /// Takes in what peers passed on, and hands out what the store told.
+    /// Applies the documents that peers passed on, and passes on those read from the store.
     fn exchange_documents(&self, view: &View) {
         let now = self.now();
-        let mut known = self.state.borrow_mut();
-        let mut news = false;
+        let mut state = self.state.borrow_mut();
+        let mut is_new = false;
         for document in &view.passed_on {
-            news |= match &*document.key {
-                keys::SITE_CONFIG => known.apply_config(document),
-                keys::EVACUATED_ZONES => known.apply_evacuation_document(document, now),
+            is_new |= match &*document.key {
+                keys::SITE_CONFIG => state.apply_config(document),
+                keys::EVACUATED_ZONES => state.apply_evacuation_document(document, now),
                 _ => false,
             };
         }
         let due = now.since(self.passed_on_at.get()) >= PASS_ON_INTERVAL;
-        let newest = known.operator_revisions();
+        let newest = state.operator_revisions();
         if due || newest != self.passed_on_revisions.get() {
             self.passed_on_at.set(now);
             self.passed_on_revisions.set(newest);
-            self.cx.tell_state(StateEvent::Records(known.operator_documents()));
+            self.cx.tell_state(StateEvent::Records(state.operator_documents()));
         }
-        drop(known);
-        if news {
+        drop(state);
+        if is_new {
             self.publish();
         }
     }
 
-    /// Lets peers decide for this node's domains while the store does not answer it.
+    /// Announces to peers whether this node decides, so that they take over its domains while the
+    /// store does not answer it.
     fn announce_decides(&self) {
         let decides = !self.is_store_unreachable();
         if self.announced_decides.replace(decides) != decides {
@@ -270,7 +274,8 @@
         }
     }
 
-    /// Notes that the store failed this node, and tells whether that says anything of the store.
+    /// Records that a call to the store failed. Returns whether the failure counts against the
+    /// store rather than against a pause of this daemon.
     pub(crate) fn record_store_failure(&self) -> bool {
         let failed = self.state.borrow_mut().record_store_failure(self.now());
         if failed {
@@ -279,13 +284,14 @@
         failed
     }
 
-    /// Tells whether neither the store nor a reader of it has told this node anything for long.
+    /// Returns whether neither the store nor a peer that reads it has answered this node for a long
+    /// time.
     pub(crate) fn store_is_silent(&self) -> bool {
         self.store_reach.get().is_silent(self.now())
     }
 
-    /// Returns the revision of the configuration that peers may tell changes against; 0 where the
-    /// whole is wanted.
+    /// Returns the revision of the configuration against which peers may send differences, or 0 to
+    /// request the full configuration.
     pub(crate) fn held_config_revision(&self) -> Revision {
         match self.needs_full_config.get() {
             true => Revision::NONE,
@@ -293,39 +299,43 @@
         }
     }
 
-    /// Takes in a configuration that a peer passed on, and tells whether it is a new one; one that
-    /// does not fit is asked for whole the next time, and the one in force stays.
+    /// Applies a configuration that a peer passed on. Returns whether it is new.
+    ///
+    /// If it cannot be unpacked, the active configuration stays and the next one is requested in
+    /// full.
     pub(crate) fn apply_packed_config(&self, packed: Option<&PackedBody>) -> bool {
-        let mut known = self.state.borrow_mut();
-        let Some(packed) = packed.filter(|packed| packed.revision > known.config_revision()) else {
+        let mut state = self.state.borrow_mut();
+        let Some(packed) = packed.filter(|packed| packed.revision > state.config_revision()) else {
             return false;
         };
         let unpacked = self.cx.config_versions.unpack(Driver::CONFIG_KEY, packed);
         self.needs_full_config.set(unpacked.is_err());
-        unpacked.is_ok_and(|config| known.apply_config(&config))
+        unpacked.is_ok_and(|config| state.apply_config(&config))
     }
 
-    /// Reads a configuration by `read`, keeping how long that takes.
-    pub(crate) fn time_apply<T>(&self, read: impl FnOnce() -> T) -> T {
+    /// Runs `apply` and records how long it takes.
+    pub(crate) fn time_apply<T>(&self, apply: impl FnOnce() -> T) -> T {
         let began = since_boot();
-        let out = read();
+        let out = apply();
         self.last_apply_took.set(since_boot().saturating_sub(began));
         out
     }
 
-    /// Returns how long to wait before more is read: `least`, or longer after what took long, so
-    /// that a storm of large configurations leaves the processor to orders and requests. Versions
-    /// that come meanwhile arrive as one.
-    pub(crate) fn read_pause(&self, least: Duration) -> Duration {
-        let rest = self.last_apply_took.take() * READ_PAUSE_FACTOR;
-        rest.min(to_duration(self.budget.longest_rest())).max(least)
+    /// Returns how long to wait before the next read: at least `min`, and longer after changes that
+    /// took long to apply.
+    ///
+    /// This leaves the processor to orders and requests while large configurations change often.
+    /// Versions written in the meantime arrive as one.
+    pub(crate) fn read_pause(&self, min: Duration) -> Duration {
+        let pause = self.last_apply_took.take() * READ_PAUSE_FACTOR;
+        pause.min(to_duration(self.budget.longest_rest())).max(min)
     }
 
-    /// Counts values of the store that could not be used.
+    /// Adds the values from the store that could not be used to the metrics.
     fn count_refused_values(&self) {
         let eras = self.store.take_refused_eras();
         if eras > 0 {
-            log::warn!(answers = eras; "the store told eras that are none, or earlier than known");
+            log::warn!(answers = eras; "the store answered with invalid or outdated eras");
             self.cx
                 .metrics
                 .values_refused
@@ -337,7 +347,7 @@
         }
     }
 
-    /// Counts changes that a peer was sent or that were read from one.
+    /// Counts the bytes of changes sent to a peer or read from one.
     pub(crate) fn count_changes(&self, way: &str, news: &ChangeNews, bytes: usize) {
         let kind = match (news.config.is_some(), news.whole) {
             (_, true) => "whole-lists",
@@ -348,7 +358,7 @@
     }
 }
 
-/// Returns a span of the decisions as timers take it.
+/// Converts a span to a [`Duration`] for timers.
 pub(super) fn to_duration(span: Millis) -> Duration {
     Duration::from_millis(span.0)
 }
@@ -359,7 +369,7 @@
     all_readers(&alive)
 }
 
-/// Tells whether this node, among the readers, decides for a domain.
+/// Returns whether this node, among the readers, decides for a domain.
 pub(super) fn owns_domain(view: &View, readers: &[&Heartbeat], domain: &DomainId) -> bool {
     owner_of(domain.as_str(), readers.iter().copied()) == Some(&view.own.node)
 }
--- a/crates/cherrystandd/src/site/domain_control.rs
+++ b/crates/cherrystandd/src/site/domain_control.rs
@@ -1,4 +1,4 @@
-//! Deciding for domains: from what is known to records written and orders sent.
+//! Decides for domains: writes their records and sends the orders that follow.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -13,21 +13,22 @@
 use crate::site::control::{Control, owns_domain, readers_in};
 use crate::state::View;
 
-/// The window over which loads are counted.
+/// The window over which a domain's loads are counted.
 const LOAD_WINDOW: Millis = Millis(5_000);
 
-/// For how long after its first start a site loads without bounds, since nothing is asked yet.
+/// How long after its first start a site loads models without limit, since there are no requests
+/// yet.
 const UNLIMITED_LOAD_PERIOD: Millis = Millis(8_500);
 
-/// Nothing is formed in a domain that never formed any before no box has come for this long, so
-/// that all nodes see the same boxes and give each domain the same home.
+/// How long no new box may have appeared before the first replicas of a domain are formed, so that
+/// all nodes see the same boxes and assign each domain the same home model.
 const SETTLE_TIME: Millis = Millis(500);
 
 impl Control {
-    /// Decides for each domain that this node owns.
+    /// Runs a step for each domain that this node owns.
     pub(super) async fn step_domains(self: &Rc<Self>, view: &View) {
         let readers = readers_in(view);
-        // Most daemons are no readers and own nothing; they need not look at the domains.
+        // Most daemons are not readers and own no domain, so they can skip the rest.
         if !readers.iter().any(|beat| beat.node == view.own.node) {
             return;
         }
@@ -48,8 +49,8 @@
         }
         if step.loads > 0 {
             let mut loads = self.recent_loads.borrow_mut();
-            let begun = loads.entry(domain.clone()).or_default();
-            begun.extend(std::iter::repeat_n(self.now(), step.loads as usize));
+            let started = loads.entry(domain.clone()).or_default();
+            started.extend(std::iter::repeat_n(self.now(), step.loads as usize));
         }
         for order in step.orders {
             let control = self.clone();
@@ -64,19 +65,19 @@
     }
 
     fn decide(&self, domain: &DomainId) -> Option<(Revision, FormationStep)> {
-        let known = self.state.borrow();
-        let boxes = known.boxes_in(domain);
+        let state = self.state.borrow();
+        let boxes = state.boxes_in(domain);
         let service = service_of_boxes(&boxes)?;
-        let engine = known.table()?.config().engine(&service)?.clone();
-        let (revision, record) = known.record(domain);
-        if record.last_epoch == Epoch(0) && known.time_since_new_box(self.now()) < SETTLE_TIME {
+        let engine = state.table()?.config().engine(&service)?.clone();
+        let (revision, record) = state.record(domain);
+        if record.last_epoch == Epoch(0) && state.time_since_new_box(self.now()) < SETTLE_TIME {
             return None;
         }
-        let silent = known.silent_boxes();
-        let departed = known.departed_in(domain);
-        let domains = known.domains().len();
+        let silent = state.silent_boxes();
+        let departed = state.departed_in(domain);
+        let domains = state.domains().len();
         let policy = self.cx.settings.policy;
-        let homes = self.choose_home_models(&known, &engine);
+        let homes = self.choose_home_models(&state, &engine);
         let input = FormationInput {
             now: self.now(),
             domain,
@@ -87,8 +88,8 @@
             departed: &departed,
             silent: &silent,
             probed: &self.probing.borrow(),
-            ended_replicas: known.ended_replicas(),
-            left_epochs: known.left_epochs(),
+            ended_replicas: state.ended_replicas(),
+            left_epochs: state.left_epochs(),
             loads_allowed: self.loads_allowed(domain, engine.loads_per_s, domains),
             home: homes.home.get(domain).map(String::as_str),
             second: homes.second.get(domain).map(String::as_str),
@@ -97,16 +98,17 @@
         let mut formations = self.formations.borrow_mut();
         let mut step = formations.entry(domain.clone()).or_default().step(input);
         if step.new_record.is_none()
-            && (known.has_outdated_box_ids(domain) || known.is_record_lost(domain))
+            && (state.has_outdated_box_ids(domain) || state.is_record_lost(domain))
         {
-            // A box that starts again is told from its life before only where the record names that. What the store
-            // lost is written again by the one that decides.
+            // A restart is only recognized if the record names the incarnation before it, so
+            // records without incarnations are rewritten with them. A record that the store lost is
+            // written again by the node that decides for the domain.
             step.new_record = Some(record);
         }
         Some((revision, step))
     }
 
-    /// Returns how many loads a domain may begin now: its even part of the store's rate.
+    /// Returns how many loads a domain may start now: its equal share of the store's rate.
     fn loads_allowed(&self, domain: &DomainId, per_s: f64, domains: usize) -> u32 {
         let now = self.now();
         if self.is_first_start() && now < UNLIMITED_LOAD_PERIOD {
@@ -114,15 +116,16 @@
         }
         let share = (per_s * LOAD_WINDOW.as_secs_f64() / domains.max(1) as f64).max(1.0) as u32;
         let mut loads = self.recent_loads.borrow_mut();
-        let begun = loads.entry(domain.clone()).or_default();
-        begun.retain(|at| now.since(*at) < LOAD_WINDOW);
-        share.saturating_sub(begun.len() as u32)
+        let started = loads.entry(domain.clone()).or_default();
+        started.retain(|at| now.since(*at) < LOAD_WINDOW);
+        share.saturating_sub(started.len() as u32)
     }
 
-    /// Writes a record; whatever comes of it, the next step decides from what then stands.
+    /// Writes a record. Whatever the result, the next step decides from what the store then holds.
     ///
-    /// Where the store holds what was decided from, at another revision, it is written at that one: so it is after the
-    /// store came back from a copy, and orders that follow from the decision are on their way.
+    /// If the store holds the record that the decision was made from at another revision, the write
+    /// is retried at that one. This happens after the store was restored from a backup, when orders
+    /// that follow from the decision are already on their way.
     pub(super) async fn write_record(
         &self,
         domain: &DomainId,
@@ -133,13 +136,14 @@
         if self.try_write_record(domain, expected, &next).await {
             return;
         }
-        let (revision, stands) = self.state.borrow().record(domain);
-        if revision != expected && stands == decided_from {
+        let (revision, stored) = self.state.borrow().record(domain);
+        if revision != expected && stored == decided_from {
             self.try_write_record(domain, revision, &next).await;
         }
     }
 
-    /// Writes a record, or reads what stands there, and tells whether there is nothing left to do.
+    /// Writes a record, or reads it back if the store did not accept it. Returns whether nothing is
+    /// left to do.
     async fn try_write_record(
         &self,
         domain: &DomainId,
@@ -149,7 +153,7 @@
         let body = match serde_json::to_string(next) {
             Ok(body) => body,
             Err(err) => {
-                log::error!(domain = domain.as_str(); "no record is written: {err}");
+                log::error!(domain = domain.as_str(); "a domain record cannot be serialized: {err}");
                 return true;
             }
         };
@@ -166,7 +170,7 @@
                 false
             }
             Err(err) => {
-                log::warn!(domain = domain.as_str(); "a record may not be written: {err}");
+                log::warn!(domain = domain.as_str(); "a domain record may not have been written: {err}");
                 self.reread_record(&key).await;
                 false
             }
@@ -181,11 +185,11 @@
                 self.state.borrow_mut().apply_changes(&changes, self.now());
             }
             Ok(None) => self.state.borrow_mut().mark_record_lost(key),
-            Err(err) => log::warn!("a record could not be read back: {err}"),
+            Err(err) => log::warn!("a domain record could not be read back: {err}"),
         }
     }
 }
 
 fn service_of_boxes(boxes: &[&SiteBox]) -> Option<ServiceName> {
-    boxes.first().map(|known| known.service.clone())
+    boxes.first().map(|site_box| site_box.service.clone())
 }
--- a/crates/cherrystandd/src/site/pages.rs
+++ b/crates/cherrystandd/src/site/pages.rs
@@ -1,4 +1,4 @@
-//! Pages that the daemon makes itself, beside the requests.
+//! HTTP pages that the daemon serves itself.
 
 use cherrystand_platform::{CallerBody, SiteDriver, serve_http};
 use hyper::body::Incoming;
@@ -10,18 +10,18 @@
 use crate::site::Driver;
 use crate::{DutyContext, StopPhase};
 
-/// Serves one kind of page at an address of its own.
+/// Serves one kind of page on a listener of its own.
 pub(super) fn serve_pages(
     listener: TcpListener,
     cx: DutyContext,
     page: fn(&DutyContext, &Request<Incoming>) -> Response<CallerBody>,
     stopped: watch::Receiver<bool>,
 ) {
-    let answer = move |req: Request<Incoming>| std::future::ready(page(&cx, &req));
-    tokio::task::spawn_local(serve_http(listener, answer, stopped));
+    let handle = move |req: Request<Incoming>| std::future::ready(page(&cx, &req));
+    tokio::task::spawn_local(serve_http(listener, handle, stopped));
 }
 
-/// Tells the balancer whether this node takes requests.
+/// Reports to the load balancer whether this node takes requests.
 pub(super) fn readiness(cx: &DutyContext, req: &Request<Incoming>) -> Response<CallerBody> {
     let view = cx.site.borrow();
     let running = cx.stop_phase() == StopPhase::Running;
@@ -34,27 +34,27 @@
     empty_response(status)
 }
 
-/// Tells operators which zones are emptied and which endpoints are cold, as this daemon knows it.
+/// Lists the evacuated zones and the cold endpoints that this daemon knows of, for operators.
 fn zones_json(cx: &DutyContext) -> Value {
     let (view, now) = (cx.site.borrow(), cx.clock.now());
     let evacuated = view.evacuated.iter().map(|(zone, since)| {
-        let known = view.boxes.values().filter(|known| &known.zone == zone).count();
+        let boxes = view.boxes.values().filter(|site_box| &site_box.zone == zone).count();
         let secs = now.since(*since).as_secs_f64();
-        json!({"zone": zone.as_str(), "known_for_secs": secs, "boxes": known})
+        json!({"zone": zone.as_str(), "known_for_secs": secs, "boxes": boxes})
     });
     let cold = view.cold.iter().filter_map(|(id, until)| {
-        let known = view.boxes.get(id)?;
+        let site_box = view.boxes.get(id)?;
         let table = view.table.as_ref()?;
-        let cold = table.config().service(&known.service)?.cold?;
+        let cold = table.config().service(&site_box.service)?.cold?;
         let left = until.since(now).as_secs_f64();
-        let (zone, rate) = (known.zone.as_str(), cold.rate.as_f64());
+        let (zone, rate) = (site_box.zone.as_str(), cold.rate.as_f64());
         Some(json!({"box": id.as_str(), "zone": zone, "left_secs": left, "per_second": rate}))
     });
     let evacuated: Vec<Value> = evacuated.collect();
     json!({"evacuated": evacuated, "cold": cold.collect::<Vec<_>>()})
 }
 
-/// Answers operators, who read the daemon's counters.
+/// Serves the operators' pages: liveness, zones and metrics.
 pub(super) fn operator_pages(cx: &DutyContext, req: &Request<Incoming>) -> Response<CallerBody> {
     match req.uri().path() {
         "/livez" => empty_response(StatusCode::OK),
@@ -62,7 +62,7 @@
         "/metrics" => match cx.metrics.render() {
             Ok(text) => Response::new(CallerBody::whole(text)),
             Err(err) => {
-                log::error!("the counters cannot be written: {err}");
+                log::error!("metrics cannot be rendered: {err}");
                 empty_response(StatusCode::INTERNAL_SERVER_ERROR)
             }
         },
@@ -70,9 +70,9 @@
     }
 }
 
-/// Makes an answer without a body.
+/// Returns a response without a body.
 pub(super) fn empty_response(status: StatusCode) -> Response<CallerBody> {
-    let mut answer = Response::new(CallerBody::whole(""));
-    *answer.status_mut() = status;
-    answer
+    let mut response = Response::new(CallerBody::whole(""));
+    *response.status_mut() = status;
+    response
 }
