--- a/crates/cherrystandd/src/site/active_attempt.rs
+++ b/crates/cherrystandd/src/site/active_attempt.rs
@@ -31,9 +31,9 @@
     answered: Cell<bool>,
     unread_tokens: Cell<f64>,
     /// When the attempt was started.
-    pub(crate) sent: Millis,
+    pub(crate) started_at: Millis,
     /// What was predicted for it, if the engine is known.
-    expected: Option<Prediction>,
+    prediction: Option<Prediction>,
     /// Its priority at the engine, if the engine takes one.
     pub(crate) priority: Option<u8>,
     /// Whether the engine puts it behind requests that can still meet their latency goal.
@@ -56,12 +56,12 @@
         req: Rc<SiteRequest>,
         key: TargetKey,
         target: BoxId,
-        expected: Option<Prediction>,
+        prediction: Option<Prediction>,
         priority: Option<u8>,
     ) -> Self {
         let now = frontend.now();
         let prompt = req.prompt_tokens();
-        let deferred = expected.is_some_and(|expected| expected.deferred);
+        let deferred = prediction.is_some_and(|prediction| prediction.deferred);
         frontend.balancer.borrow_mut().record_start(key, prompt, deferred);
         frontend.crashes.attempt_sent(&target, &req);
         Self {
@@ -73,8 +73,8 @@
             permit: Cell::new(Some(permit)),
             answered: Cell::new(false),
             unread_tokens: Cell::new(prompt),
-            sent: now,
-            expected,
+            started_at: now,
+            prediction,
             priority,
             deferred: Cell::new(deferred),
             stall_reported_at: Cell::new(None),
@@ -109,11 +109,11 @@
             let was_deferred = self.deferred.take();
             balancer.record_first_event(self.key, unread_tokens, was_deferred);
             // The time of a deferred request doesn't show how long others take.
-            if let Some(expected) = self.expected.filter(|_| !was_deferred) {
+            if let Some(prediction) = self.prediction.filter(|_| !was_deferred) {
                 balancer.record_first_event_time(
                     self.key,
-                    now.since(self.sent),
-                    expected.first_event_ms,
+                    now.since(self.started_at),
+                    prediction.first_event_ms,
                 );
             }
         }
@@ -188,7 +188,7 @@
     /// refused all.
     pub(crate) fn refused(&self) {
         self.failed();
-        self.avoid();
+        self.eject();
     }
 
     /// Records that the connection broke during or before the endpoint's answer.
@@ -202,7 +202,7 @@
     }
 
     /// Takes the endpoint out of the choice for a while.
-    pub(crate) fn avoid(&self) {
+    pub(crate) fn eject(&self) {
         let now = self.frontend.now();
         self.frontend.balancer.borrow_mut().eject(self.key, now);
     }
--- a/crates/cherrystandd/src/site/box_calls.rs
+++ b/crates/cherrystandd/src/site/box_calls.rs
@@ -77,8 +77,8 @@
     }
 
     async fn call_order(&self, order: &MemberOrder, record: Revision) -> OrderEnd {
-        let out = Driver::order_call(order, order.fence(record));
-        let sent = self.timed_call(order.task.as_str(), order.address, out, ORDER_TIMEOUT).await;
+        let call = Driver::order_call(order, order.fence(record));
+        let sent = self.timed_call(order.task.as_str(), order.address, call, ORDER_TIMEOUT).await;
         let end = match &sent {
             Ok(answer) => Driver::order_end(answer.status),
             Err(CallError::Send(SendError::Connect { .. })) => OrderEnd::Refused,
@@ -107,10 +107,10 @@
         &self,
         kind: &str,
         address: SocketAddr,
-        out: BoxCall,
+        call: BoxCall,
         timeout: Duration,
     ) -> Result<Answer, CallError> {
-        let answer = call_with(&self.pool, address, out, timeout);
+        let answer = call_with(&self.pool, address, call, timeout);
         self.time_call(kind, answer).await
     }
 
--- a/crates/cherrystandd/src/site/crash_watch.rs
+++ b/crates/cherrystandd/src/site/crash_watch.rs
@@ -200,8 +200,8 @@
     /// Finds out from a new view which of the boxes that interrupted answers have crashed, and
     /// takes over the store's record.
     pub(crate) fn apply_view(&self, view: &SiteView) {
-        let ended = self.interrupted.borrow().crashed_boxes(view);
-        ended.iter().for_each(|incarnation| self.box_crashed(incarnation));
+        let crashed = self.interrupted.borrow().crashed_boxes(view);
+        crashed.iter().for_each(|incarnation| self.box_crashed(incarnation));
         if !Arc::ptr_eq(&view.suspects, &self.stored_record.borrow()) {
             self.stored_record.replace(view.suspects.clone());
             let now = self.cx.clock.now();
@@ -246,12 +246,12 @@
     fn log_crash(&self, incarnation: &BoxId, requests: &[Fingerprint]) {
         let suspects = self.suspects.borrow();
         let crashes = |request: &Fingerprint| (suspects.crash_count(*request), *request);
-        let Some((most, request)) = requests.iter().map(crashes).max() else { return };
+        let Some((max_crashes, request)) = requests.iter().map(crashes).max() else { return };
         let repeated =
             requests.iter().filter(|request| suspects.crash_count(**request) > 1).count();
         log::warn!(
             target_box = incarnation.as_str(), requests = requests.len(), at_earlier_ends = repeated,
-            most_ends = most, fingerprint = request.to_string();
+            most_ends = max_crashes, fingerprint = request.to_string();
             "a box ended while it worked on requests"
         );
     }
--- a/crates/cherrystandd/src/site/endpoint_call.rs
+++ b/crates/cherrystandd/src/site/endpoint_call.rs
@@ -62,7 +62,7 @@
     last_event: Option<u64>,
 ) -> Result<(Parts, PooledBody), AttemptEnd> {
     frontend.observe_store_age(&attempt.target, req);
-    let out = req.endpoint_request::<Driver>(
+    let outgoing = req.endpoint_request::<Driver>(
         &attempt.target,
         last_event,
         attempt.priority,
@@ -70,7 +70,7 @@
     );
     let max_idle = frontend.max_idle_connections(&req.service);
     let answer = tokio::select! {
-        answer = frontend.pool.send(permit, max_idle, address, out, CONNECT_TIMEOUT) => answer,
+        answer = frontend.pool.send(permit, max_idle, address, outgoing, CONNECT_TIMEOUT) => answer,
         () = attempt.aborted() => return Err(AttemptEnd::ReplicaLost),
     };
     let answer = answer.map_err(|err| {
@@ -80,11 +80,11 @@
             }
             SendError::NotSent(_) => {
                 attempt.failed();
-                attempt.avoid();
+                attempt.eject();
             }
             SendError::Cut(_) => {
                 attempt.interrupted();
-                attempt.avoid();
+                attempt.eject();
             }
         }
         attempt_end(&err)
@@ -131,12 +131,12 @@
         attempt.failed();
         return Err(AttemptEnd::AnswerCut);
     }
-    let claims_not_run = [
+    let not_run_statuses = [
         StatusCode::SERVICE_UNAVAILABLE,
         StatusCode::TOO_MANY_REQUESTS,
         StatusCode::REQUEST_TIMEOUT,
     ];
-    if claims_not_run.contains(&head.status) {
+    if not_run_statuses.contains(&head.status) {
         // The endpoint doesn't state that it did not run the request, so this node must not claim
         // it either.
         attempt.failed();
--- a/crates/cherrystandd/src/site/endpoint_signals.rs
+++ b/crates/cherrystandd/src/site/endpoint_signals.rs
@@ -44,7 +44,7 @@
         }
         let mut balancer = self.balancer.borrow_mut();
         if facts.leaving && balancer.hear_leaving(&attempt.target) {
-            self.signal_log.leaves(&attempt.target);
+            self.signal_log.leaving(&attempt.target);
             self.cx.hint(Hint::Leaves(attempt.target.clone()));
             self.loads.broadcast(LoadNews::Leaves(attempt.target.clone()));
         }
@@ -78,7 +78,7 @@
             NamedLimit::PerSecond(limit) => Some(limit),
             NamedLimit::Unreadable => return self.signal_log.invalid_limit(&attempt.target),
         };
-        let heard = LimitHeard { limit, sent: attempt.sent };
+        let heard = LimitHeard { limit, sent: attempt.started_at };
         let mut balancer = self.balancer.borrow_mut();
         let is_new = balancer.limits_mut().hear_answer(&attempt.target, heard, self.now());
         self.signal_log.limit(&attempt.target, limit, is_new);
@@ -95,21 +95,21 @@
         req: &SiteRequest,
         facts: &AnswerFacts,
     ) {
-        let own = facts.cold_left.filter(|_| is_answer_to(req, facts));
-        let Some(left) = own.filter(|left| *left > Millis(0)) else { return };
+        let cold_left = facts.cold_left.filter(|_| is_answer_to(req, facts));
+        let Some(left) = cold_left.filter(|left| *left > Millis(0)) else { return };
         let view = self.view.borrow();
         let service = view.table.as_ref().and_then(|table| table.config().service(&req.service));
         let Some(cold) = service.and_then(|service| service.cold) else { return };
-        let life = ColdWord { rate: cold.rate, left }.life(self.now());
-        self.balancer.borrow_mut().limits_mut().follow_cold(&attempt.target, Some(life));
+        let cold_life = ColdWord { rate: cold.rate, left }.life(self.now());
+        self.balancer.borrow_mut().limits_mut().follow_cold(&attempt.target, Some(cold_life));
         self.loads.limits_due.notify_one();
     }
 
     /// Makes a request that needs a permit which isn't at hand wait for the daemon that issues
     /// them, but no longer than a round trip takes.
     pub(crate) async fn await_permit(&self, req: &SiteRequest) {
-        let wanted = self.request_permits(req);
-        if wanted.is_empty() {
+        let endpoints = self.request_permits(req);
+        if endpoints.is_empty() {
             return;
         }
         self.loads.limits_due.notify_one();
@@ -120,10 +120,10 @@
             let may_come = {
                 let balancer = self.balancer.borrow();
                 let limits = balancer.limits();
-                wanted
+                endpoints
                     .iter()
                     .all(|id| limits.wait(id, self.now()).is_some_and(|wait| wait.is_err()))
-                    && wanted.iter().any(|id| limits.may_come(id))
+                    && endpoints.iter().any(|id| limits.may_come(id))
             };
             if !may_come || self.timeout_at(now + max_wait, answered).await.is_none() {
                 return;
@@ -138,12 +138,12 @@
         let view = self.refresh_view();
         let Some(table) = view.table.as_ref() else { return Vec::new() };
         let engine = table.config().engine(&req.service);
-        let ask = req.ask(engine, req.route.latency_goal);
+        let spec = req.spec(engine, req.route.latency_goal);
         let mut seed = self.seed.get();
         let mut balancer = self.balancer.borrow_mut();
-        let wanted = balancer.request_permits(ask, engine, self.now(), &mut seed);
+        let endpoints = balancer.request_permits(spec, engine, self.now(), &mut seed);
         self.seed.set(seed);
-        wanted
+        endpoints
     }
 
     /// Returns when the first endpoint becomes available, if every endpoint that could serve a
@@ -151,17 +151,17 @@
     pub(crate) fn unavailable_until(&self, req: &SiteRequest) -> Option<Millis> {
         let view = self.view.borrow();
         let engine = view.table.as_ref()?.config().engine(&req.service);
-        let ask = req.ask(engine, req.route.latency_goal);
-        self.balancer.borrow().unavailable_until(ask, engine, self.now())
+        let spec = req.spec(engine, req.route.latency_goal);
+        self.balancer.borrow().unavailable_until(spec, engine, self.now())
     }
 
     /// Returns the `Retry-After` of a request that was refused because every endpoint is
     /// unavailable: the end of the first backoff plus a random part of [`RETRY_AFTER_SPREAD`],
     /// because all other refused callers come back as well.
-    pub(crate) fn retry_after(&self, closed_until: Millis) -> Millis {
+    pub(crate) fn retry_after(&self, unavailable_until: Millis) -> Millis {
         let mut seed = self.seed.get();
         let spread = seed.below(RETRY_AFTER_SPREAD.0 as usize) as u64;
         self.seed.set(seed);
-        closed_until.since(self.now()) + Millis(spread)
+        unavailable_until.since(self.now()) + Millis(spread)
     }
 }
--- a/crates/cherrystandd/src/site/event_stream.rs
+++ b/crates/cherrystandd/src/site/event_stream.rs
@@ -28,11 +28,11 @@
 }
 
 impl StreamOutcome {
-    fn by_caller(end: StreamEnd) -> Self {
+    fn new(end: StreamEnd) -> Self {
         Self { end, attempt_end: None }
     }
 
-    fn by(end: AttemptEnd) -> Self {
+    fn failed(end: AttemptEnd) -> Self {
         let stream = match end {
             AttemptEnd::ReplicaLost => StreamEnd::ReplicaLost,
             _ => StreamEnd::BrokenOff,
@@ -43,7 +43,7 @@
 
 /// The state of the answer that is being forwarded, as of the last check.
 #[derive(Clone, Copy, Default)]
-struct LastReceived {
+struct AnswerState {
     received_at: Millis,
     stall: Option<StallEvidence>,
 }
@@ -69,8 +69,8 @@
 impl EventStream {
     /// Forwards the answer that has begun, and resumes it at another replica if it breaks off.
     pub(crate) async fn run(mut self, first: StartedAnswer) {
-        let mut last = LastReceived { received_at: self.frontend.now(), stall: None };
-        let outcome = self.forward(first, &mut last).await;
+        let mut state = AnswerState { received_at: self.frontend.now(), stall: None };
+        let outcome = self.forward(first, &mut state).await;
         self.frontend.count_stream_end(outcome.end);
         if outcome.end == StreamEnd::Whole {
             // A caller that has disconnected needs no end of the stream.
@@ -82,8 +82,8 @@
             tried: &self.attempts.tried,
             end: outcome.end,
             attempt_end: outcome.attempt_end,
-            silence: self.frontend.now().since(last.received_at),
-            stall: last.stall,
+            silence: self.frontend.now().since(state.received_at),
+            stall: state.stall,
             attempts_left: self
                 .req
                 .route
@@ -93,7 +93,7 @@
         });
     }
 
-    async fn forward(&mut self, first: StartedAnswer, last: &mut LastReceived) -> StreamOutcome {
+    async fn forward(&mut self, first: StartedAnswer, state: &mut AnswerState) -> StreamOutcome {
         let mut current = Some(ReplicaStream::new(self.frontend.clone(), first));
         let mut resuming = OpenAttempts::new();
         let mut resume_attempts = 0;
@@ -104,9 +104,9 @@
             let step = tokio::select! {
                 step = next_step(&mut current, last_event) => step,
                 resumed = resuming.next() => match resumed {
-                    Ok((run, step)) => {
+                    Ok((stream, step)) => {
                         self.attempts.ledger.record_end(AttemptEnd::Answered);
-                        current = Some(run);
+                        current = Some(stream);
                         step
                     }
                     Err(end) => {
@@ -117,17 +117,17 @@
                         StreamStep::Broken(end)
                     }
                 },
-                () = self.tx.closed() => return StreamOutcome::by_caller(StreamEnd::CallerLeft),
+                () = self.tx.closed() => return StreamOutcome::new(StreamEnd::CallerLeft),
                 () = tokio::time::sleep(CHECK_INTERVAL.min(left)) => {
                     // Everything that arrived before the deadline has been forwarded already.
                     if left.is_zero() {
-                        return StreamOutcome::by_caller(StreamEnd::DeadlinePassed);
+                        return StreamOutcome::new(StreamEnd::DeadlinePassed);
                     }
                     // The delay was this thread's own: first read what arrived in the meantime.
                     if self.frontend.was_busy(checked_at) {
                         continue;
                     }
-                    let health = self.check_replica(&mut current, last);
+                    let health = self.check_replica(&mut current, state);
                     let newest = resuming.check_replicas(&self.frontend, &self.req).or(health);
                     match newest {
                         Some(ReplicaHealth::Lost) if resuming.is_empty() => {
@@ -150,20 +150,20 @@
                     resuming.clear();
                     self.attempts.ledger.record_remaining_ends(AttemptEnd::Overtaken);
                     (resume_attempts, self.last_event) = (0, id);
-                    *last = LastReceived { received_at: self.frontend.now(), stall: None };
+                    *state = AnswerState { received_at: self.frontend.now(), stall: None };
                     let sent_at = self.frontend.now();
                     if let Some(end) = self.send_events(events).await {
-                        return StreamOutcome::by_caller(end);
+                        return StreamOutcome::new(end);
                     }
                     let taken_at = self.frontend.now();
-                    if let Some(run) = current.as_mut()
+                    if let Some(stream) = current.as_mut()
                         && StreamEnd::is_caller_stall(taken_at.since(sent_at))
                     {
-                        run.caller_stalled_at = Some(taken_at);
+                        stream.caller_resumed_at = Some(taken_at);
                     }
                 }
-                StreamStep::CallerSlow => return StreamOutcome::by_caller(StreamEnd::CallerSlow),
-                StreamStep::End => return StreamOutcome::by_caller(StreamEnd::Whole),
+                StreamStep::CallerSlow => return StreamOutcome::new(StreamEnd::CallerSlow),
+                StreamStep::End => return StreamOutcome::new(StreamEnd::Whole),
                 StreamStep::Broken(end) => {
                     current = None;
                     if !resuming.is_empty() {
@@ -172,7 +172,9 @@
                     self.frontend.await_borrowed_retry(&self.req).await;
                     let next =
                         (resume_attempts < MAX_RESUME_ATTEMPTS).then(|| self.start_resume(end));
-                    let Some(attempt) = next.flatten() else { return StreamOutcome::by(end) };
+                    let Some(attempt) = next.flatten() else {
+                        return StreamOutcome::failed(end);
+                    };
                     resume_attempts += 1;
                     resuming.push(attempt.clone(), self.resume_stream(attempt));
                 }
@@ -193,11 +195,11 @@
     fn check_replica(
         &self,
         current: &mut Option<ReplicaStream>,
-        last: &mut LastReceived,
+        state: &mut AnswerState,
     ) -> Option<ReplicaHealth> {
-        let run = current.as_ref()?;
-        let health = self.frontend.check_replica(&self.req, &run.attempt, run.received_at);
-        *last = LastReceived { received_at: run.received_at, stall: run.attempt.stall() };
+        let stream = current.as_ref()?;
+        let health = self.frontend.check_replica(&self.req, &stream.attempt, stream.received_at);
+        *state = AnswerState { received_at: stream.received_at, stall: stream.attempt.stall() };
         if health == ReplicaHealth::Lost {
             *current = None;
         }
@@ -223,11 +225,11 @@
 
 /// Waits for the next step of the answer that is being forwarded. Without one it never returns.
 async fn next_step(current: &mut Option<ReplicaStream>, last_event: Option<u64>) -> StreamStep {
-    let Some(run) = current else { return std::future::pending().await };
-    let attempt = run.attempt.clone();
+    let Some(stream) = current else { return std::future::pending().await };
+    let attempt = stream.attempt.clone();
     tokio::select! {
         // While events arrive often, no check runs, so the abort is awaited here too.
         () = attempt.aborted() => StreamStep::Broken(AttemptEnd::ReplicaLost),
-        step = run.next(last_event) => step,
+        step = stream.next(last_event) => step,
     }
 }
--- a/crates/cherrystandd/src/site/frontend.rs
+++ b/crates/cherrystandd/src/site/frontend.rs
@@ -209,34 +209,34 @@
     ) -> Option<Rc<ActiveAttempt>> {
         let view = self.refresh_view();
         let engine = view.table.as_ref()?.config().engine(&req.service);
-        let objective = match purpose {
-            AttemptPurpose::FirstAnswer => req.objective_left(self.now()),
+        let latency_goal = match purpose {
+            AttemptPurpose::FirstAnswer => req.latency_goal_left(self.now()),
             AttemptPurpose::Resume => req.route.latency_goal,
         };
-        let ask = req.ask(engine, objective);
+        let spec = req.spec(engine, latency_goal);
         let mut seed = self.seed.get();
         self.loads.update_balancer(&mut self.balancer.borrow_mut());
         let mut excluded = self.crashes.boxes_to_avoid(req);
         let balancer = self.balancer.borrow();
         let key = match excluded.is_empty() {
-            true => balancer.choose(ask, engine, tried, self.now(), &mut seed),
+            true => balancer.choose(spec, engine, tried, self.now(), &mut seed),
             false => {
                 excluded.extend_from_slice(tried);
-                let key = balancer.choose(ask, engine, &excluded, self.now(), &mut seed);
-                key.or_else(|| balancer.choose(ask, engine, tried, self.now(), &mut seed))
+                let key = balancer.choose(spec, engine, &excluded, self.now(), &mut seed);
+                key.or_else(|| balancer.choose(spec, engine, tried, self.now(), &mut seed))
             }
         };
         self.seed.set(seed);
-        let key = key.or_else(|| balancer.choose(ask, engine, &[], self.now(), &mut seed))?;
+        let key = key.or_else(|| balancer.choose(spec, engine, &[], self.now(), &mut seed))?;
         let target = balancer.id(key)?.clone();
-        let expected = engine.and_then(|engine| balancer.predict(key, ask, engine));
-        let expected = expected.map(|expected| match purpose {
-            AttemptPurpose::FirstAnswer => expected,
-            AttemptPurpose::Resume => Prediction { deferred: false, ..expected },
+        let prediction = engine.and_then(|engine| balancer.predict(key, spec, engine));
+        let prediction = prediction.map(|prediction| match purpose {
+            AttemptPurpose::FirstAnswer => prediction,
+            AttemptPurpose::Resume => Prediction { deferred: false, ..prediction },
         });
         drop(balancer);
         let rank = req.route.priority;
-        let priority = expected.map(|expected| engine_priority(rank, expected.deferred));
+        let priority = prediction.map(|prediction| engine_priority(rank, prediction.deferred));
         let permit = self.balancer.borrow_mut().permit(key, self.now())?;
         let attempt = ActiveAttempt::start(
             permit,
@@ -244,7 +244,7 @@
             req.clone(),
             key,
             target,
-            expected,
+            prediction,
             priority,
         );
         let attempt = Rc::new(attempt);
@@ -292,23 +292,17 @@
         }
         self.loads.update_balancer(&mut self.balancer.borrow_mut());
         let balancer = self.balancer.borrow();
-        let longest = self.max_silence(req, balancer.load(attempt.key));
-        if silence <= longest {
+        let longest_expected = self.max_silence(req, balancer.load(attempt.key));
+        if silence <= longest_expected {
             return None;
         }
         let peers = match self.cx.settings.policy.ask_peers {
-            true => self.loads.peer_progress(&attempt.target, now - longest, now),
+            true => self.loads.peer_progress(&attempt.target, now - longest_expected, now),
             false => PeerProgress::NotAsked,
         };
-        let others = balancer.others_progress(attempt.key, now - longest);
+        let others_progressed = balancer.others_progress(attempt.key, now - longest_expected);
         let peers_age = self.loads.last_peer_answer_age(now);
-        Some(StallEvidence {
-            silence,
-            longest_expected: longest,
-            peers,
-            peers_age,
-            others_progressed: others,
-        })
+        Some(StallEvidence { silence, longest_expected, peers, peers_age, others_progressed })
     }
 
     fn max_silence(&self, req: &SiteRequest, load: EngineLoad) -> Millis {
@@ -346,7 +340,7 @@
             self.report_stalled(attempt);
         }
         let lost = self.refresh_view().is_lost(&attempt.target)
-            || self.loads.stopped_since(&attempt.target, attempt.sent);
+            || self.loads.stopped_since(&attempt.target, attempt.started_at);
         match lost {
             true => ReplicaHealth::Lost,
             false if stall.is_node_wide_pause() => ReplicaHealth::AllStalled,
@@ -356,7 +350,7 @@
 
     /// Takes a stalled replica out of the choice and has its members probed.
     fn report_stalled(&self, attempt: &ActiveAttempt) {
-        attempt.avoid();
+        attempt.eject();
         self.cx.hint(Hint::Stalled(attempt.target.clone()));
         self.loads.announce_stalled(attempt.target.clone());
     }
@@ -365,7 +359,7 @@
     /// peers.
     pub(crate) fn report_not_serving(&self, attempt: &ActiveAttempt) {
         if !self.balancer.borrow().is_ejected(attempt.key, self.now()) {
-            attempt.avoid();
+            attempt.eject();
             self.loads.announce_stopped(attempt.target.clone(), self.now());
         }
     }
@@ -373,7 +367,7 @@
     /// Takes a box that refuses or times out connections out of the choice and has it probed.
     pub(crate) fn report_unreachable(&self, attempt: &ActiveAttempt) {
         attempt.failed();
-        attempt.avoid();
+        attempt.eject();
         self.cx.hint(Hint::Unreachable(attempt.target.clone()));
     }
 
--- a/crates/cherrystandd/src/site/limit_exchange.rs
+++ b/crates/cherrystandd/src/site/limit_exchange.rs
@@ -33,7 +33,7 @@
     /// none.
     pub(super) async fn limit_loop(&self) {
         let clock = self.cx.clock;
-        let mut seen: Option<Arc<View>> = None;
+        let mut last_view: Option<Arc<View>> = None;
         loop {
             let due = self.loads.limits_due.notified();
             // Waking early only makes the same step happen sooner.
@@ -42,7 +42,7 @@
                 LimitActivity::Idle => _ = clock.by(clock.now() + IDLE_STEP_INTERVAL, due).await,
                 LimitActivity::Active => _ = clock.by(clock.now() + STEP_INTERVAL, due).await,
             }
-            self.step_limits(&mut seen).await;
+            self.step_limits(&mut last_view).await;
         }
     }
 
@@ -57,10 +57,11 @@
         }
     }
 
-    async fn step_limits(&self, seen: &mut Option<Arc<View>>) {
+    async fn step_limits(&self, last_view: &mut Option<Arc<View>>) {
         let view = self.cx.view_now();
-        let members_changed = !seen.as_ref().is_some_and(|seen| same_members(seen, &view));
-        *seen = Some(view.clone());
+        let members_changed =
+            !last_view.as_ref().is_some_and(|last_view| same_members(last_view, &view));
+        *last_view = Some(view.clone());
         let step = self.step(self.balancer.borrow_mut().limits_mut(), members_changed, &view);
         self.send_step(step, LoadNews::Limit, &view).await;
         let step = self.step(&mut self.loads.lent_retries.borrow_mut(), members_changed, &view);
--- a/crates/cherrystandd/src/site/load_exchange.rs
+++ b/crates/cherrystandd/src/site/load_exchange.rs
@@ -49,7 +49,7 @@
 /// Keeps what peers reported, and what is to be sent to them at once.
 #[derive(Default)]
 pub(crate) struct LoadExchange {
-    book: RefCell<PeerLoads>,
+    peer_loads: RefCell<PeerLoads>,
     stalled: RefCell<Vec<BoxId>>,
     stopped: RefCell<Vec<BoxId>>,
     /// When this node last learned that a leader stopped serving: from the leader, from a peer, or
@@ -113,8 +113,8 @@
 
     /// Gives the loads of peers to the load balancer if they changed since the last call.
     pub(crate) fn update_balancer(&self, balancer: &mut LoadBalancer) {
-        if let Some(sums) = self.book.borrow_mut().changed_totals() {
-            balancer.set_peer_loads(&sums);
+        if let Some(totals) = self.peer_loads.borrow_mut().changed_totals() {
+            balancer.set_peer_loads(&totals);
         }
     }
 
@@ -129,7 +129,7 @@
     /// Silence on this node alone says little, as all its own requests there may be waiting behind
     /// others.
     pub(crate) fn peer_progress(&self, id: &BoxId, since: Millis, now: Millis) -> PeerProgress {
-        if self.book.borrow().last_progress(id).is_some_and(|seen| seen > since) {
+        if self.peer_loads.borrow().last_progress(id).is_some_and(|seen| seen > since) {
             return PeerProgress::Seen;
         }
         let asked = self.asked_at.borrow().get(id).copied();
@@ -208,25 +208,27 @@
     async fn handle(&self, news: LoadNews, sender: SocketAddr) {
         let now = self.cx.clock.now();
         let own_zone = &self.cx.settings.zone;
-        let book = &self.loads.book;
+        let peer_loads = &self.loads.peer_loads;
         match news {
             LoadNews::InFlight { from, zone, loads, zones } => {
-                let mut book = book.borrow_mut();
-                book.record_node(from, zone, loads, now);
+                let mut peer_loads = peer_loads.borrow_mut();
+                peer_loads.record_node(from, zone, loads, now);
                 for zone_loads in zones {
-                    book.record_zone(zone_loads, own_zone, now);
+                    peer_loads.record_zone(zone_loads, own_zone, now);
                 }
             }
-            LoadNews::Zone(zone_loads) => book.borrow_mut().record_zone(zone_loads, own_zone, now),
+            LoadNews::Zone(zone_loads) => {
+                peer_loads.borrow_mut().record_zone(zone_loads, own_zone, now)
+            }
             LoadNews::Asked(leaders) => self.answer_progress(&leaders, sender).await,
             LoadNews::Seen(loads) => {
                 self.loads.last_answer_at.set(Some(now));
-                book.borrow_mut().record_progress(&loads, now);
+                peer_loads.borrow_mut().record_progress(&loads, now);
             }
             LoadNews::Stalled(leaders) => self.handle_stalled(leaders, now),
             LoadNews::Left(leaders) => {
                 leaders.iter().for_each(|leader| self.loads.record_stopped(leader, now));
-                self.avoid(&leaders, now);
+                self.eject(&leaders, now);
             }
             LoadNews::Ended(incarnation, requests) => {
                 let served = self.crashes.peer_reported_crash(&incarnation, &requests);
@@ -250,13 +252,13 @@
     }
 
     fn handle_stalled(&self, leaders: Vec<BoxId>, now: Millis) {
-        self.avoid(&leaders, now);
+        self.eject(&leaders, now);
         for leader in leaders {
             self.cx.hint(Hint::Stalled(leader));
         }
     }
 
-    fn avoid(&self, leaders: &[BoxId], now: Millis) {
+    fn eject(&self, leaders: &[BoxId], now: Millis) {
         for leader in leaders {
             self.balancer.borrow_mut().eject_box(leader, now);
         }
@@ -271,7 +273,7 @@
     }
 
     async fn send_loop(&self) {
-        let (mut sent_any, mut next_peer) = (false, 0);
+        let (mut had_loads, mut next_peer) = (false, 0);
         let clock = self.cx.clock;
         let mut due = clock.now() + SEND_INTERVAL;
         loop {
@@ -284,11 +286,11 @@
             due = clock.now() + SEND_INTERVAL;
             self.publish_model_loads();
             let loads = self.own_loads();
-            let any = !loads.is_empty();
-            if self.cx.settings.policy.tell_loads && (any || sent_any) {
+            let has_loads = !loads.is_empty();
+            if self.cx.settings.policy.tell_loads && (has_loads || had_loads) {
                 self.send_loads(loads, &mut next_peer).await;
             }
-            sent_any = any;
+            had_loads = has_loads;
         }
     }
 
@@ -338,8 +340,8 @@
             alive.iter().copied().filter(|beat| beat.node != from).collect();
         let near = others.iter().filter(|beat| beat.zone == zone).map(|beat| beat.address);
         let near: Vec<SocketAddr> = near.collect();
-        let book = &self.loads.book;
-        book.borrow_mut().remove_expired(near.len().div_ceil(MAX_PEERS_PER_ROUND), now);
+        let peer_loads = &self.loads.peer_loads;
+        peer_loads.borrow_mut().remove_expired(near.len().div_ceil(MAX_PEERS_PER_ROUND), now);
         if others.len() <= MAX_PEERS_PER_ROUND {
             let all: Vec<SocketAddr> = others.iter().map(|beat| beat.address).collect();
             let news = LoadNews::InFlight { from, zone, loads, zones: Vec::new() };
@@ -347,11 +349,11 @@
         }
         let mut zones = Vec::new();
         if is_relay(&view.own, &alive) {
-            let sum = book.borrow().zone_total(&zone, &loads, now);
+            let total = peer_loads.borrow().zone_total(&zone, &loads, now);
             let relays = relays_elsewhere(&zone, &alive);
             let relays: Vec<SocketAddr> = relays.iter().map(|beat| beat.address).collect();
-            self.send(&LoadNews::Zone(sum), &relays).await;
-            zones = book.borrow().other_zone_totals(now);
+            self.send(&LoadNews::Zone(total), &relays).await;
+            zones = peer_loads.borrow().other_zone_totals(now);
         }
         let news = LoadNews::InFlight { from, zone, loads, zones };
         self.send(&news, &next_peers(&near, next_peer)).await;
--- a/crates/cherrystandd/src/site/open_attempts.rs
+++ b/crates/cherrystandd/src/site/open_attempts.rs
@@ -63,7 +63,7 @@
     ) -> Option<ReplicaHealth> {
         let mut newest = None;
         for attempt in &self.attempts {
-            let health = frontend.check_replica(req, attempt, attempt.sent);
+            let health = frontend.check_replica(req, attempt, attempt.started_at);
             if health == ReplicaHealth::Lost {
                 attempt.abort();
             }
--- a/crates/cherrystandd/src/site/replica_stream.rs
+++ b/crates/cherrystandd/src/site/replica_stream.rs
@@ -33,11 +33,11 @@
     body: PooledBody,
     /// The attempt that brings it.
     pub(crate) attempt: Rc<ActiveAttempt>,
-    cutter: EventSplitter,
+    splitter: EventSplitter,
     /// When anything of it last arrived.
     pub(crate) received_at: Millis,
     /// When the caller last read on after not having read for long.
-    pub(crate) caller_stalled_at: Option<Millis>,
+    pub(crate) caller_resumed_at: Option<Millis>,
 }
 
 impl ReplicaStream {
@@ -45,8 +45,8 @@
     pub(crate) fn new(frontend: Rc<Frontend>, started: StartedAnswer) -> Self {
         let received_at = frontend.now();
         let StartedAnswer { body, attempt, .. } = started;
-        let cutter = EventSplitter::default();
-        Self { frontend, body, attempt, cutter, received_at, caller_stalled_at: None }
+        let splitter = EventSplitter::default();
+        Self { frontend, body, attempt, splitter, received_at, caller_resumed_at: None }
     }
 
     /// Waits for what follows the event with the id `last_event`.
@@ -58,7 +58,7 @@
                 None => return self.end(),
                 Some(Err(_))
                     if StreamEnd::is_caused_by_slow_caller(
-                        self.caller_stalled_at,
+                        self.caller_resumed_at,
                         self.frontend.now(),
                     ) =>
                 {
@@ -66,15 +66,15 @@
                 }
                 Some(Err(_)) => {
                     self.attempt.interrupted();
-                    self.attempt.avoid();
+                    self.attempt.eject();
                     return StreamStep::Broken(AttemptEnd::AnswerCut);
                 }
                 Some(Ok(frame)) => {
                     self.received_at = self.frontend.now();
                     self.attempt.on_event();
                     let Ok(data) = frame.into_data() else { continue };
-                    self.cutter.push(&data);
-                    if let Some(step) = self.whole_events(last_event) {
+                    self.splitter.push(&data);
+                    if let Some(step) = self.complete_events(last_event) {
                         return step;
                     }
                 }
@@ -83,9 +83,9 @@
     }
 
     /// Takes out the events that are complete by now and follow `last_event`.
-    fn whole_events(&mut self, mut last_event: Option<u64>) -> Option<StreamStep> {
+    fn complete_events(&mut self, mut last_event: Option<u64>) -> Option<StreamStep> {
         let mut out: Vec<Bytes> = Vec::new();
-        while let Some(event) = self.cutter.next_event() {
+        while let Some(event) = self.splitter.next_event() {
             if is_next(&event, last_event) {
                 last_event = event.id.or(last_event);
                 out.push(event.bytes);
@@ -96,7 +96,7 @@
                 return Some(StreamStep::Broken(AttemptEnd::AnswerCut));
             }
         }
-        if self.cutter.buffered_bytes() > MAX_EVENT_BYTES {
+        if self.splitter.buffered_bytes() > MAX_EVENT_BYTES {
             return Some(StreamStep::Broken(AttemptEnd::AnswerCut));
         }
         match out.len() {
@@ -107,7 +107,7 @@
     }
 
     fn end(&self) -> StreamStep {
-        if self.cutter.buffered_bytes() > 0 {
+        if self.splitter.buffered_bytes() > 0 {
             self.attempt.interrupted();
             return StreamStep::Broken(AttemptEnd::AnswerCut);
         }
@@ -143,13 +143,13 @@
         attempt.failed();
         return Err(AttemptEnd::AnswerCut);
     }
-    let mut run = ReplicaStream::new(frontend, started);
+    let mut stream = ReplicaStream::new(frontend, started);
     let step = tokio::select! {
-        step = run.next(last_event) => step,
+        step = stream.next(last_event) => step,
         () = attempt.aborted() => StreamStep::Broken(AttemptEnd::ReplicaLost),
     };
     match step {
         StreamStep::Broken(end) => Err(end),
-        step => Ok((run, step)),
+        step => Ok((stream, step)),
     }
 }
--- a/crates/cherrystandd/src/site/request.rs
+++ b/crates/cherrystandd/src/site/request.rs
@@ -31,7 +31,7 @@
     /// The tenant that its API key belongs to.
     pub(crate) tenant: Option<String>,
     /// The regions that the tenant restricts it to.
-    pub(crate) tenant_homes: Vec<RegionId>,
+    pub(crate) tenant_regions: Vec<RegionId>,
     /// The service that it is sent to.
     pub(crate) service: ServiceName,
     /// When it arrived.
@@ -46,7 +46,7 @@
 
 impl SiteRequest {
     /// Returns how much is left of the time within which its first event meets the latency goal.
-    pub(crate) fn objective_left(&self, now: Millis) -> Millis {
+    pub(crate) fn latency_goal_left(&self, now: Millis) -> Millis {
         self.route.latency_goal - now.since(self.arrived)
     }
 
@@ -72,16 +72,20 @@
 
     /// Returns what it needs from an endpoint. The model is named only if the service has an
     /// engine.
-    pub(crate) fn ask(&self, engine: Option<&EngineSpec>, objective: Millis) -> RequestSpec<'_> {
+    pub(crate) fn spec(
+        &self,
+        engine: Option<&EngineSpec>,
+        latency_goal: Millis,
+    ) -> RequestSpec<'_> {
         let model = self.facts.model.as_deref().filter(|_| engine.is_some());
-        let homes =
-            AllowedRegions { route: &self.route.allowed_regions, tenant: &self.tenant_homes };
+        let regions =
+            AllowedRegions { route: &self.route.allowed_regions, tenant: &self.tenant_regions };
         RequestSpec {
             service: &self.service,
             model,
             prompt: self.prompt_tokens(),
-            latency_goal: objective,
-            regions: homes,
+            latency_goal,
+            regions,
         }
     }
 
@@ -138,7 +142,7 @@
     /// The tenant that the API key belongs to.
     pub(crate) tenant: Option<String>,
     /// The regions that the tenant restricts the request to.
-    pub(crate) tenant_homes: Vec<RegionId>,
+    pub(crate) tenant_regions: Vec<RegionId>,
     /// The service that the request is sent to.
     pub(crate) service: ServiceName,
 }
@@ -160,7 +164,7 @@
     Ok(Authorization {
         route: allowed.route.clone(),
         tenant: allowed.tenant.map(|tenant| tenant.name.clone()),
-        tenant_homes: allowed
+        tenant_regions: allowed
             .tenant
             .map(|tenant| tenant.allowed_regions.clone())
             .unwrap_or_default(),
--- a/crates/cherrystandd/src/site/request_handler.rs
+++ b/crates/cherrystandd/src/site/request_handler.rs
@@ -118,7 +118,7 @@
         return Err(StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE.into());
     }
     let facts = Driver::read_request(&head.headers);
-    let Authorization { route, tenant, tenant_homes, service } = authorize(table, &head, &facts)?;
+    let Authorization { route, tenant, tenant_regions, service } = authorize(table, &head, &facts)?;
     let max_bytes = table.config().limits.body_bytes;
     let (body, held) = read_body(body, max_bytes, &frontend.held_bytes).await?;
     let wait = facts.wait.unwrap_or(DEFAULT_TIMEOUT).min(route.timeout);
@@ -131,7 +131,7 @@
         _held: held,
         route,
         tenant,
-        tenant_homes,
+        tenant_regions,
         service,
         arrived,
         deadline,
@@ -139,7 +139,7 @@
         trial,
     };
     let req = Rc::new(req);
-    frontend.retries.earn(&req.service);
+    frontend.retries.record_request(&req.service);
     match frontend.crashes.permission(&req) {
         Permission::Send => {}
         Permission::Trial(trial) => {
@@ -207,11 +207,17 @@
                     attempts.ledger.record_remaining_ends(AttemptEnd::TimedOut);
                     return Err(attempts.log_failure(frontend, req, AttemptEnd::TimedOut));
                 }
-                let health = (!frontend.was_busy(checked_at)).then(|| open.check_replicas(frontend, req)).flatten();
+                let health = (!frontend.was_busy(checked_at))
+                    .then(|| open.check_replicas(frontend, req))
+                    .flatten();
                 if health == Some(ReplicaHealth::Stalled)
                     && attempts.ledger.may_send(&req.route, frontend.now(), req.deadline)
-                    && let Some(attempt) =
-                        attempts.start_another(frontend, req, AttemptPurpose::FirstAnswer, AttemptEnd::TimedOut)
+                    && let Some(attempt) = attempts.start_another(
+                        frontend,
+                        req,
+                        AttemptPurpose::FirstAnswer,
+                        AttemptEnd::TimedOut,
+                    )
                 {
                     open.push(attempt.clone(), send(attempt));
                 }
--- a/crates/cherrystandd/src/site/retry_shares.rs
+++ b/crates/cherrystandd/src/site/retry_shares.rs
@@ -29,7 +29,7 @@
     }
 
     /// Counts a request for its service, which adds to the retry budget.
-    pub(crate) fn earn(&self, service: &ServiceName) {
+    pub(crate) fn record_request(&self, service: &ServiceName) {
         let now = self.cx.clock.now();
         self.with_share(service, |share| share.record_request(now));
     }
--- a/crates/cherrystandd/src/site/signal_log.rs
+++ b/crates/cherrystandd/src/site/signal_log.rs
@@ -79,7 +79,7 @@
     }
 
     /// Logs that a replica is leaving.
-    pub(crate) fn leaves(&self, id: &BoxId) {
+    pub(crate) fn leaving(&self, id: &BoxId) {
         self.metrics.endpoints_leaving.inc();
         log::info!(target_box = id.as_str(); "a replica says in its answers that it leaves");
     }
