--- a/crates/cherrystandd/src/site/change_sharing.rs
+++ b/crates/cherrystandd/src/site/change_sharing.rs
@@ -182,7 +182,7 @@
     Ok(ChangeNews {
         cursor: ChangeCursor { life: control.incarnation(), count: known.change_count() },
         store_age,
-        steady_for: known.steady_for(control.now()),
+        steady_for: known.answering_for(control.now()),
         held: Millis(0),
         revision: known.revision(),
         keeps_unlisted: known.keeps_unlisted(),
@@ -273,7 +273,7 @@
     if was_none {
         let batch = news.batch.unpack()?;
         let mut known = control.state.borrow_mut();
-        known.dismiss_outage();
+        known.clear_outage();
         known.apply_snapshot(
             ChangeSource::Peer(node),
             &batch.records,
--- a/crates/cherrystandd/src/site/control.rs
+++ b/crates/cherrystandd/src/site/control.rs
@@ -21,7 +21,7 @@
 use crate::site::box_calls::{handle_hints, probe_unlisted};
 use crate::site::change_sharing::serve_changes;
 use crate::site::peer_selector::PeerSelector;
-use crate::site::reader_notes::maintain_reader_note;
+use crate::site::reader_list::publish_reader_list;
 use crate::site::site_state::SiteState;
 use crate::site::store_watch::{follow_store, track_awake_time, watch_operator_keys};
 use crate::site::suspect_writer::write_suspects;
@@ -60,7 +60,7 @@
         tokio::task::spawn_local(track_awake_time(control.clone()));
         tokio::task::spawn_local(watch_operator_keys(control.clone()));
         tokio::task::spawn_local(handle_hints(control.clone()));
-        tokio::task::spawn_local(maintain_reader_note(control.clone()));
+        tokio::task::spawn_local(publish_reader_list(control.clone()));
         tokio::task::spawn_local(write_suspects(control.clone()));
         tokio::select! {
             () = control.clone().run_steps() => {}
--- a/crates/cherrystandd/src/site/mod.rs
+++ b/crates/cherrystandd/src/site/mod.rs
@@ -28,7 +28,7 @@
 mod open_attempts;
 mod pages;
 mod peer_selector;
-mod reader_notes;
+mod reader_list;
 mod refused_values;
 mod replica_stream;
 mod request;
--- a/crates/cherrystandd/src/site/reader_notes.rs
+++ b/crates/cherrystandd/src/site/reader_list.rs
@@ -23,7 +23,7 @@
 const RETRY_DELAY: Duration = Duration::from_millis(40);
 
 /// Keeps the note of this node's zone for as long as the duty runs, where there are readers.
-pub(crate) async fn maintain_reader_note(control: Rc<Control>) {
+pub(crate) async fn publish_reader_list(control: Rc<Control>) {
     if !control.cx.settings.policy.readers {
         return;
     }
@@ -38,7 +38,7 @@
         }
         let note = ReaderNote::of_zone(&view.own, &alive);
         if let Some(note) = keeper.due(&view.own.node, note, control.now()) {
-            match write_note(&control, &note).await {
+            match write_reader_list(&control, &note).await {
                 Ok(true) => keeper.written(note),
                 // Somebody else wrote it just now: the next look reads what.
                 Ok(false) => keeper.failed(control.now()),
@@ -52,10 +52,10 @@
 }
 
 /// Writes the note unless it stands there already, and tells whether it stands there now.
-async fn write_note(control: &Control, note: &ReaderNote) -> Result<bool, PlatformError> {
+async fn write_reader_list(control: &Control, note: &ReaderNote) -> Result<bool, PlatformError> {
     let key = keys::readers(&control.cx.settings.zone);
     let held = control.store.get(&key).await?;
-    if held.as_ref().and_then(|held| read_note(&held.body)).as_ref() == Some(note) {
+    if held.as_ref().and_then(|held| parse_reader_list(&held.body)).as_ref() == Some(note) {
         return Ok(true);
     }
     let expected = held.map_or(Revision::NONE, |held| held.revision);
@@ -71,7 +71,7 @@
     Ok(matches!(swap, Swap::Done(_)))
 }
 
-fn read_note(body: &str) -> Option<ReaderNote> {
+fn parse_reader_list(body: &str) -> Option<ReaderNote> {
     match serde_json::from_str(body) {
         Ok(note) => Some(note),
         Err(err) => {
@@ -86,7 +86,7 @@
     /// The reader.
     pub(crate) reader: NotedReader,
     /// How far.
-    pub(crate) place: PeerPosition,
+    pub(crate) position: PeerPosition,
 }
 
 /// Says what the note leaves a daemon to do that starts.
@@ -96,24 +96,24 @@
     /// It is the one to read the store, or those that are do not answer.
     ReadStore,
     /// There is no note: it may learn of peers that read the store.
-    NoNote,
+    NoList,
 }
 
 /// Reads everything from the readers that the note names, whichever answers first.
-pub(crate) async fn start_from_noted_readers(control: &Control) -> StartupOutcome {
+pub(crate) async fn start_from_listed_readers(control: &Control) -> StartupOutcome {
     if !control.cx.settings.policy.readers {
-        return StartupOutcome::NoNote;
+        return StartupOutcome::NoList;
     }
     let key = keys::readers(&control.cx.settings.zone);
     let note = match control.store.get(&key).await {
-        Ok(held) => held.and_then(|held| read_note(&held.body)),
+        Ok(held) => held.and_then(|held| parse_reader_list(&held.body)),
         Err(err) => {
             log::warn!("the note of the readers could not be read: {err}");
             None
         }
     };
     let Some(note) = note else {
-        return StartupOutcome::NoNote;
+        return StartupOutcome::NoList;
     };
     let started = match note.asked_by(&control.cx.settings.node) {
         [] => None,
@@ -127,7 +127,7 @@
 
 async fn read_from(control: &Control, reader: &NotedReader) -> Option<StartupSource> {
     match read_changes(control, &reader.node, reader.changes, None).await {
-        Ok(place) => Some(StartupSource { reader: reader.clone(), place }),
+        Ok(position) => Some(StartupSource { reader: reader.clone(), position }),
         Err(err) => {
             log::debug!(reader = reader.node.as_str(); "no source of changes yet: {err}");
             None
--- a/crates/cherrystandd/src/site/site_state.rs
+++ b/crates/cherrystandd/src/site/site_state.rs
@@ -257,7 +257,7 @@
     }
 
     /// Records that the daemon is running.
-    pub(crate) fn record_awake(&mut self, now: Millis) {
+    pub(crate) fn record_running(&mut self, now: Millis) {
         self.store_outage.awake(now);
     }
 
@@ -269,12 +269,12 @@
 
     /// Records that the store kept answering other daemons while it was silent here, so that boxes
     /// it does not list are gone.
-    pub(crate) fn dismiss_outage(&mut self) {
+    pub(crate) fn clear_outage(&mut self) {
         self.store_outage.was_none();
     }
 
     /// Returns how long the store has answered without interruption.
-    pub(crate) fn steady_for(&self, now: Millis) -> Millis {
+    pub(crate) fn answering_for(&self, now: Millis) -> Millis {
         self.store_outage.steady_for(now)
     }
 
--- a/crates/cherrystandd/src/site/store_watch.rs
+++ b/crates/cherrystandd/src/site/store_watch.rs
@@ -15,7 +15,7 @@
     ChangesError, PeerPosition, ask_witness, read_changes, read_snapshot,
 };
 use crate::site::control::{Control, to_duration};
-use crate::site::reader_notes::{StartupOutcome, start_from_noted_readers};
+use crate::site::reader_list::{StartupOutcome, start_from_listed_readers};
 use crate::site::{ChangeSource, Driver};
 
 /// The least time between two watches or questions.
@@ -102,14 +102,14 @@
 impl StoreFollower {
     /// Reads everything from the readers that the store names, or learns of peers for a moment.
     async fn start(&mut self, control: &Control) {
-        match start_from_noted_readers(control).await {
+        match start_from_listed_readers(control).await {
             StartupOutcome::ReadFromPeer(started) => {
                 self.position =
-                    Some(ReadPosition::Peer(started.reader.node.clone(), started.place));
+                    Some(ReadPosition::Peer(started.reader.node.clone(), started.position));
                 self.startup_reader = Some(started.reader);
             }
             StartupOutcome::ReadStore => {}
-            StartupOutcome::NoNote => tokio::time::sleep(START_DELAY).await,
+            StartupOutcome::NoList => tokio::time::sleep(START_DELAY).await,
         }
     }
 
@@ -197,7 +197,7 @@
 /// Says that the daemon is awake, for as long as the duty runs.
 pub(crate) async fn track_awake_time(control: Rc<Control>) {
     loop {
-        control.state.borrow_mut().record_awake(control.now());
+        control.state.borrow_mut().record_running(control.now());
         tokio::time::sleep(Duration::from_millis(AwakeTime::TOLD_EVERY.0)).await;
     }
 }
