--- a/crates/cherrystand_core/src/site/homes.rs
+++ b/crates/cherrystand_core/src/site/homes.rs
@@ -8,7 +8,7 @@
 /// How many boxes of a domain are usually lost and not yet replaced.
 ///
 /// Source: docs/design/0009-users-machines.md.
-const USUALLY_LOST: usize = 2;
+const ASSUMED_LOST_BOXES: usize = 2;
 
 /// Gives each domain the model that it is for, or none where there are fewer domains than models.
 ///
@@ -32,42 +32,42 @@
         return homes;
     }
     for (domain, boxes) in domains {
-        homes.extend(model_held(engine, boxes).map(|home| (domain.clone(), home)));
+        homes.extend(most_held_model(engine, boxes).map(|home| (domain.clone(), home)));
     }
     for domain in domains.keys() {
         if homes.contains_key(domain) {
             continue;
         }
-        let served = |model: &ModelSpec| {
+        let boxes_per_share = |model: &ModelSpec| {
             let at_home = domains.iter().filter(|(id, _)| homes.get(*id) == Some(&model.name));
             let used: usize = at_home.map(|(_, boxes)| boxes_used(boxes.len(), model)).sum();
             used as f64 / model.work_share.max(f64::EPSILON)
         };
         // Of two that are served alike, the one with the larger share.
-        let order = |model: &&ModelSpec| (served(model), -model.work_share);
+        let by_need = |model: &&ModelSpec| (boxes_per_share(model), -model.work_share);
         // A domain is for no model that it cannot hold.
-        let held = domains[domain].len();
-        let models = engine.models.iter().filter(|model| span_of(model) <= held);
+        let size = domains[domain].len();
+        let models = engine.models.iter().filter(|model| span_of(model) <= size);
         let least =
-            models.min_by(|a, b| order(a).partial_cmp(&order(b)).unwrap_or(Ordering::Equal));
+            models.min_by(|a, b| by_need(a).partial_cmp(&by_need(b)).unwrap_or(Ordering::Equal));
         homes.extend(least.map(|model| (domain.clone(), model.name.clone())));
     }
-    let known = |(id, name): &(&DomainId, &String)| {
+    let is_valid = |(id, name): &(&DomainId, &String)| {
         domains.contains_key(*id) && engine.model(name).is_some()
     };
-    homes.extend(decided.iter().filter(known).map(|(id, name)| (id.clone(), name.clone())));
+    homes.extend(decided.iter().filter(is_valid).map(|(id, name)| (id.clone(), name.clone())));
     homes
 }
 
 /// Returns the model that most of a domain's boxes hold, where any of them holds one.
-fn model_held(engine: &EngineSpec, boxes: &[&SiteBox]) -> Option<String> {
+fn most_held_model(engine: &EngineSpec, boxes: &[&SiteBox]) -> Option<String> {
     let count = |name: &String| {
-        let loaded = boxes.iter().filter(|known| known.loaded.contains(name)).count();
-        let staged = boxes.iter().filter(|known| known.staged.contains(name)).count();
+        let loaded = boxes.iter().filter(|is_valid| is_valid.loaded.contains(name)).count();
+        let staged = boxes.iter().filter(|is_valid| is_valid.staged.contains(name)).count();
         (loaded, staged)
     };
-    let held = engine.models.iter().map(|model| (count(&model.name), &model.name));
-    let most = held.max_by_key(|(count, _)| *count)?;
+    let size = engine.models.iter().map(|model| (count(&model.name), &model.name));
+    let most = size.max_by_key(|(count, _)| *count)?;
     (most.0 != (0, 0)).then(|| most.1.clone())
 }
 
@@ -78,7 +78,7 @@
 /// restarted earned 0.720, callers waiting for a quarter of the model's replicas, and in mean of five
 /// such days 0.706 in place of 0.804; of five the share that is exposed is as large as what changes
 /// hands.
-const PREPARED_ONE_IN: usize = 5;
+const DOMAINS_PER_PRELOADED: usize = 5;
 
 /// Names, for some of the domains, the model that their hosts hold beside the one that is served
 /// there, so that they can change hands without a load.
@@ -95,8 +95,8 @@
         if next.name == model.name {
             continue;
         }
-        let prepared = at_home.clone().count() / PREPARED_ONE_IN;
-        seconds.extend(at_home.take(prepared).map(|(id, _)| (id.clone(), next.name.clone())));
+        let preloaded = at_home.clone().count() / DOMAINS_PER_PRELOADED;
+        seconds.extend(at_home.take(preloaded).map(|(id, _)| (id.clone(), next.name.clone())));
     }
     seconds
 }
@@ -104,7 +104,7 @@
 /// Returns how many of a domain's boxes replicas of a model use on an ordinary day, on which some
 /// boxes are lost and the remainder waits for others.
 fn boxes_used(boxes: usize, model: &ModelSpec) -> usize {
-    let left = boxes.saturating_sub(USUALLY_LOST).max(span_of(model));
+    let left = boxes.saturating_sub(ASSUMED_LOST_BOXES).max(span_of(model));
     left / span_of(model) * span_of(model)
 }
 
--- a/crates/cherrystand_core/src/site/peer_loads.rs
+++ b/crates/cherrystand_core/src/site/peer_loads.rs
@@ -7,14 +7,14 @@
 use crate::{BoxId, EngineLoad, Millis, NodeId, ZoneId};
 
 /// For how long what a peer told of itself counts, where it tells everybody each time.
-const NEWS_LIFE: Millis = Millis(1_000);
+const NODE_TTL: Millis = Millis(1_000);
 
 /// For how long the sum of another zone counts; seven tellings of its relays are lost by then.
-const ZONE_LIFE: Millis = Millis(1_500);
+const ZONE_TTL: Millis = Millis(1_500);
 
 /// For how long it is remembered when an endpoint was last seen to make progress; far beyond any
 /// silence that is judged.
-const SEEN_FOR: Millis = Millis(10_000);
+const PROGRESS_TTL: Millis = Millis(10_000);
 
 /// Says what one daemon, or all of a zone, have in flight at one endpoint.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -41,7 +41,7 @@
 }
 
 #[derive(Clone, Debug)]
-struct Told {
+struct ReportedLoads {
     at: Millis,
     zone: ZoneId,
     loads: Vec<EndpointLoad>,
@@ -52,9 +52,9 @@
 /// A later telling replaces an earlier one; one that is lost costs accuracy and nothing else.
 #[derive(Clone, Debug, Default)]
 pub struct PeerLoads {
-    nodes: BTreeMap<NodeId, Told>,
-    zones: BTreeMap<ZoneId, Told>,
-    seen: BTreeMap<BoxId, Millis>,
+    nodes: BTreeMap<NodeId, ReportedLoads>,
+    zones: BTreeMap<ZoneId, ReportedLoads>,
+    last_seen: BTreeMap<BoxId, Millis>,
     /// Whether anything changed since the sums were last taken.
     changed: bool,
 }
@@ -69,45 +69,45 @@
         now: Millis,
     ) {
         self.record_progress(&loads, now);
-        self.nodes.insert(node, Told { at: now, zone, loads });
+        self.nodes.insert(node, ReportedLoads { at: now, zone, loads });
         self.changed = true;
     }
 
     /// Takes in the sum of another zone, unless a later one is held.
-    pub fn record_zone(&mut self, told: ZoneLoads, own_zone: &ZoneId, now: Millis) {
-        let at = now - told.age;
-        let held = self.zones.get(&told.zone);
-        if &told.zone == own_zone || held.is_some_and(|held| held.at >= at) {
+    pub fn record_zone(&mut self, report: ZoneLoads, own_zone: &ZoneId, now: Millis) {
+        let at = now - report.age;
+        let existing = self.zones.get(&report.zone);
+        if &report.zone == own_zone || existing.is_some_and(|existing| existing.at >= at) {
             return;
         }
-        self.record_progress(&told.loads, at);
-        let zone = told.zone.clone();
-        self.zones.insert(zone.clone(), Told { at, zone, loads: told.loads });
+        self.record_progress(&report.loads, at);
+        let zone = report.zone.clone();
+        self.zones.insert(zone.clone(), ReportedLoads { at, zone, loads: report.loads });
         self.changed = true;
     }
 
     /// Takes in when endpoints last made progress, as a peer saw it at a time.
     pub fn record_progress(&mut self, loads: &[EndpointLoad], at: Millis) {
         for load in loads {
-            let seen = at - Millis(u64::from(load.silent_ms));
-            let known = self.seen.entry(load.id.clone()).or_default();
-            *known = seen.max(*known);
+            let last_seen = at - Millis(u64::from(load.silent_ms));
+            let known = self.last_seen.entry(load.id.clone()).or_default();
+            *known = last_seen.max(*known);
         }
     }
 
     /// Returns when a peer last saw an endpoint make progress.
     pub fn last_progress(&self, id: &BoxId) -> Option<Millis> {
-        self.seen.get(id).copied()
+        self.last_seen.get(id).copied()
     }
 
     /// Forgets what is too old; each peer tells once in `rounds` tellings.
     pub fn remove_expired(&mut self, rounds: usize, now: Millis) {
-        let life = Millis(NEWS_LIFE.0 * rounds.max(1) as u64);
-        let held = self.nodes.len() + self.zones.len();
-        self.nodes.retain(|_, told| now.since(told.at) < life);
-        self.zones.retain(|_, told| now.since(told.at) < ZONE_LIFE);
-        self.changed |= self.nodes.len() + self.zones.len() != held;
-        self.seen.retain(|_, at| now.since(*at) < SEEN_FOR);
+        let life = Millis(NODE_TTL.0 * rounds.max(1) as u64);
+        let existing = self.nodes.len() + self.zones.len();
+        self.nodes.retain(|_, report| now.since(report.at) < life);
+        self.zones.retain(|_, report| now.since(report.at) < ZONE_TTL);
+        self.changed |= self.nodes.len() + self.zones.len() != existing;
+        self.last_seen.retain(|_, at| now.since(*at) < PROGRESS_TTL);
     }
 
     /// Sums what peers have in flight, where that changed since the last time.
@@ -121,9 +121,9 @@
     ///
     /// Where the sum of a zone is known, what its daemons told by themselves is part of it.
     pub fn totals(&self) -> BTreeMap<BoxId, EngineLoad> {
-        let by_node = self.nodes.values().filter(|told| !self.zones.contains_key(&told.zone));
+        let by_node = self.nodes.values().filter(|report| !self.zones.contains_key(&report.zone));
         let mut sums: BTreeMap<BoxId, EngineLoad> = BTreeMap::new();
-        for load in by_node.chain(self.zones.values()).flat_map(|told| &told.loads) {
+        for load in by_node.chain(self.zones.values()).flat_map(|report| &report.loads) {
             let sum = sums.entry(load.id.clone()).or_default();
             sum.requests += f64::from(load.requests);
             sum.unread += f64::from(load.unread);
@@ -134,10 +134,10 @@
     /// Returns the sum of this daemon's zone: its own loads and what its near peers told.
     pub fn zone_total(&self, zone: &ZoneId, own: &[EndpointLoad], now: Millis) -> ZoneLoads {
         let mut sums: BTreeMap<&BoxId, EndpointLoad> = BTreeMap::new();
-        let near = self.nodes.values().filter(|told| &told.zone == zone);
-        let aged = near.flat_map(|told| {
-            let age = now.since(told.at).0 as u32;
-            told.loads.iter().map(move |load| (load, load.silent_ms.saturating_add(age)))
+        let nearby = self.nodes.values().filter(|report| &report.zone == zone);
+        let aged = nearby.flat_map(|report| {
+            let age = now.since(report.at).0 as u32;
+            report.loads.iter().map(move |load| (load, load.silent_ms.saturating_add(age)))
         });
         let all = own.iter().map(|load| (load, load.silent_ms)).chain(aged);
         for (load, silent_ms) in all {
@@ -158,10 +158,10 @@
     /// Returns the sums of the other zones, to be passed on within this one.
     pub fn other_zone_totals(&self, now: Millis) -> Vec<ZoneLoads> {
         let zones = self.zones.values();
-        let sums = zones.map(|told| ZoneLoads {
-            zone: told.zone.clone(),
-            age: now.since(told.at),
-            loads: told.loads.clone(),
+        let sums = zones.map(|report| ZoneLoads {
+            zone: report.zone.clone(),
+            age: now.since(report.at),
+            loads: report.loads.clone(),
         });
         sums.collect()
     }
--- a/crates/cherrystand_core/src/site/route_table.rs
+++ b/crates/cherrystand_core/src/site/route_table.rs
@@ -72,8 +72,8 @@
         let name = host.rsplit_once(':').map_or(host, |(name, _)| name).to_ascii_lowercase();
         let routes = self.hosts.get(&name).ok_or(RouteError::NoRoute)?;
         let routes = routes.iter().map(|index| &self.config.routes[*index]);
-        let mut covering = routes.filter(|route| path.starts_with(&route.prefix));
-        let route = covering.next().ok_or(RouteError::NoRoute)?;
+        let mut matching = routes.filter(|route| path.starts_with(&route.prefix));
+        let route = matching.next().ok_or(RouteError::NoRoute)?;
         let Some(tenants) = self.config.tenants.as_ref().filter(|_| !route.public) else {
             return Ok(RouteMatch { route, tenant: None });
         };
