--- a/crates/cherrystand_core/src/site/homes.rs
+++ b/crates/cherrystand_core/src/site/homes.rs
@@ -1,25 +1,25 @@
-//! Which model each domain is for.
+//! Assigns each domain its home model.
 
 use std::cmp::Ordering;
 use std::collections::BTreeMap;
 
 use crate::{DomainId, EngineSpec, ModelSpec, SiteBox};
 
-/// How many boxes of a domain are usually lost and not yet replaced.
+/// How many boxes of a domain are assumed to be lost and not replaced yet.
 ///
 /// Source: docs/design/0009-users-machines.md.
 const ASSUMED_LOST_BOXES: usize = 2;
 
-/// Gives each domain the model that it is for, or none where there are fewer domains than models.
+/// Returns the home model of each domain, or none if there are fewer domains than models.
 ///
-/// A domain whose boxes all hold one model mends any loss without a load. What was `decided` stays
-/// as long as the model is configured; without that, what its boxes hold decides, in memory before
-/// on the host. A domain whose boxes hold nothing goes to the model whose replicas use the fewest
-/// boxes against its share of the work.
+/// A domain whose boxes all hold one model can repair any loss without loading a model. What was
+/// `decided` before stays while the model is configured. Otherwise the models that the boxes hold
+/// decide, those in memory before those on hosts. A domain whose boxes hold nothing gets the model
+/// whose replicas use the fewest boxes in relation to its work share.
 ///
-/// Daemons decide for their domains at the same time and hear of each other's decisions by and by;
-/// what others decided therefore has no part in a domain's own: with it, nine domains were split six
-/// to three where five to four was meant.
+/// Daemons decide for their domains at the same time and learn of each other's decisions only
+/// later, so the decisions of others don't influence how an undecided domain is assigned. When they
+/// did, nine domains were split six to three where five to four was intended.
 ///
 /// Source: docs/design/0009-users-machines.md.
 pub fn home_models(
@@ -43,9 +43,9 @@
             let used: usize = at_home.map(|(_, boxes)| boxes_used(boxes.len(), model)).sum();
             used as f64 / model.work_share.max(f64::EPSILON)
         };
-        // Of two that are served alike, the one with the larger share.
+        // Ties go to the model with the larger share.
         let by_need = |model: &&ModelSpec| (boxes_per_share(model), -model.work_share);
-        // A domain is for no model that it cannot hold.
+        // A domain that is too small for a replica of a model cannot be its home.
         let size = domains[domain].len();
         let models = engine.models.iter().filter(|model| span_of(model) <= size);
         let least =
@@ -59,7 +59,7 @@
     homes
 }
 
-/// Returns the model that most of a domain's boxes hold, where any of them holds one.
+/// Returns the model that most of a domain's boxes hold, if any box holds one.
 fn most_held_model(engine: &EngineSpec, boxes: &[&SiteBox]) -> Option<String> {
     let count = |name: &String| {
         let loaded = boxes.iter().filter(|is_valid| is_valid.loaded.contains(name)).count();
@@ -71,17 +71,17 @@
     (most.0 != (0, 0)).then(|| most.1.clone())
 }
 
-/// Of so many domains of a model the hosts of one hold another model besides.
+/// Of this many domains of a model, one has hosts that also preload another model.
 ///
-/// A domain that is restarted whole loads for 20 s where hosts hold the other model, and serves after
-/// 2 where they hold its own. With all of four domains prepared a day on which one of eight boxes was
-/// restarted earned 0.720, callers waiting for a quarter of the model's replicas, and in mean of five
-/// such days 0.706 in place of 0.804; of five the share that is exposed is as large as what changes
-/// hands.
+/// A domain that restarts entirely loads for 20 s where its hosts hold the other model, and serves
+/// after 2 s where they hold its own. With all of four domains preloaded, a simulated day on which
+/// one of eight boxes restarted earned 0.720, since callers waited for a quarter of the model's
+/// replicas; the mean of five such days was 0.706 instead of 0.804. With one of five, the share at
+/// risk is as large as the share that can be reassigned.
 const DOMAINS_PER_PRELOADED: usize = 5;
 
-/// Names, for some of the domains, the model that their hosts hold beside the one that is served
-/// there, so that they can change hands without a load.
+/// Returns, for some of the domains, the model that their hosts preload besides their home model,
+/// so that these domains can be reassigned without a load.
 ///
 /// Source: docs/design/0016-work-that-shifted.md.
 pub fn second_models(
@@ -101,8 +101,8 @@
     seconds
 }
 
-/// Returns how many of a domain's boxes replicas of a model use on an ordinary day, on which some
-/// boxes are lost and the remainder waits for others.
+/// Returns how many of a domain's boxes replicas of a model usually use, given that some boxes are
+/// lost and those that don't make up a whole replica are idle.
 fn boxes_used(boxes: usize, model: &ModelSpec) -> usize {
     let left = boxes.saturating_sub(ASSUMED_LOST_BOXES).max(span_of(model));
     left / span_of(model) * span_of(model)
--- a/crates/cherrystand_core/src/site/member_order.rs
+++ b/crates/cherrystand_core/src/site/member_order.rs
@@ -4,10 +4,10 @@
 
 use crate::{BoxId, Epoch, Revision};
 
-/// Says what a box is to do.
+/// What a box has to do.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MemberTask {
-    /// Join a replica, loading its model where that is needed.
+    /// Join a replica, loading its model if needed.
     Join {
         /// The model.
         model: String,
@@ -16,11 +16,11 @@
     },
     /// Begin to serve; for leaders.
     Open,
-    /// Take nothing new and finish the rest; for leaders.
+    /// Drain: take no new requests and finish the others; for leaders.
     Close,
-    /// Belong to the replica no more, at once.
+    /// Leave the replica at once.
     Leave,
-    /// Load a model to the host, beside everything else.
+    /// Load a model to the host while everything else goes on.
     Stage {
         /// The model.
         model: String,
@@ -28,7 +28,7 @@
 }
 
 impl MemberTask {
-    /// Returns the name that logs and metrics use.
+    /// Returns the name used in logs and metrics.
     pub fn as_str(&self) -> &'static str {
         match self {
             Self::Join { .. } => "join",
@@ -40,36 +40,36 @@
     }
 }
 
-/// Orders one box to do something.
+/// An order to one box.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemberOrder {
     /// The box.
     pub target: BoxId,
-    /// Where it takes orders.
+    /// The address at which it takes orders.
     pub address: SocketAddr,
-    /// The replica's name; empty where the task concerns none.
+    /// The replica's name; empty if the task doesn't concern a replica.
     pub replica: String,
     /// The replica's epoch.
     pub epoch: Epoch,
     /// What to do.
     pub task: MemberTask,
-    /// How many orders its sender sent to the box before.
+    /// How many orders the sender sent to the box before this one.
     pub sequence: u32,
-    /// The last epoch given out in the record that it follows from.
+    /// The last assigned epoch of the record that the order follows from.
     pub record_epoch: Epoch,
 }
 
 impl MemberOrder {
-    /// How many orders to one box have fences of their own under one revision of the record.
+    /// The number of orders to one box with distinct fences under one revision of the record.
     const FENCES_PER_REVISION: u64 = 4_096;
 
-    /// How many revisions of one era have fences of their own: 3,200 writes a second for 248 days.
+    /// The number of revisions of one era with distinct fences: 3,200 writes a second for 248 days.
     const REVISIONS_PER_ERA: u64 = 1 << 36;
 
-    /// Returns the fence of the order, which grows with the era and the revision of the record that it follows
-    /// from and with each order to the box.
+    /// Returns the fencing token of the order, which grows with the era and the revision of the
+    /// record that it follows from, and with each order to the box.
     ///
-    /// An order that is carried out late, after it was sent once more, is thus refused.
+    /// A box that has taken a later order therefore refuses one that arrives late.
     pub fn fence(&self, record: Revision) -> u64 {
         let step = u64::from(self.sequence).min(Self::FENCES_PER_REVISION - 1);
         let number = record.number().min(Self::REVISIONS_PER_ERA - 1);
@@ -78,23 +78,23 @@
     }
 }
 
-/// Says what became of an order.
+/// The result of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderEnd {
-    /// The box has begun, or had done it already.
+    /// The box has begun, or had already done it.
     Taken,
-    /// The box is in another state than the order supposes.
+    /// The box is in a state that the order doesn't apply to.
     Unfit,
     /// The box has seen a later fence or epoch.
     Fenced,
-    /// The box's address belongs to another one now.
+    /// The address now belongs to another box.
     OtherBox,
     /// The box does not know the order.
     Unknown,
-    /// Nothing listens there.
+    /// Nothing listens at the address.
     Refused,
-    /// No connection came about; the order was not sent.
+    /// No connection was established; the order was not sent.
     Dark,
-    /// No answer came; the order may be carried out later.
+    /// No answer came; the order may still be executed.
     Silent,
 }
--- a/crates/cherrystand_core/src/site/peer_loads.rs
+++ b/crates/cherrystand_core/src/site/peer_loads.rs
@@ -1,4 +1,4 @@
-//! What peers have in flight, as each of them or the relays of its zone told.
+//! The requests that peers have in flight, as reported by each peer or by the relays of its zone.
 
 use std::collections::BTreeMap;
 
@@ -6,37 +6,38 @@
 
 use crate::{BoxId, EngineLoad, Millis, NodeId, ZoneId};
 
-/// For how long what a peer told of itself counts, where it tells everybody each time.
+/// How long a peer's report of its own load counts, if every peer gets each of its reports.
 const NODE_TTL: Millis = Millis(1_000);
 
-/// For how long the sum of another zone counts; seven tellings of its relays are lost by then.
+/// How long the total of another zone counts; within this time seven reports of its relays may be
+/// lost.
 const ZONE_TTL: Millis = Millis(1_500);
 
-/// For how long it is remembered when an endpoint was last seen to make progress; far beyond any
-/// silence that is judged.
+/// How long the last progress of an endpoint is remembered; far beyond any silence that is
+/// evaluated.
 const PROGRESS_TTL: Millis = Millis(10_000);
 
-/// Says what one daemon, or all of a zone, have in flight at one endpoint.
+/// What one daemon, or all daemons of a zone, have in flight at one endpoint.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndpointLoad {
     /// The box that takes the requests.
     pub id: BoxId,
     /// Requests in flight.
     pub requests: u32,
-    /// Tokens of prompts that have yet to be read.
+    /// Prompt tokens that the engine has yet to read.
     pub unread: u32,
     /// Milliseconds since the endpoint last made progress with any of them.
     pub silent_ms: u32,
 }
 
-/// Says what all daemons of a zone have in flight together.
+/// What all daemons of a zone have in flight together.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ZoneLoads {
     /// The zone.
     pub zone: ZoneId,
-    /// How long ago the sum was made.
+    /// How long ago the total was computed.
     pub age: Millis,
-    /// The sum, by endpoint.
+    /// The total, by endpoint.
     pub loads: Vec<EndpointLoad>,
 }
 
@@ -47,20 +48,20 @@
     loads: Vec<EndpointLoad>,
 }
 
-/// Keeps what peers told of their loads; it takes the time from outside.
+/// Keeps the loads that peers report; the caller provides the time.
 ///
-/// A later telling replaces an earlier one; one that is lost costs accuracy and nothing else.
+/// A later report replaces an earlier one; a lost report only costs accuracy.
 #[derive(Clone, Debug, Default)]
 pub struct PeerLoads {
     nodes: BTreeMap<NodeId, ReportedLoads>,
     zones: BTreeMap<ZoneId, ReportedLoads>,
     last_seen: BTreeMap<BoxId, Millis>,
-    /// Whether anything changed since the sums were last taken.
+    /// Whether anything changed since the totals were last computed.
     changed: bool,
 }
 
 impl PeerLoads {
-    /// Takes in what a daemon told of itself.
+    /// Records what a daemon reports about itself.
     pub fn record_node(
         &mut self,
         node: NodeId,
@@ -73,7 +74,7 @@
         self.changed = true;
     }
 
-    /// Takes in the sum of another zone, unless a later one is held.
+    /// Records the total of another zone, unless a later one is known.
     pub fn record_zone(&mut self, report: ZoneLoads, own_zone: &ZoneId, now: Millis) {
         let at = now - report.age;
         let existing = self.zones.get(&report.zone);
@@ -86,7 +87,7 @@
         self.changed = true;
     }
 
-    /// Takes in when endpoints last made progress, as a peer saw it at a time.
+    /// Records when endpoints last made progress, as a peer saw it at the given time.
     pub fn record_progress(&mut self, loads: &[EndpointLoad], at: Millis) {
         for load in loads {
             let last_seen = at - Millis(u64::from(load.silent_ms));
@@ -100,7 +101,7 @@
         self.last_seen.get(id).copied()
     }
 
-    /// Forgets what is too old; each peer tells once in `rounds` tellings.
+    /// Removes expired reports; each peer reports once in `rounds` rounds.
     pub fn remove_expired(&mut self, rounds: usize, now: Millis) {
         let life = Millis(NODE_TTL.0 * rounds.max(1) as u64);
         let existing = self.nodes.len() + self.zones.len();
@@ -110,16 +111,17 @@
         self.last_seen.retain(|_, at| now.since(*at) < PROGRESS_TTL);
     }
 
-    /// Sums what peers have in flight, where that changed since the last time.
+    /// Returns what peers have in flight by endpoint, if it changed since the last call.
     ///
-    /// A daemon of 295 hears some 60 tellings a second and chooses 4 endpoints; a sum takes 17 us.
+    /// A daemon among 295 gets some 60 reports a second and chooses 4 endpoints; computing the
+    /// totals takes 17 us.
     pub fn changed_totals(&mut self) -> Option<BTreeMap<BoxId, EngineLoad>> {
         std::mem::take(&mut self.changed).then(|| self.totals())
     }
 
-    /// Sums what peers have in flight, by endpoint.
+    /// Returns what peers have in flight, by endpoint.
     ///
-    /// Where the sum of a zone is known, what its daemons told by themselves is part of it.
+    /// If the total of a zone is known, the reports of its single daemons are not added to it.
     pub fn totals(&self) -> BTreeMap<BoxId, EngineLoad> {
         let by_node = self.nodes.values().filter(|report| !self.zones.contains_key(&report.zone));
         let mut sums: BTreeMap<BoxId, EngineLoad> = BTreeMap::new();
@@ -131,7 +133,8 @@
         sums
     }
 
-    /// Returns the sum of this daemon's zone: its own loads and what its near peers told.
+    /// Returns the total of this daemon's zone: its own load and the reports of the peers in the
+    /// zone.
     pub fn zone_total(&self, zone: &ZoneId, own: &[EndpointLoad], now: Millis) -> ZoneLoads {
         let mut sums: BTreeMap<&BoxId, EndpointLoad> = BTreeMap::new();
         let nearby = self.nodes.values().filter(|report| &report.zone == zone);
@@ -155,7 +158,7 @@
         ZoneLoads { zone: zone.clone(), age: Millis(0), loads: sums.into_values().collect() }
     }
 
-    /// Returns the sums of the other zones, to be passed on within this one.
+    /// Returns the totals of the other zones, to be passed on within this zone.
     pub fn other_zone_totals(&self, now: Millis) -> Vec<ZoneLoads> {
         let zones = self.zones.values();
         let sums = zones.map(|report| ZoneLoads {
--- a/crates/cherrystand_core/src/site/route_table.rs
+++ b/crates/cherrystand_core/src/site/route_table.rs
@@ -1,36 +1,36 @@
-//! A configuration, indexed for requests.
+//! An index of a configuration that finds the route of a request.
 
 use std::collections::HashMap;
 
 use crate::{Route, ServiceName, SiteConfig, Tenant, mix};
 
-/// Finds routes and tenants of one configuration.
+/// Finds the routes and tenants of one configuration.
 #[derive(Clone, Debug)]
 pub struct RouteTable {
     config: SiteConfig,
-    /// The routes of each host, those with the longest prefix first.
+    /// The routes of each host, longest prefix first.
     hosts: HashMap<String, Vec<usize>>,
-    /// The tenant of each key.
+    /// The tenant of each API key.
     keys: HashMap<String, usize>,
 }
 
-/// Tells why a request is not allowed.
+/// Why a request is not allowed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RouteError {
-    /// No route covers it.
+    /// No route matches it.
     #[error("no route covers the request")]
     NoRoute,
-    /// Its key is missing or not known.
+    /// Its key is missing or unknown.
     #[error("the key is missing or not known")]
     UnknownKey,
 }
 
-/// A request's route and tenant.
+/// The route and the tenant of a request.
 #[derive(Clone, Copy, Debug)]
 pub struct RouteMatch<'a> {
     /// The route.
     pub route: &'a Route,
-    /// The tenant, where the route asks for a key.
+    /// The tenant, if the route requires a key.
     pub tenant: Option<&'a Tenant>,
 }
 
@@ -58,11 +58,11 @@
         &self.config
     }
 
-    /// Finds the route of a request and the tenant that its key stands for.
+    /// Finds the route of a request and the tenant of its key.
     ///
     /// # Errors
     ///
-    /// Returns [`RouteError`] where no route covers it or its key is not known.
+    /// Returns [`RouteError`] if no route matches the request or its key is unknown.
     pub fn find(
         &self,
         host: &str,
