--- a/crates/cherrystand_core/src/site/engine_spec.rs
+++ b/crates/cherrystand_core/src/site/engine_spec.rs
@@ -70,10 +70,10 @@
     }
 
     /// Returns the milliseconds of one step at a number of writing requests.
-    pub fn step_time(&self, writing: f64) -> f64 {
+    pub fn step_time(&self, decoding: f64) -> f64 {
         let context =
-            writing * (self.typical_prompt_tokens + self.typical_answer_tokens / 2.0) / 1_000.0;
-        self.step_ms + self.per_request_ms * writing + self.context_ms_per_k * context
+            decoding * (self.typical_prompt_tokens + self.typical_answer_tokens / 2.0) / 1_000.0;
+        self.step_ms + self.per_request_ms * decoding + self.context_ms_per_k * context
     }
 
     /// Returns the share of its full rate at which a replica works that has so many requests in
@@ -88,13 +88,13 @@
 
     /// Returns the milliseconds that reading a prompt takes by itself.
     pub fn prefill_time(&self, tokens: f64) -> f64 {
-        let pairs = tokens * tokens / 2.0 / 1_000_000.0;
-        tokens / self.prefill_tokens_per_s * 1_000.0 + pairs * self.attention_ms_per_m_pairs
+        let million_pairs = tokens * tokens / 2.0 / 1_000_000.0;
+        tokens / self.prefill_tokens_per_s * 1_000.0 + million_pairs * self.attention_ms_per_m_pairs
     }
 
     /// Returns the milliseconds between two events of a stream while nothing is read.
-    pub fn pass_time(&self, model: &ModelSpec, writing: f64) -> f64 {
-        f64::from(self.steps_per_pass) * self.step_time(writing) * model.time_factor
+    pub fn pass_time(&self, model: &ModelSpec, decoding: f64) -> f64 {
+        f64::from(self.steps_per_pass) * self.step_time(decoding) * model.time_factor
     }
 
     /// Returns the longest silence, in milliseconds, of a replica that works on a load.
@@ -102,11 +102,11 @@
     /// All of its streams write in each pass, so that it is never silent for much longer than
     /// one that also reads everything that waits, up to a chunk a step.
     pub fn max_silence(&self, model: &ModelSpec, load: EngineLoad) -> f64 {
-        let read_in_pass = f64::from(self.steps_per_pass * self.prefill_chunk);
-        let reading =
+        let tokens_per_pass = f64::from(self.steps_per_pass * self.prefill_chunk);
+        let prefill =
             self.prefill_time(self.typical_prompt_tokens) / self.typical_prompt_tokens.max(1.0);
-        let reading = reading * load.unread.min(read_in_pass) * model.time_factor;
-        2.0 * self.pass_time(model, f64::from(self.slots)) + reading
+        let prefill = prefill * load.unread.min(tokens_per_pass) * model.time_factor;
+        2.0 * self.pass_time(model, f64::from(self.slots)) + prefill
     }
 
     /// Predicts the milliseconds until the first token of a prompt sent now.
@@ -115,12 +115,12 @@
     /// that wait before it, and its first token comes within the pass after that. Requests beyond
     /// the slots wait for others to end.
     pub fn first_token_time(&self, model: &ModelSpec, load: EngineLoad, prompt: f64) -> f64 {
-        let writing = load.requests.min(f64::from(self.slots));
-        let passes = 1.5 * self.pass_time(model, writing);
-        let reading =
+        let decoding = load.requests.min(f64::from(self.slots));
+        let pass_wait = 1.5 * self.pass_time(model, decoding);
+        let prefill =
             (self.prefill_time(load.unread) + self.prefill_time(prompt)) * model.time_factor;
-        let excess = (load.requests + 1.0 - f64::from(self.slots)).max(0.0);
-        let answer = self.typical_answer_tokens * self.step_time(writing) * model.time_factor;
-        passes + reading + excess / f64::from(self.slots.max(1)) * answer
+        let waiting = (load.requests + 1.0 - f64::from(self.slots)).max(0.0);
+        let answer = self.typical_answer_tokens * self.step_time(decoding) * model.time_factor;
+        pass_wait + prefill + waiting / f64::from(self.slots.max(1)) * answer
     }
 }
--- a/crates/cherrystand_core/src/site/load_balancer.rs
+++ b/crates/cherrystand_core/src/site/load_balancer.rs
@@ -20,21 +20,21 @@
 /// What is known of the others' loads is up to half a second old. If all daemons took the replica
 /// that looks best, they would all take the same one; the better of two drawn by chance is nearly
 /// as good and does not gather them.
-const DRAWN: usize = 2;
+const SAMPLE_SIZE: usize = 2;
 
 /// How many draws are made to find those, since some may be left out.
-const DRAWS: usize = 4;
+const MAX_DRAWS: usize = 4;
 
 /// How much of the credit one whole objective of expected time costs, though the request itself is in
 /// time: whoever comes next to a busier replica waits longer for it.
 ///
 /// At 30 requests in flight a further one delays the next 30 by about 1 ms each, which near their
 /// objective is 0.01 to 0.08 of a request's credit; this is as steep where replicas begin to fill.
-const TIME_COST: f64 = 0.2;
+const LATENCY_COST: f64 = 0.2;
 
 /// What speaks against an endpoint that has yet to answer what it was sent since its rest, in
 /// milliseconds: beyond all times that are predicted, below what speaks against one that failed.
-const COMES_BACK_MS: f64 = 50_000.0;
+const RECOVERING_COST_MS: f64 = 50_000.0;
 
 /// What a request asks of an endpoint.
 #[derive(Clone, Copy, Debug)]
@@ -77,11 +77,11 @@
 /// What one choice goes by.
 #[derive(Clone, Copy)]
 struct Choice<'a> {
-    ask: RequestSpec<'a>,
+    request: RequestSpec<'a>,
     engine: Option<(&'a EngineSpec, &'a ModelSpec)>,
-    not: &'a [BoxId],
+    excluded: &'a [BoxId],
     now: Millis,
-    times: LatencyModel,
+    latency: LatencyModel,
 }
 
 /// Chooses endpoints and keeps what the choice needs.
@@ -93,7 +93,7 @@
     services: HashMap<ServiceName, ServiceTargets>,
     /// What endpoints asked of this node, also those that are not listed for now.
     pub(super) wishes: EndpointWishes<BoxId>,
-    times: HashMap<String, LatencyModel>,
+    latency_models: HashMap<String, LatencyModel>,
 }
 
 impl LoadBalancer {
@@ -113,23 +113,23 @@
                 self.targets.remove(key);
             }
         }
-        self.follow_closed(&wanted);
+        self.update_availability(&wanted);
         for (id, spec) in wanted {
             match self.ids.get(&id).and_then(|key| self.targets.get_mut(*key)) {
                 Some(target) => target.spec = spec,
                 None => {
                     let mut target = Target::new(spec);
-                    target.leaves = self.wishes.is_leaving(&id);
+                    target.is_draining = self.wishes.is_leaving(&id);
                     let key = self.targets.insert(target);
                     self.ids.insert(id, key);
                 }
             }
         }
-        self.index();
+        self.rebuild_index();
     }
 
     /// Takes over which endpoints operators have emptied the zones of, and which are cold.
-    fn follow_closed(&mut self, wanted: &BTreeMap<BoxId, TargetSpec>) {
+    fn update_availability(&mut self, wanted: &BTreeMap<BoxId, TargetSpec>) {
         let evacuated = wanted.values().filter_map(|spec| Some((spec.id.clone(), spec.evacuated?)));
         self.wishes.follow_evacuated(evacuated.collect());
         for (id, spec) in wanted {
@@ -142,7 +142,7 @@
         }
     }
 
-    fn index(&mut self) {
+    fn rebuild_index(&mut self) {
         self.services.clear();
         for (key, target) in &self.targets {
             let spec = &target.spec;
@@ -159,7 +159,7 @@
     /// Takes over what peers have in flight, by endpoint.
     pub fn set_peer_loads(&mut self, loads: &BTreeMap<BoxId, EngineLoad>) {
         for target in self.targets.values_mut() {
-            target.others = loads.get(&target.spec.id).copied().unwrap_or_default();
+            target.peer_load = loads.get(&target.spec.id).copied().unwrap_or_default();
         }
     }
 
@@ -173,7 +173,7 @@
     /// Lists what this node has in flight by endpoint, and when each last made progress.
     pub fn own_loads(&self) -> impl Iterator<Item = (&BoxId, EngineLoad, Millis)> {
         let busy = self.targets.values().filter(|target| target.in_flight > 0);
-        busy.map(|target| (&target.spec.id, target.own(), target.last_event))
+        busy.map(|target| (&target.spec.id, target.own_load(), target.last_progress))
     }
 
     /// Returns what all daemons have in flight with each model of a service, as far as is known, beside what
@@ -192,70 +192,72 @@
 
     /// Tells whether any endpoint but one made progress since `since` with a request of this node;
     /// nothing where no other has any.
-    pub fn others_progress(&self, not: TargetKey, since: Millis) -> Option<bool> {
-        let busy = self.targets.iter().filter(|(key, target)| *key != not && target.in_flight > 0);
-        busy.map(|(_, target)| target.last_event >= since).reduce(|one, other| one || other)
+    pub fn others_progress(&self, excluded: TargetKey, since: Millis) -> Option<bool> {
+        let busy =
+            self.targets.iter().filter(|(key, target)| *key != excluded && target.in_flight > 0);
+        busy.map(|(_, target)| target.last_progress >= since).reduce(|one, other| one || other)
     }
 
     /// Chooses an endpoint other than those in `not`, by the policy's rule.
     pub fn choose(
         &self,
-        ask: RequestSpec<'_>,
+        request: RequestSpec<'_>,
         engine: Option<&EngineSpec>,
-        not: &[BoxId],
+        excluded: &[BoxId],
         now: Millis,
-        seed: &mut Seed,
+        rng: &mut Seed,
     ) -> Option<TargetKey> {
-        let candidates = self.candidates(ask, engine)?;
-        let engine = engine.zip(ask.model);
+        let candidates = self.candidates(request, engine)?;
+        let engine = engine.zip(request.model);
         let engine = engine.and_then(|(engine, model)| Some((engine, engine.model(model)?)));
-        let times = ask.model.and_then(|model| self.times.get(model)).copied();
-        let times = times.unwrap_or_default();
-        let choice = Choice { ask, engine, not, now, times };
+        let latency = request.model.and_then(|model| self.latency_models.get(model)).copied();
+        let latency = latency.unwrap_or_default();
+        let choice = Choice { request, engine, excluded, now, latency };
         match (self.policy.choice, engine) {
             (ChoiceRule::ExpectedCredit, Some(_)) => self
-                .best_credit(candidates, &choice, seed)
-                .or_else(|| self.least(candidates, &choice, seed)),
+                .best_credit(candidates, &choice, rng)
+                .or_else(|| self.lowest_cost(candidates, &choice, rng)),
             (ChoiceRule::TwoAtRandom, Some(_)) => self
-                .earlier_of_two(candidates, &choice, seed)
-                .or_else(|| self.least(candidates, &choice, seed)),
-            _ => self.least(candidates, &choice, seed),
+                .earlier_of_sample(candidates, &choice, rng)
+                .or_else(|| self.lowest_cost(candidates, &choice, rng)),
+            _ => self.lowest_cost(candidates, &choice, rng),
         }
     }
 
     /// Returns the endpoints of the service or model that is asked for.
     pub(super) fn candidates(
         &self,
-        ask: RequestSpec<'_>,
+        request: RequestSpec<'_>,
         engine: Option<&EngineSpec>,
     ) -> Option<&Candidates> {
-        let service = self.services.get(ask.service)?;
-        match engine.and(ask.model) {
+        let service = self.services.get(request.service)?;
+        match engine.and(request.model) {
             Some(model) => service.by_model.get(model),
             None => Some(&service.plain),
         }
     }
 
     /// Returns the endpoint with the least cost of all.
-    fn least(
+    fn lowest_cost(
         &self,
         candidates: &Candidates,
         choice: &Choice<'_>,
-        seed: &mut Seed,
+        rng: &mut Seed,
     ) -> Option<TargetKey> {
         let mut best: Option<(f64, TargetKey)> = None;
         for key in candidates.near.iter().chain(&candidates.far) {
             let target = self.targets.get(*key)?;
-            let state = self.wish_state(target, choice.now);
-            let is_home = choice.ask.regions.allow(target.spec.region.as_ref());
-            if choice.not.contains(&target.spec.id) || state.is_closed() || !is_home {
+            let state = self.backpressure_state(target, choice.now);
+            let is_allowed = choice.request.regions.allow(target.spec.region.as_ref());
+            if choice.excluded.contains(&target.spec.id) || state.is_closed() || !is_allowed {
                 continue;
             }
             // Ties are broken by chance, so that nodes that know the same do not all agree.
-            let chance = seed.below(1_000) as f64 / 1_000.0;
-            let comes_back = if state == WishState::ComesBack { COMES_BACK_MS } else { 0.0 };
-            let cost = self.cost(target, choice) + comes_back + chance;
-            if best.is_none_or(|(least, _)| cost < least) {
+            let jitter = rng.below(1_000) as f64 / 1_000.0;
+            let recovering_cost =
+                if state == WishState::ComesBack { RECOVERING_COST_MS } else { 0.0 };
+            let cost = self.cost(target, choice) + recovering_cost + jitter;
+            if best.is_none_or(|(lowest_cost, _)| cost < lowest_cost) {
                 best = Some((cost, *key));
             }
         }
@@ -265,24 +267,24 @@
     fn cost(&self, target: &Target, choice: &Choice<'_>) -> f64 {
         let by_count = self.policy.choice == ChoiceRule::FewestInFlight;
         let engine = choice.engine.filter(|_| !by_count);
-        target.cost(choice.ask.prompt, engine, choice.now)
+        target.cost(choice.request.prompt, engine, choice.now)
     }
 
-    fn earlier_of_two(
+    fn earlier_of_sample(
         &self,
         candidates: &Candidates,
         choice: &Choice<'_>,
-        seed: &mut Seed,
+        rng: &mut Seed,
     ) -> Option<TargetKey> {
         let count = candidates.near.len() + candidates.far.len();
         let mut best: Option<(f64, TargetKey)> = None;
-        for _ in 0..DRAWN {
-            let place = seed.below(count);
-            let near = candidates.near.get(place);
-            let key = near.or_else(|| candidates.far.get(place - candidates.near.len()))?;
-            let Some(target) = self.usable(*key, choice) else { continue };
+        for _ in 0..SAMPLE_SIZE {
+            let index = rng.below(count);
+            let near = candidates.near.get(index);
+            let key = near.or_else(|| candidates.far.get(index - candidates.near.len()))?;
+            let Some(target) = self.eligible(*key, choice) else { continue };
             let cost = self.cost(target, choice);
-            if best.is_none_or(|(least, _)| cost < least) {
+            if best.is_none_or(|(lowest_cost, _)| cost < lowest_cost) {
                 best = Some((cost, *key));
             }
         }
@@ -294,10 +296,10 @@
         &self,
         candidates: &Candidates,
         choice: &Choice<'_>,
-        seed: &mut Seed,
+        rng: &mut Seed,
     ) -> Option<TargetKey> {
-        let near = self.draw(&candidates.near, choice, seed);
-        let far = self.draw(&candidates.far, choice, seed);
+        let near = self.best_of_sample(&candidates.near, choice, rng);
+        let far = self.best_of_sample(&candidates.far, choice, rng);
         match (near, far) {
             (Some((near_credit, _)), Some((far_credit, key)))
                 if far_credit - self.policy.far_cost > near_credit =>
@@ -309,51 +311,51 @@
         }
     }
 
-    fn draw(
+    fn best_of_sample(
         &self,
         list: &[TargetKey],
         choice: &Choice<'_>,
-        seed: &mut Seed,
+        rng: &mut Seed,
     ) -> Option<(f64, TargetKey)> {
         let mut best: Option<(f64, TargetKey)> = None;
-        let mut drawn = 0;
-        let mut place = seed.below(list.len());
-        for _ in 0..DRAWS.min(list.len()) {
-            let key = list[place];
+        let mut sampled = 0;
+        let mut index = rng.below(list.len());
+        for _ in 0..MAX_DRAWS.min(list.len()) {
+            let key = list[index];
             // Another one each time, any of the rest as likely as the next.
-            place = (place + 1 + seed.below(list.len().saturating_sub(1))) % list.len();
-            let Some(target) = self.usable(key, choice) else { continue };
-            let credit = self.credit(target, choice);
-            if best.is_none_or(|(most, _)| credit > most) {
-                best = Some((credit, key));
+            index = (index + 1 + rng.below(list.len().saturating_sub(1))) % list.len();
+            let Some(target) = self.eligible(key, choice) else { continue };
+            let expected_credit = self.expected_credit(target, choice);
+            if best.is_none_or(|(most, _)| expected_credit > most) {
+                best = Some((expected_credit, key));
             }
-            drawn += 1;
-            if drawn == DRAWN {
+            sampled += 1;
+            if sampled == SAMPLE_SIZE {
                 break;
             }
         }
         best
     }
 
-    fn usable(&self, key: TargetKey, choice: &Choice<'_>) -> Option<&Target> {
+    fn eligible(&self, key: TargetKey, choice: &Choice<'_>) -> Option<&Target> {
         let target = self.targets.get(key)?;
-        let excluded = choice.not.contains(&target.spec.id)
+        let is_excluded = choice.excluded.contains(&target.spec.id)
             || target.is_ejected(choice.now)
-            || !choice.ask.regions.allow(target.spec.region.as_ref());
-        let is_open = || self.wish_state(target, choice.now) == WishState::Open;
-        (!excluded && is_open()).then_some(target)
+            || !choice.request.regions.allow(target.spec.region.as_ref());
+        let is_open = || self.backpressure_state(target, choice.now) == WishState::Open;
+        (!is_excluded && is_open()).then_some(target)
     }
 
     /// Returns the share of a request's credit that a replica is expected to bring.
-    fn credit(&self, target: &Target, choice: &Choice<'_>) -> f64 {
+    fn expected_credit(&self, target: &Target, choice: &Choice<'_>) -> f64 {
         let Some((engine, model)) = choice.engine else {
             return 0.0;
         };
-        let predicted = target.first_event(engine, model, choice.ask.prompt);
-        let objective = choice.ask.latency_goal.0 as f64;
-        let in_time = choice.times.probability_within(predicted, objective);
-        let time = choice.times.expected_ms(predicted) / objective.max(1.0);
-        in_time * (1.0 - target.failures(choice.now)) - TIME_COST * time
+        let first_event_ms = target.first_event_ms(engine, model, choice.request.prompt);
+        let goal = choice.request.latency_goal.0 as f64;
+        let in_time = choice.latency.probability_within(first_event_ms, goal);
+        let time = choice.latency.expected_ms(first_event_ms) / goal.max(1.0);
+        in_time * (1.0 - target.failure_rate(choice.now)) - LATENCY_COST * time
     }
 
     /// Returns the box behind an endpoint.
@@ -365,36 +367,33 @@
     pub fn predict(
         &self,
         key: TargetKey,
-        ask: RequestSpec<'_>,
+        request: RequestSpec<'_>,
         engine: &EngineSpec,
     ) -> Option<Prediction> {
         let target = self.targets.get(key)?;
-        let model = engine.model(ask.model?)?;
-        let predicted = target.first_event(engine, model, ask.prompt);
-        let times = self.times.get(&model.name).copied().unwrap_or_default();
-        let objective = ask.latency_goal.0 as f64;
-        let chance = times.probability_within(predicted, objective);
-        Some(Prediction {
-            first_event_ms: predicted,
-            deferred: self.policy.defer_late && is_deferred(chance),
-        })
+        let model = engine.model(request.model?)?;
+        let first_event_ms = target.first_event_ms(engine, model, request.prompt);
+        let latency = self.latency_models.get(&model.name).copied().unwrap_or_default();
+        let goal = request.latency_goal.0 as f64;
+        let jitter = latency.probability_within(first_event_ms, goal);
+        Some(Prediction { first_event_ms, deferred: self.policy.defer_late && is_deferred(jitter) })
     }
 
     /// Counts a request as on its way; one that waits behind the others delays none of them until
     /// it runs.
-    pub fn record_start(&mut self, key: TargetKey, prompt: f64, waits_behind: bool) {
-        if let Some(target) = self.targets.get_mut(key).filter(|_| !waits_behind) {
+    pub fn record_start(&mut self, key: TargetKey, prompt: f64, is_deferred: bool) {
+        if let Some(target) = self.targets.get_mut(key).filter(|_| !is_deferred) {
             target.in_flight += 1;
             target.unread += prompt;
         }
     }
 
     /// Counts a prompt as read.
-    pub fn record_first_event(&mut self, key: TargetKey, prompt: f64, waited_behind: bool) {
+    pub fn record_first_event(&mut self, key: TargetKey, prompt: f64, was_deferred: bool) {
         let Some(target) = self.targets.get_mut(key) else {
             return;
         };
-        if waited_behind {
+        if was_deferred {
             target.in_flight += 1;
         } else {
             target.unread = (target.unread - prompt).max(0.0);
@@ -402,29 +401,29 @@
     }
 
     /// Learns from how long a first event took, against what was predicted for it.
-    pub fn record_first_event_time(&mut self, key: TargetKey, took: Millis, predicted: f64) {
+    pub fn record_first_event_time(&mut self, key: TargetKey, took: Millis, first_event_ms: f64) {
         let Some(model) = self.targets.get(key).and_then(|target| target.spec.model.as_ref())
         else {
             return;
         };
-        if !self.times.contains_key(model) {
-            self.times.insert(model.clone(), LatencyModel::default());
+        if !self.latency_models.contains_key(model) {
+            self.latency_models.insert(model.clone(), LatencyModel::default());
         }
-        if let Some(times) = self.times.get_mut(model) {
-            times.update(took.0 as f64, predicted);
+        if let Some(latency) = self.latency_models.get_mut(model) {
+            latency.update(took.0 as f64, first_event_ms);
         }
     }
 
     /// Notes that an endpoint made progress with anything at all.
     pub fn record_progress(&mut self, key: TargetKey, now: Millis) {
         if let Some(target) = self.targets.get_mut(key) {
-            target.last_event = now;
+            target.last_progress = now;
         }
     }
 
     /// Returns when an endpoint last made progress.
     pub fn last_progress(&self, key: TargetKey) -> Option<Millis> {
-        self.targets.get(key).map(|target| target.last_event)
+        self.targets.get(key).map(|target| target.last_progress)
     }
 
     /// Returns what all nodes have in flight at an endpoint, as far as is known.
@@ -433,8 +432,8 @@
     }
 
     /// Counts a request as ended; `unread` is what was not read of its prompt.
-    pub fn record_finish(&mut self, key: TargetKey, unread: f64, waits_behind: bool) {
-        if let Some(target) = self.targets.get_mut(key).filter(|_| !waits_behind) {
+    pub fn record_finish(&mut self, key: TargetKey, unread: f64, is_deferred: bool) {
+        if let Some(target) = self.targets.get_mut(key).filter(|_| !is_deferred) {
             target.in_flight = target.in_flight.saturating_sub(1);
             target.unread = (target.unread - unread).max(0.0);
         }
--- a/crates/cherrystand_core/src/site/retry_share.rs
+++ b/crates/cherrystand_core/src/site/retry_share.rs
@@ -7,27 +7,27 @@
 use crate::{ColdLife, Millis, RequestRate};
 
 /// The part of the budget that is handed out; the rest covers what nodes count that were lost.
-const HANDED_OUT: f64 = 0.7;
+const ALLOCATED_FRACTION: f64 = 0.7;
 
 /// An even share of the slack that holds fewer repeats than this is of no use to a node whose requests fail
 /// together: the larger part of it is lent to those that ask instead.
-const LEAST_SHARE: f64 = 4.0;
+const MIN_EVEN_SHARE: f64 = 4.0;
 
 /// The part of the slack that is handed out evenly nevertheless.
-const EVEN_PART: f64 = 0.5;
+const EVEN_FRACTION: f64 = 0.5;
 
 /// The part of the slack that may be lent at once, and as much again in one window.
 ///
 /// One who comes to lend does not know what was lent before; so up to three may follow each other in a window
 /// within what is handed out.
-const LENT_PART: f64 = 0.05;
+const LOAN_FRACTION: f64 = 0.05;
 
 /// The slack is divided among at least this many, so that a node more or less does not matter.
-const LEAST_NODES: usize = 10;
+const MIN_NODES: usize = 10;
 
 /// A node that started more recently than this has no part of the slack, since it does not know
 /// all others yet.
-const KNOWS_OTHERS_AFTER: Millis = Millis(1_200);
+const DISCOVERY_TIME: Millis = Millis(1_200);
 
 /// States the budget of all nodes together for one service.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -43,12 +43,12 @@
 impl RetryBounds {
     /// Tells whether most of the slack is lent to those that ask, among so many nodes.
     pub fn is_lending(&self, nodes: usize) -> bool {
-        self.slack * HANDED_OUT / (nodes.max(LEAST_NODES) as f64) < LEAST_SHARE
+        self.slack * ALLOCATED_FRACTION / (nodes.max(MIN_NODES) as f64) < MIN_EVEN_SHARE
     }
 
     /// Returns how many repeats may be lent at once.
     pub fn max_loan(&self) -> f64 {
-        self.slack * LENT_PART
+        self.slack * LOAN_FRACTION
     }
 
     /// Returns how fast repeats are lent after that, for as long as somebody who lends has to remember it.
@@ -67,25 +67,20 @@
 pub struct RetryShare {
     bounds: RetryBounds,
     requests: VecDeque<Millis>,
-    repeats: VecDeque<Millis>,
+    retries: VecDeque<Millis>,
     /// The most nodes that were known at a time; those that are out of reach may repeat as well.
-    most_nodes: usize,
+    max_nodes: usize,
 }
 
 impl RetryShare {
     /// Creates an unused share.
     pub fn new(bounds: RetryBounds) -> Self {
-        Self {
-            bounds,
-            requests: VecDeque::new(),
-            repeats: VecDeque::new(),
-            most_nodes: LEAST_NODES,
-        }
+        Self { bounds, requests: VecDeque::new(), retries: VecDeque::new(), max_nodes: MIN_NODES }
     }
 
     /// Counts a request that this node took.
     pub fn record_request(&mut self, now: Millis) {
-        self.forget(now);
+        self.remove_expired(now);
         self.requests.push_back(now);
     }
 
@@ -93,36 +88,36 @@
     ///
     /// The time `now` counts from the node's start.
     pub fn try_spend(&mut self, now: Millis, nodes: usize) -> bool {
-        let fits = self.has_budget(now, nodes);
-        if fits {
-            self.repeats.push_back(now);
+        let has_budget = self.has_budget(now, nodes);
+        if has_budget {
+            self.retries.push_back(now);
         }
-        fits
+        has_budget
     }
 
     /// Tells whether the share holds a repeat now, without taking it.
     pub fn has_budget(&mut self, now: Millis, nodes: usize) -> bool {
-        self.forget(now);
-        self.most_nodes = self.most_nodes.max(nodes);
+        self.remove_expired(now);
+        self.max_nodes = self.max_nodes.max(nodes);
         let earned = self.bounds.ratio * self.requests.len() as f64;
-        let knows_others = now >= KNOWS_OTHERS_AFTER;
-        let even = self.bounds.slack / self.most_nodes as f64;
-        let slack = match self.bounds.is_lending(self.most_nodes) {
-            _ if !knows_others => 0.0,
-            true => even * EVEN_PART,
-            false => even * HANDED_OUT,
+        let has_discovered_peers = now >= DISCOVERY_TIME;
+        let even_share = self.bounds.slack / self.max_nodes as f64;
+        let slack = match self.bounds.is_lending(self.max_nodes) {
+            _ if !has_discovered_peers => 0.0,
+            true => even_share * EVEN_FRACTION,
+            false => even_share * ALLOCATED_FRACTION,
         };
-        let allowed = earned * HANDED_OUT + slack;
-        (self.repeats.len() + 1) as f64 <= allowed
+        let allowed = earned * ALLOCATED_FRACTION + slack;
+        (self.retries.len() + 1) as f64 <= allowed
     }
 
-    fn forget(&mut self, now: Millis) {
+    fn remove_expired(&mut self, now: Millis) {
         let old = |at: &Millis| now.since(*at) > self.bounds.window;
         while self.requests.front().is_some_and(old) {
             self.requests.pop_front();
         }
-        while self.repeats.front().is_some_and(old) {
-            self.repeats.pop_front();
+        while self.retries.front().is_some_and(old) {
+            self.retries.pop_front();
         }
     }
 }
--- a/crates/cherrystand_core/src/site/site_view.rs
+++ b/crates/cherrystand_core/src/site/site_view.rs
@@ -40,7 +40,7 @@
 
 /// What the listed members of one replica amount to.
 #[derive(Clone, Copy, Debug, Default)]
-struct ListedMembers {
+struct MemberCounts {
     count: usize,
     unusable: usize,
 }
@@ -49,7 +49,7 @@
 ///
 /// It is made in one pass: looking through all boxes for each leader took 943 us at 1,107 boxes and
 /// 15 ms at 5,000, for each view that is published.
-type MembersByReplica<'a> = HashMap<(&'a str, Epoch), ListedMembers>;
+type MembersByReplica<'a> = HashMap<(&'a str, Epoch), MemberCounts>;
 
 impl SiteView {
     /// Tells whether a configuration and the boxes are known.
@@ -69,26 +69,26 @@
             return Vec::new();
         };
         let members = self.members_by_replica();
-        let usable = self.boxes.values().filter(|known| self.is_usable(known));
-        let targets = usable.filter_map(|known| {
-            let model = match table.config().engine(&known.service) {
+        let usable = self.boxes.values().filter(|site_box| self.is_usable(site_box));
+        let targets = usable.filter_map(|site_box| {
+            let model = match table.config().engine(&site_box.service) {
                 Some(engine) => {
-                    let model = self.open_model(known, &members)?;
+                    let model = self.open_model(site_box, &members)?;
                     Some((model, engine.slots))
                 }
                 None => None,
             };
             let spec = TargetSpec {
-                id: known.id.clone(),
-                service: known.service.clone(),
-                slots: model.as_ref().map_or(known.slots, |(_, slots)| *slots),
+                id: site_box.id.clone(),
+                service: site_box.service.clone(),
+                slots: model.as_ref().map_or(site_box.slots, |(_, slots)| *slots),
                 model: model.map(|(model, _)| model),
-                near: &known.zone == zone,
-                region: regions.get(&known.zone).cloned(),
-                evacuated: self.evacuated.get(&known.zone).copied(),
-                cold: self.cold_life(known),
+                near: &site_box.zone == zone,
+                region: regions.get(&site_box.zone).cloned(),
+                evacuated: self.evacuated.get(&site_box.zone).copied(),
+                cold: self.cold_life(site_box),
             };
-            Some((spec, known.address))
+            Some((spec, site_box.address))
         });
         targets.collect()
     }
@@ -99,17 +99,17 @@
     /// A replica whose leader lost power never closes its connections, and one whose member did cuts
     /// its answers only after 4 s; callers leave a stream that is silent for 2 s.
     pub fn is_lost(&self, leader: &BoxId) -> bool {
-        let Some(known) = self.boxes.get(leader) else {
+        let Some(site_box) = self.boxes.get(leader) else {
             return true;
         };
         if self.silent.contains(leader) {
             return true;
         }
         let config = self.table.as_ref().map(|table| table.config());
-        if config.is_none_or(|config| config.engine(&known.service).is_none()) {
+        if config.is_none_or(|config| config.engine(&site_box.service).is_none()) {
             return false;
         }
-        let Some(member) = known.member.as_ref().filter(|member| member.rank == 0) else {
+        let Some(member) = site_box.member.as_ref().filter(|member| member.rank == 0) else {
             return true;
         };
         let serves = matches!(member.state, MemberState::Open | MemberState::Closing);
@@ -121,13 +121,13 @@
             return false;
         }
         let assigned = self.assigned.get(&(leader.replica.clone(), leader.epoch));
-        let listed = |id: &BoxId| {
+        let is_listed_member = |id: &BoxId| {
             self.boxes
                 .get(id)
-                .is_some_and(|known| known.is_member_of(&leader.replica, leader.epoch))
+                .is_some_and(|site_box| site_box.is_member_of(&leader.replica, leader.epoch))
         };
         assigned.into_iter().flatten().any(|id| self.silent.contains(id))
-            || self.silent.iter().any(listed)
+            || self.silent.iter().any(is_listed_member)
     }
 
     /// Lists the leaders of replicas that serve by their entries and are lost since they, or members
@@ -136,36 +136,36 @@
         if self.silent.is_empty() {
             return Vec::new();
         }
-        let is_lost = |known: &&Arc<SiteBox>| {
+        let is_lost = |site_box: &&Arc<SiteBox>| {
             let leads = |member: &&Member| member.rank == 0 && member.state == MemberState::Open;
-            let leader = known.member.as_ref().filter(leads);
+            let leader = site_box.member.as_ref().filter(leads);
             leader.is_some_and(|member| {
-                self.silent.contains(&known.id) || self.has_silent_member(member)
+                self.silent.contains(&site_box.id) || self.has_silent_member(member)
             })
         };
-        self.boxes.values().filter(is_lost).map(|known| known.id.clone()).collect()
+        self.boxes.values().filter(is_lost).map(|site_box| site_box.id.clone()).collect()
     }
 
     /// Returns until when a box is cold, where its service bears less then.
-    fn cold_life(&self, known: &SiteBox) -> Option<ColdLife> {
-        let until = self.cold.until(&known.id)?;
-        let service = self.table.as_ref()?.config().service(&known.service)?;
+    fn cold_life(&self, site_box: &SiteBox) -> Option<ColdLife> {
+        let until = self.cold.until(&site_box.id)?;
+        let service = self.table.as_ref()?.config().service(&site_box.service)?;
         Some(ColdLife { rate: service.cold?.rate, until })
     }
 
-    fn is_usable(&self, known: &SiteBox) -> bool {
-        !known.leaving && !self.silent.contains(&known.id)
+    fn is_usable(&self, site_box: &SiteBox) -> bool {
+        !site_box.leaving && !self.silent.contains(&site_box.id)
     }
 
     fn members_by_replica(&self) -> MembersByReplica<'_> {
-        let mut all = MembersByReplica::new();
-        for known in self.boxes.values() {
-            let Some(member) = &known.member else { continue };
-            let listed = all.entry((&member.replica, member.epoch)).or_default();
-            listed.count += 1;
-            listed.unusable += usize::from(!self.is_usable(known));
+        let mut replicas = MembersByReplica::new();
+        for site_box in self.boxes.values() {
+            let Some(member) = &site_box.member else { continue };
+            let counts = replicas.entry((&member.replica, member.epoch)).or_default();
+            counts.count += 1;
+            counts.unusable += usize::from(!self.is_usable(site_box));
         }
-        all
+        replicas
     }
 
     /// Returns the model of the whole replica that a box leads and serves with.
@@ -177,9 +177,9 @@
         let model = leader.loaded.first()?;
         let table = self.table.as_ref()?;
         let span = table.config().engine(&leader.service)?.model(model)?.span;
-        let listed = members.get(&(member.replica.as_str(), member.epoch))?;
-        let there = listed.count + self.unlisted_members(member);
-        (listed.unusable == 0 && there >= span as usize).then(|| model.clone())
+        let counts = members.get(&(member.replica.as_str(), member.epoch))?;
+        let present = counts.count + self.running_unlisted_members(member);
+        (counts.unusable == 0 && present >= span as usize).then(|| model.clone())
     }
 
     /// Tells whether a box is listed in another life than the one named.
@@ -188,17 +188,17 @@
             return false;
         }
         // The lives of one box follow each other, beginning with the least.
-        let mut lives = self.boxes.range(id.with_incarnation(0)..).map(|(listed, _)| listed);
-        lives.next().is_some_and(|listed| listed.is_other_incarnation_of(id))
+        let mut incarnations = self.boxes.range(id.with_incarnation(0)..).map(|(listed, _)| listed);
+        incarnations.next().is_some_and(|listed| listed.is_other_incarnation_of(id))
     }
 
     /// Returns how many members of a replica are listed no more and may still do their work, since
     /// nobody found them silent.
-    fn unlisted_members(&self, member: &Member) -> usize {
+    fn running_unlisted_members(&self, member: &Member) -> usize {
         let assigned = self.assigned.get(&(member.replica.clone(), member.epoch));
-        let may_be_there = |id: &&BoxId| {
+        let may_still_run = |id: &&BoxId| {
             !self.boxes.contains_key(*id) && !self.silent.contains(*id) && !self.has_restarted(id)
         };
-        assigned.into_iter().flatten().filter(may_be_there).count()
+        assigned.into_iter().flatten().filter(may_still_run).count()
     }
 }
--- a/crates/cherrystand_core/src/site/target.rs
+++ b/crates/cherrystand_core/src/site/target.rs
@@ -3,29 +3,29 @@
 use crate::{BoxId, ColdLife, EngineLoad, EngineSpec, Millis, ModelSpec, RegionId, ServiceName};
 
 /// For how long an endpoint that failed is left out, at first.
-const FIRST_AVOID: Millis = Millis(300);
+const INITIAL_EJECTION: Millis = Millis(300);
 
 /// For how long it is left out at the most.
-const LONGEST_AVOID: Millis = Millis(2_000);
+const MAX_EJECTION: Millis = Millis(2_000);
 
 /// How much a failure counts against the ones before it.
 const FAILURE_WEIGHT: f64 = 0.25;
 
 /// After this time what failed counts half as much, so that an endpoint that is left out for its
 /// failures is tried again.
-const FAILURE_HALVES: Millis = Millis(2_000);
+const FAILURE_HALF_LIFE: Millis = Millis(2_000);
 
 /// How much one sure failure counts, in milliseconds.
 const FAILURE_COST_MS: f64 = 240.0;
 
 /// Beyond all times that are predicted, in milliseconds.
-const AVOIDED_MS: f64 = 100_000.0;
+const EJECTED_COST_MS: f64 = 100_000.0;
 
 /// What an answer from another zone counts for where nothing else is known, in milliseconds.
-const FAR_MS: f64 = 3.0;
+const FAR_COST_MS: f64 = 3.0;
 
 /// What a request in flight at a plain endpoint counts for, in milliseconds.
-const PLAIN_MS: f64 = 10.0;
+const PLAIN_REQUEST_COST_MS: f64 = 10.0;
 
 /// Describes an endpoint to choose.
 #[derive(Clone, Debug, PartialEq)]
@@ -54,15 +54,15 @@
     pub(crate) spec: TargetSpec,
     pub(crate) in_flight: u32,
     pub(crate) unread: f64,
-    pub(crate) others: EngineLoad,
-    pub(crate) last_event: Millis,
+    pub(crate) peer_load: EngineLoad,
+    pub(crate) last_progress: Millis,
     /// Whether it said that it leaves; looked up once, or each choice would among all that ever did.
-    pub(crate) leaves: bool,
-    failures: f64,
+    pub(crate) is_draining: bool,
+    failure_rate: f64,
     /// As of when.
-    failures_at: Millis,
-    avoid_until: Millis,
-    avoid_next: Millis,
+    failure_rate_at: Millis,
+    ejected_until: Millis,
+    next_ejection: Millis,
 }
 
 impl Target {
@@ -71,64 +71,70 @@
             spec,
             in_flight: 0,
             unread: 0.0,
-            others: EngineLoad::default(),
-            last_event: Millis(0),
-            leaves: false,
-            failures: 0.0,
-            failures_at: Millis(0),
-            avoid_until: Millis(0),
-            avoid_next: FIRST_AVOID,
+            peer_load: EngineLoad::default(),
+            last_progress: Millis(0),
+            is_draining: false,
+            failure_rate: 0.0,
+            failure_rate_at: Millis(0),
+            ejected_until: Millis(0),
+            next_ejection: INITIAL_EJECTION,
         }
     }
 
     /// Returns what this node has in flight there.
-    pub(crate) fn own(&self) -> EngineLoad {
+    pub(crate) fn own_load(&self) -> EngineLoad {
         EngineLoad { requests: f64::from(self.in_flight), unread: self.unread }
     }
 
     /// Returns what all nodes have in flight there, as far as is known.
     pub(crate) fn load(&self) -> EngineLoad {
-        let own = self.own();
+        let own_load = self.own_load();
         EngineLoad {
-            requests: own.requests + self.others.requests,
-            unread: own.unread + self.others.unread,
+            requests: own_load.requests + self.peer_load.requests,
+            unread: own_load.unread + self.peer_load.unread,
         }
     }
 
     pub(crate) fn record_success(&mut self, now: Millis) {
-        self.note_failure(0.0, now);
-        self.avoid_next = FIRST_AVOID;
+        self.update_failure_rate(0.0, now);
+        self.next_ejection = INITIAL_EJECTION;
     }
 
     pub(crate) fn record_failure(&mut self, now: Millis) {
-        self.note_failure(1.0, now);
+        self.update_failure_rate(1.0, now);
     }
 
-    fn note_failure(&mut self, failed: f64, now: Millis) {
-        self.failures = self.failures(now) * (1.0 - FAILURE_WEIGHT) + failed * FAILURE_WEIGHT;
-        self.failures_at = now;
+    fn update_failure_rate(&mut self, failed: f64, now: Millis) {
+        self.failure_rate =
+            self.failure_rate(now) * (1.0 - FAILURE_WEIGHT) + failed * FAILURE_WEIGHT;
+        self.failure_rate_at = now;
     }
 
     /// Returns the share of requests that failed lately.
-    pub(crate) fn failures(&self, now: Millis) -> f64 {
-        let halvings = now.since(self.failures_at).0 as f64 / FAILURE_HALVES.0 as f64;
-        self.failures * 0.5_f64.powf(halvings)
+    pub(crate) fn failure_rate(&self, now: Millis) -> f64 {
+        let half_lives = now.since(self.failure_rate_at).0 as f64 / FAILURE_HALF_LIFE.0 as f64;
+        self.failure_rate * 0.5_f64.powf(half_lives)
     }
 
     /// Leaves it out for a while, longer each time until it answers well.
     pub(crate) fn eject(&mut self, now: Millis) {
-        if now >= self.avoid_until {
-            self.avoid_until = now + self.avoid_next;
-            self.avoid_next = Millis(self.avoid_next.0 * 2).min(LONGEST_AVOID);
+        if now >= self.ejected_until {
+            self.ejected_until = now + self.next_ejection;
+            self.next_ejection = Millis(self.next_ejection.0 * 2).min(MAX_EJECTION);
         }
     }
 
     pub(crate) fn is_ejected(&self, now: Millis) -> bool {
-        now < self.avoid_until
+        now < self.ejected_until
     }
 
     /// Returns the predicted milliseconds until its answer begins.
-    pub(crate) fn first_event(&self, engine: &EngineSpec, model: &ModelSpec, prompt: f64) -> f64 {
+    pub(crate) fn first_event_ms(
+        &self,
+        engine: &EngineSpec,
+        model: &ModelSpec,
+        prompt: f64,
+    ) -> f64 {
         engine.first_token_time(model, self.load(), prompt)
     }
 
@@ -139,12 +145,12 @@
         engine: Option<(&EngineSpec, &ModelSpec)>,
         now: Millis,
     ) -> f64 {
-        let far = if self.spec.near { 0.0 } else { FAR_MS };
-        let avoided = if self.is_ejected(now) { AVOIDED_MS } else { 0.0 };
+        let far = if self.spec.near { 0.0 } else { FAR_COST_MS };
+        let ejected = if self.is_ejected(now) { EJECTED_COST_MS } else { 0.0 };
         let time = match engine {
-            Some((engine, model)) => self.first_event(engine, model, prompt),
-            None => self.load().requests * PLAIN_MS,
+            Some((engine, model)) => self.first_event_ms(engine, model, prompt),
+            None => self.load().requests * PLAIN_REQUEST_COST_MS,
         };
-        time + far + avoided + self.failures(now) * FAILURE_COST_MS
+        time + far + ejected + self.failure_rate(now) * FAILURE_COST_MS
     }
 }
--- a/crates/cherrystandd/src/site/active_attempt.rs
+++ b/crates/cherrystandd/src/site/active_attempt.rs
@@ -93,7 +93,7 @@
     fn on_answer(&self) {
         if self.after_backoff && !self.answered.replace(true) {
             let now = self.frontend.now();
-            self.frontend.balancer.borrow_mut().answered_after_rest(&self.target, now);
+            self.frontend.balancer.borrow_mut().record_answer_after_backoff(&self.target, now);
         }
     }
 
@@ -213,7 +213,7 @@
         let mut balancer = self.frontend.balancer.borrow_mut();
         balancer.record_finish(self.key, self.unread_tokens.get(), self.deferred.get());
         if self.after_backoff {
-            balancer.ended_after_rest(&self.target);
+            balancer.record_end_after_backoff(&self.target);
         }
         if self.permit.take().is_some() {
             balancer.limits_mut().not_sent(&self.target);
