--- a/crates/cherrystand_core/src/site/load_balancer.rs
+++ b/crates/cherrystand_core/src/site/load_balancer.rs
@@ -1,4 +1,4 @@
-//! The choice among replicas and endpoints, by what their engine is predicted to do.
+//! Chooses among replicas and endpoints, by the performance predicted for their engines.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -11,52 +11,53 @@
 };
 
 new_key_type! {
-    /// Points to an endpoint in the balancer's arena.
+    /// Identifies an endpoint of the load balancer.
     pub struct TargetKey;
 }
 
-/// How many replicas of the own zone, and of others, are drawn for one choice.
+/// How many replicas of the own zone, and how many of others, are compared for one choice.
 ///
-/// What is known of the others' loads is up to half a second old. If all daemons took the replica
-/// that looks best, they would all take the same one; the better of two drawn by chance is nearly
-/// as good and does not gather them.
+/// The known load of peers is up to half a second old. If all daemons chose the replica that looks
+/// best, they would all choose the same one. The better of two random ones is nearly as good and
+/// avoids such herding.
 const SAMPLE_SIZE: usize = 2;
 
-/// How many draws are made to find those, since some may be left out.
+/// How many draws are made to find those, since some endpoints may be unusable.
 const MAX_DRAWS: usize = 4;
 
-/// How much of the credit one whole objective of expected time costs, though the request itself is in
-/// time: whoever comes next to a busier replica waits longer for it.
+/// The cost in credit of an expected latency of one whole latency goal, even if the request is in
+/// time: the next requests at a busier replica wait longer.
 ///
-/// At 30 requests in flight a further one delays the next 30 by about 1 ms each, which near their
-/// objective is 0.01 to 0.08 of a request's credit; this is as steep where replicas begin to fill.
+/// At 30 requests in flight, one more delays the next 30 by about 1 ms each, which near their goal
+/// is 0.01 to 0.08 of a request's credit. This cost is equally steep where replicas begin to fill
+/// up.
 const LATENCY_COST: f64 = 0.2;
 
-/// What speaks against an endpoint that has yet to answer what it was sent since its rest, in
-/// milliseconds: beyond all times that are predicted, below what speaks against one that failed.
+/// The cost of an endpoint that has yet to answer the first request after its backoff, in
+/// milliseconds: more than any predicted time, less than the cost of an ejected endpoint.
 const RECOVERING_COST_MS: f64 = 50_000.0;
 
-/// What a request asks of an endpoint.
+/// What a request needs from an endpoint.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestSpec<'a> {
     /// The service.
     pub service: &'a ServiceName,
-    /// The model, where it asks for one.
+    /// The model, if it asks for one.
     pub model: Option<&'a str>,
     /// The tokens of its prompt.
     pub prompt: f64,
     /// The time within which its answer, or its first event, is in time.
     pub latency_goal: Millis,
-    /// Where it may be answered.
+    /// The regions in which it may be answered.
     pub regions: AllowedRegions<'a>,
 }
 
-/// What is expected of a request at one replica.
+/// What is predicted for a request at one replica.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Prediction {
-    /// The predicted milliseconds until its first event, before what was learned.
+    /// The milliseconds until its first event by the published figures, without the learned error.
     pub first_event_ms: f64,
-    /// Whether it is put behind those that can still be in time.
+    /// Whether it is queued behind requests that can still be in time.
     pub deferred: bool,
 }
 
@@ -74,7 +75,7 @@
     plain: Candidates,
 }
 
-/// What one choice goes by.
+/// The input of one choice.
 #[derive(Clone, Copy)]
 struct Choice<'a> {
     request: RequestSpec<'a>,
@@ -84,25 +85,25 @@
     latency: LatencyModel,
 }
 
-/// Chooses endpoints and keeps what the choice needs.
+/// Chooses endpoints, and tracks their load, results and latencies.
 #[derive(Clone, Debug, Default)]
 pub struct LoadBalancer {
     policy: Policy,
     pub(super) targets: SlotMap<TargetKey, Target>,
     pub(super) ids: BTreeMap<BoxId, TargetKey>,
     services: HashMap<ServiceName, ServiceTargets>,
-    /// What endpoints asked of this node, also those that are not listed for now.
+    /// The backpressure that endpoints signalled to this node, including endpoints not listed now.
     pub(super) wishes: EndpointWishes<BoxId>,
     latency_models: HashMap<String, LatencyModel>,
 }
 
 impl LoadBalancer {
-    /// Creates a balancer that knows no endpoints.
+    /// Creates a load balancer without endpoints.
     pub fn new(policy: Policy) -> Self {
         Self { policy, ..Self::default() }
     }
 
-    /// Takes over the endpoints that serve now.
+    /// Replaces the endpoints by those that serve now.
     pub fn set_targets(&mut self, specs: Vec<TargetSpec>) {
         let wanted: BTreeMap<BoxId, TargetSpec> =
             specs.into_iter().map(|spec| (spec.id.clone(), spec)).collect();
@@ -128,14 +129,14 @@
         self.rebuild_index();
     }
 
-    /// Takes over which endpoints operators have emptied the zones of, and which are cold.
+    /// Updates which endpoints lie in evacuated zones, and which are cold.
     fn update_availability(&mut self, wanted: &BTreeMap<BoxId, TargetSpec>) {
         let evacuated = wanted.values().filter_map(|spec| Some((spec.id.clone(), spec.evacuated?)));
         self.wishes.follow_evacuated(evacuated.collect());
         for (id, spec) in wanted {
             let held = self.ids.get(id).and_then(|key| self.targets.get(*key));
             let before = held.and_then(|target| target.spec.cold);
-            // What peers tell of one that this node was never told of holds as well.
+            // A cold period that peers report is kept if this node has no report of its own.
             if spec.cold != before {
                 self.wishes.limits.follow_cold(id, spec.cold);
             }
@@ -156,28 +157,28 @@
         }
     }
 
-    /// Takes over what peers have in flight, by endpoint.
+    /// Replaces what peers have in flight, by endpoint.
     pub fn set_peer_loads(&mut self, loads: &BTreeMap<BoxId, EngineLoad>) {
         for target in self.targets.values_mut() {
             target.peer_load = loads.get(&target.spec.id).copied().unwrap_or_default();
         }
     }
 
-    /// Leaves the endpoint of a box out for a while, as [`LoadBalancer::avoid`] does.
+    /// Ejects the endpoint of a box for a while, like [`LoadBalancer::eject`].
     pub fn eject_box(&mut self, id: &BoxId, now: Millis) {
         if let Some(key) = self.ids.get(id).copied() {
             self.eject(key, now);
         }
     }
 
-    /// Lists what this node has in flight by endpoint, and when each last made progress.
+    /// Lists what this node has in flight by endpoint, and when each endpoint last made progress.
     pub fn own_loads(&self) -> impl Iterator<Item = (&BoxId, EngineLoad, Millis)> {
         let busy = self.targets.values().filter(|target| target.in_flight > 0);
         busy.map(|target| (&target.spec.id, target.own_load(), target.last_progress))
     }
 
-    /// Returns what all daemons have in flight with each model of a service, as far as is known, beside what
-    /// lies in zones that operators have emptied.
+    /// Returns what all daemons have in flight for each model of a service, as far as known,
+    /// without the endpoints in evacuated zones.
     pub fn model_loads(&self) -> ModelLoads {
         let mut loads = ModelLoads::new();
         for target in self.targets.values().filter(|target| target.spec.evacuated.is_none()) {
@@ -190,15 +191,15 @@
         loads
     }
 
-    /// Tells whether any endpoint but one made progress since `since` with a request of this node;
-    /// nothing where no other has any.
+    /// Returns whether any endpoint but one made progress since `since` with a request of this
+    /// node, or `None` if no other has one.
     pub fn others_progress(&self, excluded: TargetKey, since: Millis) -> Option<bool> {
         let busy =
             self.targets.iter().filter(|(key, target)| *key != excluded && target.in_flight > 0);
         busy.map(|(_, target)| target.last_progress >= since).reduce(|one, other| one || other)
     }
 
-    /// Chooses an endpoint other than those in `not`, by the policy's rule.
+    /// Chooses an endpoint other than those in `excluded`, by the rule of the policy.
     pub fn choose(
         &self,
         request: RequestSpec<'_>,
@@ -224,7 +225,7 @@
         }
     }
 
-    /// Returns the endpoints of the service or model that is asked for.
+    /// Returns the endpoints of the requested service or model.
     pub(super) fn candidates(
         &self,
         request: RequestSpec<'_>,
@@ -237,7 +238,7 @@
         }
     }
 
-    /// Returns the endpoint with the least cost of all.
+    /// Returns the endpoint with the lowest cost of all.
     fn lowest_cost(
         &self,
         candidates: &Candidates,
@@ -252,7 +253,8 @@
             if choice.excluded.contains(&target.spec.id) || state.is_closed() || !is_allowed {
                 continue;
             }
-            // Ties are broken by chance, so that nodes that know the same do not all agree.
+            // Ties are broken at random, so that nodes with the same information make different
+            // choices.
             let jitter = rng.below(1_000) as f64 / 1_000.0;
             let recovering_cost =
                 if state == WishState::ComesBack { RECOVERING_COST_MS } else { 0.0 };
@@ -291,7 +293,8 @@
         best.map(|(_, key)| key)
     }
 
-    /// Returns the best of a few near endpoints and a few others by expected credit.
+    /// Returns the endpoint with the highest expected credit, among a sample of near and of far
+    /// ones.
     fn best_credit(
         &self,
         candidates: &Candidates,
@@ -322,7 +325,7 @@
         let mut index = rng.below(list.len());
         for _ in 0..MAX_DRAWS.min(list.len()) {
             let key = list[index];
-            // Another one each time, any of the rest as likely as the next.
+            // Never the same one twice in a row; all others are equally likely.
             index = (index + 1 + rng.below(list.len().saturating_sub(1))) % list.len();
             let Some(target) = self.eligible(key, choice) else { continue };
             let expected_credit = self.expected_credit(target, choice);
@@ -346,7 +349,8 @@
         (!is_excluded && is_open()).then_some(target)
     }
 
-    /// Returns the share of a request's credit that a replica is expected to bring.
+    /// Returns the share of a request's credit that an endpoint is expected to earn, less the
+    /// latency cost.
     fn expected_credit(&self, target: &Target, choice: &Choice<'_>) -> f64 {
         let Some((engine, model)) = choice.engine else {
             return 0.0;
@@ -358,12 +362,12 @@
         in_time * (1.0 - target.failure_rate(choice.now)) - LATENCY_COST * time
     }
 
-    /// Returns the box behind an endpoint.
+    /// Returns the box of an endpoint.
     pub fn id(&self, key: TargetKey) -> Option<&BoxId> {
         self.targets.get(key).map(|target| &target.spec.id)
     }
 
-    /// Returns what is expected of a request at a replica.
+    /// Predicts the time to first event of a request at a replica, and whether it is deferred.
     pub fn predict(
         &self,
         key: TargetKey,
@@ -379,8 +383,8 @@
         Some(Prediction { first_event_ms, deferred: self.policy.defer_late && is_deferred(jitter) })
     }
 
-    /// Counts a request as on its way; one that waits behind the others delays none of them until
-    /// it runs.
+    /// Records that a request was sent. A deferred request does not count as load until it runs,
+    /// since it delays no other.
     pub fn record_start(&mut self, key: TargetKey, prompt: f64, is_deferred: bool) {
         if let Some(target) = self.targets.get_mut(key).filter(|_| !is_deferred) {
             target.in_flight += 1;
@@ -388,7 +392,7 @@
         }
     }
 
-    /// Counts a prompt as read.
+    /// Records the first event of a request, and thus that its prompt was read.
     pub fn record_first_event(&mut self, key: TargetKey, prompt: f64, was_deferred: bool) {
         let Some(target) = self.targets.get_mut(key) else {
             return;
@@ -400,7 +404,8 @@
         }
     }
 
-    /// Learns from how long a first event took, against what was predicted for it.
+    /// Updates the latency model with the time that a first event took and the time predicted for
+    /// it.
     pub fn record_first_event_time(&mut self, key: TargetKey, took: Millis, first_event_ms: f64) {
         let Some(model) = self.targets.get(key).and_then(|target| target.spec.model.as_ref())
         else {
@@ -414,7 +419,7 @@
         }
     }
 
-    /// Notes that an endpoint made progress with anything at all.
+    /// Records that an endpoint made progress with any request.
     pub fn record_progress(&mut self, key: TargetKey, now: Millis) {
         if let Some(target) = self.targets.get_mut(key) {
             target.last_progress = now;
@@ -426,12 +431,12 @@
         self.targets.get(key).map(|target| target.last_progress)
     }
 
-    /// Returns what all nodes have in flight at an endpoint, as far as is known.
+    /// Returns what all nodes have in flight at an endpoint, as far as known.
     pub fn load(&self, key: TargetKey) -> EngineLoad {
         self.targets.get(key).map(Target::load).unwrap_or_default()
     }
 
-    /// Counts a request as ended; `unread` is what was not read of its prompt.
+    /// Records the end of a request, of whose prompt `unread` tokens were not read.
     pub fn record_finish(&mut self, key: TargetKey, unread: f64, is_deferred: bool) {
         if let Some(target) = self.targets.get_mut(key).filter(|_| !is_deferred) {
             target.in_flight = target.in_flight.saturating_sub(1);
@@ -439,26 +444,26 @@
         }
     }
 
-    /// Takes in that an endpoint answered well.
+    /// Records that an endpoint answered successfully.
     pub fn record_success(&mut self, key: TargetKey, now: Millis) {
         if let Some(target) = self.targets.get_mut(key) {
             target.record_success(now);
         }
     }
 
-    /// Takes in that an endpoint failed a request.
+    /// Records that an endpoint failed a request.
     pub fn record_failure(&mut self, key: TargetKey, now: Millis) {
         if let Some(target) = self.targets.get_mut(key) {
             target.record_failure(now);
         }
     }
 
-    /// Tells whether an endpoint is left out now.
+    /// Returns whether an endpoint is ejected now.
     pub fn is_ejected(&self, key: TargetKey, now: Millis) -> bool {
         self.targets.get(key).is_some_and(|target| target.is_ejected(now))
     }
 
-    /// Leaves an endpoint out for a while, longer each time until it answers well.
+    /// Ejects an endpoint for a while, for longer each time until it answers successfully.
     pub fn eject(&mut self, key: TargetKey, now: Millis) {
         if let Some(target) = self.targets.get_mut(key) {
             target.eject(now);
--- a/crates/cherrystand_core/src/site/load_balancer_limits.rs
+++ b/crates/cherrystand_core/src/site/load_balancer_limits.rs
@@ -1,4 +1,4 @@
-//! What endpoints asked of this node, as the choice goes by it.
+//! The backpressure of endpoints (backoff, draining and rate limits) in the load balancer's choice.
 
 use crate::site::target::Target;
 use crate::{
@@ -6,31 +6,36 @@
     TargetKey, WishState,
 };
 
-/// When a caller is told to come back whose endpoints have all they bear; streams end after 0.3 to 2 s.
+/// When a caller is told to retry if all endpoints are at their limits; streams end after 0.3 to 2
+/// s.
 const SATURATED_RETRY_AFTER: Millis = Millis(300);
 
-/// When a caller is told to come back whose endpoints all lie in emptied zones: after as long again as they
-/// have been empty, within these bounds. Nobody tells how long that lasts.
+/// Bounds of the time after which a caller is told to retry if all endpoints lie in evacuated
+/// zones.
+///
+/// Within them it is the time since the evacuation, as nobody knows how long that will last.
 const EVACUATED_RETRY_BOUNDS: (Millis, Millis) = (Millis(500), Millis(30_000));
 
-/// How many endpoints a request asks permits for at once that nobody else can serve.
+/// How many endpoints are asked for a permit at once for a request that no other endpoint can
+/// serve.
 const MAX_PERMIT_REQUESTS: usize = 2;
 
 impl LoadBalancer {
-    /// Returns what endpoints take from all nodes together.
+    /// Returns the rate limits that endpoints have for all nodes together.
     pub fn limits(&self) -> &EndpointLimits<BoxId> {
         &self.wishes.limits
     }
 
-    /// Returns the same, to be kept up.
+    /// Returns the rate limits for updating.
     pub fn limits_mut(&mut self) -> &mut EndpointLimits<BoxId> {
         &mut self.wishes.limits
     }
 
-    /// Notes which endpoints with a limit a request could use a permit for that is not at hand, and returns them.
+    /// Requests permits of rate-limited endpoints for a request, and returns these endpoints.
     ///
-    /// One endpoint is drawn, as the choice draws them: so each is wanted by its usual part of the requests, and
-    /// the others ask for nothing. Where none is open, the next ones that have a limit are wanted.
+    /// One endpoint is selected at random, as for the choice itself, so that each gets its usual
+    /// share of the requests and no permits are requested in vain. If none is open, the next
+    /// rate-limited ones are asked.
     pub fn request_permits(
         &mut self,
         request: RequestSpec<'_>,
@@ -38,7 +43,7 @@
         now: Millis,
         rng: &mut Seed,
     ) -> Vec<BoxId> {
-        // Most choices are made while no endpoint names a limit.
+        // Fast path: usually no endpoint has a rate limit.
         if self.wishes.limits.is_empty() {
             return Vec::new();
         }
@@ -62,7 +67,7 @@
         wanted
     }
 
-    /// Returns how an endpoint stands by what it asked for.
+    /// Returns the backpressure state of an endpoint.
     pub(super) fn backpressure_state(&self, target: &Target, now: Millis) -> WishState {
         match (target.is_draining, target.spec.evacuated) {
             (true, _) => WishState::Leaves,
@@ -71,8 +76,8 @@
         }
     }
 
-    /// Returns when one may first be sent to again, where each endpoint that could serve a request rests, has
-    /// all that it bears, or lies in an emptied zone.
+    /// Returns when to retry if every endpoint that could serve a request is backing off, at its
+    /// limits or in an evacuated zone; `None` if one is available.
     pub fn unavailable_until(
         &self,
         request: RequestSpec<'_>,
@@ -100,14 +105,14 @@
         first
     }
 
-    /// Takes in that an endpoint asked this node for rest, and returns until when it has it.
+    /// Records that an endpoint asked this node to back off, and returns until when it will.
     pub fn hear_rest(&mut self, id: &BoxId, asked: Millis, now: Millis) -> Millis {
         let target = self.ids.get(id).and_then(|key| self.targets.get(*key));
         let in_flight = target.map_or(0, |target| target.in_flight);
         self.wishes.hear_rest(id, asked, in_flight, now)
     }
 
-    /// Takes in that an endpoint leaves, and tells whether that is new.
+    /// Records that an endpoint is draining, and returns whether that is new.
     pub fn hear_leaving(&mut self, id: &BoxId) -> bool {
         if let Some(target) = self.ids.get(id).and_then(|key| self.targets.get_mut(*key)) {
             target.is_draining = true;
@@ -115,23 +120,23 @@
         self.wishes.hear_leaving(id)
     }
 
-    /// Tells whether an endpoint said that it leaves.
+    /// Returns whether an endpoint announced that it drains.
     pub fn is_leaving(&self, id: &BoxId) -> bool {
         self.wishes.is_leaving(id)
     }
 
-    /// Gives leave to send one request to an endpoint; nothing where it wants none.
+    /// Returns a permit to send one request to an endpoint, or `None` if it takes none.
     pub fn permit(&mut self, key: TargetKey, now: Millis) -> Option<SendPermit> {
         let target = self.targets.get(key)?;
         self.wishes.permit(&target.spec.id, target.in_flight, now)
     }
 
-    /// Takes in that an endpoint began to answer what it was sent after its rest.
+    /// Records that an endpoint began to answer the first request after its backoff.
     pub fn record_answer_after_backoff(&mut self, id: &BoxId, now: Millis) {
         self.wishes.answered(id, now);
     }
 
-    /// Takes in that what an endpoint was sent after its rest is under way no more.
+    /// Records that the first request after an endpoint's backoff has ended.
     pub fn record_end_after_backoff(&mut self, id: &BoxId) {
         self.wishes.ended(id);
     }
--- a/crates/cherrystand_core/src/site/retry_share.rs
+++ b/crates/cherrystand_core/src/site/retry_share.rs
@@ -1,4 +1,4 @@
-//! One node's share of a retry budget that all nodes have together.
+//! One node's share of the retry budget of all nodes.
 //!
 //! Source: docs/design/0024-the-whole-fleet.md.
 
@@ -6,52 +6,54 @@
 
 use crate::{ColdLife, Millis, RequestRate};
 
-/// The part of the budget that is handed out; the rest covers what nodes count that were lost.
+/// The fraction of the budget that is allocated; the rest covers what lost nodes have counted.
 const ALLOCATED_FRACTION: f64 = 0.7;
 
-/// An even share of the slack that holds fewer repeats than this is of no use to a node whose requests fail
-/// together: the larger part of it is lent to those that ask instead.
+/// If an even share of the slack holds fewer retries than this, it is useless to a node whose
+/// requests fail together, and the larger part of the slack is lent on request instead.
 const MIN_EVEN_SHARE: f64 = 4.0;
 
-/// The part of the slack that is handed out evenly nevertheless.
+/// The fraction of the slack that is split evenly even then.
 const EVEN_FRACTION: f64 = 0.5;
 
-/// The part of the slack that may be lent at once, and as much again in one window.
+/// The fraction of the slack that may be lent at once, and again over one window.
 ///
-/// One who comes to lend does not know what was lent before; so up to three may follow each other in a window
-/// within what is handed out.
+/// A node that becomes the lender doesn't know what was lent before. With this value, three lenders
+/// may follow each other within one window and stay within the allocated budget.
 const LOAN_FRACTION: f64 = 0.05;
 
-/// The slack is divided among at least this many, so that a node more or less does not matter.
+/// The slack is divided among at least this many nodes, so that a single node joining or leaving
+/// changes little.
 const MIN_NODES: usize = 10;
 
-/// A node that started more recently than this has no part of the slack, since it does not know
-/// all others yet.
+/// A node that started more recently has no share of the slack, since it doesn't know all others
+/// yet.
 const DISCOVERY_TIME: Millis = Millis(1_200);
 
-/// States the budget of all nodes together for one service.
+/// The retry budget of all nodes together for one service.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct RetryBounds {
-    /// Repeats for each request.
+    /// Retries allowed per request.
     pub ratio: f64,
-    /// Repeats beyond that in one window, over all nodes.
+    /// Retries allowed beyond that in one window, over all nodes.
     pub slack: f64,
-    /// The window that slides over both.
+    /// The sliding window of both.
     pub window: Millis,
 }
 
 impl RetryBounds {
-    /// Tells whether most of the slack is lent to those that ask, among so many nodes.
+    /// Returns whether, with this many nodes, most of the slack is lent on request.
     pub fn is_lending(&self, nodes: usize) -> bool {
         self.slack * ALLOCATED_FRACTION / (nodes.max(MIN_NODES) as f64) < MIN_EVEN_SHARE
     }
 
-    /// Returns how many repeats may be lent at once.
+    /// Returns how many retries may be lent at once.
     pub fn max_loan(&self) -> f64 {
         self.slack * LOAN_FRACTION
     }
 
-    /// Returns how fast repeats are lent after that, for as long as somebody who lends has to remember it.
+    /// Returns the rate at which retries are lent after that, and how long a lender has to remember
+    /// it.
     pub fn loan_rate(&self, now: Millis) -> ColdLife {
         let per_second = self.max_loan() / self.window.as_secs_f64().max(1.0);
         let rate = RequestRate::per_second(per_second).unwrap_or_default();
@@ -59,16 +61,16 @@
     }
 }
 
-/// Counts one node's requests and repeats for one service over a sliding window.
+/// Counts one node's requests and retries for one service over a sliding window.
 ///
-/// Each node earns by the requests that it took itself and has its part of the slack, so that the
-/// sum over all nodes stays within the budget whoever is lost.
+/// Each node earns retries by its own requests and has a share of the slack, so that the sum over
+/// all nodes stays within the budget whichever nodes are lost.
 #[derive(Clone, Debug)]
 pub struct RetryShare {
     bounds: RetryBounds,
     requests: VecDeque<Millis>,
     retries: VecDeque<Millis>,
-    /// The most nodes that were known at a time; those that are out of reach may repeat as well.
+    /// The most nodes known at any time; nodes that are out of reach may retry as well.
     max_nodes: usize,
 }
 
@@ -84,7 +86,7 @@
         self.requests.push_back(now);
     }
 
-    /// Takes one repeat out of the share of a node among `nodes`, where it holds one.
+    /// Takes one retry out of the share of one among `nodes` nodes, if it has any left.
     ///
     /// The time `now` counts from the node's start.
     pub fn try_spend(&mut self, now: Millis, nodes: usize) -> bool {
@@ -95,7 +97,7 @@
         has_budget
     }
 
-    /// Tells whether the share holds a repeat now, without taking it.
+    /// Returns whether the share has a retry left, without taking it.
     pub fn has_budget(&mut self, now: Millis, nodes: usize) -> bool {
         self.remove_expired(now);
         self.max_nodes = self.max_nodes.max(nodes);
--- a/crates/cherrystand_core/src/site/site_view.rs
+++ b/crates/cherrystand_core/src/site/site_view.rs
@@ -1,4 +1,4 @@
-//! What the request path knows of the site, as one immutable value.
+//! An immutable snapshot of what the request path knows about the site.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::SocketAddr;
@@ -12,54 +12,54 @@
 /// The boxes of each replica, by its name and epoch.
 pub type AssignedBoxes = BTreeMap<(String, Epoch), Vec<BoxId>>;
 
-/// Holds what a node knows of the site at one moment.
+/// What a node knows about the site at one moment.
 ///
-/// It is published many times a second while boxes come and go, so that it shares all that did not
-/// change since the last time: at 1,107 boxes a copy of each took 381 us.
+/// While boxes come and go a new view is published many times a second, so it shares everything
+/// that did not change since the last one: at 1,107 boxes copying it all took 381 us.
 #[derive(Clone, Debug, Default)]
 pub struct SiteView {
-    /// The configuration in force; nothing before the first one is known.
+    /// The active configuration; `None` before the first one is known.
     pub table: Option<Arc<RouteTable>>,
-    /// The boxes listed.
+    /// The listed boxes.
     pub boxes: Arc<BTreeMap<BoxId, Arc<SiteBox>>>,
-    /// Boxes that are listed but silent.
+    /// Boxes that are listed but don't respond.
     pub silent: BTreeSet<BoxId>,
-    /// The boxes of each replica as the domains' records have them.
+    /// The boxes of each replica, by the records of the domains.
     pub assigned: Arc<AssignedBoxes>,
-    /// The store's record of requests that were at boxes as these ended.
+    /// The stored record of requests that were at boxes when these crashed.
     pub suspects: Arc<SuspectRecord>,
-    /// The availability zones that operators have emptied, and since when.
+    /// The availability zones that operators have evacuated, and since when.
     pub evacuated: Arc<BTreeMap<ZoneId, Millis>>,
     /// Until when boxes are cold.
     pub cold: Arc<ColdBoxes>,
     /// Whether the boxes were listed at least once.
     pub listed: bool,
-    /// How many nodes are alive, this one included.
+    /// How many nodes are alive, including this one.
     pub nodes: usize,
 }
 
-/// What the listed members of one replica amount to.
+/// How many members of one replica are listed, and how many of these are unusable.
 #[derive(Clone, Copy, Debug, Default)]
 struct MemberCounts {
     count: usize,
     unusable: usize,
 }
 
-/// The listed members by replica and epoch.
+/// The counts of listed members by replica and epoch.
 ///
-/// It is made in one pass: looking through all boxes for each leader took 943 us at 1,107 boxes and
-/// 15 ms at 5,000, for each view that is published.
+/// They are computed in one pass: searching all boxes for each leader took 943 us at 1,107 boxes
+/// and 15 ms at 5,000, for each published view.
 type MembersByReplica<'a> = HashMap<(&'a str, Epoch), MemberCounts>;
 
 impl SiteView {
-    /// Tells whether a configuration and the boxes are known.
+    /// Returns whether a configuration and the boxes are known.
     pub fn is_known(&self) -> bool {
         self.listed && self.table.is_some()
     }
 
-    /// Lists the endpoints that are in service, as a daemon in `zone` sees them, and where they are.
+    /// Lists the endpoints in service, as seen by a daemon in `zone`, and their addresses.
     ///
-    /// Those of emptied zones are listed as well: what is known of them is kept.
+    /// Endpoints in evacuated zones are included, so that what was learned about them is kept.
     pub fn targets(
         &self,
         zone: &ZoneId,
@@ -93,11 +93,13 @@
         targets.collect()
     }
 
-    /// Tells whether what a box leads is known to be lost, so that no answer can come of it: its entry
-    /// is gone, it is silent or a member of its replica is, or it says itself that it leads none.
+    /// Returns whether the replica that a box leads is known to be lost, so that no answer will
+    /// come from it.
     ///
-    /// A replica whose leader lost power never closes its connections, and one whose member did cuts
-    /// its answers only after 4 s; callers leave a stream that is silent for 2 s.
+    /// That is so if the box's entry is gone, if it or a member of its replica is silent, or if it
+    /// reports that it leads no replica. A leader that lost power never closes its connections, and
+    /// one whose member lost power breaks off its answers only after 4 s; callers abandon a stream
+    /// that is silent for 2 s.
     pub fn is_lost(&self, leader: &BoxId) -> bool {
         let Some(site_box) = self.boxes.get(leader) else {
             return true;
@@ -130,8 +132,8 @@
             || self.silent.iter().any(is_listed_member)
     }
 
-    /// Lists the leaders of replicas that serve by their entries and are lost since they, or members
-    /// of theirs, are silent.
+    /// Lists the leaders of replicas that serve by their entries but are lost, since they or
+    /// members of their replicas are silent.
     pub fn lost_leaders(&self) -> Vec<BoxId> {
         if self.silent.is_empty() {
             return Vec::new();
@@ -146,7 +148,7 @@
         self.boxes.values().filter(is_lost).map(|site_box| site_box.id.clone()).collect()
     }
 
-    /// Returns until when a box is cold, where its service bears less then.
+    /// Returns until when a box is cold and its request rate meanwhile, if its service limits that.
     fn cold_life(&self, site_box: &SiteBox) -> Option<ColdLife> {
         let until = self.cold.until(&site_box.id)?;
         let service = self.table.as_ref()?.config().service(&site_box.service)?;
@@ -168,7 +170,7 @@
         replicas
     }
 
-    /// Returns the model of the whole replica that a box leads and serves with.
+    /// Returns the model of the complete replica that a box leads, if it serves.
     fn open_model(&self, leader: &SiteBox, members: &MembersByReplica<'_>) -> Option<String> {
         let member = leader.member.as_ref()?;
         if member.state != MemberState::Open || member.rank != 0 {
@@ -182,18 +184,18 @@
         (counts.unusable == 0 && present >= span as usize).then(|| model.clone())
     }
 
-    /// Tells whether a box is listed in another life than the one named.
+    /// Returns whether a box is listed under another incarnation than the one given.
     pub fn has_restarted(&self, id: &BoxId) -> bool {
         if id.start().is_none() {
             return false;
         }
-        // The lives of one box follow each other, beginning with the least.
+        // The incarnations of a box are adjacent, the lowest start first.
         let mut incarnations = self.boxes.range(id.with_incarnation(0)..).map(|(listed, _)| listed);
         incarnations.next().is_some_and(|listed| listed.is_other_incarnation_of(id))
     }
 
-    /// Returns how many members of a replica are listed no more and may still do their work, since
-    /// nobody found them silent.
+    /// Returns how many members of a replica are no longer listed and may still do their work,
+    /// since they were not found silent.
     fn running_unlisted_members(&self, member: &Member) -> usize {
         let assigned = self.assigned.get(&(member.replica.clone(), member.epoch));
         let may_still_run = |id: &&BoxId| {
--- a/crates/cherrystand_core/src/site/target.rs
+++ b/crates/cherrystand_core/src/site/target.rs
@@ -1,54 +1,54 @@
-//! One endpoint as the choice sees it.
+//! One endpoint as the load balancer sees it.
 
 use crate::{BoxId, ColdLife, EngineLoad, EngineSpec, Millis, ModelSpec, RegionId, ServiceName};
 
-/// For how long an endpoint that failed is left out, at first.
+/// How long an endpoint is ejected after a first failure.
 const INITIAL_EJECTION: Millis = Millis(300);
 
-/// For how long it is left out at the most.
+/// How long it is ejected at most.
 const MAX_EJECTION: Millis = Millis(2_000);
 
-/// How much a failure counts against the ones before it.
+/// The weight of one result in the moving average of failures.
 const FAILURE_WEIGHT: f64 = 0.25;
 
-/// After this time what failed counts half as much, so that an endpoint that is left out for its
+/// The half-life of the failure rate, so that an endpoint that is not chosen because of its
 /// failures is tried again.
 const FAILURE_HALF_LIFE: Millis = Millis(2_000);
 
-/// How much one sure failure counts, in milliseconds.
+/// The cost of a failure rate of 1, in milliseconds.
 const FAILURE_COST_MS: f64 = 240.0;
 
-/// Beyond all times that are predicted, in milliseconds.
+/// The cost of an ejected endpoint, in milliseconds; larger than any predicted time.
 const EJECTED_COST_MS: f64 = 100_000.0;
 
-/// What an answer from another zone counts for where nothing else is known, in milliseconds.
+/// The cost of an answer from another zone if nothing else is known, in milliseconds.
 const FAR_COST_MS: f64 = 3.0;
 
-/// What a request in flight at a plain endpoint counts for, in milliseconds.
+/// The cost of a request in flight at a plain endpoint, in milliseconds.
 const PLAIN_REQUEST_COST_MS: f64 = 10.0;
 
-/// Describes an endpoint to choose.
+/// Describes an endpoint to choose from.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TargetSpec {
     /// The box that takes the requests.
     pub id: BoxId,
     /// The service.
     pub service: ServiceName,
-    /// The model that it serves, where it serves one.
+    /// The model that it serves, if any.
     pub model: Option<String>,
-    /// Whether it is in the balancer's zone.
+    /// Whether it is in the load balancer's zone.
     pub near: bool,
-    /// How many requests it works on at a time.
+    /// How many requests it processes at a time.
     pub slots: u32,
-    /// The region that it lies in, where that is known.
+    /// Its region, if known.
     pub region: Option<RegionId>,
-    /// Since when operators have emptied its availability zone, where they have.
+    /// Since when operators have evacuated its availability zone, if they have.
     pub evacuated: Option<Millis>,
-    /// Until when it is cold, and what it bears meanwhile, where it is.
+    /// Until when it is cold, and its request rate meanwhile, if it is.
     pub cold: Option<ColdLife>,
 }
 
-/// An endpoint, what is in flight there and how it did lately.
+/// An endpoint, its load and its recent results.
 #[derive(Clone, Debug)]
 pub(crate) struct Target {
     pub(crate) spec: TargetSpec,
@@ -56,10 +56,11 @@
     pub(crate) unread: f64,
     pub(crate) peer_load: EngineLoad,
     pub(crate) last_progress: Millis,
-    /// Whether it said that it leaves; looked up once, or each choice would among all that ever did.
+    /// Whether it announced that it leaves; kept here since a lookup among all that ever did would
+    /// slow down each choice.
     pub(crate) is_draining: bool,
     failure_rate: f64,
-    /// As of when.
+    /// The time for which `failure_rate` holds; it decays afterwards.
     failure_rate_at: Millis,
     ejected_until: Millis,
     next_ejection: Millis,
@@ -81,12 +82,12 @@
         }
     }
 
-    /// Returns what this node has in flight there.
+    /// Returns what this node has in flight at the endpoint.
     pub(crate) fn own_load(&self) -> EngineLoad {
         EngineLoad { requests: f64::from(self.in_flight), unread: self.unread }
     }
 
-    /// Returns what all nodes have in flight there, as far as is known.
+    /// Returns what all nodes have in flight at the endpoint, as far as known.
     pub(crate) fn load(&self) -> EngineLoad {
         let own_load = self.own_load();
         EngineLoad {
@@ -110,13 +111,13 @@
         self.failure_rate_at = now;
     }
 
-    /// Returns the share of requests that failed lately.
+    /// Returns the share of recent requests that failed.
     pub(crate) fn failure_rate(&self, now: Millis) -> f64 {
         let half_lives = now.since(self.failure_rate_at).0 as f64 / FAILURE_HALF_LIFE.0 as f64;
         self.failure_rate * 0.5_f64.powf(half_lives)
     }
 
-    /// Leaves it out for a while, longer each time until it answers well.
+    /// Ejects the endpoint for a while, for longer each time until it answers successfully.
     pub(crate) fn eject(&mut self, now: Millis) {
         if now >= self.ejected_until {
             self.ejected_until = now + self.next_ejection;
@@ -128,7 +129,7 @@
         now < self.ejected_until
     }
 
-    /// Returns the predicted milliseconds until its answer begins.
+    /// Returns the predicted milliseconds until its first event.
     pub(crate) fn first_event_ms(
         &self,
         engine: &EngineSpec,
@@ -138,7 +139,8 @@
         engine.first_token_time(model, self.load(), prompt)
     }
 
-    /// Returns the predicted milliseconds until its answer begins, with what speaks against it.
+    /// Returns the predicted milliseconds until its answer begins, plus the costs of distance,
+    /// failures and ejection.
     pub(crate) fn cost(
         &self,
         prompt: f64,
