--- a/crates/cherrystandd/src/site/event_stream.rs
+++ b/crates/cherrystandd/src/site/event_stream.rs
@@ -172,9 +172,7 @@
                     self.frontend.await_borrowed_retry(&self.req).await;
                     let next =
                         (resume_attempts < MAX_RESUME_ATTEMPTS).then(|| self.start_resume(end));
-                    let Some(attempt) = next.flatten() else {
-                        return StreamOutcome::failed(end);
-                    };
+                    let Some(attempt) = next.flatten() else { return StreamOutcome::failed(end) };
                     resume_attempts += 1;
                     resuming.push(attempt.clone(), self.resume_stream(attempt));
                 }
--- a/crates/cherrystandd/src/site/load_exchange.rs
+++ b/crates/cherrystandd/src/site/load_exchange.rs
@@ -217,9 +217,7 @@
                     peer_loads.record_zone(zone_loads, own_zone, now);
                 }
             }
-            LoadNews::Zone(zone_loads) => {
-                peer_loads.borrow_mut().record_zone(zone_loads, own_zone, now)
-            }
+            LoadNews::Zone(loads) => peer_loads.borrow_mut().record_zone(loads, own_zone, now),
             LoadNews::Asked(leaders) => self.answer_progress(&leaders, sender).await,
             LoadNews::Seen(loads) => {
                 self.loads.last_answer_at.set(Some(now));
