--- a/crates/cherrystandd/src/site/failure_log.rs
+++ b/crates/cherrystandd/src/site/failure_log.rs
@@ -43,20 +43,20 @@
 
     /// Logs that no endpoint serves what a request asks for.
     ///
-    /// `closed_until` returns when the first endpoint ends its backoff, if all that serve the
+    /// `unavailable_until` returns when the first endpoint ends its backoff, if all that serve the
     /// request are in backoff; it is called only if the line is written.
     pub(crate) fn none_serving(
         &self,
         req: &SiteRequest,
         targets: usize,
-        closed_until: impl FnOnce() -> Option<Millis>,
+        unavailable_until: impl FnOnce() -> Option<Millis>,
     ) {
         let now = self.clock.now();
         let Some(left_out) = self.limiter.borrow_mut().admit(now) else {
             return;
         };
-        let closed_until = closed_until();
-        let why = match closed_until {
+        let unavailable_until = unavailable_until();
+        let why = match unavailable_until {
             Some(_) => "every endpoint that serves it asked to be left alone",
             None => "no endpoint serves it",
         };
@@ -65,7 +65,7 @@
             route = req.route.name.as_str(), service = req.service.as_str(),
             model = req.facts.model.as_deref().unwrap_or_default(),
             targets = targets, left_out = left_out,
-            rest_ms = closed_until.map_or(0, |until| until.since(now).0);
+            rest_ms = unavailable_until.map_or(0, |until| until.since(now).0);
             "a request was refused: {why}"
         );
     }
--- a/crates/cherrystandd/src/site/held_suspects.rs
+++ b/crates/cherrystandd/src/site/held_suspects.rs
@@ -10,13 +10,13 @@
     /// The revision of the latest record, even if that couldn't be parsed: the next write replaces
     /// it.
     revision: Revision,
-    copy: Option<Document>,
+    document: Option<Document>,
     record: Arc<SuspectRecord>,
 }
 
 impl HeldSuspects {
     /// Takes over a record unless a later one is held, and returns whether it did. If the record
-    /// `is_from_copy`, meaning that the store held it when it was restored from a copy, and one is
+    /// `is_restored`, meaning that the store held it when it was restored from a copy, and one is
     /// already known, only its revision is taken over.
     ///
     /// # Errors
@@ -24,20 +24,20 @@
     /// Returns the parse error of a malformed record; the one held stays.
     pub(crate) fn update(
         &mut self,
-        copy: &Document,
-        is_from_copy: bool,
+        document: &Document,
+        is_restored: bool,
     ) -> Result<bool, serde_json::Error> {
-        if self.revision >= copy.revision {
+        if self.revision >= document.revision {
             return Ok(false);
         }
         let is_known = self.revision != Revision::NONE;
-        let is_from_copy = is_from_copy && self.revision.era() < copy.revision.era();
-        self.revision = copy.revision;
-        if is_known && is_from_copy {
+        let is_restored = is_restored && self.revision.era() < document.revision.era();
+        self.revision = document.revision;
+        if is_known && is_restored {
             return Ok(false);
         }
-        self.record = Arc::new(serde_json::from_str(&copy.body)?);
-        self.copy = Some(copy.clone());
+        self.record = Arc::new(serde_json::from_str(&document.body)?);
+        self.document = Some(document.clone());
         Ok(true)
     }
 
@@ -52,7 +52,7 @@
     }
 
     /// Returns the document that peers are given.
-    pub(crate) fn copy(&self) -> Option<&Document> {
-        self.copy.as_ref()
+    pub(crate) fn document(&self) -> Option<&Document> {
+        self.document.as_ref()
     }
 }
--- a/crates/cherrystandd/src/site/site_state.rs
+++ b/crates/cherrystandd/src/site/site_state.rs
@@ -424,7 +424,7 @@
     /// Returns everything but the configuration, as documents.
     pub(crate) fn snapshot(&self) -> Vec<Document> {
         let domains = self.domain_records.documents();
-        let kept = domains.chain(self.entries.values()).chain(self.suspects.copy());
+        let kept = domains.chain(self.entries.values()).chain(self.suspects.document());
         kept.cloned().chain(self.evacuations.document()).collect()
     }
 
--- a/crates/cherrystandd/src/site/suspect_writer.rs
+++ b/crates/cherrystandd/src/site/suspect_writer.rs
@@ -43,8 +43,8 @@
     let swapped = control.store.swap(keys::SUSPECTS, expected, &body).await;
     if let Ok(Swap::Done(revision)) = swapped {
         let key = keys::SUSPECTS.into();
-        let copy = Document { key, revision, body: body.into() };
-        control.state.borrow_mut().apply_suspects(&copy);
+        let document = Document { key, revision, body: body.into() };
+        control.state.borrow_mut().apply_suspects(&document);
         control.publish_and_wake();
         return true;
     }
