--- a/crates/cherrystandd/src/site/event_stream.rs
+++ b/crates/cherrystandd/src/site/event_stream.rs
@@ -41,7 +41,7 @@
     }
 }
 
-/// The state of the answer that is being forwarded, as of the last check.
+/// When the answer that is being forwarded last brought anything, and whether its replica stalls.
 #[derive(Clone, Copy, Default)]
 struct AnswerState {
     received_at: Millis,
--- a/crates/cherrystandd/src/site/held_suspects.rs
+++ b/crates/cherrystandd/src/site/held_suspects.rs
@@ -16,8 +16,8 @@
 
 impl HeldSuspects {
     /// Takes over a record unless a later one is held, and returns whether it did. If the record
-    /// `is_restored`, meaning that the store held it when it was restored from a copy, and one is
-    /// already known, only its revision is taken over.
+    /// `is_restored`, meaning that it comes from the copy from which the store was restored, and a
+    /// record is already known, only its revision is taken over.
     ///
     /// # Errors
     ///
--- a/crates/cherrystandd/src/site/load_exchange.rs
+++ b/crates/cherrystandd/src/site/load_exchange.rs
@@ -39,8 +39,8 @@
 /// request wait there.
 const STOPPED_TTL: Millis = Millis(30_000);
 
-/// To how many peers one daemon forwards a message at most; only a fleet far larger than any in use
-/// would need more.
+/// To how many peers one daemon forwards a message at most. A message to all daemons takes two hops,
+/// so this is the square root of the size of a fleet far larger than any.
 const MAX_FORWARDS: usize = 256;
 
 /// The largest UDP datagram; the total of a zone names each replica that the zone sends to.
--- a/crates/cherrystandd/src/site/request_handler.rs
+++ b/crates/cherrystandd/src/site/request_handler.rs
@@ -143,7 +143,7 @@
     match frontend.crashes.permission(&req) {
         Permission::Send => {}
         Permission::Trial(trial) => {
-            // It isn't set before this.
+            // Setting it cannot fail, as the request was created without a trial.
             let _ = req.trial.set(trial);
         }
         Permission::Refuse => return Err(refuse_crashing()),
