--- a/crates/cherrystandd/src/site/reader_list.rs
+++ b/crates/cherrystandd/src/site/reader_list.rs
@@ -1,4 +1,5 @@
-//! The note of who reads the store for a zone: keeping it, and starting by it.
+//! The list in the store of the daemons that read it for a zone: publishing it, and starting from
+//! it.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -11,59 +12,59 @@
 use crate::site::change_sharing::{PeerPosition, read_changes};
 use crate::site::control::Control;
 
-/// How often a daemon looks whether the note is to be written.
+/// How often a daemon checks whether the list has to be written.
 const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// How long a daemon that starts waits for the readers noted, which may be starting as well; then
+/// How long a starting daemon waits for the listed readers, which may be starting as well, before
 /// it reads the store itself.
 const READERS_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// How long it waits before it asks one again that does not listen yet; daemons that lose power
+/// The delay before a reader that does not listen yet is called again. Daemons that lose power
 /// together start within 300 ms of each other.
 const RETRY_DELAY: Duration = Duration::from_millis(40);
 
-/// Keeps the note of this node's zone for as long as the duty runs, where there are readers.
+/// Keeps the list of this node's zone up to date until the duty stops, if the policy uses readers.
 pub(crate) async fn publish_reader_list(control: Rc<Control>) {
     if !control.cx.settings.policy.readers {
         return;
     }
-    let mut keeper = NoteKeeper::default();
+    let mut publisher = NoteKeeper::default();
     loop {
         tokio::time::sleep(CHECK_INTERVAL).await;
         let view = control.cx.view_now();
         let alive: Vec<&Heartbeat> = view.alive().collect();
-        let listed = alive.len() as u64 * control.state.borrow().box_count() as u64;
-        if listed < control.cx.settings.policy.note_readers_from {
+        let total_listed = alive.len() as u64 * control.state.borrow().box_count() as u64;
+        if total_listed < control.cx.settings.policy.note_readers_from {
             continue;
         }
-        let note = ReaderNote::of_zone(&view.own, &alive);
-        if let Some(note) = keeper.due(&view.own.node, note, control.now()) {
-            match write_reader_list(&control, &note).await {
-                Ok(true) => keeper.written(note),
-                // Somebody else wrote it just now: the next look reads what.
-                Ok(false) => keeper.failed(control.now()),
+        let list = ReaderNote::of_zone(&view.own, &alive);
+        if let Some(list) = publisher.due(&view.own.node, list, control.now()) {
+            match write_reader_list(&control, &list).await {
+                Ok(true) => publisher.written(list),
+                // Another daemon wrote it at the same time. The next check reads what it wrote.
+                Ok(false) => publisher.failed(control.now()),
                 Err(err) => {
-                    log::warn!("the readers of this zone could not be noted: {err}");
-                    keeper.failed(control.now());
+                    log::warn!("the reader list of this zone could not be written: {err}");
+                    publisher.failed(control.now());
                 }
             }
         }
     }
 }
 
-/// Writes the note unless it stands there already, and tells whether it stands there now.
-async fn write_reader_list(control: &Control, note: &ReaderNote) -> Result<bool, PlatformError> {
+/// Writes the list unless the store already holds it. Returns whether the store now holds it.
+async fn write_reader_list(control: &Control, list: &ReaderNote) -> Result<bool, PlatformError> {
     let key = keys::readers(&control.cx.settings.zone);
-    let held = control.store.get(&key).await?;
-    if held.as_ref().and_then(|held| parse_reader_list(&held.body)).as_ref() == Some(note) {
+    let stored = control.store.get(&key).await?;
+    if stored.as_ref().and_then(|stored| parse_reader_list(&stored.body)).as_ref() == Some(list) {
         return Ok(true);
     }
-    let expected = held.map_or(Revision::NONE, |held| held.revision);
-    let body = match serde_json::to_string(note) {
+    let expected = stored.map_or(Revision::NONE, |stored| stored.revision);
+    let body = match serde_json::to_string(list) {
         Ok(body) => body,
         Err(err) => {
-            log::error!("the readers of this zone cannot be written down: {err}");
-            // It would fail again; a daemon that starts lists the store where there is no note.
+            log::error!("the reader list of this zone cannot be serialized: {err}");
+            // Retrying would fail again. Without a list, a starting daemon lists the store.
             return Ok(true);
         }
     };
@@ -73,54 +74,54 @@
 
 fn parse_reader_list(body: &str) -> Option<ReaderNote> {
     match serde_json::from_str(body) {
-        Ok(note) => Some(note),
+        Ok(list) => Some(list),
         Err(err) => {
-            log::error!("the note of the readers is malformed: {err}");
+            log::error!("the reader list is malformed: {err}");
             None
         }
     }
 }
 
-/// A reader that a daemon started by, and how far it has read there.
+/// A reader that a daemon started from, and how far it has read there.
 pub(crate) struct StartupSource {
     /// The reader.
     pub(crate) reader: NotedReader,
-    /// How far.
+    /// The position at the reader.
     pub(crate) position: PeerPosition,
 }
 
-/// Says what the note leaves a daemon to do that starts.
+/// What a starting daemon has to do next.
 pub(crate) enum StartupOutcome {
-    /// A reader told it everything.
+    /// Continue from the reader that sent it everything.
     ReadFromPeer(StartupSource),
-    /// It is the one to read the store, or those that are do not answer.
+    /// Read the store, because it is the first reader or the listed readers do not answer.
     ReadStore,
-    /// There is no note: it may learn of peers that read the store.
+    /// Discover peers that read the store, because there is no list.
     NoList,
 }
 
-/// Reads everything from the readers that the note names, whichever answers first.
+/// Reads everything from the first of the listed readers that answers.
 pub(crate) async fn start_from_listed_readers(control: &Control) -> StartupOutcome {
     if !control.cx.settings.policy.readers {
         return StartupOutcome::NoList;
     }
     let key = keys::readers(&control.cx.settings.zone);
-    let note = match control.store.get(&key).await {
-        Ok(held) => held.and_then(|held| parse_reader_list(&held.body)),
+    let list = match control.store.get(&key).await {
+        Ok(stored) => stored.and_then(|stored| parse_reader_list(&stored.body)),
         Err(err) => {
-            log::warn!("the note of the readers could not be read: {err}");
+            log::warn!("the reader list could not be read: {err}");
             None
         }
     };
-    let Some(note) = note else {
+    let Some(list) = list else {
         return StartupOutcome::NoList;
     };
-    let started = match note.asked_by(&control.cx.settings.node) {
+    let started = match list.asked_by(&control.cx.settings.node) {
         [] => None,
-        // The second reader reads the store where the first is not there, so that one of the two
-        // can tell the others soon.
+        // The second reader reads the store itself if the first one does not answer, so that one of
+        // them can serve the others soon.
         [first] => read_from(control, first).await,
-        asked => read_from_first(control, asked).await,
+        readers => read_from_first(control, readers).await,
     };
     started.map_or(StartupOutcome::ReadStore, StartupOutcome::ReadFromPeer)
 }
@@ -129,14 +130,14 @@
     match read_changes(control, &reader.node, reader.changes, None).await {
         Ok(position) => Some(StartupSource { reader: reader.clone(), position }),
         Err(err) => {
-            log::debug!(reader = reader.node.as_str(); "no source of changes yet: {err}");
+            log::debug!(reader = reader.node.as_str(); "the reader does not serve changes yet: {err}");
             None
         }
     }
 }
 
-async fn read_from_first(control: &Control, asked: &[NotedReader]) -> Option<StartupSource> {
-    let ask = |reader: &NotedReader| {
+async fn read_from_first(control: &Control, readers: &[NotedReader]) -> Option<StartupSource> {
+    let read_with_retries = |reader: &NotedReader| {
         let reader = reader.clone();
         Box::pin(async move {
             loop {
@@ -147,7 +148,7 @@
             }
         })
     };
-    let first = select_all(asked.iter().map(ask));
+    let first = select_all(readers.iter().map(read_with_retries));
     match tokio::time::timeout(READERS_TIMEOUT, first).await {
         Ok((started, _, _)) => Some(started),
         Err(_) => {
--- a/crates/cherrystandd/src/site/store_watch.rs
+++ b/crates/cherrystandd/src/site/store_watch.rs
@@ -1,4 +1,5 @@
-//! Reading the store, or a peer that does: a list of everything, then each change.
+//! Follows the store, directly or through a peer that reads it: a complete list first, then
+//! changes.
 
 use std::net::SocketAddr;
 use std::pin::pin;
@@ -18,89 +19,90 @@
 use crate::site::reader_list::{StartupOutcome, start_from_listed_readers};
 use crate::site::{ChangeSource, Driver};
 
-/// The least time between two watches or questions.
+/// The minimum time between two watches of the store or polls of a peer.
 const MIN_READ_INTERVAL: Duration = Duration::from_millis(NewsBudget::BETWEEN_WATCHES.0);
 
-/// The same for a node that is no reader and reads the store while its readers fail.
+/// The same for a node that is not a reader and reads the store because its readers fail.
 const MIN_READ_INTERVAL_NON_READER: Duration = Duration::from_millis(250);
 
-/// How long a reader pauses after the store failed it, at first.
+/// A reader's first backoff after a call to the store failed.
 const FAILURE_BACKOFF: Duration = Duration::from_millis(250);
 
-/// How long it pauses at the most.
+/// A reader's longest backoff.
 const MAX_FAILURE_BACKOFF: Duration = Duration::from_millis(1_000);
 
-/// How long a node pauses at the most that is no reader: the readers notice that the store answers
+/// The longest backoff of a node that is not a reader. The readers notice when the store answers
 /// again, and it reads from them then.
 const MAX_FAILURE_BACKOFF_NON_READER: Duration = Duration::from_millis(4_000);
 
-/// How long a question to the store that is asked again waits for a change: an answer is wanted at once.
+/// How long the second of two hedged watches waits for a change: it is to be answered at once.
 const HEDGED_WATCH_WAIT: Duration = Duration::ZERO;
 
-/// How many peers are asked whether the store was out.
+/// How many peers are asked to confirm an outage of the store.
 const MAX_WITNESSES: usize = 2;
 
-/// How long a watch over what operators write alone waits.
+/// How long a watch of the operators' keys alone waits for a change.
 const OPERATOR_WATCH_WAIT: Duration = Duration::from_secs(15);
 
-/// How long such a watch waits after one that failed, so that an answer is noticed soon.
+/// How long such a watch waits while the store is unreachable, so that an answer is noticed soon.
 const OPERATOR_RETRY_WAIT: Duration = Duration::from_millis(500);
 
-/// How long a node that the store turned away pauses before it asks again, at first.
+/// The first backoff of a node that cannot reach the store before it tries again.
 const UNREACHABLE_BACKOFF: Duration = Duration::from_millis(1_000);
 
-/// How long it pauses at the most; it reads from peers meanwhile, and each refused call is paid for.
+/// The longest such backoff. The node reads from peers in the meantime, and even a refused call is
+/// paid for.
 const MAX_UNREACHABLE_BACKOFF: Duration = Duration::from_millis(8_000);
 
-/// The least time between two such watches.
+/// The minimum time between two watches of the operators' keys.
 const OPERATOR_WATCH_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// How long a node learns of its peers before it reads, at the very first start of all.
+/// How long a node discovers its peers before it reads, at the very first start of all daemons.
 const FIRST_START_DELAY: Duration = Duration::from_millis(1_500);
 
-/// How long it does at any other start, when callers wait for it, where no reader told it anything.
+/// The same at any other start, when requests are waiting, if no reader list was found.
 const START_DELAY: Duration = Duration::from_millis(100);
 
-/// By this time after its start a node knows its peers, and chooses whom it reads from by that.
+/// How long after its start a node has discovered its peers, and selects its source among them.
 const PEER_DISCOVERY_TIME: Millis = Millis(3_000);
 
-/// How far a node has read, and where.
+/// How far a node has read, and from where.
 #[derive(Clone, Debug)]
 enum ReadPosition {
-    /// In the store, up to a revision.
+    /// The revision up to which it has read the store.
     Store(Revision),
-    /// At a peer.
+    /// The position at a peer.
     Peer(NodeId, PeerPosition),
 }
 
-/// Reads the store, or a peer that reads it, for as long as the duty runs.
+/// Follows the store, or a peer that reads it, until the duty stops.
 pub(crate) async fn follow_store(control: Rc<Control>) {
-    let mut reading =
+    let mut follower =
         StoreFollower { position: None, backoff: FAILURE_BACKOFF, startup_reader: None };
     if control.is_first_start() {
         tokio::time::sleep(FIRST_START_DELAY).await;
     } else {
-        reading.start(&control).await;
+        follower.start(&control).await;
     }
     loop {
-        let source = control.peers.source().or_else(|| reading.startup_reader(control.now()));
+        let source = control.peers.source().or_else(|| follower.startup_reader(control.now()));
         match source {
-            None => reading.read_from_store(&control).await,
-            Some((peer, address)) => reading.read_from_peer(&control, peer, address).await,
+            None => follower.read_from_store(&control).await,
+            Some((peer, address)) => follower.read_from_peer(&control, peer, address).await,
         }
     }
 }
 
-/// How far a node has read, and how long it pauses after the next failure of the store.
+/// Reads changes and keeps the position and the backoff after the next failure of the store.
 struct StoreFollower {
     position: Option<ReadPosition>,
     backoff: Duration,
-    /// The reader that the node started by.
+    /// The reader that the node started from.
     startup_reader: Option<NotedReader>,
 }
 
 impl StoreFollower {
-    /// Reads everything from the readers that the store names, or learns of peers for a moment.
+    /// Reads everything from the listed readers, or waits briefly to discover peers.
     async fn start(&mut self, control: &Control) {
         match start_from_listed_readers(control).await {
             StartupOutcome::ReadFromPeer(started) => {
@@ -113,14 +115,14 @@
         }
     }
 
-    /// Returns the reader that the node started by, while it has yet to learn of its peers.
+    /// Returns the reader that the node started from, until it has discovered its peers.
     fn startup_reader(&self, now: Millis) -> Option<(NodeId, SocketAddr)> {
         let reader = self.startup_reader.as_ref().filter(|_| now < PEER_DISCOVERY_TIME)?;
         Some((reader.node.clone(), reader.changes))
     }
 
     async fn read_from_store(&mut self, control: &Control) {
-        let reads = control.peers.is_reader();
+        let is_reader = control.peers.is_reader();
         match read_store(control, self.position.as_ref()).await {
             Ok(revision) => {
                 self.position = Some(ReadPosition::Store(revision));
@@ -128,7 +130,7 @@
                     self.position = None;
                 }
                 self.backoff = FAILURE_BACKOFF;
-                let between = match reads {
+                let interval = match is_reader {
                     true => control.peers.watch_interval().max(MIN_READ_INTERVAL),
                     false => MIN_READ_INTERVAL_NON_READER,
                 };
@@ -136,20 +138,20 @@
                 if let Some(silence) = silence {
                     confirm_outage(control, silence).await;
                 }
-                tokio::time::sleep(control.read_pause(between)).await;
+                tokio::time::sleep(control.read_pause(interval)).await;
             }
             Err(PlatformError::Forgotten | PlatformError::OtherEra) => self.position = None,
             Err(err) => {
                 if !control.record_store_failure() {
-                    log::info!("this daemon stood still while it read the store: {err}");
+                    log::info!("this daemon was paused while it read the store: {err}");
                     return;
                 }
                 log::warn!("the store could not be read: {err}");
                 read_any_snapshot(control).await;
                 back_off_from_store(control, self.backoff).await;
-                let longest =
-                    if reads { MAX_FAILURE_BACKOFF } else { MAX_FAILURE_BACKOFF_NON_READER };
-                self.backoff = (self.backoff * 2).min(longest);
+                let max_backoff =
+                    if is_reader { MAX_FAILURE_BACKOFF } else { MAX_FAILURE_BACKOFF_NON_READER };
+                self.backoff = (self.backoff * 2).min(max_backoff);
             }
         }
     }
@@ -157,17 +159,17 @@
     async fn read_from_peer(&mut self, control: &Control, peer: NodeId, address: SocketAddr) {
         let after = cursor_for(self.position.as_ref(), &peer);
         match read_changes(control, &peer, address, after).await {
-            Ok(read) => {
-                self.position = Some(ReadPosition::Peer(peer, read));
-                let between = control.peers.poll_interval().max(MIN_READ_INTERVAL);
-                tokio::time::sleep(control.read_pause(between)).await;
+            Ok(position) => {
+                self.position = Some(ReadPosition::Peer(peer, position));
+                let interval = control.peers.poll_interval().max(MIN_READ_INTERVAL);
+                tokio::time::sleep(control.read_pause(interval)).await;
             }
             Err(err @ ChangesError::Paused) => {
-                log::info!(peer = peer.as_str(); "the peer is asked again: {err}");
+                log::info!(peer = peer.as_str(); "the peer is polled again: {err}");
             }
             Err(err) => {
                 log::warn!(peer = peer.as_str(); "a peer is no source of changes: {err}");
-                let answered = matches!(err, ChangesError::NotServed(_));
+                let answered = matches!(err, ChangesError::ErrorStatus(_));
                 control.peers.record_source_failure(&peer, answered);
                 self.startup_reader = None;
                 read_any_snapshot(control).await;
@@ -176,7 +178,8 @@
     }
 }
 
-/// Asks peers whether the store was out at all, which this daemon cannot tell from a cut of its own.
+/// Asks peers whether the store was out at all. This daemon cannot tell an outage from its own loss
+/// of connection.
 async fn confirm_outage(control: &Control, silence: Millis) {
     for _ in 0..MAX_WITNESSES {
         let Some((node, peer)) = control.peers.random_peer() else { return };
@@ -184,17 +187,17 @@
             Ok(true) => {
                 log::info!(
                     silence_ms = silence.0, witness = node.as_str();
-                    "the store was not out; this daemon was cut off from it"
+                    "the store was not out; this daemon had lost its connection to it"
                 );
                 return;
             }
             Ok(false) => {}
-            Err(err) => log::debug!("a peer does not tell whether the store was out: {err}"),
+            Err(err) => log::debug!("a peer could not confirm whether the store was out: {err}"),
         }
     }
 }
 
-/// Says that the daemon is awake, for as long as the duty runs.
+/// Records regularly that the daemon is running, until the duty stops.
 pub(crate) async fn track_awake_time(control: Rc<Control>) {
     loop {
         control.state.borrow_mut().record_running(control.now());
@@ -202,29 +205,29 @@
     }
 }
 
-/// Pauses before the store is asked again, until a peer is a source at the longest.
-async fn back_off_from_store(control: &Control, pause: Duration) {
+/// Waits before the store is called again, at most until a peer is available as a source.
+async fn back_off_from_store(control: &Control, backoff: Duration) {
     let clock = control.cx.clock;
-    let until = clock.now() + Millis(control.peers.jittered(pause).as_millis() as u64);
+    let until = clock.now() + Millis(control.peers.jittered(backoff).as_millis() as u64);
     while clock.now() < until && control.peers.source().is_none() {
         clock.sleep_until(until.min(clock.now() + NewsBudget::LOOK_FOR_SOURCE)).await;
     }
 }
 
-/// Takes over what some peer knew last, where this node has heard nothing for long.
+/// Reads the latest snapshot that a random peer has, if the store has been silent for long.
 async fn read_any_snapshot(control: &Control) {
     let Some((node, peer)) = control.peers.random_peer().filter(|_| control.store_is_silent())
     else {
         return;
     };
     if let Err(err) = read_snapshot(control, node, peer).await {
-        log::debug!("a peer has no newer copy of what the store told: {err}");
+        log::debug!("a peer has no newer snapshot: {err}");
     }
 }
 
-fn cursor_for(place: Option<&ReadPosition>, peer: &NodeId) -> Option<ChangeCursor> {
-    match place {
-        Some(ReadPosition::Peer(node, read)) if node == peer => Some(read.cursor),
+fn cursor_for(position: Option<&ReadPosition>, peer: &NodeId) -> Option<ChangeCursor> {
+    match position {
+        Some(ReadPosition::Peer(node, position)) if node == peer => Some(position.cursor),
         _ => None,
     }
 }
@@ -238,18 +241,18 @@
             ReadPosition::Store(after)
             | ReadPosition::Peer(_, PeerPosition { store: Some(after), .. }),
         ) => watch_once(control, *after).await,
-        // A peer may have kept boxes that the store lists no more.
+        // The peer may have kept boxes that the store no longer lists.
         _ => list_all(control).await,
     }
 }
 
-/// Watches what operators write in the store while everything else is read from a peer.
+/// Watches the operators' keys in the store while everything else is read from a peer.
 ///
-/// Only the readers of a zone do, so that two of its nodes have a way of their own to the store;
-/// all others have a reader and what peers pass on. A node that the store turned away asks now and
-/// then whether it still does.
+/// Only the readers of a zone do this, so that two of its nodes have their own connection to the
+/// store; the other nodes rely on their readers and on what peers pass on. A node that cannot reach
+/// the store retries now and then.
 pub(crate) async fn watch_operator_keys(control: Rc<Control>) {
-    let mut pause = UNREACHABLE_BACKOFF;
+    let mut backoff = UNREACHABLE_BACKOFF;
     loop {
         tokio::time::sleep(OPERATOR_WATCH_INTERVAL).await;
         let after = control.state.borrow().revision();
@@ -257,11 +260,11 @@
             continue;
         }
         let wait = if control.is_store_unreachable() {
-            tokio::time::sleep(control.peers.jittered(pause)).await;
-            pause = (pause * 2).min(MAX_UNREACHABLE_BACKOFF);
+            tokio::time::sleep(control.peers.jittered(backoff)).await;
+            backoff = (backoff * 2).min(MAX_UNREACHABLE_BACKOFF);
             OPERATOR_RETRY_WAIT
         } else {
-            pause = UNREACHABLE_BACKOFF;
+            backoff = UNREACHABLE_BACKOFF;
             OPERATOR_WATCH_WAIT
         };
         if control.is_store_unreachable() || control.peers.is_reader() {
@@ -274,15 +277,16 @@
     match control.store.watch(Driver::OPERATORS, after, wait).await {
         Ok(changes) => {
             control.record_store_answer();
-            let news = control.state.borrow_mut().apply_operator_changes(&changes, control.now());
-            if news {
+            let has_changes =
+                control.state.borrow_mut().apply_operator_changes(&changes, control.now());
+            if has_changes {
                 control.publish_and_wake();
             }
         }
-        // Whoever reads everything learns of it by itself.
+        // The tasks that read the whole store detect this themselves.
         Err(PlatformError::Forgotten | PlatformError::OtherEra) => {}
         Err(err) => {
-            log::warn!("what operators write could not be watched: {err}");
+            log::warn!("the operators' keys could not be watched: {err}");
             control.record_store_miss();
         }
     }
@@ -300,30 +304,30 @@
     {
         return Err(PlatformError::OtherEra);
     }
-    let mut known = control.state.borrow_mut();
-    known.enter_era(boxes.revision, now);
-    known.apply_operator_list(&operators, now);
-    known.mark_missing_records_lost(&records);
-    known.apply_changes(&records, now);
-    known.apply_list(&boxes.records, boxes.revision, now);
-    drop(known);
+    let mut state = control.state.borrow_mut();
+    state.enter_era(boxes.revision, now);
+    state.apply_operator_list(&operators, now);
+    state.mark_missing_records_lost(&records);
+    state.apply_changes(&records, now);
+    state.apply_list(&boxes.records, boxes.revision, now);
+    drop(state);
     control.record_store_answer();
     control.record_update(&ChangeSource::Store, Millis(0), true);
-    // The first of the three reads counts: what changed after it comes again.
+    // The revision of the first of the three lists: changes after it are read again.
     Ok(records.revision)
 }
 
-/// Watches the store; where no answer comes in time, also over another connection, as one may fall silent for good
-/// while new ones work. Whichever answers first counts.
+/// Watches the store, and sends a second watch over another connection if the first is not answered
+/// in time, since a connection may stall for good while new ones work. The first answer is used.
 async fn watch_hedged(control: &Control, after: Revision) -> Result<Changes, PlatformError> {
     let budget = control.budget;
     let first = pin!(control.store.watch("", after, to_duration(budget.watch_for())));
-    let pause = tokio::time::sleep(to_duration(budget.doubled_after()));
-    let mut first = match select(first, pin!(pause)).await {
+    let delay = tokio::time::sleep(to_duration(budget.doubled_after()));
+    let mut first = match select(first, pin!(delay)).await {
         Either::Left((answer, _)) => return answer,
         Either::Right(((), first)) => first,
     };
-    // Idle connections may have fallen silent with that one.
+    // Idle connections may have stalled together with that one.
     control.store.forget_connections();
     let mut second = pin!(control.store.watch("", after, HEDGED_WATCH_WAIT));
     match select(&mut first, &mut second).await {
@@ -339,10 +343,11 @@
     let before = control.state.borrow().change_count();
     control.time_apply(|| control.state.borrow_mut().apply_changes(&changes, control.now()));
     control.record_store_answer();
-    // Most answers of a watch hold heartbeats that say nothing new.
-    let news = control.state.borrow().change_count() != before;
-    control.record_update(&ChangeSource::Store, Millis(0), news);
-    // Orders that failed are sent again, and closings run out, without any news of boxes.
+    // Most answers contain only heartbeats that change nothing.
+    let has_changes = control.state.borrow().change_count() != before;
+    control.record_update(&ChangeSource::Store, Millis(0), has_changes);
+    // A step is due even if no box changed: failed orders are resent, and closing replicas reach
+    // their deadlines.
     control.wake.notify_one();
     Ok(revision)
 }
