--- a/crates/cherrystand_core/benches/node_costs.rs
+++ b/crates/cherrystand_core/benches/node_costs.rs
@@ -33,8 +33,8 @@
 /// Boxes of a replica.
 const SPAN: usize = 8;
 
-/// Endpoints at which one daemon has requests in flight.
-const BUSY_AT: usize = 5;
+/// The number of endpoints at which one daemon has requests in flight.
+const BUSY_ENDPOINTS: usize = 5;
 
 /// How often each measurement is repeated.
 const ROUNDS: u32 = 50;
@@ -78,42 +78,42 @@
 }
 
 fn members(size: &Size) {
-    let mut teller = Membership::new(heartbeat(0, 1), Millis(0));
-    let mut hearer = Membership::new(heartbeat(1, 1), Millis(0));
+    let mut sender = Membership::new(heartbeat(0, 1), Millis(0));
+    let mut receiver = Membership::new(heartbeat(1, 1), Millis(0));
     for number in 2..size.nodes {
-        teller.hear(heartbeat(number, 1), Millis(0), Millis(0));
+        sender.hear(heartbeat(number, 1), Millis(0), Millis(0));
     }
     let mut beat = 1;
-    report("a list of members told and heard", || {
+    report("a list of members sent and merged", || {
         beat += 1;
         for number in 2..size.nodes {
-            teller.hear(heartbeat(number, beat), Millis(0), Millis(0));
+            sender.hear(heartbeat(number, beat), Millis(0), Millis(0));
         }
-        let told = teller.digest(Millis(10));
-        for (heartbeat, age) in told {
-            hearer.hear(heartbeat, age, Millis(10));
+        let digest = sender.digest(Millis(10));
+        for (heartbeat, age) in digest {
+            receiver.hear(heartbeat, age, Millis(10));
         }
     });
-    let mut listed = Membership::new(heartbeat(0, 1), Millis(0));
+    let mut known = Membership::new(heartbeat(0, 1), Millis(0));
     let mut following = Membership::new(heartbeat(1, 1), Millis(0));
-    for members in [&mut listed, &mut following] {
+    for members in [&mut known, &mut following] {
         for number in 0..size.nodes {
             members.hear(heartbeat(number, 1), Millis(0), Millis(0));
         }
     }
-    report("the beats of members told and heard", || {
-        let told = listed.digest_for(following.roster(Millis(10)), Millis(10));
-        assert!(matches!(told, Digest::Beats { .. }));
-        following.take_digest(told, Millis(0), Millis(10));
+    report("the beats of members sent and merged", || {
+        let digest = known.digest_for(following.roster(Millis(10)), Millis(10));
+        assert!(matches!(digest, Digest::Beats { .. }));
+        following.take_digest(digest, Millis(0), Millis(10));
     });
-    report("members as published", || {
-        let all = hearer.all(Millis(10)).into_iter();
+    report("members published", || {
+        let all = receiver.all(Millis(10)).into_iter();
         black_box(all.map(|(beat, _)| beat.clone()).collect::<Vec<Heartbeat>>());
     });
 }
 
 fn busy(node: usize, replicas: usize) -> Vec<EndpointLoad> {
-    let at = (0..BUSY_AT).map(|turn| EndpointLoad {
+    let at = (0..BUSY_ENDPOINTS).map(|turn| EndpointLoad {
         id: BoxId::new(format!("i-{:08x}", (node * 7 + turn * 13) % replicas)),
         requests: 2,
         unread: 900,
@@ -128,21 +128,21 @@
     let near = (0..size.nodes).filter(|number| number % ZONES == 0);
     let near: Vec<usize> = near.collect();
     for number in &near {
-        let told = busy(*number, replicas);
-        book.record_node(heartbeat(*number, 1).node, zone(0), told, Millis(0));
+        let reported = busy(*number, replicas);
+        book.record_node(heartbeat(*number, 1).node, zone(0), reported, Millis(0));
     }
     let mut turn = 0;
-    report("a telling of loads taken in", || {
+    report("a peer's loads recorded", || {
         turn += 1;
         let number = near[turn % near.len()];
-        let told = busy(number, replicas);
-        book.record_node(heartbeat(number, 1).node, zone(0), told, Millis(0));
+        let reported = busy(number, replicas);
+        book.record_node(heartbeat(number, 1).node, zone(0), reported, Millis(0));
     });
-    report("a telling of loads taken in and summed", || {
+    report("a peer's loads recorded and summed", || {
         turn += 1;
         let number = near[turn % near.len()];
-        let told = busy(number, replicas);
-        book.record_node(heartbeat(number, 1).node, zone(0), told, Millis(0));
+        let reported = busy(number, replicas);
+        book.record_node(heartbeat(number, 1).node, zone(0), reported, Millis(0));
         black_box(book.totals());
     });
 }
@@ -230,7 +230,7 @@
         listed: true,
         nodes: size.nodes,
     };
-    report("all boxes as published", || {
+    report("all boxes published", || {
         black_box(boxes.clone());
     });
     report("the endpoints in service", || {
--- a/crates/cherrystand_core/benches/routing.rs
+++ b/crates/cherrystand_core/benches/routing.rs
@@ -29,8 +29,8 @@
     (router, group, keys)
 }
 
-fn cost() {
-    println!("routing: nanoseconds a choice, counted in and out again");
+fn router_cost() {
+    println!("routing: nanoseconds per choice, with its start and finish recorded");
     println!("{:>9} {:>9} {:>9}", "endpoints", "plain", "prefix");
     for endpoints in [10, 100, 1_000, 5_000] {
         let (mut router, group, _) = router(endpoints);
@@ -97,7 +97,7 @@
 }
 
 fn cost_by_rule() {
-    println!("replicas by routes: nanoseconds a choice, counted in and out again");
+    println!("replicas by routes: nanoseconds per choice, with its start and finish recorded");
     let rules = [
         ("expected-credit", ChoiceRule::ExpectedCredit),
         ("two-at-random", ChoiceRule::TwoAtRandom),
@@ -135,7 +135,7 @@
 
 /// Names a way to choose.
 #[derive(Clone, Copy, PartialEq)]
-enum Way {
+enum Strategy {
     Cherrystand,
     Random,
     RoundRobin,
@@ -150,13 +150,13 @@
 
 /// Sends requests at a load to servers, one of which is slow, and returns the waits in
 /// milliseconds, sorted.
-fn waits(way: Way, load: f64, slow: u64) -> Vec<u64> {
+fn latencies(strategy: Strategy, load: f64, slow: u64) -> Vec<u64> {
     let (mut router, group, keys) = router(SERVERS);
     let mut servers = [Server::default(); SERVERS];
     let mut seed = Seed::new(11);
     let mut open: Vec<(u64, usize, u64)> = Vec::new();
     let mut reported = [0_u64; SERVERS];
-    let (mut last_report, mut waits) = (0, Vec::new());
+    let (mut last_report, mut latencies) = (0, Vec::new());
     let service = 100_u64;
     for number in 0..REQUESTS {
         let now = (number as f64 * service as f64 / (SERVERS as f64 * load)) as u64;
@@ -174,14 +174,14 @@
                 *count = open.iter().filter(|(_, at, _)| *at == server).count() as u64;
             }
         }
-        let server = match way {
-            Way::Cherrystand => match router.choose(group, None, Millis(now), &mut seed) {
+        let server = match strategy {
+            Strategy::Cherrystand => match router.choose(group, None, Millis(now), &mut seed) {
                 Ok(key) => keys.iter().position(|other| *other == key).unwrap_or(0),
                 Err(_) => continue,
             },
-            Way::Random => seed.below(SERVERS),
-            Way::RoundRobin => number as usize % SERVERS,
-            Way::LeastReported => {
+            Strategy::Random => seed.below(SERVERS),
+            Strategy::RoundRobin => number as usize % SERVERS,
+            Strategy::LeastReported => {
                 let least = reported.iter().min().copied().unwrap_or(0);
                 reported.iter().position(|count| *count == least).unwrap_or(0)
             }
@@ -192,34 +192,34 @@
         let begin = servers[server].free_at.max(now);
         servers[server].free_at = begin + takes;
         open.push((begin + takes, server, begin + takes - now));
-        waits.push(begin + takes - now);
+        latencies.push(begin + takes - now);
     }
-    waits.sort_unstable();
-    waits
+    latencies.sort_unstable();
+    latencies
 }
 
-fn spread() {
+fn compare_latencies() {
     println!("routing: ms until done, {SERVERS} servers of 100 ms, reports {REPORT_LAG} ms old");
-    println!("{:<22} {:<14} {:>7} {:>7} {:>7}", "case", "way", "p50", "p95", "p99");
-    let ways = [
-        ("cherrystand", Way::Cherrystand),
-        ("random", Way::Random),
-        ("round-robin", Way::RoundRobin),
-        ("least-reported", Way::LeastReported),
+    println!("{:<22} {:<14} {:>7} {:>7} {:>7}", "case", "strategy", "p50", "p95", "p99");
+    let strategies = [
+        ("cherrystand", Strategy::Cherrystand),
+        ("random", Strategy::Random),
+        ("round-robin", Strategy::RoundRobin),
+        ("least-reported", Strategy::LeastReported),
     ];
     for (case, load, slow) in
         [("load 0.5", 0.5, 1), ("load 0.9", 0.9, 1), ("one 5x slow, 0.7", 0.7, 5)]
     {
-        for (name, way) in ways {
-            let waits = waits(way, load, slow);
-            let at = |percent: usize| waits[(waits.len() - 1) * percent / 100];
+        for (name, strategy) in strategies {
+            let latencies = latencies(strategy, load, slow);
+            let at = |percent: usize| latencies[(latencies.len() - 1) * percent / 100];
             println!("{case:<22} {name:<14} {:>7} {:>7} {:>7}", at(50), at(95), at(99));
         }
     }
 }
 
 fn main() {
-    cost();
+    router_cost();
     cost_by_rule();
-    spread();
+    compare_latencies();
 }
--- a/crates/cherrystand_core/src/control/rollout.rs
+++ b/crates/cherrystand_core/src/control/rollout.rs
@@ -11,7 +11,7 @@
     /// The formed replicas, as this node knows them.
     pub formed: &'a FormedReplicas,
     /// Since when they have been ready.
-    pub settling: &'a ReadySince,
+    pub ready_since: &'a ReadySince,
     /// The current time.
     pub now: Millis,
 }
@@ -23,7 +23,7 @@
         replica: &ReplicaId,
     ) -> impl Iterator<Item = (&'a DomainId, &'a Assignment)> {
         let ready = self.formed.ready(replica);
-        ready.filter(move |(domain, _)| self.settling.is_settled(domain, replica, self.now))
+        ready.filter(move |(domain, _)| self.ready_since.is_settled(domain, replica, self.now))
     }
 }
 
--- a/crates/cherrystand_core/tests/assignment_safety.rs
+++ b/crates/cherrystand_core/tests/assignment_safety.rs
@@ -26,7 +26,7 @@
     ServiceDown(bool),
     LoseAnswers(u32),
     DelayWrites(u32),
-    Want { replicas: u32, version: u8 },
+    SetDesired { replicas: u32, version: u8 },
     Busy { number: u32, in_flight: u32 },
     Steps(u32),
 }
@@ -45,7 +45,7 @@
         1 => any::<bool>().prop_map(Event::ServiceDown),
         1 => (0_u32..3).prop_map(Event::LoseAnswers),
         1 => (0_u32..3).prop_map(Event::DelayWrites),
-        2 => (0_u32..4, 1_u8..4).prop_map(|(replicas, version)| Event::Want { replicas, version }),
+        2 => (0_u32..4, 1_u8..4).prop_map(|(replicas, version)| Event::SetDesired { replicas, version }),
         1 => (number, 0_u32..3).prop_map(|(number, in_flight)| Event::Busy { number, in_flight }),
         8 => (1_u32..40).prop_map(Event::Steps),
     ]
@@ -63,7 +63,7 @@
         Event::ServiceDown(down) => domain.service_down = *down,
         Event::LoseAnswers(count) => domain.lose_answers = *count,
         Event::DelayWrites(count) => domain.delay_writes = *count,
-        Event::Want { replicas, version } => {
+        Event::SetDesired { replicas, version } => {
             let version = version.to_string();
             domain.desired = (0..*replicas).map(|slot| desired(slot, 2, &version)).collect();
         }
@@ -78,37 +78,37 @@
 
 /// What has been seen so far, to compare with.
 #[derive(Default)]
-struct Past {
+struct History {
     last_epoch: Epoch,
     owners: BTreeMap<Epoch, ReplicaId>,
     epochs: BTreeMap<ReplicaId, Epoch>,
 }
 
-impl Past {
+impl History {
     fn check(&mut self, domain: &FakeDomain) -> Result<(), TestCaseError> {
         let record = &domain.record;
         prop_assert_eq!(record.check(), Ok(()));
-        prop_assert!(record.last_epoch >= self.last_epoch, "epochs fell");
+        prop_assert!(record.last_epoch >= self.last_epoch, "epochs decreased");
         self.last_epoch = record.last_epoch;
         for (epoch, replica) in epochs_in_use(domain) {
             let owner = self.owners.entry(epoch).or_insert_with(|| replica.clone());
             prop_assert_eq!(&*owner, &replica, "two replicas act on one epoch");
         }
-        for (replica, held) in &record.replicas {
-            let known = self.epochs.entry(replica.clone()).or_insert(held.epoch);
-            prop_assert!(*known <= held.epoch, "the epoch of {} fell", replica);
-            *known = held.epoch;
+        for (replica, assignment) in &record.replicas {
+            let known = self.epochs.entry(replica.clone()).or_insert(assignment.epoch);
+            prop_assert!(*known <= assignment.epoch, "the epoch of {} decreased", replica);
+            *known = assignment.epoch;
         }
         self.check_members(domain)
     }
 
     /// A replica that serves has members that act for it alone.
     fn check_members(&self, domain: &FakeDomain) -> Result<(), TestCaseError> {
-        for (replica, held) in &domain.record.replicas {
+        for (replica, assignment) in &domain.record.replicas {
             if !domain.is_whole(replica) {
                 continue;
             }
-            for id in &held.boxes {
+            for id in &assignment.boxes {
                 let fake = &domain.boxes[id];
                 prop_assert!(fake.alive);
                 prop_assert_eq!(fake.replica.as_ref(), Some(replica));
@@ -126,20 +126,20 @@
     let setup = DomainSetup { boxes: BOXES, checks_orders, ..DomainSetup::default() };
     let mut domain = FakeDomain::new(setup, policies);
     domain.desired = (0..3).map(|slot| desired(slot, 2, "1")).collect();
-    let mut past = Past::default();
+    let mut history = History::default();
     for event in events {
         apply(&mut domain, event);
-        past.check(&domain)?;
+        history.check(&domain)?;
         let steps = if let Event::Steps(steps) = event { *steps } else { 1 };
         for _ in 0..steps {
             domain.step();
-            past.check(&domain)?;
+            history.check(&domain)?;
         }
     }
     Ok(domain)
 }
 
-fn heal(domain: &mut FakeDomain) {
+fn end_failures(domain: &mut FakeDomain) {
     domain.service_down = false;
     domain.lose_answers = 0;
     domain.delay_writes = 0;
@@ -162,7 +162,7 @@
     #![proptest_config(ProptestConfig { cases: 192, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn no_box_belongs_to_two_replicas_whatever_happens(
+    fn no_box_belongs_to_two_replicas_under_random_failures(
         events in prop::collection::vec(event(), 1..40),
         checks_orders in any::<bool>(),
     ) {
@@ -170,25 +170,25 @@
     }
 
     #[test]
-    fn once_all_is_well_again_everything_wanted_serves(
+    fn all_desired_replicas_serve_once_failures_end(
         events in prop::collection::vec(event(), 1..40),
     ) {
         let mut domain = run(&events, &[quick_policy(); CONTROLLERS], true)?;
-        heal(&mut domain);
+        end_failures(&mut domain);
         domain.run_for(Millis(400_000));
-        for wanted in &domain.desired.clone() {
+        for desired in &domain.desired.clone() {
             prop_assert!(
-                domain.is_whole(&wanted.replica),
-                "{} of {:?}", wanted.replica, domain.record.replicas
+                domain.is_whole(&desired.replica),
+                "{} of {:?}", desired.replica, domain.record.replicas
             );
         }
         let formed = domain.record.replicas.len();
-        prop_assert_eq!(formed, domain.desired.len(), "something stayed that nobody wants");
+        prop_assert_eq!(formed, domain.desired.len(), "an undesired replica remains");
     }
 }
 
 #[test]
-fn a_paused_controller_cannot_undo_what_others_did() {
+fn a_paused_controller_cannot_undo_decisions_of_others() {
     let setup = DomainSetup { boxes: BOXES, ..DomainSetup::default() };
     let mut domain = FakeDomain::new(setup, &[quick_policy(); 2]);
     domain.desired = vec![desired(0, 2, "1")];
@@ -206,7 +206,7 @@
 }
 
 #[test]
-fn a_record_that_breaks_a_rule_is_found_out() {
+fn a_record_that_violates_a_rule_is_detected() {
     struct Case {
         name: &'static str,
         /// The boxes and epoch of each replica.
@@ -216,13 +216,13 @@
     }
     let cases = [
         Case {
-            name: "sound",
+            name: "valid",
             replicas: &[(&[1, 2], 1), (&[3, 4], 2)],
             releasing: &[5],
             fault: None,
         },
         Case {
-            name: "a box twice",
+            name: "a box in two replicas",
             replicas: &[(&[1, 2], 1), (&[2, 3], 2)],
             releasing: &[],
             fault: Some(RecordFault::DuplicateBox),
@@ -234,13 +234,13 @@
             fault: Some(RecordFault::BoxReleasing),
         },
         Case {
-            name: "an epoch twice",
+            name: "an epoch issued twice",
             replicas: &[(&[1], 1), (&[2], 1)],
             releasing: &[],
             fault: Some(|_| RecordFault::InvalidEpoch(Epoch(1))),
         },
         Case {
-            name: "an epoch never given out",
+            name: "an epoch never issued",
             replicas: &[(&[1], 9)],
             releasing: &[],
             fault: Some(|_| RecordFault::InvalidEpoch(Epoch(9))),
@@ -251,9 +251,9 @@
         record.last_epoch = Epoch(5);
         for (slot, (boxes, epoch)) in case.replicas.iter().enumerate() {
             let boxes = boxes.iter().map(|number| box_id(*number)).collect();
-            let held =
+            let assignment =
                 Assignment { epoch: Epoch(*epoch), boxes, load: load("1"), phase: Phase::Ready };
-            record.replicas.insert(replica(slot as u32), held);
+            record.replicas.insert(replica(slot as u32), assignment);
         }
         let releasing = case.releasing.iter().map(|number| (box_id(*number), Epoch(1)));
         record.releasing.extend(releasing);
--- a/crates/cherrystand_core/tests/attempt_ledger.rs
+++ b/crates/cherrystand_core/tests/attempt_ledger.rs
@@ -35,23 +35,23 @@
 }
 
 #[test]
-fn not_run_is_told_only_if_no_attempt_may_have_run_over_all_pairs_of_ends() {
+fn not_run_is_reported_only_if_no_attempt_may_have_run_for_all_pairs_of_ends() {
     for first in AttemptEnd::ALL {
         for second in AttemptEnd::ALL {
-            let told = after(&[first, second]).failure();
+            let failure = after(&[first, second]).failure();
             let none_ran = [first, second].iter().all(|end| end.outcome() == Outcome::NotRun);
-            assert_eq!(told == FinalFailure::NotRun, none_ran, "{first:?}, {second:?}");
+            assert_eq!(failure == FinalFailure::NotRun, none_ran, "{first:?}, {second:?}");
             let last = if second.outcome() == Outcome::NotRun { first } else { second };
             if !none_ran {
                 let timed_out = last == AttemptEnd::TimedOut;
-                assert_eq!(told == FinalFailure::TimedOut, timed_out, "{first:?}, {second:?}");
+                assert_eq!(failure == FinalFailure::TimedOut, timed_out, "{first:?}, {second:?}");
             }
         }
     }
 }
 
 #[test]
-fn a_request_goes_on_while_its_route_its_runs_and_its_time_allow() {
+fn a_request_is_retried_within_its_route_its_executions_and_its_deadline() {
     struct Case {
         name: &'static str,
         route: Route,
@@ -59,7 +59,7 @@
         now: Millis,
         may_send: bool,
     }
-    let repeatable = || route(RouteKind::Idempotent, false, 2);
+    let idempotent = || route(RouteKind::Idempotent, false, 2);
     let once = || route(RouteKind::NonIdempotent, false, 2);
     let cases = [
         Case {
@@ -84,43 +84,43 @@
             may_send: false,
         },
         Case {
-            name: "may have run, repeatable",
-            route: repeatable(),
+            name: "may have run, idempotent",
+            route: idempotent(),
             ends: &[AttemptEnd::CutBeforeAnswer],
             now: NOW,
             may_send: true,
         },
         Case {
-            name: "may have run, a stream that may be resumed",
+            name: "may have run, a resumable stream",
             route: route(RouteKind::Streaming, true, 2),
             ends: &[AttemptEnd::TimedOut],
             now: NOW,
             may_send: true,
         },
         Case {
-            name: "may have run, a stream that may not",
+            name: "may have run, a stream that can't be resumed",
             route: route(RouteKind::Streaming, false, 2),
             ends: &[AttemptEnd::TimedOut],
             now: NOW,
             may_send: false,
         },
         Case {
-            name: "ran as often as the route allows",
-            route: repeatable(),
+            name: "as many executions as the route allows",
+            route: idempotent(),
             ends: &[AttemptEnd::CutBeforeAnswer, AttemptEnd::Answered],
             now: NOW,
             may_send: false,
         },
         Case {
             name: "refused three times",
-            route: repeatable(),
+            route: idempotent(),
             ends: &[AttemptEnd::Refused, AttemptEnd::NotServing, AttemptEnd::ConnectFailed],
             now: NOW,
             may_send: false,
         },
         Case {
-            name: "no time left",
-            route: repeatable(),
+            name: "deadline passed",
+            route: idempotent(),
             ends: &[AttemptEnd::Refused],
             now: DEADLINE,
             may_send: false,
@@ -138,7 +138,7 @@
 }
 
 #[test]
-fn an_attempt_that_is_open_counts_as_one_that_may_run() {
+fn an_open_attempt_counts_as_a_possible_execution() {
     struct Case {
         name: &'static str,
         route: Route,
@@ -148,10 +148,10 @@
     let stream = |attempts| route(RouteKind::Streaming, true, attempts);
     let cases = [
         Case { name: "nothing sent", route: stream(2), open: 0, may_send: true },
-        Case { name: "one beside it fits", route: stream(2), open: 1, may_send: true },
-        Case { name: "as many as its route allows", route: stream(2), open: 2, may_send: false },
-        Case { name: "its route allows more", route: stream(3), open: 2, may_send: true },
-        Case { name: "sent to three", route: stream(9), open: 3, may_send: false },
+        Case { name: "a second one is allowed", route: stream(2), open: 1, may_send: true },
+        Case { name: "as many as the route allows", route: stream(2), open: 2, may_send: false },
+        Case { name: "the route allows more", route: stream(3), open: 2, may_send: true },
+        Case { name: "three attempts open", route: stream(9), open: 3, may_send: false },
         Case {
             name: "runs at most once",
             route: route(RouteKind::NonIdempotent, false, 2),
--- a/crates/cherrystand_core/tests/configuration.rs
+++ b/crates/cherrystand_core/tests/configuration.rs
@@ -29,15 +29,15 @@
         "workspace = \"photo\"\n[[model]]\nname = \"captions\"\nmodel = \"captioner\"\n\
          version = \"{version}\"\nreplicas = {replicas}\nboxes_per_replica = {span}\n"
     );
-    WorkspaceConfig::from_toml(&text).expect("a sound configuration")
+    WorkspaceConfig::from_toml(&text).expect("a valid configuration")
 }
 
 fn write(sequence: u64) -> WriteId {
     WriteId { node: NodeId::new("n"), incarnation: Incarnation(1), sequence }
 }
 
-/// Puts a configuration in force at once.
-fn in_force(record: &WorkspaceRecord, config: WorkspaceConfig, fleet: &Fleet) -> WorkspaceRecord {
+/// Plans a configuration and confirms the plan.
+fn confirm(record: &WorkspaceRecord, config: WorkspaceConfig, fleet: &Fleet) -> WorkspaceRecord {
     let id = PlanId::new(format!("photo.{}", record.generation));
     let plan =
         make_plan(id.clone(), record, config, fleet, &BoxesByReplica::new()).expect("a plan");
@@ -81,8 +81,8 @@
 fn a_plan_says_box_by_box_what_would_change_and_what_it_costs() {
     let fleet = fleet(&[("a", 4), ("b", 4)]);
     let empty = WorkspaceRecord::empty(WorkspaceId::new("photo"));
-    let first = in_force(&empty, config(2, 2, "1"), &fleet);
-    let held: BoxesByReplica =
+    let first = confirm(&empty, config(2, 2, "1"), &fleet);
+    let assigned: BoxesByReplica =
         first.slots.iter().map(|slot| (slot.replica.clone(), slot.planned.clone())).collect();
     let changes = [
         ("more replicas", config(3, 2, "1")),
@@ -97,7 +97,7 @@
     let mut text = String::new();
     for (name, config) in changes {
         text.push_str(&format!("{name}\n"));
-        match make_plan(PlanId::new("p"), &first, config, &fleet, &held) {
+        match make_plan(PlanId::new("p"), &first, config, &fleet, &assigned) {
             Ok(plan) => {
                 plan.changes.iter().for_each(|change| text.push_str(&format!("  {change}\n")));
                 for cost in &plan.costs {
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn replicas_spread_over_zones_and_strand_few_boxes() {
+fn replicas_spread_over_zones_and_leave_few_unusable_boxes() {
     struct Case {
         name: &'static str,
         domains: &'static [(&'static str, u32)],
@@ -123,28 +123,28 @@
     }
     let cases = [
         Case {
-            name: "over zones",
+            name: "spread over zones",
             domains: &[("a", 8), ("b", 8)],
             span: 4,
             replicas: 2,
             expected: &[1, 1],
         },
         Case {
-            name: "into the domain that leaves no remainder",
+            name: "in the domain that is left without a remainder",
             domains: &[("a", 5), ("a", 4)],
             span: 4,
             replicas: 1,
             expected: &[0, 1],
         },
         Case {
-            name: "into the fuller domain of two that leave none",
+            name: "in the fuller of two domains left without a remainder",
             domains: &[("a", 8), ("a", 4)],
             span: 4,
             replicas: 1,
             expected: &[0, 1],
         },
         Case {
-            name: "a zone before a remainder",
+            name: "another zone matters more than a remainder",
             domains: &[("a", 8), ("b", 5)],
             span: 4,
             replicas: 2,
--- a/crates/cherrystand_core/tests/crash_suspects.rs
+++ b/crates/cherrystand_core/tests/crash_suspects.rs
@@ -10,89 +10,100 @@
 const REQUEST: Fingerprint = Fingerprint(7);
 const UNIX: u64 = 1_790_000_000_000;
 
-fn life(number: u64) -> BoxId {
+fn box_id(number: u64) -> BoxId {
     BoxId::new(format!("i-{number}"))
 }
 
 #[derive(Clone, Copy)]
 enum Event {
-    Ends(u64, u64),
+    Crash(u64, u64),
     Served(u64),
 }
 
-use Event::{Ends, Served};
+use Event::{Crash, Served};
 
 #[test]
-fn a_request_is_refused_after_three_ends_of_boxes_and_not_by_chance() {
+fn requests_are_refused_after_three_crashes_and_not_by_coincidence() {
     struct Case {
         name: &'static str,
         events: &'static [Event],
-        /// When it comes, and whether it is refused.
-        comes: u64,
+        /// When the request arrives again, and whether it is refused.
+        arrives: u64,
         refused: bool,
     }
     let cases = [
-        Case { name: "it never ended one", events: &[], comes: 0, refused: false },
+        Case { name: "no crash", events: &[], arrives: 0, refused: false },
         Case {
-            name: "three ends",
-            events: &[Ends(1, 0), Ends(2, 500), Ends(3, 1_000)],
-            comes: 1_001,
+            name: "three crashes",
+            events: &[Crash(1, 0), Crash(2, 500), Crash(3, 1_000)],
+            arrives: 1_001,
             refused: true,
         },
-        Case { name: "two ends", events: &[Ends(1, 0), Ends(2, 500)], comes: 501, refused: false },
         Case {
-            name: "one end, told three times",
-            events: &[Ends(1, 0), Ends(1, 500), Ends(1, 1_000)],
-            comes: 1_001,
+            name: "two crashes",
+            events: &[Crash(1, 0), Crash(2, 500)],
+            arrives: 501,
             refused: false,
         },
         Case {
-            name: "two at once, by copies of it, and a third",
-            events: &[Ends(1, 0), Ends(2, 40), Ends(3, 200)],
-            comes: 201,
+            name: "one crash, reported three times",
+            events: &[Crash(1, 0), Crash(1, 500), Crash(1, 1_000)],
+            arrives: 1_001,
+            refused: false,
+        },
+        Case {
+            name: "two at once, by copies of the request, and a third",
+            events: &[Crash(1, 0), Crash(2, 40), Crash(3, 200)],
+            arrives: 201,
             refused: true,
         },
         Case {
-            name: "all boxes of a rack at once, with requests that are alike",
-            events: &[Ends(1, 0), Ends(2, 20), Ends(3, 90)],
-            comes: 91,
+            name: "all boxes of a rack at once, with identical requests",
+            events: &[Crash(1, 0), Crash(2, 20), Crash(3, 90)],
+            arrives: 91,
             refused: false,
         },
         Case {
-            name: "served between",
-            events: &[Ends(1, 0), Ends(2, 500), Served(700), Ends(3, 1_000)],
-            comes: 1_001,
+            name: "served in between",
+            events: &[Crash(1, 0), Crash(2, 500), Served(700), Crash(3, 1_000)],
+            arrives: 1_001,
             refused: false,
         },
         Case {
-            name: "served, and told late of what ended before",
+            name: "served, and earlier crashes reported late",
             events: &[
-                Ends(1, 0),
-                Ends(2, 500),
+                Crash(1, 0),
+                Crash(2, 500),
                 Served(700),
-                Ends(1, 800),
-                Ends(2, 950),
-                Ends(3, 1_100),
+                Crash(1, 800),
+                Crash(2, 950),
+                Crash(3, 1_100),
             ],
-            comes: 1_101,
+            arrives: 1_101,
             refused: false,
         },
         Case {
-            name: "alike ones are served all the time",
-            events: &[Served(0), Ends(1, 1_000), Ends(2, 1_200), Ends(3, 1_400), Ends(4, 1_600)],
-            comes: 1_601,
+            name: "identical requests are served all the time",
+            events: &[
+                Served(0),
+                Crash(1, 1_000),
+                Crash(2, 1_200),
+                Crash(3, 1_400),
+                Crash(4, 1_600),
+            ],
+            arrives: 1_601,
             refused: false,
         },
         Case {
-            name: "served a minute ago, and ends boxes since",
-            events: &[Served(0), Ends(2, 60_000), Ends(3, 60_200), Ends(4, 60_400)],
-            comes: 60_401,
+            name: "served a minute ago, and three crashes since",
+            events: &[Served(0), Crash(2, 60_000), Crash(3, 60_200), Crash(4, 60_400)],
+            arrives: 60_401,
             refused: true,
         },
         Case {
-            name: "long ago",
-            events: &[Ends(1, 0), Ends(2, 500), Ends(3, 1_000)],
-            comes: 1_001 + SUSPECT_TTL.0,
+            name: "crashes too long ago",
+            events: &[Crash(1, 0), Crash(2, 500), Crash(3, 1_000)],
+            arrives: 1_001 + SUSPECT_TTL.0,
             refused: false,
         },
     ];
@@ -100,13 +111,15 @@
         let mut suspects = CrashSuspects::default();
         for event in case.events {
             match *event {
-                Ends(number, at) => _ = suspects.record_crash(&life(number), REQUEST, Millis(at)),
+                Crash(number, at) => {
+                    _ = suspects.record_crash(&box_id(number), REQUEST, Millis(at))
+                }
                 Served(at) => _ = suspects.record_served(REQUEST, Millis(at)),
             }
         }
-        suspects.remove_expired(Millis(case.comes));
+        suspects.remove_expired(Millis(case.arrives));
         assert_eq!(
-            suspects.check_refused(REQUEST, Millis(case.comes)),
+            suspects.check_refused(REQUEST, Millis(case.arrives)),
             case.refused,
             "{}",
             case.name
@@ -116,15 +129,15 @@
 
 /// Three daemons that saw one end each, and whose news do not reach each other, agree by the record.
 #[test]
-fn what_daemons_know_adds_up_in_the_record() {
+fn daemons_merge_their_crashes_through_the_record() {
     let mut daemons: Vec<CrashSuspects> = (0..3).map(|_| CrashSuspects::default()).collect();
     for (number, daemon) in daemons.iter_mut().enumerate() {
-        daemon.record_crash(&life(number as u64), REQUEST, Millis(1_000 * number as u64));
+        daemon.record_crash(&box_id(number as u64), REQUEST, Millis(1_000 * number as u64));
     }
     let mut record = SuspectRecord::default();
     for daemon in &daemons {
         let own = daemon.to_record(&record, true, UNIX, Millis(3_000));
-        record = record.merged_with(&own, UNIX).expect("it says more");
+        record = record.merged_with(&own, UNIX).expect("a merged record");
     }
     let text = serde_json::to_string(&record).expect("text");
     assert_eq!(record, serde_json::from_str(&text).expect("a record"));
@@ -136,28 +149,28 @@
         let own = daemon.to_record(&record, true, UNIX, Millis(3_001));
         assert_eq!(record.merged_with(&own, UNIX), None);
     }
-    let mut long_after = CrashSuspects::default();
-    long_after.merge_record(&record, UNIX + SUSPECT_TTL.0, Millis(0));
-    assert!(!long_after.check_refused(REQUEST, Millis(0)));
+    let mut expired = CrashSuspects::default();
+    expired.merge_record(&record, UNIX + SUSPECT_TTL.0, Millis(0));
+    assert!(!expired.check_refused(REQUEST, Millis(0)));
 }
 
 /// A request that many callers send alike is freed everywhere once one daemon served it.
 #[test]
-fn a_request_that_was_served_is_freed_by_the_record() {
+fn a_served_request_is_cleared_through_the_record() {
     let (mut one, mut other) = (CrashSuspects::default(), CrashSuspects::default());
     for number in 0..3 {
-        other.record_crash(&life(number), REQUEST, Millis(1_000 * number));
+        other.record_crash(&box_id(number), REQUEST, Millis(1_000 * number));
     }
     let own = other.to_record(&SuspectRecord::default(), false, UNIX, Millis(3_000));
     let record = SuspectRecord::default().merged_with(&own, UNIX).expect("it is refused");
-    // The other one met two of the ends, and served it before it read the record.
-    one.record_crash(&life(0), REQUEST, Millis(0));
-    one.record_crash(&life(1), REQUEST, Millis(1_000));
+    // The first daemon saw two of the crashes and served the request before it read the record.
+    one.record_crash(&box_id(0), REQUEST, Millis(0));
+    one.record_crash(&box_id(1), REQUEST, Millis(1_000));
     assert!(one.record_served(REQUEST, Millis(1_500)));
     one.merge_record(&record, UNIX, Millis(3_000));
     assert!(!one.check_refused(REQUEST, Millis(3_000)));
     let own = one.to_record(&record, false, UNIX, Millis(3_000));
-    let record = record.merged_with(&own, UNIX).expect("two ends count no more");
+    let record = record.merged_with(&own, UNIX).expect("the crashes are unrelated now");
     other.merge_record(&record, UNIX, Millis(3_100));
     assert!(!other.check_refused(REQUEST, Millis(3_100)));
 }
@@ -165,10 +178,10 @@
 /// Story of the load: boxes end by themselves, and requests that are cut go to another box. Each has
 /// up to four boxes; one is refused by chance if three of these end under it.
 #[test]
-fn innocent_requests_are_hardly_ever_refused_while_boxes_end_by_themselves() {
-    /// A request runs 0.5 s; of 13 replicas one ends each 3 s: 13 in 1,000 of the boxes that it is at
-    /// end under it.
-    const ENDS_UNDER_IT: usize = 13;
+fn harmless_requests_are_rarely_refused_while_boxes_crash_at_random() {
+    /// A request runs for 0.5 s, and one of 13 replicas crashes every 3 s, so 13 in 1,000 attempts
+    /// meet a crash.
+    const CRASHES_PER_MILLE: usize = 13;
     const REQUESTS: u128 = 200_000;
     let mut seed = Seed::new(1);
     let mut suspects = CrashSuspects::default();
@@ -183,12 +196,12 @@
                 break;
             }
             sent += 1;
-            if seed.below(1_000) >= ENDS_UNDER_IT {
+            if seed.below(1_000) >= CRASHES_PER_MILLE {
                 suspects.record_served(request, at);
                 break;
             }
-            let ended = life((number * 4 + sent) as u64);
-            suspects.record_crash(&ended, request, at + Millis(500 * sent as u64));
+            let crashed = box_id((number * 4 + sent) as u64);
+            suspects.record_crash(&crashed, request, at + Millis(500 * sent as u64));
         }
     }
     // Three ends by chance are 2.2 in a million.
@@ -206,27 +219,27 @@
         let mut at = 0;
         for (number, to) in &told {
             at += 150;
-            daemons[*to].record_crash(&life(*number), REQUEST, Millis(at));
+            daemons[*to].record_crash(&box_id(*number), REQUEST, Millis(at));
         }
         let mut record = SuspectRecord::default();
         for daemon in &daemons {
             let own = daemon.to_record(&record, true, UNIX, Millis(at));
             record = record.merged_with(&own, UNIX).unwrap_or(record);
         }
-        let ends: BTreeSet<u64> = told.iter().map(|(number, _)| *number).collect();
+        let crashes: BTreeSet<u64> = told.iter().map(|(number, _)| *number).collect();
         for daemon in &mut daemons {
             daemon.merge_record(&record, UNIX, Millis(at));
-            prop_assert_eq!(daemon.check_refused(REQUEST, Millis(at)), ends.len() >= MAX_CRASHES);
+            prop_assert_eq!(daemon.check_refused(REQUEST, Millis(at)), crashes.len() >= MAX_CRASHES);
         }
     }
 }
 
 /// A refused request is tried once after 6 s, then after a minute more, and is freed where it is served.
 #[test]
-fn a_refused_request_is_tried_seldom() {
+fn a_refused_request_is_tried_with_backoff() {
     let mut suspects = CrashSuspects::default();
     for number in 0..3 {
-        suspects.record_crash(&life(number), REQUEST, Millis(1_000 * number));
+        suspects.record_crash(&box_id(number), REQUEST, Millis(1_000 * number));
     }
     let trials: Vec<u64> = (2_000..140_000)
         .step_by(500)
@@ -235,7 +248,7 @@
             assert!(suspects.check_refused(REQUEST, Millis(*at)));
             let tried = suspects.try_start_trial(REQUEST, false, Millis(*at));
             if tried {
-                suspects.record_crash(&life(*at), REQUEST, Millis(at + 100));
+                suspects.record_crash(&box_id(*at), REQUEST, Millis(at + 100));
             }
             tried
         })
@@ -248,21 +261,21 @@
 
 /// What a peer served counts for a minute and is not told on.
 #[test]
-fn what_a_peer_served_ends_no_box_for_a_minute() {
+fn a_request_served_by_a_peer_is_not_blamed_for_a_minute() {
     let mut suspects = CrashSuspects::default();
-    suspects.record_crash(&life(1), REQUEST, Millis(0));
+    suspects.record_crash(&box_id(1), REQUEST, Millis(0));
     suspects.record_served_by_peer(REQUEST, Millis(100));
-    assert_eq!(suspects.record_crash(&life(2), REQUEST, Millis(200)), 0);
+    assert_eq!(suspects.record_crash(&box_id(2), REQUEST, Millis(200)), 0);
     assert!(!suspects.was_served_here_recently(REQUEST, Millis(200)));
     suspects.record_served_by_peer(REQUEST, Millis(50_000));
-    assert_eq!(suspects.record_crash(&life(2), REQUEST, Millis(60_200)), 1);
+    assert_eq!(suspects.record_crash(&box_id(2), REQUEST, Millis(60_200)), 1);
     suspects.record_served(REQUEST, Millis(70_000));
     assert!(suspects.was_served_here_recently(REQUEST, Millis(70_001)));
 }
 
 /// Requests that are served are remembered up to a bound.
 #[test]
-fn any_number_of_served_requests_is_borne() {
+fn memory_of_served_requests_is_bounded() {
     let mut suspects = CrashSuspects::default();
     for number in 0..10_000_u128 {
         suspects.record_served(Fingerprint(number), Millis(1));
@@ -274,10 +287,10 @@
 
 /// Memory stays bounded whatever peers tell.
 #[test]
-fn any_number_of_requests_is_borne() {
+fn memory_of_suspects_is_bounded() {
     let mut suspects = CrashSuspects::default();
     for number in 0..6_000_u128 {
-        suspects.record_crash(&life((number % 97) as u64), Fingerprint(number), Millis(1));
+        suspects.record_crash(&box_id((number % 97) as u64), Fingerprint(number), Millis(1));
     }
     let own = suspects.to_record(&SuspectRecord::default(), true, UNIX, Millis(2));
     assert!(own.requests.len() <= 4_096);
@@ -289,26 +302,36 @@
 /// Copies under way are called off only of what nothing else can have caused: an innocent request that is always where
 /// the guilty one is would lose its answers.
 #[test]
-fn a_request_is_the_sole_cause_where_no_other_was_at_each_of_its_ends() {
+fn a_request_is_the_sole_cause_if_no_other_shares_all_its_crashes() {
     const OTHER: Fingerprint = Fingerprint(8);
     struct Case {
         name: &'static str,
-        /// The boxes at whose ends both were, one a second.
-        ends: &'static [u64],
-        others_ends: &'static [u64],
+        /// The boxes that crashed while running each of the two, one a second.
+        crashes: &'static [u64],
+        others_crashes: &'static [u64],
         other_served: bool,
         sole: bool,
     }
-    let case =
-        Case { name: "alone", ends: &[1, 2, 3], others_ends: &[], other_served: false, sole: true };
+    let case = Case {
+        name: "alone",
+        crashes: &[1, 2, 3],
+        others_crashes: &[],
+        other_served: false,
+        sole: true,
+    };
     let cases = [
-        Case { name: "two ends", ends: &[1, 2], sole: false, ..case },
-        Case { name: "another at two of three", others_ends: &[1, 3], ..case },
-        Case { name: "another at all", others_ends: &[1, 2, 3], sole: false, ..case },
-        Case { name: "another at all and more", others_ends: &[1, 2, 3, 4], sole: false, ..case },
+        Case { name: "two crashes", crashes: &[1, 2], sole: false, ..case },
+        Case { name: "another at two of three", others_crashes: &[1, 3], ..case },
+        Case { name: "another at all", others_crashes: &[1, 2, 3], sole: false, ..case },
+        Case {
+            name: "another at all and more",
+            others_crashes: &[1, 2, 3, 4],
+            sole: false,
+            ..case
+        },
         Case {
             name: "another at all, served since",
-            others_ends: &[1, 2, 3],
+            others_crashes: &[1, 2, 3],
             other_served: true,
             ..case
         },
@@ -318,9 +341,9 @@
         let mut suspects = CrashSuspects::default();
         for second in 1..=4 {
             let now = Millis::from_secs(second);
-            for (request, ends) in [(REQUEST, case.ends), (OTHER, case.others_ends)] {
-                if ends.contains(&second) {
-                    suspects.record_crash(&life(second), request, now);
+            for (request, crashes) in [(REQUEST, case.crashes), (OTHER, case.others_crashes)] {
+                if crashes.contains(&second) {
+                    suspects.record_crash(&box_id(second), request, now);
                 }
             }
         }
--- a/crates/cherrystand_core/tests/crash_trials.rs
+++ b/crates/cherrystand_core/tests/crash_trials.rs
@@ -4,33 +4,34 @@
 
 use cherrystand_core::{BoxId, CrashSuspects, Fingerprint, Millis, Seed};
 
-/// How long an innocent answer takes.
-const ANSWERS_IN: Millis = Millis(800);
-/// How long a guilty request runs until its replica ends.
-const ENDS_IN: Millis = Millis(30);
-/// How long a replica takes to be mended.
-const MENDED_IN: Millis = Millis(2_000);
+/// How long a harmless request runs.
+const ANSWER_TIME: Millis = Millis(800);
+/// How long a crashing request runs until its replica crashes.
+const TIME_TO_CRASH: Millis = Millis(30);
+/// How long the repair of a replica takes.
+const REPAIR_TIME: Millis = Millis(2_000);
 const STEP: Millis = Millis(10);
-/// How often each daemon gets an innocent request, and all daemons together each guilty one.
-const INNOCENT_EVERY: Millis = Millis(100);
-const GUILTY_EVERY: Millis = Millis(150);
-/// After this time without a whole answer a service is out for a daemon.
-const OUT_AFTER: Millis = Millis(2_000);
-const PLAYED_FOR: Millis = Millis(40_000);
-/// The innocent request that callers send alike.
-const ALIKE: Fingerprint = Fingerprint(1);
-/// Guilty requests follow this one.
-const GUILTY: u128 = 1_000;
+/// The interval between harmless requests at each daemon, and of each crashing request at all
+/// daemons together.
+const HARMLESS_INTERVAL: Millis = Millis(100);
+const CRASHING_INTERVAL: Millis = Millis(150);
+/// A service counts as down for a daemon after this time without a complete answer.
+const DOWN_AFTER: Millis = Millis(2_000);
+const DURATION: Millis = Millis(40_000);
+/// The harmless request that callers send identically.
+const IDENTICAL: Fingerprint = Fingerprint(1);
+/// The fingerprints of crashing requests start here.
+const FIRST_CRASHING: u128 = 1_000;
 
 #[derive(Clone, Copy, Debug)]
-struct Setup {
+struct Scenario {
     nodes: usize,
     replicas: usize,
-    guilty: usize,
-    /// How many in 100 innocent requests are alike.
-    alike: usize,
-    /// Seconds between deaths of replicas by chance; 0 for none.
-    deaths_every: u64,
+    crashing: usize,
+    /// How many in 100 harmless requests are identical.
+    identical: usize,
+    /// Seconds between random crashes of replicas; 0 for none.
+    crashes_every_s: u64,
     seed: u64,
 }
 
@@ -38,114 +39,117 @@
     node: usize,
     request: Fingerprint,
     replica: usize,
-    ends: Millis,
+    ends_at: Millis,
     is_trial: bool,
 }
 
 #[derive(Default)]
 struct Replica {
-    life: u64,
+    incarnation: u64,
     back_at: Millis,
 }
 
 /// What came of one play.
 #[derive(Debug, Default)]
 struct Outcome {
-    /// Innocent requests that came, and those that were refused, after all guilty ones were known.
-    innocent: usize,
+    /// Harmless requests that arrived, and those refused, after all crashing ones were detected.
+    harmless: usize,
     refused: usize,
     /// The longest time in which no innocent request that is alike was let through, in milliseconds.
     longest_out: u64,
-    /// Replicas that one guilty request ended, the most.
-    ends: usize,
-    /// Sends of one guilty request later than 3 s after its third end, the most.
+    /// The most replicas that one crashing request crashed.
+    crashes: usize,
+    /// The most times one crashing request was sent later than 3 s after its third crash.
     late_sends: usize,
     /// Sends of guilty requests from 0.2 to 6 s after their third end.
     early_sends: usize,
 }
 
-struct Play {
-    setup: Setup,
+struct Simulation {
+    scenario: Scenario,
     seed: Seed,
     nodes: Vec<CrashSuspects>,
     replicas: Vec<Replica>,
     flights: Vec<Flight>,
-    ends_by: BTreeMap<Fingerprint, Vec<Millis>>,
+    crashes_by: BTreeMap<Fingerprint, Vec<Millis>>,
     late_sends: BTreeMap<Fingerprint, usize>,
-    last_alike: Millis,
-    /// When the daemon that tries last served a request whole.
+    last_identical: Millis,
+    /// When the daemon that runs trials last served a request completely.
     last_served: Millis,
     out: Outcome,
 }
 
-fn is_guilty(request: Fingerprint) -> bool {
-    (GUILTY..GUILTY + 100).contains(&request.0)
+fn is_crashing(request: Fingerprint) -> bool {
+    (FIRST_CRASHING..FIRST_CRASHING + 100).contains(&request.0)
 }
 
-impl Play {
-    fn new(setup: Setup) -> Self {
+impl Simulation {
+    fn new(scenario: Scenario) -> Self {
         let mut nodes = Vec::new();
-        nodes.resize_with(setup.nodes, CrashSuspects::default);
+        nodes.resize_with(scenario.nodes, CrashSuspects::default);
         let mut replicas = Vec::new();
-        replicas.resize_with(setup.replicas, Replica::default);
+        replicas.resize_with(scenario.replicas, Replica::default);
         Self {
-            setup,
-            seed: Seed::new(setup.seed),
+            scenario,
+            seed: Seed::new(scenario.seed),
             nodes,
             replicas,
             flights: Vec::new(),
-            ends_by: BTreeMap::new(),
+            crashes_by: BTreeMap::new(),
             late_sends: BTreeMap::new(),
-            last_alike: Millis(0),
+            last_identical: Millis(0),
             last_served: Millis(0),
             out: Outcome::default(),
         }
     }
 
-    fn play(mut self) -> Outcome {
+    fn run(mut self) -> Outcome {
         let (mut now, mut number) = (Millis(0), 0_u64);
-        while now < PLAYED_FOR {
-            self.end_flights(now);
-            if now.0.is_multiple_of(GUILTY_EVERY.0) {
-                for guilty in 0..self.setup.guilty {
-                    let node = (number as usize + guilty) % self.setup.nodes;
-                    self.send(node, Fingerprint(GUILTY + guilty as u128), now);
+        while now < DURATION {
+            self.finish_flights(now);
+            if now.0.is_multiple_of(CRASHING_INTERVAL.0) {
+                for crashing in 0..self.scenario.crashing {
+                    let node = (number as usize + crashing) % self.scenario.nodes;
+                    self.send(node, Fingerprint(FIRST_CRASHING + crashing as u128), now);
                 }
                 number += 1;
             }
-            if now.0.is_multiple_of(INNOCENT_EVERY.0) {
-                (0..self.setup.nodes).for_each(|node| self.send_innocent(node, now));
+            if now.0.is_multiple_of(HARMLESS_INTERVAL.0) {
+                (0..self.scenario.nodes).for_each(|node| self.send_harmless(node, now));
             }
-            let deaths = self.setup.deaths_every * 1_000;
-            if deaths > 0 && now.0.is_multiple_of(deaths) && now.0 > 0 {
+            let crash_interval = self.scenario.crashes_every_s * 1_000;
+            if crash_interval > 0 && now.0.is_multiple_of(crash_interval) && now.0 > 0 {
                 let replica = self.seed.below(self.replicas.len());
-                self.end_replica(replica, now);
+                self.crash_replica(replica, now);
             }
             now = now + STEP;
         }
-        self.out.ends = self.ends_by.values().map(Vec::len).max().unwrap_or_default();
+        self.out.crashes = self.crashes_by.values().map(Vec::len).max().unwrap_or_default();
         self.out.late_sends = self.late_sends.values().copied().max().unwrap_or_default();
         self.out
     }
 
-    fn send_innocent(&mut self, node: usize, now: Millis) {
-        let is_alike = self.seed.below(100) < self.setup.alike;
-        let request = match is_alike {
-            true => ALIKE,
+    fn send_harmless(&mut self, node: usize, now: Millis) {
+        let is_identical = self.seed.below(100) < self.scenario.identical;
+        let request = match is_identical {
+            true => IDENTICAL,
             false => Fingerprint(1_000_000 + u128::from(now.0) * 100 + node as u128),
         };
-        let known = self.ends_by.len() == self.setup.guilty
-            && self.ends_by.values().all(|ends| ends.get(2).is_some_and(|third| *third < now));
+        let known = self.crashes_by.len() == self.scenario.crashing
+            && self
+                .crashes_by
+                .values()
+                .all(|crashes| crashes.get(2).is_some_and(|third| *third < now));
         let sent = self.send(node, request, now);
-        self.out.innocent += usize::from(known);
+        self.out.harmless += usize::from(known);
         self.out.refused += usize::from(known && sent == Some(false));
-        if is_alike {
+        if is_identical {
             match sent {
                 Some(false) => {
-                    let out = now.since(self.last_alike).0;
+                    let out = now.since(self.last_identical).0;
                     self.out.longest_out = self.out.longest_out.max(out);
                 }
-                _ => self.last_alike = now,
+                _ => self.last_identical = now,
             }
         }
     }
@@ -154,9 +158,10 @@
     /// there.
     fn send(&mut self, node: usize, request: Fingerprint, now: Millis) -> Option<bool> {
         let refused = self.nodes[node].check_refused(request, now);
-        // One daemon of all tries what is refused.
-        let is_out = now.since(self.last_served) >= OUT_AFTER;
-        let is_trial = refused && node == 0 && self.nodes[0].try_start_trial(request, is_out, now);
+        // Only one daemon runs trials.
+        let is_service_down = now.since(self.last_served) >= DOWN_AFTER;
+        let is_trial =
+            refused && node == 0 && self.nodes[0].try_start_trial(request, is_service_down, now);
         if refused && !is_trial {
             return Some(false);
         }
@@ -165,8 +170,8 @@
             self.nodes[node].end_trial(request, false);
             return None;
         };
-        if is_guilty(request) {
-            let third = self.ends_by.get(&request).and_then(|ends| ends.get(2));
+        if is_crashing(request) {
+            let third = self.crashes_by.get(&request).and_then(|crashes| crashes.get(2));
             let since_third = third.map(|third| now.since(*third).0);
             if since_third.is_some_and(|since| since > 3_000) {
                 *self.late_sends.entry(request).or_default() += 1;
@@ -174,8 +179,8 @@
             self.out.early_sends +=
                 usize::from(since_third.is_some_and(|since| (200..6_000).contains(&since)));
         }
-        let ends = now + if is_guilty(request) { ENDS_IN } else { ANSWERS_IN };
-        self.flights.push(Flight { node, request, replica, ends, is_trial });
+        let ends_at = now + if is_crashing(request) { TIME_TO_CRASH } else { ANSWER_TIME };
+        self.flights.push(Flight { node, request, replica, ends_at, is_trial });
         Some(true)
     }
 
@@ -195,12 +200,12 @@
         (!from.is_empty()).then(|| from[self.seed.below(from.len())])
     }
 
-    fn end_flights(&mut self, now: Millis) {
-        while let Some(at) = self.flights.iter().position(|flight| flight.ends <= now) {
-            if is_guilty(self.flights[at].request) {
+    fn finish_flights(&mut self, now: Millis) {
+        while let Some(at) = self.flights.iter().position(|flight| flight.ends_at <= now) {
+            if is_crashing(self.flights[at].request) {
                 let (request, replica) = (self.flights[at].request, self.flights[at].replica);
-                self.ends_by.entry(request).or_default().push(now);
-                self.end_replica(replica, now);
+                self.crashes_by.entry(request).or_default().push(now);
+                self.crash_replica(replica, now);
                 continue;
             }
             let flight = self.flights.swap_remove(at);
@@ -215,15 +220,15 @@
         }
     }
 
-    /// Ends a replica with all that it works on; all daemons hear of it at once.
-    fn end_replica(&mut self, replica: usize, now: Millis) {
+    /// Crashes a replica with all requests in flight on it; all daemons learn of it at once.
+    fn crash_replica(&mut self, replica: usize, now: Millis) {
         let held = &mut self.replicas[replica];
         if held.back_at > now {
             return;
         }
-        let life = BoxId::new(format!("i-{replica}")).with_incarnation(held.life);
-        held.life += 1;
-        held.back_at = now + MENDED_IN;
+        let incarnation = BoxId::new(format!("i-{replica}")).with_incarnation(held.incarnation);
+        held.incarnation += 1;
+        held.back_at = now + REPAIR_TIME;
         let (lost, rest) = std::mem::take(&mut self.flights)
             .into_iter()
             .partition::<Vec<_>, _>(|flight| flight.replica == replica);
@@ -235,7 +240,7 @@
                 if served {
                     node.record_served_by_peer(flight.request, now);
                 }
-                node.record_crash(&life, flight.request, now);
+                node.record_crash(&incarnation, flight.request, now);
             }
         }
     }
@@ -248,32 +253,39 @@
 /// Evidence: both were refused within a millisecond at all daemons; the half-open trials of both went to
 /// one replica 0.33 s apart, and its end counted against both.
 #[test]
-fn a_request_that_callers_send_alike_is_out_for_a_moment_beside_a_guilty_one() {
-    /// The longest time in which it may be out.
-    const MOST_OUT: u64 = 4_000;
-    /// How often a guilty one may be sent later than 3 s after its third end.
-    const MOST_LATE: usize = 3;
-    let usual = Setup { nodes: 3, replicas: 4, guilty: 1, alike: 100, deaths_every: 0, seed: 1 };
-    let setups = [
-        usual,
-        Setup { alike: 90, ..usual },
-        Setup { alike: 50, ..usual },
-        Setup { nodes: 1, ..usual },
-        Setup { nodes: 9, ..usual },
-        Setup { nodes: 9, replicas: 13, ..usual },
-        Setup { nodes: 60, replicas: 60, ..usual },
-        Setup { guilty: 2, ..usual },
-        Setup { guilty: 3, replicas: 13, ..usual },
-        Setup { deaths_every: 3, ..usual },
-        Setup { deaths_every: 3, alike: 90, replicas: 13, guilty: 2, ..usual },
+fn a_harmless_request_that_is_sent_identically_is_out_only_briefly() {
+    /// The longest time for which it may be refused.
+    const MAX_OUT_MS: u64 = 4_000;
+    /// How often a crashing request may be sent later than 3 s after its third crash.
+    const MAX_LATE_SENDS: usize = 3;
+    let base = Scenario {
+        nodes: 3,
+        replicas: 4,
+        crashing: 1,
+        identical: 100,
+        crashes_every_s: 0,
+        seed: 1,
+    };
+    let scenarios = [
+        base,
+        Scenario { identical: 90, ..base },
+        Scenario { identical: 50, ..base },
+        Scenario { nodes: 1, ..base },
+        Scenario { nodes: 9, ..base },
+        Scenario { nodes: 9, replicas: 13, ..base },
+        Scenario { nodes: 60, replicas: 60, ..base },
+        Scenario { crashing: 2, ..base },
+        Scenario { crashing: 3, replicas: 13, ..base },
+        Scenario { crashes_every_s: 3, ..base },
+        Scenario { crashes_every_s: 3, identical: 90, replicas: 13, crashing: 2, ..base },
     ];
     let mut wrong = Vec::new();
-    for setup in setups {
+    for scenario in scenarios {
         for seed in 1..=10 {
-            let setup = Setup { seed, ..setup };
-            let out = Play::new(setup).play();
-            if out.longest_out > MOST_OUT || out.late_sends > MOST_LATE {
-                wrong.push(format!("{setup:?}: {out:?}"));
+            let scenario = Scenario { seed, ..scenario };
+            let out = Simulation::new(scenario).run();
+            if out.longest_out > MAX_OUT_MS || out.late_sends > MAX_LATE_SENDS {
+                wrong.push(format!("{scenario:?}: {out:?}"));
             }
         }
     }
@@ -286,13 +298,15 @@
 /// Evidence: by the daemons' logs two of its first four ends lie 21 ms apart and count once; the trial
 /// follows 1.4 s after the last of these, in a second in which tens of other streams were served.
 #[test]
-fn nothing_is_tried_early_while_the_service_is_served() {
-    let usual = Setup { nodes: 3, replicas: 13, guilty: 2, alike: 0, deaths_every: 0, seed: 1 };
-    let setups = [usual, Setup { guilty: 3, ..usual }, Setup { nodes: 9, alike: 50, ..usual }];
-    for setup in setups {
+fn no_trial_is_early_while_the_service_is_up() {
+    let base =
+        Scenario { nodes: 3, replicas: 13, crashing: 2, identical: 0, crashes_every_s: 0, seed: 1 };
+    let scenarios =
+        [base, Scenario { crashing: 3, ..base }, Scenario { nodes: 9, identical: 50, ..base }];
+    for scenario in scenarios {
         for seed in 1..=10 {
-            let out = Play::new(Setup { seed, ..setup }).play();
-            assert_eq!(out.early_sends, 0, "{setup:?}, seed {seed}: {out:?}");
+            let out = Simulation::new(Scenario { seed, ..scenario }).run();
+            assert_eq!(out.early_sends, 0, "{scenario:?}, seed {seed}: {out:?}");
         }
     }
 }
@@ -304,7 +318,7 @@
 /// Evidence: by the daemon's log each trial of it was followed by the end of a box 1.2 s later, told by its entry, and
 /// by the next trial a second after that.
 #[test]
-fn a_trial_that_may_have_run_counts_though_its_box_seems_to_live() {
+fn a_trial_that_may_have_run_counts_while_its_box_seems_to_be_running() {
     struct Case {
         name: &'static str,
         may_have_run: bool,
@@ -312,26 +326,32 @@
         trials: usize,
     }
     let cases = [
-        Case { name: "its answer broke off", may_have_run: true, trials: 1 },
-        // Nobody served for as long.
-        Case { name: "it was not run", may_have_run: false, trials: 3 },
+        Case { name: "its answer was interrupted", may_have_run: true, trials: 1 },
+        // Nothing of its service was served for that long.
+        Case { name: "it didn't run", may_have_run: false, trials: 3 },
     ];
-    let guilty = Fingerprint(GUILTY);
+    let crashing = Fingerprint(FIRST_CRASHING);
     for case in cases {
         let mut suspects = CrashSuspects::default();
-        for life in 0..3 {
-            suspects.record_crash(&BoxId::new(format!("i-{life}")), guilty, Millis(1_000 * life));
+        for incarnation in 0..3 {
+            suspects.record_crash(
+                &BoxId::new(format!("i-{incarnation}")),
+                crashing,
+                Millis(1_000 * incarnation),
+            );
         }
         let (mut trials, mut told) = (0, Vec::new());
         for at in (5_000..25_000).step_by(50) {
             let now = Millis(at);
             if told.first().is_some_and(|due| *due <= now) {
                 told.remove(0);
-                suspects.record_crash(&BoxId::new(format!("late-{at}")), guilty, now);
+                suspects.record_crash(&BoxId::new(format!("late-{at}")), crashing, now);
             }
-            if suspects.check_refused(guilty, now) && suspects.try_start_trial(guilty, false, now) {
+            if suspects.check_refused(crashing, now)
+                && suspects.try_start_trial(crashing, false, now)
+            {
                 trials += 1;
-                suspects.end_trial(guilty, case.may_have_run);
+                suspects.end_trial(crashing, case.may_have_run);
                 if case.may_have_run {
                     told.push(now + Millis(1_200));
                 }
--- a/crates/cherrystand_core/tests/digests.rs
+++ b/crates/cherrystand_core/tests/digests.rs
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn only_what_is_new_beside_beats_is_told_whole() {
+fn heartbeats_are_sent_complete_only_if_more_than_beats_changed() {
     struct Case {
         name: &'static str,
         change: fn(&mut Heartbeat),
@@ -36,9 +36,13 @@
     }
     let cases = [
         Case { name: "a beat", change: |beat| beat.beat = 2, whole: false },
-        Case { name: "a new life", change: |beat| beat.incarnation = Incarnation(2), whole: true },
+        Case {
+            name: "a new incarnation",
+            change: |beat| beat.incarnation = Incarnation(2),
+            whole: true,
+        },
         Case { name: "it stops", change: |beat| beat.serving = false, whole: true },
-        Case { name: "the store is out", change: |beat| beat.decides = false, whole: true },
+        Case { name: "the store is unreachable", change: |beat| beat.decides = false, whole: true },
         Case { name: "a configuration", change: |beat| beat.config = 9, whole: true },
     ];
     for case in cases {
@@ -57,7 +61,7 @@
 }
 
 #[test]
-fn beats_that_do_not_fit_change_nothing() {
+fn beats_that_do_not_match_the_roster_are_ignored() {
     struct Case {
         name: &'static str,
         spoil: fn(&mut u64, &mut Vec<(u64, Millis)>),
@@ -85,7 +89,7 @@
 }
 
 #[test]
-fn ages_without_end_are_only_old() {
+fn the_largest_age_does_not_overflow() {
     let (teller, mut hearer) = two_of(3);
     let now = Millis(100);
     let roster = hearer.roster(now);
@@ -97,7 +101,7 @@
 proptest! {
     /// Whatever both heard before, beats alone leave the hearer with what a whole list would have.
     #[test]
-    fn beats_say_the_same_as_the_whole_list(
+    fn beats_have_the_same_effect_as_complete_heartbeats(
         fleet in 3_usize..12,
         heard in proptest::collection::vec((0_usize..12, 1_u64..9, 0_u64..6_000, any::<bool>()), 0..40),
         at in 0_u64..9_000,
@@ -118,7 +122,7 @@
 }
 
 #[test]
-fn the_dead_are_in_no_digest() {
+fn dead_daemons_are_in_no_digest() {
     let (mut teller, mut hearer) = two_of(4);
     let now = DEAD_AFTER + Millis(500);
     for members in [&mut teller, &mut hearer] {
@@ -132,7 +136,7 @@
 /// Story: none that users saw. A list that lacked its last beat was taken where the hearer's own came
 /// last, since that one is passed over.
 #[test]
-fn beats_that_lack_the_last_change_nothing_whoever_comes_last() {
+fn beats_without_the_last_daemon_are_ignored_whichever_is_last() {
     for fleet in [2, 3, 9] {
         let (teller, mut hearer) = two_of(fleet);
         let now = Millis(200);
--- a/crates/cherrystand_core/tests/kept_connections.rs
+++ b/crates/cherrystand_core/tests/kept_connections.rs
@@ -3,7 +3,7 @@
 use cherrystand_core::{USUALLY_KEPT, kept_connections};
 
 #[test]
-fn all_nodes_together_keep_half_of_what_an_endpoint_takes() {
+fn all_nodes_together_keep_half_the_connections_that_an_endpoint_accepts() {
     struct Case {
         name: &'static str,
         most: Option<u32>,
@@ -11,14 +11,14 @@
         kept: usize,
     }
     let cases = [
-        Case { name: "nothing is known", most: None, nodes: 9, kept: USUALLY_KEPT },
-        Case { name: "a model's boxes", most: Some(474), nodes: 9, kept: 26 },
+        Case { name: "the limit is unknown", most: None, nodes: 9, kept: USUALLY_KEPT },
+        Case { name: "a box that runs a model", most: Some(474), nodes: 9, kept: 26 },
         Case { name: "a plain service", most: Some(110), nodes: 9, kept: 6 },
         Case { name: "many nodes", most: Some(1_988), nodes: 295, kept: 3 },
         Case { name: "more nodes than connections", most: Some(110), nodes: 410, kept: 0 },
-        Case { name: "one node", most: Some(1_000_000), nodes: 1, kept: USUALLY_KEPT },
+        Case { name: "a single node", most: Some(1_000_000), nodes: 1, kept: USUALLY_KEPT },
         Case { name: "no node is known", most: Some(110), nodes: 0, kept: 55 },
-        Case { name: "none at all", most: Some(0), nodes: 9, kept: 0 },
+        Case { name: "the endpoint accepts none", most: Some(0), nodes: 9, kept: 0 },
     ];
     for case in cases {
         let kept = kept_connections(case.most, case.nodes);
--- a/crates/cherrystand_core/tests/lost_replicas.rs
+++ b/crates/cherrystand_core/tests/lost_replicas.rs
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn only_evidence_says_that_a_replica_is_lost() {
+fn a_replica_is_lost_only_by_evidence() {
     struct Case {
         name: &'static str,
         asked: &'static str,
@@ -81,13 +81,19 @@
         is_lost: bool,
     }
     let open = Some((0, MemberState::Open));
-    let case = Case { name: "all is well", asked: "a", leader: open, silent: &[], is_lost: false };
+    let case = Case {
+        name: "every member is there",
+        asked: "a",
+        leader: open,
+        silent: &[],
+        is_lost: false,
+    };
     let cases = [
         Case { name: "its entry is gone", asked: "gone", is_lost: true, ..case },
         Case { name: "the leader is silent", silent: &["a"], is_lost: true, ..case },
         Case { name: "a member is silent", silent: &["b"], is_lost: true, ..case },
         Case {
-            name: "a member that is listed no more is silent",
+            name: "a member that is no longer listed is silent",
             silent: &["c"],
             is_lost: true,
             ..case
@@ -101,9 +107,9 @@
             is_lost: true,
             ..case
         },
-        Case { name: "it finishes what it has", leader: Some((0, MemberState::Closing)), ..case },
+        Case { name: "it is draining", leader: Some((0, MemberState::Closing)), ..case },
         Case {
-            name: "it joins anew",
+            name: "it joins again",
             leader: Some((0, MemberState::Joining)),
             is_lost: true,
             ..case
@@ -115,7 +121,7 @@
             ..case
         },
         Case {
-            name: "it leads no more",
+            name: "it is no longer the leader",
             leader: Some((1, MemberState::Ready)),
             is_lost: true,
             ..case
@@ -126,8 +132,8 @@
     for case in cases {
         let view = view(case.leader, case.silent);
         assert_eq!(view.is_lost(&BoxId::new(case.asked)), case.is_lost, "{}", case.name);
-        // Peers are told only of replicas that serve by their entries, and are lost by silence.
-        let told = case.is_lost && case.asked == "a" && case.leader == open;
-        assert_eq!(view.lost_leaders() == [BoxId::new("a")], told, "{}", case.name);
+        // Peers are told only of replicas that serve according to their entries but have silent members.
+        let is_reported = case.is_lost && case.asked == "a" && case.leader == open;
+        assert_eq!(view.lost_leaders() == [BoxId::new("a")], is_reported, "{}", case.name);
     }
 }
--- a/crates/cherrystand_core/tests/repair_prices.rs
+++ b/crates/cherrystand_core/tests/repair_prices.rs
@@ -3,11 +3,11 @@
 use cherrystand_core::{Repair, RepairCase, RepairRule, ReturnModel, choose_repair};
 use cherrystand_testkit::{RepairScript, USERS};
 
-/// How much dearer than the better baseline one script may be.
-const ONE_SCRIPT: f64 = 1.02;
+/// The highest price of a script, relative to the better baseline.
+const MAX_SCRIPT_RATIO: f64 = 1.02;
 
-/// What share of the better baseline's sum over all scripts may be spent.
-const ALL_SCRIPTS: f64 = 0.85;
+/// The highest price of all scripts together, relative to the better baseline.
+const MAX_TOTAL_RATIO: f64 = 0.85;
 
 /// How many runs of each script are compared here; `make bench` compares more.
 const RUNS: u64 = 2;
@@ -28,17 +28,21 @@
             });
             let better = prices[1].min(prices[2]);
             let name = script.as_str();
-            assert!(prices[0] <= better * ONE_SCRIPT, "{name} for {}: {prices:?}", weights.name);
+            assert!(
+                prices[0] <= better * MAX_SCRIPT_RATIO,
+                "{name} for {}: {prices:?}",
+                weights.name
+            );
             (0..3).for_each(|rule| sums[rule] += prices[rule]);
         }
         let better = sums[1].min(sums[2]);
-        assert!(sums[0] <= better * ALL_SCRIPTS, "{}: {sums:?}", weights.name);
+        assert!(sums[0] <= better * MAX_TOTAL_RATIO, "{}: {sums:?}", weights.name);
     }
 }
 
 #[test]
-fn the_choice_follows_from_prices() {
-    let usual = RepairCase {
+fn the_repair_with_the_lowest_price_is_chosen() {
+    let base = RepairCase {
         span: 8,
         missing: 1,
         missing_secs: 3.0,
@@ -56,25 +60,25 @@
         expected: Repair,
     }
     let cases = [
-        Case { name: "a spare is there", case: usual, expected: Repair::Swap },
+        Case { name: "a spare is available", case: base, expected: Repair::Swap },
         Case {
-            name: "no spare is there",
-            case: RepairCase { free: 0, ..usual },
+            name: "no spare is available",
+            case: RepairCase { free: 0, ..base },
             expected: Repair::Wait,
         },
         Case {
-            name: "the weight store is busy for long and the box has just gone",
-            case: RepairCase { queue_secs: 600.0, ..usual },
+            name: "the weight store is busy for long and the box has just failed",
+            case: RepairCase { queue_secs: 600.0, ..base },
             expected: Repair::Swap,
         },
         Case {
             name: "loading takes far longer than a restart, and the spare loads as the box would",
-            case: RepairCase { load_secs: 600.0, ..usual },
+            case: RepairCase { load_secs: 600.0, ..base },
             expected: Repair::Swap,
         },
         Case {
-            name: "more boxes are missing than spares are there",
-            case: RepairCase { missing: 4, free: 3, ..usual },
+            name: "more boxes are missing than spares are available",
+            case: RepairCase { missing: 4, free: 3, ..base },
             expected: Repair::Wait,
         },
     ];
@@ -85,10 +89,10 @@
 }
 
 #[test]
-fn the_longer_a_box_is_away_the_likelier_it_is_gone() {
+fn the_restart_probability_falls_with_the_time_a_box_is_missing() {
     let model = ReturnModel::default();
     let ages = [0.0, 30.0, 120.0, 300.0, 1_000.0];
-    let chances: Vec<f64> = ages.iter().map(|age| model.restart_probability(*age)).collect();
-    assert!(chances.windows(2).all(|pair| pair[1] < pair[0]), "{chances:?}");
-    assert!(chances[0] > 0.95 && chances[4] < 0.01, "{chances:?}");
+    let probabilities: Vec<f64> = ages.iter().map(|age| model.restart_probability(*age)).collect();
+    assert!(probabilities.windows(2).all(|pair| pair[1] < pair[0]), "{probabilities:?}");
+    assert!(probabilities[0] > 0.95 && probabilities[4] < 0.01, "{probabilities:?}");
 }
--- a/crates/cherrystand_core/tests/replica_life.rs
+++ b/crates/cherrystand_core/tests/replica_life.rs
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn replicas_come_to_what_their_boxes_allow() {
+fn replicas_serve_as_far_as_their_boxes_allow() {
     let cases = [
         Case {
             name: "nothing happens",
@@ -51,7 +51,7 @@
             broken: &[0],
         },
         Case {
-            name: "a member that restarts is taken back",
+            name: "a member that restarts joins again",
             boxes: 4,
             replicas: 2,
             span: 2,
@@ -61,7 +61,7 @@
             broken: &[],
         },
         Case {
-            name: "two broken replicas make one whole",
+            name: "one of two broken replicas is repaired with the boxes of the other",
             boxes: 4,
             replicas: 2,
             span: 2,
@@ -84,7 +84,7 @@
             broken: &[],
         },
         Case {
-            name: "a box whose load does not end is swapped for a spare",
+            name: "a box whose load stalls is swapped for a spare",
             boxes: 5,
             replicas: 2,
             span: 2,
@@ -99,7 +99,7 @@
             broken: &[],
         },
         Case {
-            name: "when most boxes are silent nothing is formed anew",
+            name: "no replica is formed while most boxes are silent",
             boxes: 10,
             replicas: 2,
             span: 2,
@@ -118,14 +118,14 @@
             assert!(domain.is_whole(&replica(*slot)), "{}: {slot}", case.name);
         }
         for slot in case.broken {
-            let held = &domain.record.replicas[&replica(*slot)];
-            assert_eq!(held.phase, Phase::Broken, "{}: {slot}", case.name);
+            let assignment = &domain.record.replicas[&replica(*slot)];
+            assert_eq!(assignment.phase, Phase::Broken, "{}: {slot}", case.name);
         }
     }
 }
 
 #[test]
-fn a_break_is_not_taken_for_mended_before_every_member_answers_again() {
+fn a_replica_stays_broken_until_every_member_reports_again() {
     let setup = DomainSetup { boxes: 5, ..DomainSetup::default() };
     let mut domain = formed(setup, quick_policy(), 2, 2);
     let before = domain.record.last_epoch;
@@ -150,8 +150,8 @@
     set_in_flight(&mut domain, 1);
     domain.desired = vec![desired(0, 2, "2")];
     domain.run_for(Millis(60_000));
-    let held = &domain.record.replicas[&replica(0)];
-    assert_eq!((held.phase, held.load.version.as_str()), (Phase::Draining, "1"));
+    let assignment = &domain.record.replicas[&replica(0)];
+    assert_eq!((assignment.phase, assignment.load.version.as_str()), (Phase::Draining, "1"));
     set_in_flight(&mut domain, 0);
     domain.run_for(Millis(30_000));
     assert!(domain.is_whole(&replica(0)));
@@ -159,14 +159,14 @@
 }
 
 #[test]
-fn orders_of_an_old_epoch_do_nothing_to_engines_that_check() {
+fn engines_that_check_orders_ignore_outdated_epochs() {
     struct Case {
         checks_orders: bool,
-        still_acts_on: Epoch,
+        epoch: Epoch,
     }
     let cases = [
-        Case { checks_orders: true, still_acts_on: Epoch(2) },
-        Case { checks_orders: false, still_acts_on: Epoch(1) },
+        Case { checks_orders: true, epoch: Epoch(2) },
+        Case { checks_orders: false, epoch: Epoch(1) },
     ];
     for case in cases {
         let mut fake = cherrystand_testkit::FakeBox::new(case.checks_orders);
@@ -182,12 +182,12 @@
         };
         fake.obey(&order(2), Millis(1), Millis(1));
         fake.obey(&order(1), Millis(1), Millis(1));
-        assert_eq!(fake.epoch, case.still_acts_on);
+        assert_eq!(fake.epoch, case.epoch);
     }
 }
 
 #[test]
-fn every_decision_says_why() {
+fn every_decision_is_explained() {
     let setup = DomainSetup { boxes: 3, ..DomainSetup::default() };
     let mut domain = formed(setup, quick_policy(), 1, 2);
     domain.kill(&box_id(1), None);
@@ -204,7 +204,7 @@
 }
 
 #[test]
-fn baselines_do_what_their_names_say() {
+fn baseline_rules_choose_their_repair() {
     struct Case {
         rule: RepairRule,
         boxes: u32,
@@ -222,10 +222,10 @@
         let before = domain.record.replicas[&replica(0)].boxes.clone();
         domain.kill(&before[1], None);
         domain.run_for(Millis(30_000));
-        let held = &domain.record.replicas[&replica(0)];
-        let done = if held.boxes.iter().all(|id| !before.contains(id)) {
+        let assignment = &domain.record.replicas[&replica(0)];
+        let done = if assignment.boxes.iter().all(|id| !before.contains(id)) {
             Repair::Reform
-        } else if held.boxes == before {
+        } else if assignment.boxes == before {
             Repair::Wait
         } else {
             Repair::Swap
@@ -235,7 +235,7 @@
 }
 
 #[test]
-fn a_box_given_up_is_used_again_only_once_it_answers_that_it_is_idle() {
+fn a_released_box_is_reused_only_once_it_reports_idle() {
     let setup = DomainSetup { boxes: 2, checks_orders: false, ..DomainSetup::default() };
     let mut domain = formed(setup, quick_policy(), 1, 2);
     let set_deaf = |domain: &mut FakeDomain, deaf| {
@@ -263,12 +263,12 @@
 }
 
 #[test]
-fn a_record_that_breaks_a_rule_is_told_and_never_written_over() {
+fn an_invalid_record_is_reported_and_not_overwritten() {
     let setup = DomainSetup { boxes: 4, ..DomainSetup::default() };
     let mut domain = formed(setup, quick_policy(), 2, 2);
     let twice = domain.record.replicas[&replica(0)].boxes.clone();
-    if let Some(held) = domain.record.replicas.get_mut(&replica(1)) {
-        held.boxes = twice.clone();
+    if let Some(assignment) = domain.record.replicas.get_mut(&replica(1)) {
+        assignment.boxes = twice.clone();
     }
     let fleet = cherrystand_core::Fleet::default();
     let step =
--- a/crates/cherrystand_core/tests/support/mod.rs
+++ b/crates/cherrystand_core/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! What several areas of tests build from.
-#![allow(dead_code, reason = "each area uses its own part")]
+//! Builders shared by several test files.
+#![allow(dead_code, reason = "each test file uses its own part")]
 
 use cherrystand_core::{
     BoxId, BoxStart, DesiredReplica, EngineSpec, GroupId, Heartbeat, Incarnation, LoadSpec, Millis,
--- a/crates/cherrystandd/src/duties/controller.rs
+++ b/crates/cherrystandd/src/duties/controller.rs
@@ -57,7 +57,7 @@
     platform: Counted<PlatformClient>,
     engines: EngineClient,
     domains: BTreeMap<DomainId, Watched>,
-    settling: ReadySince,
+    ready_since: ReadySince,
     asked: Option<Millis>,
 }
 
@@ -76,7 +76,7 @@
             platform: Counted::new(&cx, "controller"),
             engines: EngineClient::default(),
             domains: BTreeMap::new(),
-            settling: ReadySince::default(),
+            ready_since: ReadySince::default(),
             asked: None,
             cx,
         }
@@ -94,7 +94,7 @@
             let decided: Vec<DomainId> =
                 observed.into_iter().filter(|(_, rank)| *rank == 0).map(|(id, _)| id).collect();
             self.give_up_domains(&decided).await;
-            self.settling.observe(&view.formed(), self.cx.clock.now());
+            self.ready_since.observe(&view.formed(), self.cx.clock.now());
             for domain in decided {
                 self.decide(&view, domain).await;
             }
@@ -151,7 +151,7 @@
         let (revision, record) = record_of(view, &domain);
         let seen = self.prober.seen();
         let formed = view.formed();
-        let service = ServingState { formed: &formed, settling: &self.settling, now };
+        let service = ServingState { formed: &formed, ready_since: &self.ready_since, now };
         let workspaces = view.workspaces.values();
         let desired: Vec<_> =
             workspaces.flat_map(|held| desired_in_domain(&held.record, &domain, service)).collect();
