--- a/crates/cherrystand_core/benches/node_costs.rs
+++ b/crates/cherrystand_core/benches/node_costs.rs
@@ -1,6 +1,6 @@
-//! What one daemon spends on the others and on the boxes as both grow, in microseconds.
+//! The time a daemon spends on peers and boxes as both grow, in microseconds.
 //!
-//! Each line is one thing that happens many times a second at every daemon of a large deployment.
+//! Each line is an operation that every daemon of a large deployment does many times a second.
 #![allow(clippy::disallowed_methods, reason = "the machine of a test is not suspended")]
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -15,7 +15,7 @@
     Service, ServiceName, SiteBox, SiteConfig, SiteView, ZoneId,
 };
 
-/// A deployment's size.
+/// The size of a deployment.
 struct Size {
     nodes: usize,
     boxes: usize,
@@ -27,10 +27,10 @@
     Size { nodes: 1_000, boxes: 5_000 },
 ];
 
-/// Availability zones.
+/// The number of availability zones.
 const ZONES: usize = 5;
 
-/// Boxes of a replica.
+/// The number of boxes per replica.
 const SPAN: usize = 8;
 
 /// The number of endpoints at which one daemon has requests in flight.
--- a/crates/cherrystand_core/benches/repair.rs
+++ b/crates/cherrystand_core/benches/repair.rs
@@ -1,11 +1,11 @@
 //! Compares the priced repair rule with its two baselines on the failure scripts.
 //!
-//! Time is virtual, so the figures are the same in every run.
+//! Time is virtual, so every run gives the same figures.
 
 use cherrystand_core::RepairRule;
 use cherrystand_testkit::{Losses, RepairScript, USERS, Weights};
 
-/// How many times each script is run, with different seeds.
+/// The number of runs of each script, with different seeds.
 const RUNS: u64 = 6;
 
 fn mean(script: RepairScript, rule: RepairRule, weights: Weights) -> Losses {
--- a/crates/cherrystand_core/benches/routing.rs
+++ b/crates/cherrystand_core/benches/routing.rs
@@ -1,4 +1,4 @@
-//! What one choice of an endpoint costs as endpoints grow, and how choices spread the load.
+//! The time to choose an endpoint as endpoints grow, and the latencies under several strategies.
 #![allow(clippy::disallowed_methods, reason = "the machine of a test is not suspended")]
 
 use std::hint::black_box;
@@ -9,16 +9,16 @@
     LoadBalancer, Millis, ModelSpec, Policy, RequestSpec, Router, Seed, ServiceName, TargetSpec,
 };
 
-/// How many choices are timed.
+/// The number of choices that are timed.
 const CHOICES: u32 = 200_000;
 
-/// How many endpoints serve in the comparison of ways to choose.
+/// The number of endpoints in the comparison of strategies.
 const SERVERS: usize = 50;
 
-/// How many requests the comparison sends.
+/// The number of requests in the comparison.
 const REQUESTS: u64 = 60_000;
 
-/// How old load reports are in the comparison, in milliseconds.
+/// The age of load reports in the comparison, in milliseconds.
 const REPORT_LAG: u64 = 2_000;
 
 fn router(endpoints: usize) -> (Router, GroupKey, Vec<EndpointKey>) {
@@ -133,7 +133,7 @@
     }
 }
 
-/// Names a way to choose.
+/// How endpoints are chosen.
 #[derive(Clone, Copy, PartialEq)]
 enum Strategy {
     Cherrystand,
@@ -142,13 +142,13 @@
     LeastReported,
 }
 
-/// One server that answers its requests one after the other.
+/// A server that processes one request at a time.
 #[derive(Clone, Copy, Default)]
 struct Server {
     free_at: u64,
 }
 
-/// Sends requests at a load to servers, one of which is slow, and returns the waits in
+/// Sends requests to servers, one of which is slow, and returns the times until done in
 /// milliseconds, sorted.
 fn latencies(strategy: Strategy, load: f64, slow: u64) -> Vec<u64> {
     let (mut router, group, keys) = router(SERVERS);
--- a/crates/cherrystand_core/tests/assignment_safety.rs
+++ b/crates/cherrystand_core/tests/assignment_safety.rs
@@ -1,4 +1,4 @@
-//! What must hold of assignments at every moment, under random failures.
+//! Invariants of assignments under random failures.
 
 mod support;
 
@@ -15,7 +15,7 @@
 const BOXES: u32 = 9;
 const CONTROLLERS: usize = 3;
 
-/// Something that happens to the domain between two steps.
+/// An event between two steps of a domain.
 #[derive(Clone, Debug)]
 enum Event {
     Kill { number: u32, back_after: Option<u64> },
@@ -76,7 +76,7 @@
     }
 }
 
-/// What has been seen so far, to compare with.
+/// The history that invariants are checked against.
 #[derive(Default)]
 struct History {
     last_epoch: Epoch,
@@ -102,7 +102,7 @@
         self.check_members(domain)
     }
 
-    /// A replica that serves has members that act for it alone.
+    /// Checks that every member of a serving replica acts for that replica.
     fn check_members(&self, domain: &FakeDomain) -> Result<(), TestCaseError> {
         for (replica, assignment) in &domain.record.replicas {
             if !domain.is_whole(replica) {
--- a/crates/cherrystand_core/tests/attempt_ledger.rs
+++ b/crates/cherrystand_core/tests/attempt_ledger.rs
@@ -1,4 +1,4 @@
-//! What a caller is told after several attempts, by the ends of all of them.
+//! The failure reported to a caller after several attempts.
 
 use cherrystand_core::{
     AttemptEnd, AttemptLedger, FinalFailure, Millis, Outcome, Route, RouteKind, ServiceName,
@@ -165,7 +165,7 @@
         assert_eq!(ledger.may_send(&case.route, NOW, DEADLINE), case.may_send, "{}", case.name);
         assert_eq!(ledger.max_executions(), case.open, "{}", case.name);
         ledger.record_remaining_ends(AttemptEnd::Overtaken);
-        // What is overtaken may have run.
+        // An overtaken attempt may have run.
         assert_eq!(ledger.max_executions(), case.open, "{}", case.name);
         assert_eq!(ledger.failure() == FinalFailure::NotRun, case.open == 0, "{}", case.name);
     }
--- a/crates/cherrystand_core/tests/configuration.rs
+++ b/crates/cherrystand_core/tests/configuration.rs
@@ -8,7 +8,7 @@
 };
 use proptest::prelude::*;
 
-/// Lists domains as (zone, boxes).
+/// Creates a fleet from (zone, boxes) per domain.
 fn fleet(domains: &[(&str, u32)]) -> Fleet {
     let boxes = domains.iter().enumerate().flat_map(|(number, (zone, count))| {
         (0..*count).map(move |index| BoxInfo {
@@ -118,7 +118,7 @@
         domains: &'static [(&'static str, u32)],
         span: u32,
         replicas: u32,
-        /// How many replicas each domain gets.
+        /// The number of replicas in each domain.
         expected: &'static [usize],
     }
     let cases = [
--- a/crates/cherrystand_core/tests/crash_suspects.rs
+++ b/crates/cherrystand_core/tests/crash_suspects.rs
@@ -1,4 +1,4 @@
-//! Which requests are refused after boxes ended with them.
+//! Which requests are refused after boxes crashed while running them.
 
 use std::collections::BTreeSet;
 
@@ -127,7 +127,8 @@
     }
 }
 
-/// Three daemons that saw one end each, and whose news do not reach each other, agree by the record.
+/// Three daemons that saw one crash each, and don't receive each other's messages, agree through
+/// the record.
 #[test]
 fn daemons_merge_their_crashes_through_the_record() {
     let mut daemons: Vec<CrashSuspects> = (0..3).map(|_| CrashSuspects::default()).collect();
@@ -145,7 +146,7 @@
     for daemon in daemons.iter_mut().chain([&mut later]) {
         daemon.merge_record(&record, UNIX, Millis(3_000));
         assert!(daemon.check_refused(REQUEST, Millis(3_000)));
-        // Nothing is left to write.
+        // The record has everything.
         let own = daemon.to_record(&record, true, UNIX, Millis(3_001));
         assert_eq!(record.merged_with(&own, UNIX), None);
     }
@@ -154,7 +155,8 @@
     assert!(!expired.check_refused(REQUEST, Millis(0)));
 }
 
-/// A request that many callers send alike is freed everywhere once one daemon served it.
+/// A request that many callers send identically is cleared everywhere once one daemon has served
+/// it.
 #[test]
 fn a_served_request_is_cleared_through_the_record() {
     let (mut one, mut other) = (CrashSuspects::default(), CrashSuspects::default());
@@ -175,8 +177,8 @@
     assert!(!other.check_refused(REQUEST, Millis(3_100)));
 }
 
-/// Story of the load: boxes end by themselves, and requests that are cut go to another box. Each has
-/// up to four boxes; one is refused by chance if three of these end under it.
+/// Boxes crash at random, and interrupted requests are retried on up to four boxes. A request is
+/// refused by coincidence if three of these crash while running it.
 #[test]
 fn harmless_requests_are_rarely_refused_while_boxes_crash_at_random() {
     /// A request runs for 0.5 s, and one of 13 replicas crashes every 3 s, so 13 in 1,000 attempts
@@ -204,13 +206,13 @@
             suspects.record_crash(&crashed, request, at + Millis(500 * sent as u64));
         }
     }
-    // Three ends by chance are 2.2 in a million.
+    // Three crashes by coincidence have a probability of 2.2 in a million.
     assert!(refused <= 3, "{refused} of {REQUESTS}");
 }
 
 proptest! {
-    /// Whoever tells of which end, in whatever order and however often: all daemons that know all of them
-    /// agree, and nothing is refused for fewer than three.
+    /// Whoever reports which crash, in any order and any number of times: daemons that know all
+    /// crashes agree, and nothing is refused for fewer than three.
     #[test]
     fn daemons_agree_whatever_the_order(
         told in prop::collection::vec((0_u64..5, 0_usize..3), 0..40),
@@ -234,7 +236,7 @@
     }
 }
 
-/// A refused request is tried once after 6 s, then after a minute more, and is freed where it is served.
+/// A refused request is tried after 6 s and again a minute later, and is cleared once it is served.
 #[test]
 fn a_refused_request_is_tried_with_backoff() {
     let mut suspects = CrashSuspects::default();
@@ -244,7 +246,7 @@
     let trials: Vec<u64> = (2_000..140_000)
         .step_by(500)
         .filter(|at| {
-            // It is tried as it comes and is refused.
+            // Arrives, and is tried if a trial is due.
             assert!(suspects.check_refused(REQUEST, Millis(*at)));
             let tried = suspects.try_start_trial(REQUEST, false, Millis(*at));
             if tried {
@@ -259,7 +261,8 @@
     assert!(!suspects.check_refused(REQUEST, Millis(140_001)));
 }
 
-/// What a peer served counts for a minute and is not told on.
+/// A request served by a peer is not blamed for a minute, and isn't reported as served by this
+/// daemon.
 #[test]
 fn a_request_served_by_a_peer_is_not_blamed_for_a_minute() {
     let mut suspects = CrashSuspects::default();
@@ -273,7 +276,7 @@
     assert!(suspects.was_served_here_recently(REQUEST, Millis(70_001)));
 }
 
-/// Requests that are served are remembered up to a bound.
+/// The number of served requests remembered is bounded.
 #[test]
 fn memory_of_served_requests_is_bounded() {
     let mut suspects = CrashSuspects::default();
@@ -285,7 +288,7 @@
     assert!(suspects.was_served_recently(Fingerprint(9_999), Millis(1)));
 }
 
-/// Memory stays bounded whatever peers tell.
+/// Memory stays bounded, whatever peers report.
 #[test]
 fn memory_of_suspects_is_bounded() {
     let mut suspects = CrashSuspects::default();
@@ -299,8 +302,8 @@
     assert_eq!(record.merged_with(&own, UNIX), None);
 }
 
-/// Copies under way are called off only of what nothing else can have caused: an innocent request that is always where
-/// the guilty one is would lose its answers.
+/// Attempts in flight are cancelled only for a request that nothing else explains. A harmless
+/// request that is always in flight beside one that crashes boxes would otherwise lose its answers.
 #[test]
 fn a_request_is_the_sole_cause_if_no_other_shares_all_its_crashes() {
     const OTHER: Fingerprint = Fingerprint(8);
--- a/crates/cherrystand_core/tests/crash_trials.rs
+++ b/crates/cherrystand_core/tests/crash_trials.rs
@@ -1,4 +1,5 @@
-//! Whether the innocent are served again beside requests that end each replica that runs them.
+//! Simulates whether harmless requests are served again beside requests that crash each replica
+//! that runs them.
 
 use std::collections::BTreeMap;
 
@@ -49,19 +50,19 @@
     back_at: Millis,
 }
 
-/// What came of one play.
+/// The result of one simulation.
 #[derive(Debug, Default)]
 struct Outcome {
     /// Harmless requests that arrived, and those refused, after all crashing ones were detected.
     harmless: usize,
     refused: usize,
-    /// The longest time in which no innocent request that is alike was let through, in milliseconds.
+    /// The longest time in which no identical harmless request was admitted, in milliseconds.
     longest_out: u64,
     /// The most replicas that one crashing request crashed.
     crashes: usize,
     /// The most times one crashing request was sent later than 3 s after its third crash.
     late_sends: usize,
-    /// Sends of guilty requests from 0.2 to 6 s after their third end.
+    /// How often crashing requests were sent 0.2 to 6 s after their third crash.
     early_sends: usize,
 }
 
@@ -154,8 +155,8 @@
         }
     }
 
-    /// Sends a request where that is allowed, and tells whether it was; nothing where no replica is
-    /// there.
+    /// Sends a request if that is allowed, and returns whether it was; `None` if no replica is
+    /// available.
     fn send(&mut self, node: usize, request: Fingerprint, now: Millis) -> Option<bool> {
         let refused = self.nodes[node].check_refused(request, now);
         // Only one daemon runs trials.
@@ -166,7 +167,7 @@
             return Some(false);
         }
         let Some(replica) = self.choose(is_trial, now) else {
-            // Nobody serves now.
+            // No replica is available.
             self.nodes[node].end_trial(request, false);
             return None;
         };
@@ -184,7 +185,8 @@
         Some(true)
     }
 
-    /// Draws a replica; a trial goes where no other suspect is, and nothing else to where one is.
+    /// Picks a replica at random. A trial avoids replicas with other suspects, and other requests
+    /// avoid the one with a trial.
     fn choose(&mut self, is_trial: bool, now: Millis) -> Option<usize> {
         let suspected = |flight: &&Flight| self.nodes[0].crash_count(flight.request) > 0;
         let taken: Vec<usize> = self
@@ -246,12 +248,11 @@
     }
 }
 
-/// Story: one request that ended each replica that ran it came for seconds just after all daemons had started anew.
-/// The request that all other callers send alike was at each of these replicas as well, was refused
-/// with it, and its trials met the guilty one's at one replica: 3 of 3,548 streams were served.
-///
-/// Evidence: both were refused within a millisecond at all daemons; the half-open trials of both went to
-/// one replica 0.33 s apart, and its end counted against both.
+/// Guards against harmless requests being refused along with a crashing one. Just after all daemons
+/// restarted, a request that crashed every replica arrived for seconds. The request that all other
+/// callers sent identically was in flight on each of these replicas too and was refused with it,
+/// within a millisecond at all daemons. The half-open trials of both then ran on one replica, 0.33
+/// s apart, and its crash counted against both: 3 of 3,548 streams were served.
 #[test]
 fn a_harmless_request_that_is_sent_identically_is_out_only_briefly() {
     /// The longest time for which it may be refused.
@@ -292,11 +293,10 @@
     assert!(wrong.is_empty(), "{} of 110: {wrong:#?}", wrong.len());
 }
 
-/// Story: beside others that were served all the while, one of two guilty requests ended five replicas within
-/// three seconds where it had ended four: its first trial came after one second in place of six.
-///
-/// Evidence: by the daemons' logs two of its first four ends lie 21 ms apart and count once; the trial
-/// follows 1.4 s after the last of these, in a second in which tens of other streams were served.
+/// Guards against early trials while the service is up. One of two crashing requests crashed five
+/// replicas within three seconds instead of four, because its first trial came after one second
+/// rather than six: 1.4 s after the last of its first four crashes, two of which were 21 ms apart
+/// and counted as one, and in a second in which tens of other streams were served.
 #[test]
 fn no_trial_is_early_while_the_service_is_up() {
     let base =
@@ -311,12 +311,11 @@
     }
 }
 
-/// Story: a guilty request was sent four times more, 1.2 to 2 s apart, and ended ten boxes in all. What stands before
-/// a box accepts connections when the box has ended, so that its trial seemed to have shown nothing, and
-/// counted as none; the box's end was told 1.2 s later.
-///
-/// Evidence: by the daemon's log each trial of it was followed by the end of a box 1.2 s later, told by its entry, and
-/// by the next trial a second after that.
+/// Guards against a trial whose crash is detected late being counted as none. A proxy in front of a
+/// box accepts connections after the box crashed, so the trial seemed to have no result and wasn't
+/// counted. The crash was found 1.2 s later by the box's entry, the next trial followed a second
+/// after that, and the request was sent four more times, 1.2 to 2 s apart, and crashed ten boxes in
+/// all.
 #[test]
 fn a_trial_that_may_have_run_counts_while_its_box_seems_to_be_running() {
     struct Case {
--- a/crates/cherrystand_core/tests/digests.rs
+++ b/crates/cherrystand_core/tests/digests.rs
@@ -1,4 +1,4 @@
-//! What daemons tell each other of all the others: all of it, or the beats alone.
+//! Gossip digests: complete heartbeats, or only the beat numbers.
 
 mod support;
 
@@ -10,7 +10,7 @@
     Heartbeat { incarnation: Incarnation(incarnation), beat, ..heartbeat(number, "z") }
 }
 
-/// Returns two daemons of a fleet that have heard the same of all the others.
+/// Returns two daemons of a fleet that know the same heartbeats of all others.
 fn two_of(fleet: usize) -> (Membership, Membership) {
     let mut teller = Membership::new(beat(0, 1, 1), Millis(0));
     let mut hearer = Membership::new(beat(fleet - 1, 1, 1), Millis(0));
@@ -99,7 +99,8 @@
 }
 
 proptest! {
-    /// Whatever both heard before, beats alone leave the hearer with what a whole list would have.
+    /// Whatever both knew before, beats alone leave the receiver in the same state as complete
+    /// heartbeats would.
     #[test]
     fn beats_have_the_same_effect_as_complete_heartbeats(
         fleet in 3_usize..12,
@@ -110,7 +111,7 @@
         let now = Millis(at);
         for (number, count, age, by_teller) in heard {
             let who = if by_teller { &mut teller } else { &mut hearer };
-            // Nobody hears of beats of itself that it did not give.
+            // No daemon receives beats of its own that it never sent.
             let other = 1 + number % (fleet - 2);
             who.hear(beat(other, 1, count), Millis(age), now);
         }
@@ -133,8 +134,8 @@
     assert_eq!(told.len(), 2);
 }
 
-/// Story: none that users saw. A list that lacked its last beat was taken where the hearer's own came
-/// last, since that one is passed over.
+/// Guards against beats being accepted without the last daemon's. The check passed if the missing
+/// beat was the receiver's own, because that one is skipped.
 #[test]
 fn beats_without_the_last_daemon_are_ignored_whichever_is_last() {
     for fleet in [2, 3, 9] {
--- a/crates/cherrystand_core/tests/interrupted_answers.rs
+++ b/crates/cherrystand_core/tests/interrupted_answers.rs
@@ -1,4 +1,4 @@
-//! Whether an answer that broke off says something of its request.
+//! Whether an interrupted answer counts against its request.
 
 mod support;
 
@@ -80,7 +80,7 @@
 fn a_box_has_crashed_by_its_entry() {
     struct Case {
         name: &'static str,
-        /// The life that is listed.
+        /// The listed incarnation.
         listed: Option<u64>,
         silent: bool,
         is_accepting: bool,
--- a/crates/cherrystand_core/tests/kept_connections.rs
+++ b/crates/cherrystand_core/tests/kept_connections.rs
@@ -1,4 +1,4 @@
-//! How many idle connections a node keeps to an endpoint.
+//! The number of idle connections that a node keeps to an endpoint.
 
 use cherrystand_core::{USUALLY_KEPT, kept_connections};
 
--- a/crates/cherrystand_core/tests/lost_replicas.rs
+++ b/crates/cherrystand_core/tests/lost_replicas.rs
@@ -1,4 +1,4 @@
-//! Whether no answer can come any more of what a box leads.
+//! Whether a replica is lost, so that its leader can send no more answers.
 
 mod support;
 
@@ -25,7 +25,7 @@
     }
 }
 
-/// Makes a view of one replica of three, of which `c` is listed no more, and a plain endpoint.
+/// Creates a view of one replica of three boxes, of which `c` is no longer listed, and a plain endpoint.
 fn view(leader: Option<(u32, MemberState)>, silent: &[&str]) -> SiteView {
     let engine = support::site_engine();
     let services = vec![
--- a/crates/cherrystand_core/tests/repair_prices.rs
+++ b/crates/cherrystand_core/tests/repair_prices.rs
@@ -1,4 +1,4 @@
-//! Bounds on what repairs cost, against the two baselines, on virtual time.
+//! Bounds on the price of repairs relative to the two baselines, in virtual time.
 
 use cherrystand_core::{Repair, RepairCase, RepairRule, ReturnModel, choose_repair};
 use cherrystand_testkit::{RepairScript, USERS};
@@ -9,7 +9,7 @@
 /// The highest price of all scripts together, relative to the better baseline.
 const MAX_TOTAL_RATIO: f64 = 0.85;
 
-/// How many runs of each script are compared here; `make bench` compares more.
+/// The number of runs of each script; `make bench` compares more.
 const RUNS: u64 = 2;
 
 #[test]
--- a/crates/cherrystand_core/tests/replica_life.rs
+++ b/crates/cherrystand_core/tests/replica_life.rs
@@ -1,4 +1,4 @@
-//! The life of replicas: forming, breaking, mending, draining and rolling out.
+//! The replica lifecycle: forming, breaking, repair, draining and rollout.
 
 mod support;
 
--- a/crates/cherrystand_core/tests/rollouts.rs
+++ b/crates/cherrystand_core/tests/rollouts.rs
@@ -33,10 +33,10 @@
     FormedReplicas::new(&records)
 }
 
-/// The time of all decisions here.
+/// The time of all decisions in these tests.
 const NOW: Millis = Millis(100_000);
 
-/// Returns that all that is ready has been so for just long enough.
+/// Returns a state in which all ready replicas have been ready for exactly [`SETTLED_AFTER`].
 fn settled(formed: &FormedReplicas) -> ReadySince {
     let mut ready_since = ReadySince::default();
     ready_since.observe(formed, NOW - SETTLED_AFTER);
--- a/crates/cherrystand_core/tests/stall_evidence.rs
+++ b/crates/cherrystand_core/tests/stall_evidence.rs
@@ -1,4 +1,4 @@
-//! Whether a replica that brings nothing stands still.
+//! Whether a silent replica counts as stalled.
 
 use cherrystand_core::{Millis, PeerProgress, StallEvidence, StreamEnd};
 
@@ -85,13 +85,13 @@
     }
 }
 
-/// Story: none of users; by the pages an endpoint breaks off an answer that stays unread for some seconds, which is no failure of
-/// its own.
+/// Endpoints close an answer that stays unread for some seconds, which must not count as their
+/// failure.
 #[test]
 fn an_interruption_is_attributed_to_a_caller_that_stalled_shortly_before() {
     struct Case {
         name: &'static str,
-        /// How long the caller took for what it was given, and when it had it, in milliseconds.
+        /// How long the caller took to read what it was given, and when it had, in milliseconds.
         took: u64,
         at: u64,
         interrupted: u64,
--- a/crates/cherrystand_core/tests/support/mod.rs
+++ b/crates/cherrystand_core/tests/support/mod.rs
@@ -7,7 +7,7 @@
 };
 use cherrystand_testkit::{DomainSetup, FakeDomain};
 
-/// The heartbeat of a daemon that serves, decides and passes nothing on.
+/// The heartbeat of a daemon that serves and controls, and shares no changes of the store.
 pub(crate) fn heartbeat(number: usize, zone: &str) -> Heartbeat {
     Heartbeat {
         node: NodeId::new(format!("n{number}")),
@@ -23,7 +23,7 @@
     }
 }
 
-/// A box of a service that tells nothing more of itself.
+/// A box of a service that reports nothing else about itself.
 pub(crate) fn site_box(id: &str, service: &str) -> SiteBox {
     SiteBox {
         id: BoxId::new(id),
@@ -75,7 +75,7 @@
     RepairPolicy { load_secs: 4.0, rejoin_secs: 0.5, ..RepairPolicy::default() }
 }
 
-/// Returns a domain in which `replicas` replicas of `span` boxes serve.
+/// Returns a domain with `replicas` serving replicas of `span` boxes.
 pub(crate) fn formed(
     setup: DomainSetup,
     policy: RepairPolicy,
