--- a/crates/cherrystandd/tests/connections.rs
+++ b/crates/cherrystandd/tests/connections.rs
@@ -13,33 +13,33 @@
 use support::until;
 
 /// How many requests each daemon gets at once.
-const AT_ONCE: usize = 40;
+const REQUESTS_PER_DAEMON: usize = 40;
 
 /// How many connections an endpoint takes from all daemons together.
-const MOST: usize = 12;
+const MAX_CONNECTIONS: usize = 12;
 
 /// Counts the connections that are open to an address of this machine, as its kernel lists them.
 fn open_connections(at: SocketAddr) -> usize {
     const ESTABLISHED: &str = "01";
     let listed = std::fs::read_to_string("/proc/net/tcp").expect("the list");
     let port = format!(":{:04X}", at.port());
-    let is_one = |line: &&str| {
+    let is_open = |line: &&str| {
         let mut fields = line.split_whitespace().skip(1);
         let (local, state) = (fields.next(), fields.nth(1));
         local.is_some_and(|local| local.ends_with(&port)) && state == Some(ESTABLISHED)
     };
-    listed.lines().filter(is_one).count()
+    listed.lines().filter(is_open).count()
 }
 
 /// Story: an endpoint takes so many connections from all daemons together and resets any beyond; each daemon kept up
 /// to 64 idle ones to it after a burst, 576 from nine where 110 are taken, so that requests of others met resets.
 /// The number stands in the operators' configuration and was read on no path.
 #[test]
-fn after_a_burst_daemons_keep_no_more_connections_than_an_endpoint_takes() {
+fn idle_connections_after_a_burst_stay_within_the_limit_of_the_endpoint() {
     support::run(async {
         let site = Site::serving(3).await;
         let mut bounded = config(2, "/calls/", &["k1"]);
-        bounded["services"][1]["max_conns"] = json!(MOST);
+        bounded["services"][1]["max_conns"] = json!(MAX_CONNECTIONS);
         // Once a daemon answers by the new route it has the number.
         bounded["routes"][1]["path_prefix"] = json!("/bounded/");
         site.site.configure(&bounded);
@@ -49,13 +49,16 @@
             })
             .await;
         }
-        let ids = (0..AT_ONCE).flat_map(|number| {
+        let ids = (0..REQUESTS_PER_DAEMON).flat_map(|number| {
             site.nodes.iter().map(move |node| (node, format!("n{}-{number}", node.number)))
         });
         let asked = join_all(ids.map(|(node, id)| ask(node, "/bounded/1", id))).await;
         assert!(asked.iter().all(is_served), "all are served");
         tokio::time::sleep(Duration::from_millis(200)).await;
         let kept = ["a-1", "a-2"].map(|id| open_connections(site.site.address_of(id).expect("it")));
-        assert!(kept.iter().all(|kept| *kept > 0 && *kept <= MOST), "{kept:?}, {MOST} are taken");
+        assert!(
+            kept.iter().all(|kept| *kept > 0 && *kept <= MAX_CONNECTIONS),
+            "{kept:?}, {MAX_CONNECTIONS} are allowed"
+        );
     });
 }
--- a/crates/cherrystandd/tests/crashing_requests.rs
+++ b/crates/cherrystandd/tests/crashing_requests.rs
@@ -11,45 +11,49 @@
 use support::{Answer, until};
 
 /// How long daemons have after the third end of a replica.
-const KNOWN_WITHIN: Duration = Duration::from_secs(3);
+const PROPAGATION_TIME: Duration = Duration::from_secs(3);
 
 /// How often a request may reach replicas after that.
-const SENT_AFTERWARDS: usize = 3;
+const MAX_SENT_AFTERWARDS: usize = 3;
 
 /// For how long the request comes again, and how often.
-const COMES_FOR: Duration = Duration::from_secs(7);
-const COMES_EVERY: Duration = Duration::from_millis(200);
+const REQUEST_PERIOD: Duration = Duration::from_secs(7);
+const REQUEST_INTERVAL: Duration = Duration::from_millis(200);
 
 /// When its caller gives a try up.
-const GIVEN_UP_AFTER: Duration = Duration::from_millis(600);
+const CALLER_TIMEOUT: Duration = Duration::from_millis(600);
 
 /// From this many ends on a request is known.
-const ENDS: usize = 3;
+const CRASHES_UNTIL_REFUSED: usize = 3;
 
 /// How many replicas one request may end in all: one more may have it as the third ends.
-const MOST_ENDS: usize = 4;
+const MAX_CRASHES: usize = 4;
 
 async fn stream(node: &Node, id: &str, body: &str) -> Answer {
     send(node, "POST", STREAM, id, &[("authorization", "Bearer k1")], body).await
 }
 
 /// Sends a request that ends replicas to one daemon after the other, each time as a new try.
-async fn comes_again(site: &Site, body: &str) {
+async fn send_repeatedly(site: &Site, body: &str) {
     let began = Instant::now();
     for (number, node) in site.nodes.iter().cycle().enumerate() {
-        if began.elapsed() > COMES_FOR {
+        if began.elapsed() > REQUEST_PERIOD {
             return;
         }
         let id = format!("{body}, try {number}");
-        let answer = tokio::time::timeout(GIVEN_UP_AFTER, stream(node, &id, body)).await;
+        let answer = tokio::time::timeout(CALLER_TIMEOUT, stream(node, &id, body)).await;
         if let Ok(answer) = answer {
-            assert_ne!(answer.text(), whole_stream(&id), "it ends whatever runs it");
+            assert_ne!(answer.text(), whole_stream(&id), "it crashes whatever runs it");
             // What has run is not told as not run, and nobody is asked back.
-            let promise = [StatusCode::SERVICE_UNAVAILABLE, StatusCode::TOO_MANY_REQUESTS];
+            let not_run_statuses = [StatusCode::SERVICE_UNAVAILABLE, StatusCode::TOO_MANY_REQUESTS];
             let refused_at_once = answer.header("retry-after").is_empty();
-            assert!(refused_at_once || promise.contains(&answer.status), "{}", answer.status);
+            assert!(
+                refused_at_once || not_run_statuses.contains(&answer.status),
+                "{}",
+                answer.status
+            );
         }
-        tokio::time::sleep(COMES_EVERY).await;
+        tokio::time::sleep(REQUEST_INTERVAL).await;
     }
 }
 
@@ -58,8 +62,8 @@
 async fn not_served(site: &Site, settled: Duration) -> Vec<String> {
     let began = Instant::now();
     let mut not_served = Vec::new();
-    while began.elapsed() < COMES_FOR {
-        tokio::time::sleep(COMES_EVERY).await;
+    while began.elapsed() < REQUEST_PERIOD {
+        tokio::time::sleep(REQUEST_INTERVAL).await;
         let counts = began.elapsed() > settled;
         let at = began.elapsed().as_millis();
         let round = site.nodes.iter().enumerate().flat_map(|(number, node)| {
@@ -91,7 +95,7 @@
 /// Evidence: the connections of one leader after the other ended within 5 ms at all daemons; with a name
 /// for a request in all its tries the same one stands at each of these ends.
 #[test]
-fn a_request_that_ends_replicas_is_sent_no_more_after_the_third() {
+fn a_request_that_crashes_replicas_is_refused_after_the_third_crash() {
     struct Case {
         name: &'static str,
         /// After how many events the requests end their boxes; nothing where it is before any answer.
@@ -111,25 +115,25 @@
             let mut site = Site::serving_with_starts(case.daemons).await;
             let bodies = case.after.iter().map(|events| format!("{CRASHES}{events}"));
             let bodies: Vec<String> = bodies.collect();
-            let coming = bodies.iter().map(|body| comes_again(&site, body));
-            let coming = futures_util::future::join_all(coming);
-            let settled = COMES_FOR.mul_f32(0.6);
-            let (_, failed) = tokio::join!(coming, not_served(&site, settled));
+            let sending = bodies.iter().map(|body| send_repeatedly(&site, body));
+            let sending = futures_util::future::join_all(sending);
+            let settled = REQUEST_PERIOD.mul_f32(0.6);
+            let (_, failed) = tokio::join!(sending, not_served(&site, settled));
             let mut wrong = Vec::new();
             if let Some(first) = failed.first() {
                 wrong.push(format!("{}: {} not served: {first}", case.name, failed.len()));
             }
             for body in &bodies {
-                let ends = ends_by(&site, body);
+                let crash_times = crashes_by(&site, body);
                 // One that was at the end of a box by the other request too may be known sooner; that it
                 // is refused is looked at below.
-                let Some(third) = ends.get(ENDS - 1) else { continue };
-                let late = sent_since(&site, body, *third + KNOWN_WITHIN);
-                let after: Vec<u128> = ends[ENDS..].iter().map(|end| (*end - *third).as_millis()).collect();
-                println!("{}: {body}: {} ends, the later ones {after:?} ms after the third, sent {late} times later than 3 s after it", case.name, ends.len());
-                if late > SENT_AFTERWARDS || ends.len() > MOST_ENDS {
-                    let (ends, name) = (ends.len(), case.name);
-                    wrong.push(format!("{name}: {body}: sent {late} times more, {ends} ends"));
+                let Some(third) = crash_times.get(CRASHES_UNTIL_REFUSED - 1) else { continue };
+                let late = sent_since(&site, body, *third + PROPAGATION_TIME);
+                let after: Vec<u128> = crash_times[CRASHES_UNTIL_REFUSED..].iter().map(|crash| (*crash - *third).as_millis()).collect();
+                println!("{}: {body}: {} crashes, the later ones {after:?} ms after the third, sent {late} times later than 3 s after it", case.name, crash_times.len());
+                if late > MAX_SENT_AFTERWARDS || crash_times.len() > MAX_CRASHES {
+                    let (crashes, name) = (crash_times.len(), case.name);
+                    wrong.push(format!("{name}: {body}: sent {late} times more, {crashes} crashes"));
                 }
             }
             // A daemon that starts later knows of it as well.
@@ -162,13 +166,13 @@
 ///
 /// Evidence: one fingerprint at all ends; the daemons had refused it for 0.3 to 1 s as the last ones ended.
 #[test]
-fn copies_under_way_end_no_replica_once_the_third_has_ended() {
+fn copies_in_flight_crash_no_replica_after_the_third_crash() {
     /// For how long a copy runs before it ends its replica: 19 events of 20 ms, of 40, so that none is ever whole.
-    const ENDS_AFTER: &str = "19";
+    const CRASHES_AFTER_EVENTS: &str = "19";
     /// The time between two copies, over all daemons: two or three are under way at a time.
-    const COPY_EVERY: Duration = Duration::from_millis(130);
+    const COPY_INTERVAL: Duration = Duration::from_millis(130);
     /// Until all daemons have heard of the third end and have called the copies off.
-    const CALLED_OFF_WITHIN: Duration = Duration::from_millis(120);
+    const CANCELLATION_TIME: Duration = Duration::from_millis(120);
     const COPIES: usize = 12;
     support::run(async {
         let site = Site::serving_with_starts(3).await;
@@ -176,31 +180,31 @@
             site.site.add_box(id, "models").await.expect("a box");
         }
         until("six replicas serve", async || site.site.leaders().len() == 6).await;
-        let body = format!("{CRASHES}{ENDS_AFTER}");
+        let body = format!("{CRASHES}{CRASHES_AFTER_EVENTS}");
         let copies = (0..COPIES).map(|number| {
             let (node, body) = (&site.nodes[number % site.nodes.len()], body.as_str());
             async move {
-                tokio::time::sleep(COPY_EVERY * number as u32).await;
+                tokio::time::sleep(COPY_INTERVAL * number as u32).await;
                 let id = format!("copy {number}");
                 // What becomes of it at its caller does not matter here.
                 let _ = tokio::time::timeout(Duration::from_secs(3), stream(node, &id, body)).await;
             }
         });
         futures_util::future::join_all(copies).await;
-        let ends = ends_by(&site, &body);
-        let third = ends.get(ENDS - 1).expect("three ends");
-        let late: Vec<u128> = ends
+        let crash_times = crashes_by(&site, &body);
+        let third = crash_times.get(CRASHES_UNTIL_REFUSED - 1).expect("three crashes");
+        let late: Vec<u128> = crash_times
             .iter()
-            .filter(|end| **end > *third + CALLED_OFF_WITHIN)
-            .map(|end| (*end - *third).as_millis())
+            .filter(|crash| **crash > *third + CANCELLATION_TIME)
+            .map(|crash| (*crash - *third).as_millis())
             .collect();
-        println!("{} ends, {late:?} ms after the third", ends.len());
-        assert!(late.is_empty(), "{} ends, {late:?} ms after the third", ends.len());
+        println!("{} crashes, {late:?} ms after the third", crash_times.len());
+        assert!(late.is_empty(), "{} crashes, {late:?} ms after the third", crash_times.len());
     });
 }
 
 /// Returns when a request ended boxes.
-fn ends_by(site: &Site, body: &str) -> Vec<Instant> {
+fn crashes_by(site: &Site, body: &str) -> Vec<Instant> {
     let crashes = site.site.crashes();
     crashes.iter().filter(|crash| crash.body == body).map(|crash| crash.at).collect()
 }
--- a/crates/cherrystandd/tests/homes.rs
+++ b/crates/cherrystandd/tests/homes.rs
@@ -11,15 +11,15 @@
 use support::site::{CALL, STREAM, Site, config};
 
 /// How often each daemon gets a request, and for how long requests come.
-const EVERY: Duration = Duration::from_millis(50);
-const FOR: Duration = Duration::from_secs(1);
+const REQUEST_INTERVAL: Duration = Duration::from_millis(50);
+const REQUEST_PERIOD: Duration = Duration::from_secs(1);
 
 /// Within this time a request is refused that no endpoint may serve.
-const REFUSED_WITHIN: Duration = Duration::from_millis(300);
+const REFUSAL_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// A request of a route or tenant with homes reaches replicas in these alone; where both have some, both bind.
 #[test]
-fn requests_reach_replicas_in_their_homes_alone() {
+fn requests_reach_replicas_in_allowed_regions_only() {
     struct Case {
         name: &'static str,
         route: Option<&'static [&'static str]>,
@@ -55,20 +55,20 @@
     support::run(async {
         let all = cases.into_iter().map(|case| async move {
             let mut config = config(1, "/calls/", &["k1"]);
-            let bind = |row: &mut Value, homes: Option<&[&str]>| {
-                if let Some(homes) = homes {
-                    row["allowed_regions"] = json!(homes);
+            let set_regions = |row: &mut Value, regions: Option<&[&str]>| {
+                if let Some(regions) = regions {
+                    row["allowed_regions"] = json!(regions);
                 }
             };
             for route in 0..3 {
-                bind(&mut config["routes"][route], case.route);
+                set_regions(&mut config["routes"][route], case.route);
             }
-            bind(&mut config["tenants"][0], case.tenant);
+            set_regions(&mut config["tenants"][0], case.tenant);
             let site = Site::in_two_zones(2, &config).await;
             let mut wrong = Vec::new();
             for path in [STREAM, CALL] {
                 let before = site.site.arrivals().len();
-                let asked = ask_all(&site.nodes, path, EVERY, FOR).await;
+                let asked = ask_all(&site.nodes, path, REQUEST_INTERVAL, REQUEST_PERIOD).await;
                 let arrivals = site.site.arrivals().split_off(before);
                 let reached = ["z1", "z2"].into_iter().filter(|zone| {
                     let boxes = site.site.boxes_in(zone);
@@ -85,7 +85,7 @@
                     wrong.push(format!("{path} reached {reached:?}"));
                 }
                 let is_right = |asked: &&support::asking::Asked| match case.zones.is_empty() {
-                    true => asked.answer.status == 503 && asked.took < REFUSED_WITHIN,
+                    true => asked.answer.status == 503 && asked.took < REFUSAL_TIMEOUT,
                     false => is_served(asked),
                 };
                 let right = asked.iter().filter(is_right).count();
--- a/crates/cherrystandd/tests/site.rs
+++ b/crates/cherrystandd/tests/site.rs
@@ -11,7 +11,7 @@
 use support::{call_at, until};
 
 #[test]
-fn requests_are_served_whole_by_route_key_and_model() {
+fn requests_are_served_by_route_key_and_model() {
     support::run(async {
         let site = Site::start(1).await;
         let node = &site.nodes[0];
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn bytes_that_are_no_request_get_a_clear_end_and_touch_no_other() {
+fn malformed_requests_are_rejected_and_affect_no_other_request() {
     struct Case {
         name: &'static str,
         bytes: Vec<u8>,
@@ -142,7 +142,7 @@
 }
 
 #[test]
-fn a_stream_goes_on_elsewhere_when_a_member_goes_dark_and_the_replica_is_mended() {
+fn a_stream_resumes_elsewhere_when_a_member_goes_dark_and_the_replica_is_repaired() {
     support::run(async {
         let site = Site::serving(1).await;
         let node = &site.nodes[0];
@@ -174,19 +174,19 @@
 /// for 1.2 s, and gave up requests whose replica stood still with 4 to 6 s left; likewise while
 /// replicas were slow. 173 of the 342 requests that were never served that day ended so.
 #[test]
-fn a_request_stays_at_a_replica_that_stands_still_where_no_repeat_is_left_for_it() {
+fn a_request_stays_at_a_stalled_replica_if_no_retry_is_left() {
     struct Case {
         name: &'static str,
         /// Whether the replica stands still before the requests come.
         before: bool,
         /// For how long it does, in milliseconds.
-        still_ms: u64,
+        stall_ms: u64,
         retry_slack: f64,
     }
-    let left = Case { name: "some left", before: false, still_ms: 1_200, retry_slack: 136.0 };
+    let left = Case { name: "some left", before: false, stall_ms: 1_200, retry_slack: 136.0 };
     let cases = [
-        Case { name: "under way, none left", still_ms: 700, retry_slack: 0.0, ..left },
-        Case { name: "waiting, none left", before: true, still_ms: 700, retry_slack: 0.0 },
+        Case { name: "under way, none left", stall_ms: 700, retry_slack: 0.0, ..left },
+        Case { name: "waiting, none left", before: true, stall_ms: 700, retry_slack: 0.0 },
         left,
     ];
     for case in cases {
@@ -198,7 +198,7 @@
                 tokio::time::sleep(Duration::from_millis(wait)).await;
                 let (leader, _) = site.site.leaders().pop_first().expect("a leader");
                 site.site.set_mood(&leader, BoxMood::Pauses);
-                tokio::time::sleep(Duration::from_millis(case.still_ms)).await;
+                tokio::time::sleep(Duration::from_millis(case.stall_ms)).await;
                 site.site.set_mood(&leader, BoxMood::Well);
             };
             let (answers, ()) = tokio::join!(six_streams(node), pause);
@@ -223,13 +223,13 @@
 /// Evidence: on days on which 4 in 10 replicas turn eight times slower, 13 and 9 streams ended so, all
 /// with two boxes tried, no attempt left, 4 to 7 s left, silences 40 to 80 ms over the longest.
 #[test]
-fn silence_of_replicas_that_are_alive_ends_no_answer() {
+fn silence_of_live_replicas_ends_no_answer() {
     struct Case {
         name: &'static str,
         /// When the replicas fall silent, in milliseconds after the requests came.
         after_ms: u64,
         /// For how long, in milliseconds.
-        still_ms: u64,
+        stall_ms: u64,
         /// What the other replica does meanwhile.
         other: BoxMood,
         retry_slack: f64,
@@ -237,7 +237,7 @@
     let both = Case {
         name: "both fall silent in the middle of their streams",
         after_ms: 250,
-        still_ms: 1_500,
+        stall_ms: 1_500,
         other: BoxMood::Pauses,
         retry_slack: 136.0,
     };
@@ -269,7 +269,7 @@
                 tokio::time::sleep(Duration::from_millis(case.after_ms)).await;
                 site.site.set_mood(&leaders[0], BoxMood::Pauses);
                 site.site.set_mood(&leaders[1], case.other);
-                tokio::time::sleep(Duration::from_millis(case.still_ms)).await;
+                tokio::time::sleep(Duration::from_millis(case.stall_ms)).await;
                 site.site.set_mood(&leaders[0], BoxMood::Well);
                 site.site.set_mood(&leaders[1], BoxMood::Well);
             };
@@ -296,7 +296,7 @@
 /// Story: where a machine stops all its processes for a moment, every replica stands still at once; each
 /// stream then asked another one beside its own, and the repeats of all nodes were spent on it.
 #[test]
-fn a_pause_of_all_replicas_at_once_asks_nobody_beside_them() {
+fn a_pause_of_all_replicas_at_once_causes_no_retries() {
     support::run(async {
         let site = Site::serving_with(2, 136.0).await;
         let leaders: Vec<String> = site.site.leaders().into_keys().collect();
@@ -319,7 +319,7 @@
 /// leave, and had no time for a second try of their own. A dead replica is told from a quiet one by
 /// asking its members, not by the length of its silence.
 #[test]
-fn a_request_is_given_up_while_its_caller_can_come_back_where_its_replica_is_dead() {
+fn a_request_at_a_dead_replica_fails_while_its_caller_can_still_retry() {
     struct Case {
         name: &'static str,
         daemons: usize,
@@ -346,8 +346,8 @@
             assert!(cut.count() > 0, "{}: some were at the replica that is dead", case.name);
             // It takes 0.3 s to doubt the replica, and 0.2 to 1.4 s to ask its members.
             let took = began.elapsed();
-            let well_before = took < Duration::from_millis(4_000);
-            assert!(well_before, "{}: given up well before 5 s: {took:?}", case.name);
+            let is_in_time = took < Duration::from_millis(4_000);
+            assert!(is_in_time, "{}: given up well before 5 s: {took:?}", case.name);
         });
         futures_util::future::join_all(all).await;
     });
@@ -355,7 +355,7 @@
 
 /// Story: with nowhere to go, answers of replicas that were alive and silent were ended after 0.8 s.
 #[test]
-fn a_request_stays_until_its_time_is_over_where_its_replica_is_alive() {
+fn a_request_at_a_live_replica_stays_until_its_deadline() {
     support::run(async {
         let site = Site::serving_with(2, 0.0).await;
         for leader in site.site.leaders().into_keys() {
@@ -399,7 +399,7 @@
 /// replica tells of the same replica and epoch as before; nothing moves in it, and its leader took
 /// requests for 4 s, until it said itself that the replica came apart.
 #[test]
-fn a_box_that_starts_again_leaves_its_replica_at_once() {
+fn a_box_that_restarts_leaves_its_replica_at_once() {
     struct Case {
         name: &'static str,
         /// Which member starts again; 0 leads.
@@ -433,11 +433,12 @@
             // Nothing new goes to the torn replica once its box has told that it started again; half a
             // second is for the news.
             let late = restarted + Duration::from_millis(500);
-            let mended = std::time::Instant::now();
+            let repaired_at = std::time::Instant::now();
             let arrivals = site.site.arrivals();
-            let torn = arrivals.iter().filter(|arrival| arrival.target == leader);
-            let torn = torn.filter(|arrival| arrival.at > late && arrival.at < mended);
-            assert_eq!(torn.count(), 0, "{}", case.name);
+            let at_broken_replica = arrivals.iter().filter(|arrival| arrival.target == leader);
+            let at_broken_replica =
+                at_broken_replica.filter(|arrival| arrival.at > late && arrival.at < repaired_at);
+            assert_eq!(at_broken_replica.count(), 0, "{}", case.name);
             assert_eq!(site.site.faults(), Vec::<String>::new(), "{}", case.name);
         });
         futures_util::future::join_all(all).await;
@@ -447,19 +448,19 @@
 /// Story: a value that cannot be read where a box tells of itself left the box in force as it was
 /// before, chosen and ordered.
 #[test]
-fn an_entry_that_cannot_be_read_names_no_box_and_harms_no_other() {
+fn an_unreadable_entry_removes_its_box_and_affects_no_other() {
     support::run(async {
         let site = Site::serving(2).await;
         let node = &site.nodes[0];
         let nested = "[".repeat(400_000);
-        let odd: [(&str, &[u8]); 5] = [
+        let invalid: [(&str, &[u8]); 5] = [
             ("a-1", b"{\"service\": \"app\"}"),
             ("other", b"\xff\xfe"),
             ("other-2", nested.as_bytes()),
             ("a/b", b"[]"),
             ("i-7", b"{\"service\": \"models\", \"address\": 7}"),
         ];
-        for (id, value) in odd {
+        for (id, value) in invalid {
             site.site.write_entry(id, value);
         }
         tokio::time::sleep(Duration::from_millis(400)).await;
@@ -487,7 +488,7 @@
 }
 
 #[test]
-fn a_spare_that_is_dark_is_found_out_by_its_first_order() {
+fn a_dark_spare_is_detected_by_its_first_order() {
     support::run(async {
         let site = Site::serving(1).await;
         site.site.add_box("i-6", "models").await.expect("a box");
@@ -513,7 +514,7 @@
 }
 
 #[test]
-fn what_may_run_once_is_sent_again_only_if_it_was_not_run() {
+fn a_non_idempotent_request_is_retried_only_if_it_was_not_run() {
     struct Case {
         name: &'static str,
         mood: BoxMood,
@@ -586,7 +587,7 @@
 }
 
 #[test]
-fn a_refusal_that_promises_not_run_is_true_of_every_attempt() {
+fn a_refusal_that_claims_not_run_holds_for_every_attempt() {
     struct Case {
         name: &'static str,
         moods: [BoxMood; 2],
@@ -639,7 +640,7 @@
 }
 
 #[test]
-fn a_configuration_reaches_a_node_that_the_store_turns_away_through_its_peers() {
+fn a_node_that_the_store_rejects_gets_the_configuration_from_peers() {
     support::run(async {
         let site = Site::serving(2).await;
         site.site.set_door(1, Door::Busy);
@@ -660,7 +661,7 @@
 }
 
 #[test]
-fn nodes_serve_on_while_the_store_is_out_and_after_it_forgot_its_history() {
+fn nodes_keep_serving_during_a_store_outage_and_after_the_store_lost_its_history() {
     support::run(async {
         let site = Site::serving(1).await;
         let node = &site.nodes[0];
@@ -679,7 +680,7 @@
 }
 
 #[test]
-fn replicas_outlive_entries_that_run_out_while_the_store_is_out() {
+fn replicas_survive_entries_that_expire_during_a_store_outage() {
     support::run(async {
         let site = Site::serving(1).await;
         let node = &site.nodes[0];
@@ -703,7 +704,7 @@
 }
 
 #[test]
-fn a_stop_finishes_streams_and_turns_not_ready_at_once() {
+fn a_shutdown_finishes_streams_and_reports_not_ready_at_once() {
     support::run(async {
         let mut site = Site::serving(1).await;
         let node = &site.nodes[0];
@@ -724,7 +725,7 @@
 }
 
 #[test]
-fn a_configuration_that_comes_while_a_node_first_reads_is_not_missed() {
+fn a_configuration_written_during_the_first_read_is_not_missed() {
     support::run(async {
         let site = Site::start(1).await;
         site.site.configure_once_missed(&config(1, "/calls/", &["k1"]));
@@ -734,10 +735,10 @@
 }
 
 #[test]
-fn few_nodes_of_a_zone_read_the_store_and_all_learn_of_changes_whoever_is_killed() {
+fn few_nodes_of_a_zone_read_the_store_and_all_get_changes_whichever_is_killed() {
     /// How many times the boxes change, and the calls that one reader makes for each and at rest.
     const CHANGES: u64 = 20;
-    const CALLS: u64 = CHANGES + 15;
+    const MAX_CALLS: u64 = CHANGES + 15;
     support::run(async {
         let mut site = Site::serving(5).await;
         let before = site.site.store.calls();
@@ -749,7 +750,7 @@
             tokio::time::sleep(Duration::from_millis(100)).await;
         }
         let calls = site.site.store.calls() - before;
-        assert!(calls <= CALLS, "{calls} calls by five nodes for {CHANGES} changes");
+        assert!(calls <= MAX_CALLS, "{calls} calls by five nodes for {CHANGES} changes");
         for version in 2..5 {
             // Whoever of them reads for the others, at most one is left after two are gone.
             let key = format!("k{version}");
@@ -772,7 +773,7 @@
 /// listened 4 ms after its start, had the configuration after 130 ms, and refused 23 requests
 /// meanwhile.
 #[test]
-fn a_request_that_comes_while_a_node_starts_waits_for_what_the_node_is_about_to_learn() {
+fn a_request_during_startup_waits_until_the_node_knows_the_configuration() {
     struct Case {
         name: &'static str,
         path: &'static str,
@@ -793,8 +794,8 @@
         let mut site = Site::serving(1).await;
         for case in cases {
             let known = site.nodes.len();
-            let nobody = site.nodes[0].ready;
-            let seed = if case.door == Door::Open { site.nodes[0].peers } else { nobody };
+            let no_peer = site.nodes[0].ready;
+            let seed = if case.door == Door::Open { site.nodes[0].peers } else { no_peer };
             site.start_again(seed).await;
             site.site.set_door(known, case.door);
             let began = std::time::Instant::now();
@@ -806,8 +807,8 @@
                 tokio::time::sleep(Duration::from_millis(2)).await;
             };
             assert_eq!(answer.status, case.status, "{}", case.name);
-            let told_at_once = began.elapsed() < Duration::from_secs(2);
-            assert!(told_at_once, "{}: {:?}", case.name, began.elapsed());
+            let is_at_once = began.elapsed() < Duration::from_secs(2);
+            assert!(is_at_once, "{}: {:?}", case.name, began.elapsed());
         }
     });
 }
@@ -816,7 +817,7 @@
 /// 0.7 MB over links of 20 Mbit/s and 218 MB in all over the store's link; from 32 to 38 s of that
 /// day 1,379 of 5,460 requests were answered in time and 3,040 refused.
 #[test]
-fn a_node_that_starts_again_reads_from_the_readers_that_the_store_names() {
+fn a_node_that_restarts_reads_from_the_readers_that_the_store_names() {
     struct Case {
         name: &'static str,
         /// Whether the readers noted are there.
@@ -835,8 +836,8 @@
                 site.nodes.clear();
             }
             // Nobody listens there: it knows of no peer.
-            let nobody = support::free_addresses(1)[0];
-            site.start_again(nobody).await;
+            let no_peer = support::free_addresses(1)[0];
+            site.start_again(no_peer).await;
             let node = site.nodes.last().expect("just started");
             until(case.name, async || {
                 call(node, "GET", STREAM, case.name, "k1").await.status == StatusCode::OK
--- a/crates/cherrystandd/tests/slow_readers.rs
+++ b/crates/cherrystandd/tests/slow_readers.rs
@@ -14,12 +14,12 @@
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 
 /// How much a slow caller's machine holds for it, in bytes.
-const SMALL_WINDOW: u32 = 4 << 10;
+const RECEIVE_BUFFER_BYTES: u32 = 4 << 10;
 
 /// Sends a request for a stream over a connection of its own, of which nothing is read yet.
-async fn ask_unread(node: &Node, id: &str) -> TcpStream {
+async fn send_without_reading(node: &Node, id: &str) -> TcpStream {
     let socket = TcpSocket::new_v4().expect("a socket");
-    socket.set_recv_buffer_size(SMALL_WINDOW).expect("a small window");
+    socket.set_recv_buffer_size(RECEIVE_BUFFER_BYTES).expect("a small window");
     let mut caller = socket.connect(node.callers).await.expect("a connection");
     let head = format!(
         "POST {STREAM} HTTP/1.1\r\nHost: site.example\r\nCherrystand-Request-Id: {id}\r\n\
@@ -38,25 +38,25 @@
 /// A replica that breaks off an answer which its caller left unread has done nothing wrong: it is blamed for nothing,
 /// nobody else does the same work again, and others are served by it as before.
 #[test]
-fn a_cut_by_a_slow_caller_is_no_failure_of_the_replica() {
+fn an_answer_cut_because_of_a_slow_caller_is_no_failure_of_the_replica() {
     /// Streams of 32 MB, more than connections buffer.
-    const EVENT: usize = 800 << 10;
+    const EVENT_BYTES: usize = 800 << 10;
     const CALLERS: usize = 2;
     /// What connections buffer is made within a second or so, and nothing is read for long after that.
-    const CUTS_UNREAD: Duration = Duration::from_millis(1_200);
-    const UNREAD: Duration = Duration::from_millis(3_500);
+    const CUT_AFTER: Duration = Duration::from_millis(1_200);
+    const PAUSE: Duration = Duration::from_millis(3_500);
     support::run(async {
         let site = Site::serving_with_starts(1).await;
         let node = &site.nodes[0];
         for leader in site.site.leaders().into_keys() {
-            site.site.set_wishes(&leader, BoxWishes::large_events(EVENT, Some(CUTS_UNREAD)));
+            site.site.set_wishes(&leader, BoxWishes::large_events(EVENT_BYTES, Some(CUT_AFTER)));
         }
         let mut callers: Vec<TcpStream> = Vec::new();
         for number in 0..CALLERS {
-            callers.push(ask_unread(node, &format!("slow-{number}")).await);
+            callers.push(send_without_reading(node, &format!("slow-{number}")).await);
         }
         // They read nothing for a while, then what there is.
-        tokio::time::sleep(UNREAD).await;
+        tokio::time::sleep(PAUSE).await;
         let read = join_all(callers.iter_mut().map(|caller| async {
             let (mut all, mut buf) = (0, vec![0; 64 << 10]);
             while let Ok(read @ 1..) = caller.read(&mut buf).await {
@@ -91,24 +91,27 @@
 /// Half of the callers read nothing for seconds, of streams far larger than what may be held for them: the daemon's
 /// memory stays under that of the smallest machine, and the other half is served.
 #[test]
-fn callers_that_do_not_read_take_little_memory() {
-    const SLOW: usize = 80;
-    const EVENT: usize = 64 << 10;
+fn callers_that_do_not_read_use_little_memory() {
+    const SLOW_CALLERS: usize = 80;
+    const EVENT_BYTES: usize = 64 << 10;
     /// The memory of the smallest machine, in KB.
-    const MEMORY: u64 = 112 << 10;
+    const MAX_MEMORY_KB: u64 = 112 << 10;
     support::run(async {
         let site = Site::serving(1).await;
         let node = &site.nodes[0];
         let leaders: Vec<String> = site.site.leaders().into_keys().collect();
         for leader in &leaders {
-            site.site.set_wishes(leader, BoxWishes::large_events(EVENT, None));
+            site.site.set_wishes(leader, BoxWishes::large_events(EVENT_BYTES, None));
         }
-        let slow = (0..SLOW)
-            .map(|number| async move { ask_unread(node, &format!("slow-{number}")).await });
+        let slow = (0..SLOW_CALLERS).map(|number| async move {
+            send_without_reading(node, &format!("slow-{number}")).await
+        });
         let slow = join_all(slow).await;
-        let begun =
-            || (0..SLOW).filter(|number| !site.site.runs_of(&format!("slow-{number}")).is_empty());
-        until("all slow streams have begun", async || begun().count() == SLOW).await;
+        let begun = || {
+            (0..SLOW_CALLERS)
+                .filter(|number| !site.site.runs_of(&format!("slow-{number}")).is_empty())
+        };
+        until("all slow streams have begun", async || begun().count() == SLOW_CALLERS).await;
         for leader in &leaders {
             site.site.set_wishes(leader, BoxWishes::default());
         }
@@ -116,7 +119,7 @@
         let asked = asked.await;
         assert_eq!(not_served(&asked), None);
         let peak = node.process.peak_kb();
-        assert!(peak < MEMORY, "{peak} KB");
+        assert!(peak < MAX_MEMORY_KB, "{peak} KB");
         drop(slow);
         until("nothing is held any more", async || {
             metrics(node).await.contains("cherrystand_bytes_held 0")
@@ -128,7 +131,7 @@
 /// An endpoint that announces more than a daemon can hold, as one that garbles its heads does, costs its caller that
 /// answer and nobody else anything: no memory is taken by its word.
 #[test]
-fn an_absurd_length_takes_no_memory() {
+fn an_excessive_content_length_allocates_no_memory() {
     struct Case {
         name: &'static str,
         length: u64,
@@ -139,7 +142,7 @@
         Case { name: "more than the room for bodies", length: 1 << 30 },
     ];
     /// A refused answer is told of at once; an endpoint that still sends is waited for otherwise.
-    const TOLD_WITHIN: Duration = Duration::from_secs(1);
+    const ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
     support::run(async {
         let mut site = Site::serving(1).await;
         let listener = TcpListener::bind(("127.0.0.1", 0)).await.expect("an address");
@@ -154,7 +157,7 @@
             };
             let (asked, _held) = tokio::join!(asking, answering);
             assert_eq!(asked.answer.status, 502, "{}", case.name);
-            assert!(asked.took < TOLD_WITHIN, "{}: {:?}", case.name, asked.took);
+            assert!(asked.took < ANSWER_TIMEOUT, "{}: {:?}", case.name, asked.took);
             assert!(!site.nodes[0].process.has_ended(), "{}", case.name);
         }
         let asked = ask(&site.nodes[0], STREAM, "n0-1".to_owned()).await;
--- a/crates/cherrystandd/tests/unsealed_answers.rs
+++ b/crates/cherrystandd/tests/unsealed_answers.rs
@@ -10,7 +10,7 @@
 /// A success that its endpoint did not seal reaches no caller: what may be repeated is asked of another endpoint, of
 /// what may not its caller learns that it may have run.
 #[test]
-fn a_success_without_its_seal_is_passed_on_to_nobody() {
+fn an_unsealed_success_is_not_forwarded() {
     support::run(async {
         let site = Site::serving(1).await;
         let node = &site.nodes[0];
--- a/crates/cherrystandd/tests/wishes.rs
+++ b/crates/cherrystandd/tests/wishes.rs
@@ -17,18 +17,18 @@
 ///
 /// All that a case's boxes do is done on the test's thread, on which a wish counts from the moment of
 /// the answer: at a third of this it came half a second late beside other tests.
-const EVERY: Duration = Duration::from_millis(100);
+const REQUEST_INTERVAL: Duration = Duration::from_millis(100);
 
 /// For how long they come.
-const FOR: Duration = Duration::from_millis(4_500);
+const REQUEST_PERIOD: Duration = Duration::from_millis(4_500);
 
 /// Sends requests of one kind to all daemons for a while.
-async fn keep_asking(nodes: &[Node], path: &str) -> Vec<Asked> {
-    ask_all(nodes, path, EVERY, FOR).await
+async fn send_requests(nodes: &[Node], path: &str) -> Vec<Asked> {
+    ask_all(nodes, path, REQUEST_INTERVAL, REQUEST_PERIOD).await
 }
 
 /// Names what daemons sent into rests and to boxes that leave.
-fn broken(site: &Site) -> Vec<String> {
+fn violations(site: &Site) -> Vec<String> {
     broken_wishes(&site.site.told(), &site.site.arrivals(), daemon_of)
 }
 
@@ -48,32 +48,33 @@
         wishes: [BoxWishes; 2],
         path: &'static str,
         /// The least share of requests that is served.
-        served: f64,
+        min_served: f64,
     }
-    let (well, rest) = (BoxWishes::default(), BoxWishes::rest(Sheds::All, "1.5"));
-    let case = Case { name: "one of two", wishes: [rest, well], path: STREAM, served: 0.95 };
+    let (healthy, backoff) = (BoxWishes::default(), BoxWishes::rest(Sheds::All, "1.5"));
+    let case =
+        Case { name: "one of two", wishes: [backoff, healthy], path: STREAM, min_served: 0.95 };
     let cases = [
         Case { name: "one of two, a plain service", path: CALL, ..case },
-        Case { name: "both", wishes: [rest; 2], served: 0.0, ..case },
-        Case { name: "both, a plain service", wishes: [rest; 2], served: 0.0, path: CALL },
+        Case { name: "both", wishes: [backoff; 2], min_served: 0.0, ..case },
+        Case { name: "both, a plain service", wishes: [backoff; 2], min_served: 0.0, path: CALL },
         Case {
             name: "one daemon alone is turned away",
-            wishes: [BoxWishes::rest(Sheds::From("n0-"), "1.5"), well],
+            wishes: [BoxWishes::rest(Sheds::From("n0-"), "1.5"), healthy],
             ..case
         },
         Case {
             name: "every other request is turned away",
-            wishes: [BoxWishes::rest(Sheds::EverySecond, "1.5"), well],
+            wishes: [BoxWishes::rest(Sheds::EverySecond, "1.5"), healthy],
             ..case
         },
         Case {
             name: "by what it works on",
-            wishes: [BoxWishes::rest(Sheds::Beyond(3), "1.5"), well],
+            wishes: [BoxWishes::rest(Sheds::Beyond(3), "1.5"), healthy],
             ..case
         },
         Case {
             name: "a rest that outlasts the test",
-            wishes: [BoxWishes::rest(Sheds::All, "1e9"), well],
+            wishes: [BoxWishes::rest(Sheds::All, "1e9"), healthy],
             ..case
         },
         case,
@@ -88,13 +89,15 @@
             for (id, wishes) in boxes.iter().zip(case.wishes) {
                 site.site.set_wishes(id, wishes);
             }
-            let asked = keep_asking(&site.nodes, case.path).await;
-            let mut wrong = broken(&site);
+            let asked = send_requests(&site.nodes, case.path).await;
+            let mut wrong = violations(&site);
             let served = asked.iter().filter(|asked| is_served(asked)).count();
-            let least = (asked.len() as f64 * case.served) as usize;
-            if served < least {
+            let min_count = (asked.len() as f64 * case.min_served) as usize;
+            if served < min_count {
                 let (all, failed) = (asked.len(), first_failed(&asked));
-                wrong.push(format!("{served} of {all} served, {least} at least; {failed}"));
+                wrong.push(format!(
+                    "{served} of {all} served, {min_count} expected at least; {failed}"
+                ));
             }
             in_case(case.name, wrong)
         });
@@ -106,19 +109,19 @@
 /// Story: the same without a wish for rest: a replica that turns everything away has nothing in flight, so that
 /// it was the first choice of 148 in 150 requests beside a replica that was well.
 #[test]
-fn a_replica_that_turns_requests_away_is_not_the_first_choice() {
+fn a_replica_that_refuses_requests_is_not_preferred() {
     struct Case {
         name: &'static str,
         sheds: Sheds,
         path: &'static str,
         /// The most of the requests that may reach it.
-        most: f64,
+        max_share: f64,
     }
-    let case = Case { name: "all", sheds: Sheds::All, path: STREAM, most: 0.2 };
+    let case = Case { name: "all", sheds: Sheds::All, path: STREAM, max_share: 0.2 };
     let cases = [
         Case { name: "all, a plain service", path: CALL, ..case },
         // One that serves half of what it gets is slower, not dead.
-        Case { name: "every other one", sheds: Sheds::EverySecond, most: 0.5, ..case },
+        Case { name: "every other one", sheds: Sheds::EverySecond, max_share: 0.5, ..case },
         case,
     ];
     support::run(async {
@@ -129,16 +132,16 @@
             let wishes = BoxWishes { sheds: case.sheds, ..BoxWishes::default() };
             site.site.set_wishes(sheds, wishes);
             let before = site.site.arrivals().len();
-            let asked = keep_asking(&site.nodes, case.path).await;
+            let asked = send_requests(&site.nodes, case.path).await;
             let arrivals = site.site.arrivals().split_off(before);
-            let there = arrivals.iter().filter(|arrival| arrival.target == sheds).count();
+            let arrived = arrivals.iter().filter(|arrival| arrival.target == sheds).count();
             let served = asked.iter().filter(|asked| is_served(asked)).count();
-            let most = (asked.len() as f64 * case.most) as usize;
-            let is_right = there <= most && there > 0 && served == asked.len();
+            let max_arrivals = (asked.len() as f64 * case.max_share) as usize;
+            let is_right = arrived <= max_arrivals && arrived > 0 && served == asked.len();
             (!is_right).then(|| {
                 let (name, all) = (case.name, asked.len());
                 let failed = first_failed(&asked);
-                format!("{name}: {there} of {all} sent there, {served} served; {failed}")
+                format!("{name}: {arrived} of {all} sent to it, {served} served; {failed}")
             })
         });
         let wrong: Vec<String> = played(all).await.into_iter().flatten().collect();
@@ -149,16 +152,16 @@
 /// Story: as above, where every replica rested: a caller was told 0.3 s, came back to the same replicas
 /// and was turned away again, each time after three of them were asked.
 #[test]
-fn callers_are_refused_at_once_while_all_rest_and_told_when_that_ends() {
+fn callers_are_refused_at_once_with_a_retry_after_while_all_replicas_are_in_backoff() {
     support::run(async {
         let site = Site::serving_with_starts(2).await;
         let leaders: Vec<String> = site.site.leaders().into_keys().collect();
         for leader in &leaders {
             site.site.set_wishes(leader, BoxWishes::rest(Sheds::All, "2"));
         }
-        let asked = keep_asking(&site.nodes, STREAM).await;
+        let asked = send_requests(&site.nodes, STREAM).await;
         let told = site.site.told();
-        let rest_of = |target: &String, asked: &Asked| {
+        let backoff_end = |target: &String, asked: &Asked| {
             let own = told.iter().filter(|told| &told.target == target);
             let own = own.filter(|told| {
                 daemon_of(&told.request, told.at) == daemon_of(&asked.id, asked.sent)
@@ -172,7 +175,7 @@
         let mut refused = 0;
         for asked in &asked {
             let ends: Vec<Instant> =
-                leaders.iter().filter_map(|leader| rest_of(leader, asked)).collect();
+                leaders.iter().filter_map(|leader| backoff_end(leader, asked)).collect();
             if ends.len() < leaders.len() {
                 continue;
             }
@@ -180,29 +183,29 @@
             let first = ends.iter().min().expect("two").duration_since(asked.sent);
             let after: f64 = asked.answer.header("retry-after").parse().expect("a time");
             assert_eq!(asked.answer.status, StatusCode::SERVICE_UNAVAILABLE);
-            assert!(asked.took < Duration::from_millis(300), "held for {:?}", asked.took);
+            assert!(asked.took < Duration::from_millis(300), "took {:?}", asked.took);
             // The clocks of both run while the request is on its way.
             assert!(after + 0.1 > first.as_secs_f64(), "told {after} s, {first:?} were left");
         }
         assert!(refused > 20, "{refused} of {}", asked.len());
-        assert_eq!(broken(&site), Vec::<String>::new());
+        assert_eq!(violations(&site), Vec::<String>::new());
     });
 }
 
 /// What an answer says that names another request is somebody else's word: a surplus answer, or garbled bytes.
 /// Taken for the box's own, it would put that out of service for good.
 #[test]
-fn a_wish_in_an_answer_that_names_another_request_binds_nobody() {
+fn signals_in_an_answer_to_another_request_are_ignored() {
     support::run(async {
         let site = Site::serving_with_starts(1).await;
         let node = &site.nodes[0];
-        let lies = BoxWishes {
+        let foreign_signals = BoxWishes {
             leaves: true,
             names: Some("another"),
             ..BoxWishes::rest(Sheds::All, "600")
         };
-        site.site.set_wishes("a-1", lies);
-        until("it has lied", async || {
+        site.site.set_wishes("a-1", foreign_signals);
+        until("a-1 has answered with signals for another request", async || {
             ask(node, CALL, "n0-lied".to_owned()).await;
             site.site.told().iter().any(|told| told.target == "a-1")
         })
@@ -221,7 +224,7 @@
 
 /// A life that ended owes no rest, and neither does what a box of the same name was asked.
 #[test]
-fn a_new_life_of_a_box_owes_no_rest() {
+fn a_backoff_ends_with_the_incarnation_of_its_box() {
     support::run(async {
         let site = Site::serving_with_starts(1).await;
         for id in ["a-1", "a-2"] {
@@ -238,14 +241,14 @@
             is_served(&ask(node, CALL, "n0-again".to_owned()).await)
         })
         .await;
-        assert_eq!(broken(&site), Vec::<String>::new());
+        assert_eq!(violations(&site), Vec::<String>::new());
     });
 }
 
 /// Story: replicas said in their answers that they leave while their entries stayed; daemons that passed
 /// such answers on sent them new requests for seconds, until the platform's list told the end.
 #[test]
-fn a_replica_that_says_that_it_leaves_is_sent_nothing_new() {
+fn a_leaving_replica_gets_no_new_requests() {
     struct Case {
         name: &'static str,
         path: &'static str,
@@ -269,10 +272,10 @@
             site.site.set_door(0, case.door);
             let wishes = BoxWishes { sheds: case.sheds, ..BoxWishes::leaving() };
             site.site.set_wishes(leaving, wishes);
-            let asked = keep_asking(&site.nodes, case.path).await;
-            let mut wrong = broken(&site);
+            let asked = send_requests(&site.nodes, case.path).await;
+            let mut wrong = violations(&site);
             if !site.site.told().iter().any(|told| told.wish == Wish::Leaves) {
-                wrong.push("it never said so".to_owned());
+                wrong.push("it never announced that it leaves".to_owned());
             }
             // A stop that a box says itself costs callers nothing.
             wrong.extend(not_served(&asked));
@@ -286,7 +289,7 @@
 /// Story: the owner of a domain planned the successor of a replica that leaves only once the store told that it
 /// is gone, though its answers had said so for seconds.
 #[test]
-fn a_replica_that_says_that_it_leaves_has_a_successor_while_its_entry_stays() {
+fn a_leaving_replica_is_replaced_while_its_entry_remains() {
     support::run(async {
         let site = Site::serving_with_starts(2).await;
         let leaving = site.site.leaders().into_keys().next().expect("a leader");
