--- a/crates/cherrystandd/src/site/attempt_cancellation.rs
+++ b/crates/cherrystandd/src/site/attempt_cancellation.rs
@@ -10,8 +10,9 @@
 use crate::site::active_attempt::ActiveAttempt;
 use crate::site::crash_watch::CrashWatch;
 
-/// How long after a request is first refused its attempts are cancelled. By then peers have
-/// reported which of their requests were involved in the same crashes and may be the cause as well.
+/// How long after the last crash that makes a request refused its attempts are cancelled. By then
+/// peers have reported which of their requests were involved in the same crashes and may be the
+/// cause as well.
 const CANCEL_DELAY: Duration = Duration::from_millis(50);
 
 /// From this many tracked attempts on, finished ones are removed.
--- a/crates/cherrystandd/src/site/box_entries.rs
+++ b/crates/cherrystandd/src/site/box_entries.rs
@@ -14,6 +14,7 @@
 use crate::site::site_state::{DepartedBox, SiteState};
 
 impl SiteState {
+    /// Applies a box's entry, unless a later entry or tombstone is held.
     pub(super) fn apply_entry(&mut self, entry: &Document, now: Millis) {
         let name = BoxId::new(entry.key.strip_prefix(Driver::BOXES).unwrap_or_default());
         if let Some(held) =
@@ -23,8 +24,9 @@
             self.entries.insert(name, held);
             return;
         }
-        let older = |held: &Document| held.revision >= entry.revision;
-        if self.tombstones.hide(&name, entry.revision) || self.entries.get(&name).is_some_and(older)
+        let is_not_older = |held: &Document| held.revision >= entry.revision;
+        if self.tombstones.hide(&name, entry.revision)
+            || self.entries.get(&name).is_some_and(is_not_older)
         {
             return;
         }
@@ -60,7 +62,7 @@
         let name = site_box.id.clone();
         let Some(id) = self.incarnations.incarnation_of(&site_box) else {
             let reason =
-                "it does not state its start time in whole milliseconds, as other entries of the service do".to_owned();
+                "it does not state its start in whole milliseconds, as others do".to_owned();
             let err = FormatError { key: entry.key.to_string(), reason };
             self.refused.record(entry, RefusedKind::BoxEntry, &err);
             return self.replace_with_unusable(&name, entry, now);
@@ -71,7 +73,7 @@
         if self.listed_incarnations.get(&name) != Some(&id) {
             self.list_incarnation(name, &mut site_box);
         }
-        let departed = self.departed.remove(&id).map(|gone| gone.site_box);
+        let departed = self.departed.remove(&id).map(|departed| departed.site_box);
         if departed.is_some() {
             self.log_box_transition(BoxTransition::Relisted, &id, now);
         }
--- a/crates/cherrystandd/src/site/capacity.rs
+++ b/crates/cherrystandd/src/site/capacity.rs
@@ -23,8 +23,8 @@
 pub(super) struct HomeModels {
     /// The home model of each domain: the one that its replicas serve.
     pub(super) home: BTreeMap<DomainId, String>,
-    /// The model that each domain's hosts hold in addition, if loads are free or it is worth a
-    /// load.
+    /// The model that each domain's hosts hold in addition, if loads are free or the demand is
+    /// worth a load.
     pub(super) second: BTreeMap<DomainId, String>,
 }
 
--- a/crates/cherrystandd/src/site/change_sharing.rs
+++ b/crates/cherrystandd/src/site/change_sharing.rs
@@ -54,11 +54,11 @@
 /// Serves peers until the duty stops.
 pub(crate) async fn serve_changes(control: Rc<Control>, listener: TcpListener) {
     let (_running, stop) = watch::channel(false);
-    let handle = move |req| handle(control.clone(), req);
+    let handle = move |req| handle_request(control.clone(), req);
     serve_http(listener, handle, stop).await;
 }
 
-async fn handle(control: Rc<Control>, req: Request<Incoming>) -> Response<Full<Bytes>> {
+async fn handle_request(control: Rc<Control>, req: Request<Incoming>) -> Response<Full<Bytes>> {
     let result = match read_request(req).await {
         Ok(request) => respond(&control, request).await,
         Err(status) => Err(status),
--- a/crates/cherrystandd/src/site/control.rs
+++ b/crates/cherrystandd/src/site/control.rs
@@ -39,6 +39,7 @@
 const READ_PAUSE_FACTOR: u32 = 3;
 
 /// How often the newest operator documents are passed on to peers even if they have not changed.
+/// Peers compare revisions before they apply one.
 const PASS_ON_INTERVAL: Millis = Millis(1_000);
 
 inventory::submit! {
--- a/crates/cherrystandd/src/site/domain_records.rs
+++ b/crates/cherrystandd/src/site/domain_records.rs
@@ -131,8 +131,8 @@
         &self,
         listed_id_for: impl Fn(&BoxId) -> Option<BoxId>,
     ) -> Arc<AssignedBoxes> {
-        let has_listed_id = |id: &BoxId| listed_id_for(id).is_none();
-        if self.assigned.values().flatten().all(has_listed_id) {
+        let is_listed_id = |id: &BoxId| listed_id_for(id).is_none();
+        if self.assigned.values().flatten().all(is_listed_id) {
             return self.assigned.clone();
         }
         let mut assigned = self.assigned.clone();
--- a/crates/cherrystandd/src/site/site_state.rs
+++ b/crates/cherrystandd/src/site/site_state.rs
@@ -57,6 +57,7 @@
     pub(super) ended_incarnations: BTreeSet<BoxId>,
     /// The boxes assigned to each replica by the domain records, under the IDs by which they are
     /// listed.
+    ///
     /// Computed on first use and shared by all views until a record or a listed incarnation
     /// changes: computing it for each view takes a lookup per box.
     pub(super) assigned: OnceCell<Arc<AssignedBoxes>>,
@@ -348,7 +349,7 @@
         }
     }
 
-    /// Removes expired state. Returns whether that changed what is known.
+    /// Removes expired state. Returns whether that made a change that peers have to learn of.
     pub(crate) fn remove_expired(&mut self, now: Millis) -> bool {
         let changes = self.change_count();
         if !self.store_outage.keeps(now) {
@@ -363,10 +364,10 @@
         self.departed.retain(|_, departed| now.since(departed.departed_at) < DEPARTED_RETENTION);
         self.expire_ended_replicas();
         let boxes = &self.boxes;
-        let life = |id: &BoxId| {
+        let retention = |id: &BoxId| {
             if boxes.contains_key(id) { SILENCE_RETENTION } else { DEPARTED_RETENTION }
         };
-        self.silent_since.retain(|id, since| now.since(*since) < life(id));
+        self.silent_since.retain(|id, since| now.since(*since) < retention(id));
         self.change_count() != changes
     }
 
--- a/crates/cherrystandd/src/site/store_restore.rs
+++ b/crates/cherrystandd/src/site/store_restore.rs
@@ -18,8 +18,8 @@
 /// The last restore of the store.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct StoreRestore {
-    /// The revision at which the restored store was first listed. Whatever was written before it in
-    /// that era comes from the backup.
+    /// The revision at which the restored store was first listed. Anything up to it comes from the
+    /// backup.
     restored_up_to: Revision,
     /// When everything is to be listed again.
     relist_at: Option<Millis>,
