--- a/crates/cherrystandd/tests/connections.rs
+++ b/crates/cherrystandd/tests/connections.rs
@@ -1,4 +1,4 @@
-//! Connections that daemons keep to endpoints.
+//! Idle connections of daemons to endpoints.
 #![allow(clippy::disallowed_methods, reason = "the machine of a test is not suspended")]
 
 mod support;
@@ -18,7 +18,7 @@
 /// How many connections an endpoint takes from all daemons together.
 const MAX_CONNECTIONS: usize = 12;
 
-/// Counts the connections that are open to an address of this machine, as its kernel lists them.
+/// Counts the established connections to an address of this machine, as listed by the kernel.
 fn open_connections(at: SocketAddr) -> usize {
     const ESTABLISHED: &str = "01";
     let listed = std::fs::read_to_string("/proc/net/tcp").expect("the list");
@@ -31,16 +31,17 @@
     listed.lines().filter(is_open).count()
 }
 
-/// Story: an endpoint takes so many connections from all daemons together and resets any beyond; each daemon kept up
-/// to 64 idle ones to it after a burst, 576 from nine where 110 are taken, so that requests of others met resets.
-/// The number stands in the operators' configuration and was read on no path.
+/// An endpoint takes a limited number of connections from all daemons together and resets any more.
+/// Each daemon kept up to 64 idle connections to it after a burst, 576 from nine daemons where 110
+/// are taken, so that other requests met resets. The limit was in the operators' configuration, but
+/// nothing read it.
 #[test]
 fn idle_connections_after_a_burst_stay_within_the_limit_of_the_endpoint() {
     support::run(async {
         let site = Site::serving(3).await;
         let mut bounded = config(2, "/calls/", &["k1"]);
         bounded["services"][1]["max_conns"] = json!(MAX_CONNECTIONS);
-        // Once a daemon answers by the new route it has the number.
+        // A daemon that answers on the new route has the limit.
         bounded["routes"][1]["path_prefix"] = json!("/bounded/");
         site.site.configure(&bounded);
         for node in &site.nodes {
--- a/crates/cherrystandd/tests/crashing_requests.rs
+++ b/crates/cherrystandd/tests/crashing_requests.rs
@@ -1,4 +1,4 @@
-//! Requests that end each replica that runs them.
+//! Requests that crash each replica that runs them.
 #![allow(clippy::disallowed_methods, reason = "the machine of a test is not suspended")]
 
 mod support;
@@ -10,30 +10,30 @@
 use support::site::{Node, STREAM, Site, send};
 use support::{Answer, until};
 
-/// How long daemons have after the third end of a replica.
+/// How long daemons have to learn of the third crash.
 const PROPAGATION_TIME: Duration = Duration::from_secs(3);
 
 /// How often a request may reach replicas after that.
 const MAX_SENT_AFTERWARDS: usize = 3;
 
-/// For how long the request comes again, and how often.
+/// For how long the request is sent, and how often.
 const REQUEST_PERIOD: Duration = Duration::from_secs(7);
 const REQUEST_INTERVAL: Duration = Duration::from_millis(200);
 
-/// When its caller gives a try up.
+/// When its caller gives up an attempt.
 const CALLER_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// From this many ends on a request is known.
+/// After this many crashes a request is refused.
 const CRASHES_UNTIL_REFUSED: usize = 3;
 
-/// How many replicas one request may end in all: one more may have it as the third ends.
+/// How many replicas one request may crash in all: one more may be running it at the third crash.
 const MAX_CRASHES: usize = 4;
 
 async fn stream(node: &Node, id: &str, body: &str) -> Answer {
     send(node, "POST", STREAM, id, &[("authorization", "Bearer k1")], body).await
 }
 
-/// Sends a request that ends replicas to one daemon after the other, each time as a new try.
+/// Sends a request that crashes replicas to one daemon after another, each time as a new request.
 async fn send_repeatedly(site: &Site, body: &str) {
     let began = Instant::now();
     for (number, node) in site.nodes.iter().cycle().enumerate() {
@@ -44,7 +44,7 @@
         let answer = tokio::time::timeout(CALLER_TIMEOUT, stream(node, &id, body)).await;
         if let Ok(answer) = answer {
             assert_ne!(answer.text(), whole_stream(&id), "it crashes whatever runs it");
-            // What has run is not told as not run, and nobody is asked back.
+            // A request that ran is not answered as not run, and its caller isn't told to retry.
             let not_run_statuses = [StatusCode::SERVICE_UNAVAILABLE, StatusCode::TOO_MANY_REQUESTS];
             let refused_at_once = answer.header("retry-after").is_empty();
             assert!(
@@ -57,8 +57,8 @@
     }
 }
 
-/// Sends other requests all the while, alike ones and unlike ones, and returns those that were not
-/// served though they came after `settled`.
+/// Sends other requests in the meantime, with equal and with different bodies, and returns those
+/// that were not served although they were sent after `settled`.
 async fn not_served(site: &Site, settled: Duration) -> Vec<String> {
     let began = Instant::now();
     let mut not_served = Vec::new();
@@ -86,19 +86,20 @@
     (id, answer)
 }
 
-/// Story: within two seconds the share of questions about photos that were answered in time fell from 52 of
-/// 56 to 5 of 35, and stayed there for ten, twice. One request, which came again and again with another id
-/// at any daemon, ended each replica that ran it, 25 in all; daemons resumed it at once elsewhere, and
-/// sent each further try on like a new request, since nobody remembered more than the box that broke
-/// off. Each replica took its other requests along and 12 to 16 s to be mended.
+/// Within two seconds the questions about photos that were answered in time fell from 52 of 56 to 5
+/// of 35, and stayed there for ten seconds, twice. One request, which arrived again and again at
+/// any daemon under another id, crashed each replica that ran it, 25 in all. Daemons resumed it
+/// elsewhere at once and treated each further try as a new request, since nothing was remembered
+/// but the box that broke off. Each replica lost its other requests too and took 12 to 16 s to be
+/// repaired.
 ///
-/// Evidence: the connections of one leader after the other ended within 5 ms at all daemons; with a name
-/// for a request in all its tries the same one stands at each of these ends.
+/// The connections of one leader after another ended within 5 ms at all daemons; with a fingerprint
+/// that is the same for all tries, the same request shows at each of these crashes.
 #[test]
 fn a_request_that_crashes_replicas_is_refused_after_the_third_crash() {
     struct Case {
         name: &'static str,
-        /// After how many events the requests end their boxes; nothing where it is before any answer.
+        /// After how many events the requests crash their boxes; "none" is before any answer.
         after: &'static [&'static str],
         daemons: usize,
     }
@@ -125,8 +126,8 @@
             }
             for body in &bodies {
                 let crash_times = crashes_by(&site, body);
-                // One that was at the end of a box by the other request too may be known sooner; that it
-                // is refused is looked at below.
+                // A request may be refused sooner if the other request crashed boxes that were
+                // running both; whether it is refused is checked below.
                 let Some(third) = crash_times.get(CRASHES_UNTIL_REFUSED - 1) else { continue };
                 let late = sent_since(&site, body, *third + PROPAGATION_TIME);
                 let after: Vec<u128> = crash_times[CRASHES_UNTIL_REFUSED..].iter().map(|crash| (*crash - *third).as_millis()).collect();
@@ -160,18 +161,21 @@
     });
 }
 
-/// Story: where a tenth of the questions about photos was one request that ends whatever runs it, five to seven replicas
-/// ended within 1.6 s though it was refused after the third: copies of it that were under way at other replicas by then
-/// ran on until they ended these as well, up to a second later.
+/// When a tenth of the questions about photos was one request that crashes whatever runs it, five
+/// to seven replicas crashed within 1.6 s although it was refused after the third crash: copies
+/// that were then in flight at other replicas ran on until they crashed these as well, up to a
+/// second later.
 ///
-/// Evidence: one fingerprint at all ends; the daemons had refused it for 0.3 to 1 s as the last ones ended.
+/// All crashes had one fingerprint; daemons had refused it for 0.3 to 1 s when the last replicas
+/// crashed.
 #[test]
 fn copies_in_flight_crash_no_replica_after_the_third_crash() {
-    /// For how long a copy runs before it ends its replica: 19 events of 20 ms, of 40, so that none is ever whole.
+    /// After how many events a copy crashes its replica: 19 events of 20 ms of a stream of 40, so
+    /// that none is ever complete.
     const CRASHES_AFTER_EVENTS: &str = "19";
-    /// The time between two copies, over all daemons: two or three are under way at a time.
+    /// The time between two copies, over all daemons: two or three are in flight at a time.
     const COPY_INTERVAL: Duration = Duration::from_millis(130);
-    /// Until all daemons have heard of the third end and have called the copies off.
+    /// The time until all daemons have learned of the third crash and have cancelled the copies.
     const CANCELLATION_TIME: Duration = Duration::from_millis(120);
     const COPIES: usize = 12;
     support::run(async {
@@ -186,7 +190,7 @@
             async move {
                 tokio::time::sleep(COPY_INTERVAL * number as u32).await;
                 let id = format!("copy {number}");
-                // What becomes of it at its caller does not matter here.
+                // What its caller gets doesn't matter here.
                 let _ = tokio::time::timeout(Duration::from_secs(3), stream(node, &id, body)).await;
             }
         });
@@ -203,7 +207,7 @@
     });
 }
 
-/// Returns when a request ended boxes.
+/// Returns when a request crashed boxes.
 fn crashes_by(site: &Site, body: &str) -> Vec<Instant> {
     let crashes = site.site.crashes();
     crashes.iter().filter(|crash| crash.body == body).map(|crash| crash.at).collect()
--- a/crates/cherrystandd/tests/homes.rs
+++ b/crates/cherrystandd/tests/homes.rs
@@ -1,4 +1,4 @@
-//! Requests that are bound to regions.
+//! Requests that are restricted to regions.
 #![allow(clippy::disallowed_methods, reason = "the machine of a test is not suspended")]
 
 mod support;
@@ -10,21 +10,22 @@
 use support::asking::{ask_all, first_failed, in_case, is_served, played};
 use support::site::{CALL, STREAM, Site, config};
 
-/// How often each daemon gets a request, and for how long requests come.
+/// How often each daemon gets a request, and for how long requests are sent.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(50);
 const REQUEST_PERIOD: Duration = Duration::from_secs(1);
 
-/// Within this time a request is refused that no endpoint may serve.
+/// The time within which a request is refused if no endpoint may serve it.
 const REFUSAL_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// A request of a route or tenant with homes reaches replicas in these alone; where both have some, both bind.
+/// A request of a route or tenant with allowed regions reaches replicas in these regions only; if
+/// both name regions, both apply.
 #[test]
 fn requests_reach_replicas_in_allowed_regions_only() {
     struct Case {
         name: &'static str,
         route: Option<&'static [&'static str]>,
         tenant: Option<&'static [&'static str]>,
-        /// The zones whose endpoints get requests: z1 lies in r1, z2 in r2.
+        /// The zones whose endpoints get requests: z1 is in r1, z2 in r2.
         zones: &'static [&'static str],
     }
     let cases = [
@@ -75,7 +76,7 @@
                     arrivals.iter().any(|arrival| boxes.contains(&arrival.target))
                 });
                 let reached: BTreeSet<&str> = reached.collect();
-                // Plain endpoints of the daemons' own zone come first.
+                // Endpoints of a plain service in the daemons' own zone come first.
                 let allowed: BTreeSet<&str> = case.zones.iter().copied().collect();
                 let is_right = match path {
                     CALL => reached.is_subset(&allowed) && reached.is_empty() == allowed.is_empty(),
--- a/crates/cherrystandd/tests/limits.rs
+++ b/crates/cherrystandd/tests/limits.rs
@@ -1,4 +1,4 @@
-//! Replicas that say how many requests they take from all daemons together.
+//! Replicas that name the rate at which they take requests from all daemons together.
 #![allow(clippy::disallowed_methods, reason = "the machine of a test is not suspended")]
 
 mod support;
@@ -13,13 +13,14 @@
 /// How often each daemon gets a request.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(100);
 
-/// For how long requests come: two spans over which arrivals are counted, and what daemons may take before.
+/// For how long requests are sent: two of the periods over which arrivals are counted, plus what
+/// daemons may send before they know the limit.
 const REQUEST_PERIOD: Duration = Duration::from_secs(10);
 
-/// Within this time a request is refused that no endpoint has room for.
+/// The time within which a request is refused if no endpoint may take it.
 const REFUSAL_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Names the boxes that got more than they had said they take.
+/// Lists the boxes that got more requests than they had named.
 fn violations(site: &Site) -> Vec<String> {
     let (told, arrivals) = (site.site.told(), site.site.arrivals());
     let bounds = [LimitBound::Platform, LimitBound::Own];
@@ -34,7 +35,7 @@
     }
 }
 
-/// Says what is wrong with refusals: each comes at once and says when to come back.
+/// Checks refusals: each must come at once and name a time to retry.
 fn invalid_refusals(asked: &[Asked]) -> Vec<String> {
     let refused = asked.iter().filter(|asked| !is_served(asked));
     let wrong = refused.filter(|asked| {
@@ -46,23 +47,24 @@
         .collect()
 }
 
-/// Story: replicas in need said in their answers how many requests a second they take from all daemons
-/// together, 0.4 of what they got; daemons that had passed such answers on sent them as many as before, 33 to
-/// 41 in 4 s where 14 were named. The word was read on no path, and nothing in the system bound all daemons
+/// Overloaded replicas named in their answers how many requests a second they take from all daemons
+/// together, 0.4 of what they got. Daemons that had forwarded such answers sent as many as before,
+/// 33 to 41 in 4 s where 14 were named: nothing read the limit, and nothing bound all daemons
 /// together.
 ///
-/// Evidence: limits of 3.5, 0.4 and 0 made no difference to what arrived, and neither did it whether one daemon has
-/// all the callers or each a third, so that it is not a limit which each keeps by itself; no request came twice.
+/// Limits of 3.5, 0.4 and 0 made no difference to the arrivals, nor did it matter whether one
+/// daemon has all the callers or each a third, so it isn't a limit that each daemon keeps by
+/// itself. No request came twice.
 #[test]
 fn daemons_together_respect_the_rate_limit_of_a_replica() {
     struct Case {
         name: &'static str,
         path: &'static str,
-        /// What the boxes of the service say, in the order of their names.
+        /// What the boxes of the service signal, in the order of their names.
         wishes: [BoxWishes; 2],
-        /// How often each daemon gets a request; one that gets none is not asked.
+        /// How often each daemon gets a request; a daemon with `None` gets none.
         every: [Option<Duration>; 3],
-        /// The least share of requests that is served.
+        /// The minimum share of requests that is served.
         min_served: f64,
     }
     let (healthy, limit) = (BoxWishes::default(), BoxWishes::limit("3.5"));
@@ -80,7 +82,7 @@
             wishes: [BoxWishes { limit_in: LimitIn::EverySecond, ..limit }, healthy],
             ..case
         },
-        // A refusal that does not name it ends nothing.
+        // A refusal that doesn't name the limit doesn't end it.
         Case {
             name: "in good answers only",
             wishes: [
@@ -91,7 +93,7 @@
         },
         Case { name: "a low one", wishes: [BoxWishes::limit("0.4"), healthy], ..case },
         Case { name: "none at all", wishes: [BoxWishes::limit("0"), healthy], ..case },
-        // Of 30 a second 7 are taken, but for the time in which that gets known.
+        // Of 30 requests a second 7 are taken, plus those sent before the limits are known.
         Case { name: "both", wishes: [limit; 2], min_served: 0.15, ..case },
         Case {
             name: "both, a plain service",
@@ -136,8 +138,8 @@
     });
 }
 
-/// What becomes of a limit while requests come: it is lowered, raised, named no more, ends with the life that named it, or
-/// a daemon that may keep its account is killed.
+/// What happens to a limit while requests are sent: it is lowered, raised, no longer named, ends
+/// with the incarnation that named it, or a daemon that may keep its ledger is killed.
 #[test]
 fn a_rate_limit_is_respected_when_it_changes_or_a_daemon_is_lost() {
     #[derive(Clone, Copy)]
@@ -154,10 +156,10 @@
         /// How many requests reach the box in the last three seconds.
         final_count: std::ops::RangeInclusive<usize>,
     }
-    /// When that happens, and the span at the end over which arrivals are counted.
+    /// When the change happens, and the period at the end over which arrivals are counted.
     const CHANGE_AFTER: Duration = Duration::from_secs(4);
     const COUNTED_PERIOD: Duration = Duration::from_secs(3);
-    // Half of 30 a second come to it where nothing holds them back.
+    // Without a limit, half of 30 requests a second reach the box.
     let cases = [
         Case { name: "lowered", first: "8", change: Change::Names("1"), final_count: 1..=5 },
         Case { name: "raised", first: "1", change: Change::Names("8"), final_count: 12..=26 },
--- a/crates/cherrystandd/tests/site.rs
+++ b/crates/cherrystandd/tests/site.rs
@@ -1,4 +1,4 @@
-//! The whole path where the platform's store holds one configuration of routes.
+//! Tests of the whole request path on a site, whose store holds one configuration of routes.
 #![allow(clippy::disallowed_methods, reason = "the machine of a test is not suspended")]
 
 mod support;
@@ -20,7 +20,7 @@
         })
         .await;
         assert!(!is_ready(node).await);
-        // A node that knows no configuration says so, and when to come back.
+        // A node without a configuration refuses and names a time to retry.
         let early = call(node, "POST", CALL, "early", "k1").await;
         assert_eq!(early.status, StatusCode::SERVICE_UNAVAILABLE);
         assert!(!early.header("retry-after").is_empty());
@@ -54,7 +54,7 @@
         for head in site.site.heads() {
             assert!(!head.contains_key("authorization"), "the key was handed on");
             assert_eq!(head["cherrystand-tenant"], "families");
-            // Only engines take requests in the order of their priority.
+            // Only engines take a priority.
             let is_stream = head["cherrystand-request-id"].starts_with(['s', 'w']);
             assert_eq!(head.contains_key("cherrystand-request-priority"), is_stream, "{head:?}");
             assert!(head["cherrystand-deadline-ms"].parse::<u64>().expect("a number") <= 5_000);
@@ -62,12 +62,12 @@
     });
 }
 
-/// Sends bytes as they are and returns the first line of what comes back; nothing where the
-/// connection ends without an answer.
+/// Sends raw bytes and returns the first line of the answer, which is empty if the connection ends
+/// without one.
 async fn raw(node: &Node, bytes: &[u8]) -> String {
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
     let mut stream = tokio::net::TcpStream::connect(node.callers).await.expect("a connection");
-    // A node that refuses early may close before all is written.
+    // A node that refuses early may close the connection before everything is written.
     let _ = stream.write_all(bytes).await;
     let mut answer = vec![0; 1_024];
     let read = tokio::time::timeout(Duration::from_secs(5), stream.read(&mut answer)).await;
@@ -160,7 +160,7 @@
             moved += runs.len() - 1;
         }
         assert!(moved > 0, "no stream was at the replica that stood still");
-        // The spare takes the dark member's place.
+        // The spare replaces the dark member.
         until("both replicas serve", async || {
             let leaders = site.site.leaders();
             leaders.len() == 2
@@ -170,16 +170,16 @@
     });
 }
 
-/// Story: after all nodes of a deployment lost power, those that came back had no repeats to spend
-/// for 1.2 s, and gave up requests whose replica stood still with 4 to 6 s left; likewise while
-/// replicas were slow. 173 of the 342 requests that were never served that day ended so.
+/// After a power failure of all nodes of a deployment, restarted nodes had no retries left for 1.2
+/// s and gave up requests at stalled replicas with 4 to 6 s left; slow replicas had the same
+/// effect. 173 of the 342 requests of that day that were never served failed this way.
 #[test]
 fn a_request_stays_at_a_stalled_replica_if_no_retry_is_left() {
     struct Case {
         name: &'static str,
-        /// Whether the replica stands still before the requests come.
+        /// Whether the replica stalls before the requests arrive.
         before: bool,
-        /// For how long it does, in milliseconds.
+        /// For how long it stalls, in milliseconds.
         stall_ms: u64,
         retry_slack: f64,
     }
@@ -207,7 +207,7 @@
                 assert_eq!(answer.text(), whole_stream(&id), "{}: {id}", case.name);
                 runs += site.site.runs_of(&id).len();
             }
-            // The requests themselves allow one repeat at the most.
+            // Each request allows one retry at most.
             let most = if case.retry_slack > 0.0 { 12 } else { 7 };
             assert!(runs <= most, "{}: {runs} runs", case.name);
             assert!(case.retry_slack == 0.0 || runs > 6, "{}: {runs} runs", case.name);
@@ -215,22 +215,23 @@
     }
 }
 
-/// Story: callers of two streams got half an answer each, seconds before their time was over, while
-/// both replicas that had been sent them were alive and working. The first had brought nothing for
-/// longer than its engine can take, so its answer was dropped and a second replica asked; that was
-/// slow as well and was given up in the same way, with no attempt left.
+/// Two callers got half a stream each, seconds before their deadlines, although both replicas that
+/// were sent the request were alive and working. The first had been silent for longer than its
+/// engine can take, so its answer was dropped and a second replica was tried; that one was slow too
+/// and was given up in the same way, with no attempt left.
 ///
-/// Evidence: on days on which 4 in 10 replicas turn eight times slower, 13 and 9 streams ended so, all
-/// with two boxes tried, no attempt left, 4 to 7 s left, silences 40 to 80 ms over the longest.
+/// On days on which 4 in 10 replicas become eight times slower, 13 and 9 streams ended like this,
+/// all with two boxes tried, no attempt left, 4 to 7 s left, and silences 40 to 80 ms above the
+/// longest expected one.
 #[test]
 fn silence_of_live_replicas_ends_no_answer() {
     struct Case {
         name: &'static str,
-        /// When the replicas fall silent, in milliseconds after the requests came.
+        /// When the replicas fall silent, in milliseconds after the requests arrived.
         after_ms: u64,
-        /// For how long, in milliseconds.
+        /// For how long they are silent, in milliseconds.
         stall_ms: u64,
-        /// What the other replica does meanwhile.
+        /// What the other replica does in that time.
         other: BoxMood,
         retry_slack: f64,
     }
@@ -262,7 +263,7 @@
     ];
     support::run(async {
         let all = cases.into_iter().map(|case| async move {
-            // A peer bears out that nothing of the replicas comes.
+            // The second node is a peer that confirms that nothing arrives from the replicas.
             let site = Site::serving_with(2, case.retry_slack).await;
             let leaders: Vec<String> = site.site.leaders().into_keys().collect();
             let pause = async {
@@ -277,7 +278,7 @@
             let mut ended = Vec::new();
             for (answer, id) in answers {
                 let runs = site.site.runs_of(&id);
-                // A box may break its own answer off; no other reason ends one.
+                // A box may break off its own answer; nothing else ends one.
                 let broken_off = case.other == BoxMood::LosesAnswers
                     && runs.len() == 1
                     && runs[0].0 == leaders[1];
@@ -293,8 +294,8 @@
     });
 }
 
-/// Story: where a machine stops all its processes for a moment, every replica stands still at once; each
-/// stream then asked another one beside its own, and the repeats of all nodes were spent on it.
+/// If a machine pauses all its processes for a moment, every replica stalls at once. Each stream
+/// then tried another replica as well, which used up the retries of all nodes.
 #[test]
 fn a_pause_of_all_replicas_at_once_causes_no_retries() {
     support::run(async {
@@ -315,21 +316,21 @@
     });
 }
 
-/// Story: replicas were dead and no repeat was left; 107 callers waited the 2 s after which they
-/// leave, and had no time for a second try of their own. A dead replica is told from a quiet one by
-/// asking its members, not by the length of its silence.
+/// Replicas were dead and no retry was left; 107 callers waited for the 2 s after which they
+/// disconnect and had no time for another try of their own. A dead replica is detected by probing
+/// its members, not by the length of its silence.
 #[test]
 fn a_request_at_a_dead_replica_fails_while_its_caller_can_still_retry() {
     struct Case {
         name: &'static str,
         daemons: usize,
-        /// Which member of the replica goes dark; 0 leads.
+        /// Which member of the replica goes dark; 0 is the leader.
         rank: usize,
     }
     let cases = [
         Case { name: "the leader", daemons: 1, rank: 0 },
         Case { name: "a member", daemons: 1, rank: 1 },
-        // Only one of them decides for the domain and asks; the other one hears of it.
+        // Only one daemon decides for the domain and probes; the other one is told.
         Case { name: "the leader, two daemons", daemons: 2, rank: 0 },
         Case { name: "a member, two daemons", daemons: 2, rank: 1 },
     ];
@@ -344,7 +345,7 @@
             let cut =
                 answers.iter().flatten().filter(|(answer, id)| answer.text() != whole_stream(id));
             assert!(cut.count() > 0, "{}: some were at the replica that is dead", case.name);
-            // It takes 0.3 s to doubt the replica, and 0.2 to 1.4 s to ask its members.
+            // It takes 0.3 s to suspect the replica, and 0.2 to 1.4 s to probe its members.
             let took = began.elapsed();
             let is_in_time = took < Duration::from_millis(4_000);
             assert!(is_in_time, "{}: given up well before 5 s: {took:?}", case.name);
@@ -353,7 +354,8 @@
     });
 }
 
-/// Story: with nowhere to go, answers of replicas that were alive and silent were ended after 0.8 s.
+/// When no other replica was available, the answers of live but silent replicas were ended after
+/// 0.8 s.
 #[test]
 fn a_request_at_a_live_replica_stays_until_its_deadline() {
     support::run(async {
@@ -364,16 +366,16 @@
         let began = std::time::Instant::now();
         let answers = six_streams(&site.nodes[0]).await;
         assert!(answers.iter().all(|(answer, id)| answer.text() != whole_stream(id)));
-        // Its callers give a request 5 s.
+        // The timeout of the callers is 5 s.
         let took = began.elapsed();
         assert!(took >= Duration::from_millis(4_900), "ended by silence after {took:?}");
         assert!(took < Duration::from_millis(6_500), "ended long after its time: {took:?}");
     });
 }
 
-/// Story: boxes that were cut off from the store started again behind the cut, under other ids and at
-/// the addresses of before, while their old entries stood. 456 of 714 orders of that day were
-/// refused: each joined the old box, reached the new one, and was sent again at once for a second.
+/// Boxes that were cut off from the store restarted under other ids, at the same addresses, while
+/// their old entries remained. 456 of 714 orders of that day were refused: each was a join for the
+/// old box that reached the new one, and was sent again at once for a second.
 #[test]
 fn an_order_reaches_only_the_box_that_it_is_meant_for() {
     support::run(async {
@@ -395,14 +397,14 @@
     });
 }
 
-/// Story: a box that starts again under its name within one heartbeat and takes a late join of its last
-/// replica tells of the same replica and epoch as before; nothing moves in it, and its leader took
-/// requests for 4 s, until it said itself that the replica came apart.
+/// A box that restarts under its name within one heartbeat, and then takes a late join of its last
+/// replica, reports the same replica and epoch as before. Nothing progresses in that replica, but
+/// its leader took requests for 4 s, until it reported itself that the replica had come apart.
 #[test]
 fn a_box_that_restarts_leaves_its_replica_at_once() {
     struct Case {
         name: &'static str,
-        /// Which member starts again; 0 leads.
+        /// Which member restarts; 0 is the leader.
         rank: usize,
         /// Whether a late join takes it back to its replica.
         joins_again: bool,
@@ -416,7 +418,8 @@
     support::run(async {
         let all = cases.into_iter().map(|case| async move {
             let site = Site::serving_with_starts(2).await;
-            // They are told apart by their lives from now on, and go on serving.
+            // Boxes report their starts from now on, so that incarnations can be told apart, and
+            // keep serving.
             assert_eq!(site.site.whole_replicas(), 2, "{}", case.name);
             let (leader, members) = site.site.leaders().pop_first().expect("a leader");
             let restart = async {
@@ -430,8 +433,8 @@
             for (answer, id) in answers {
                 assert_eq!(answer.text(), whole_stream(&id), "{}: {id}", case.name);
             }
-            // Nothing new goes to the torn replica once its box has told that it started again; half a
-            // second is for the news.
+            // Nothing new goes to the broken replica once its box has reported the restart; half a
+            // second is for propagation.
             let late = restarted + Duration::from_millis(500);
             let repaired_at = std::time::Instant::now();
             let arrivals = site.site.arrivals();
@@ -445,8 +448,8 @@
     });
 }
 
-/// Story: a value that cannot be read where a box tells of itself left the box in force as it was
-/// before, chosen and ordered.
+/// When a box's entry became unreadable, the box stayed in service as it was before, and was still
+/// chosen and sent orders.
 #[test]
 fn an_unreadable_entry_removes_its_box_and_affects_no_other() {
     support::run(async {
@@ -475,8 +478,8 @@
         assert!(answers.iter().all(|(answer, id)| answer.text() == whole_stream(id)));
         let told = call_at(node.operators, "GET", "/metrics", &[], "").await.text();
         assert!(told.contains("values_refused_total{kind=\"entry\"} 5"), "{told}");
-        // It is a box again once it tells of itself, and the configuration in force outlives one that
-        // is none.
+        // The box is back once its entry is readable, and the configuration in force survives an
+        // invalid one.
         site.site.list("a-1");
         site.site.store.put("op/config", "not base64!".to_owned());
         until("it is chosen again", async || {
@@ -493,11 +496,11 @@
         let site = Site::serving(1).await;
         site.site.add_box("i-6", "models").await.expect("a box");
         until("the new box is staged", async || site.site.staged("i-6")).await;
-        // It is listed still, as a box is for seconds after it lost power.
+        // It is still listed, as a box is for some seconds after it lost power.
         site.site.set_mood("i-5", BoxMood::Dark);
         let (_, members) = site.site.leaders().pop_first().expect("a leader");
         site.site.set_mood(&members[1], BoxMood::Dark);
-        // Requests find the replica that stands still.
+        // Requests detect the stalled replica.
         let calls = (0..6).map(|number| {
             let id = format!("s{number}");
             let node = &site.nodes[0];
@@ -555,12 +558,13 @@
     ];
     support::run(async {
         for (number, case) in cases.iter().enumerate() {
-            // Endpoints that failed are left out for a while, so each case has a site of its own.
+            // Endpoints that failed are taken out of the choice for a while, so each case has its
+            // own site.
             let site = Site::serving(1).await;
             let node = &site.nodes[0];
             site.site.set_mood("a-1", case.mood);
-            // Enough of them that some meet the endpoint with the mood: of 12 that choose between two by
-            // chance none did in 85 of 400,000 draws.
+            // Enough requests that some reach the endpoint with the mood: with 12 requests and two
+            // endpoints chosen at random, none did in 85 of 400,000 draws.
             let mut met = false;
             for attempt in 0..32 {
                 let id = format!("r{number}-{attempt}");
@@ -591,7 +595,7 @@
     struct Case {
         name: &'static str,
         moods: [BoxMood; 2],
-        /// What callers may be told.
+        /// The statuses that callers may get.
         told: &'static [StatusCode],
     }
     const LOST: StatusCode = StatusCode::BAD_GATEWAY;
@@ -736,7 +740,8 @@
 
 #[test]
 fn few_nodes_of_a_zone_read_the_store_and_all_get_changes_whichever_is_killed() {
-    /// How many times the boxes change, and the calls that one reader makes for each and at rest.
+    /// How many times the boxes change, and how many calls one reader makes for each change and at
+    /// rest.
     const CHANGES: u64 = 20;
     const MAX_CALLS: u64 = CHANGES + 15;
     support::run(async {
@@ -752,7 +757,8 @@
         let calls = site.site.store.calls() - before;
         assert!(calls <= MAX_CALLS, "{calls} calls by five nodes for {CHANGES} changes");
         for version in 2..5 {
-            // Whoever of them reads for the others, at most one is left after two are gone.
+            // Whichever node reads for the others, at most one reader is left after two nodes are
+            // gone.
             let key = format!("k{version}");
             site.site.configure(&config(version, "/calls/", &[&key]));
             for (number, node) in site.nodes.iter().enumerate() {
@@ -767,11 +773,10 @@
     });
 }
 
-/// Story: all nodes lost power. Once they ran again, whoever asked in the first tenth of a second was
-/// refused, since a node listens before it has read what is in service; callers came back 0.3 s
-/// later, after the time in which their answers count as in time. By the log of one day a node
-/// listened 4 ms after its start, had the configuration after 130 ms, and refused 23 requests
-/// meanwhile.
+/// After a power failure of all nodes, callers in the first tenth of a second were refused, because
+/// a node listens before it has read what is in service. They came back 0.3 s later, too late for
+/// their latency goal. In the logs of one day a node listened 4 ms after its start, had the
+/// configuration after 130 ms, and refused 23 requests in between.
 #[test]
 fn a_request_during_startup_waits_until_the_node_knows_the_configuration() {
     struct Case {
@@ -813,14 +818,14 @@
     });
 }
 
-/// Story: all 295 nodes of a deployment lost power. As none knew any other, each listed the store,
-/// 0.7 MB over links of 20 Mbit/s and 218 MB in all over the store's link; from 32 to 38 s of that
-/// day 1,379 of 5,460 requests were answered in time and 3,040 refused.
+/// After a power failure of all 295 nodes of a deployment, no node knew any other, so each listed
+/// the store: 0.7 MB over links of 20 Mbit/s each, and 218 MB in all over the store's link. From 32
+/// to 38 s of that day 1,379 of 5,460 requests were answered in time and 3,040 were refused.
 #[test]
 fn a_node_that_restarts_reads_from_the_readers_that_the_store_names() {
     struct Case {
         name: &'static str,
-        /// Whether the readers noted are there.
+        /// Whether the readers that the store names are running.
         readers_run: bool,
     }
     let cases = [
@@ -835,7 +840,7 @@
             if !case.readers_run {
                 site.nodes.clear();
             }
-            // Nobody listens there: it knows of no peer.
+            // Nothing listens at this address, so the node knows no peer.
             let no_peer = support::free_addresses(1)[0];
             site.start_again(no_peer).await;
             let node = site.nodes.last().expect("just started");
--- a/crates/cherrystandd/tests/slow_readers.rs
+++ b/crates/cherrystandd/tests/slow_readers.rs
@@ -1,4 +1,4 @@
-//! Callers that read slowly, or not at all.
+//! Callers that read slowly or not at all.
 #![allow(clippy::disallowed_methods, reason = "the machine of a test is not suspended")]
 
 mod support;
@@ -13,10 +13,10 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 
-/// How much a slow caller's machine holds for it, in bytes.
+/// The receive buffer of a slow caller.
 const RECEIVE_BUFFER_BYTES: u32 = 4 << 10;
 
-/// Sends a request for a stream over a connection of its own, of which nothing is read yet.
+/// Sends a request for a stream over a new connection and reads nothing of the answer yet.
 async fn send_without_reading(node: &Node, id: &str) -> TcpStream {
     let socket = TcpSocket::new_v4().expect("a socket");
     socket.set_recv_buffer_size(RECEIVE_BUFFER_BYTES).expect("a small window");
@@ -35,14 +35,15 @@
     call_at(node.operators, "GET", "/metrics", &[], "").await.text()
 }
 
-/// A replica that breaks off an answer which its caller left unread has done nothing wrong: it is blamed for nothing,
-/// nobody else does the same work again, and others are served by it as before.
+/// If a replica breaks off an answer because its caller didn't read it, the replica isn't blamed,
+/// no other replica does the same work again, and the replica keeps serving others.
 #[test]
 fn an_answer_cut_because_of_a_slow_caller_is_no_failure_of_the_replica() {
     /// Streams of 32 MB, more than connections buffer.
     const EVENT_BYTES: usize = 800 << 10;
     const CALLERS: usize = 2;
-    /// What connections buffer is made within a second or so, and nothing is read for long after that.
+    /// Connections buffer what the replica sends in the first second or so; nothing is read for
+    /// long after that.
     const CUT_AFTER: Duration = Duration::from_millis(1_200);
     const PAUSE: Duration = Duration::from_millis(3_500);
     support::run(async {
@@ -55,7 +56,7 @@
         for number in 0..CALLERS {
             callers.push(send_without_reading(node, &format!("slow-{number}")).await);
         }
-        // They read nothing for a while, then what there is.
+        // The callers read nothing for a while, then everything there is.
         tokio::time::sleep(PAUSE).await;
         let read = join_all(callers.iter_mut().map(|caller| async {
             let (mut all, mut buf) = (0, vec![0; 64 << 10]);
@@ -88,13 +89,14 @@
     });
 }
 
-/// Half of the callers read nothing for seconds, of streams far larger than what may be held for them: the daemon's
-/// memory stays under that of the smallest machine, and the other half is served.
+/// Half of the callers read nothing for seconds, of streams far larger than the memory for their
+/// answers. The daemon's memory stays below that of the smallest machine, and the other half is
+/// served.
 #[test]
 fn callers_that_do_not_read_use_little_memory() {
     const SLOW_CALLERS: usize = 80;
     const EVENT_BYTES: usize = 64 << 10;
-    /// The memory of the smallest machine, in KB.
+    /// The memory of the smallest machine.
     const MAX_MEMORY_KB: u64 = 112 << 10;
     support::run(async {
         let site = Site::serving(1).await;
@@ -128,8 +130,9 @@
     });
 }
 
-/// An endpoint that announces more than a daemon can hold, as one that garbles its heads does, costs its caller that
-/// answer and nobody else anything: no memory is taken by its word.
+/// An endpoint that announces a longer answer than a daemon can hold, for example because it
+/// garbles its headers, costs its caller that answer and nothing else: no memory is allocated for
+/// an announced length.
 #[test]
 fn an_excessive_content_length_allocates_no_memory() {
     struct Case {
@@ -141,7 +144,8 @@
         Case { name: "all that there are numbers for", length: u64::MAX / 2 },
         Case { name: "more than the room for bodies", length: 1 << 30 },
     ];
-    /// A refused answer is told of at once; an endpoint that still sends is waited for otherwise.
+    /// A refused answer fails at once; otherwise the daemon would wait for an endpoint that is
+    /// still sending.
     const ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
     support::run(async {
         let mut site = Site::serving(1).await;
@@ -166,12 +170,13 @@
     });
 }
 
-/// Answers one request with the head of an answer of a length, of which a few bytes come; the connection stays open.
+/// Answers one request with a head that announces `length` bytes, sends only a few of them, and
+/// keeps the connection open.
 async fn answer_once(listener: &TcpListener, length: u64) -> TcpStream {
     let mut head = vec![0; 4 << 10];
     let mut stream = loop {
         let (mut stream, _) = listener.accept().await.expect("a connection");
-        // Daemons also look whether it is there, and close at once.
+        // Daemons also probe whether it is listening, and close such connections at once.
         if stream.read(&mut head).await.is_ok_and(|read| read > 0) {
             break stream;
         }
--- a/crates/cherrystandd/tests/unsealed_answers.rs
+++ b/crates/cherrystandd/tests/unsealed_answers.rs
@@ -7,8 +7,8 @@
 use support::asking::{ask, is_served};
 use support::site::{CALL, STREAM, Site, call};
 
-/// A success that its endpoint did not seal reaches no caller: what may be repeated is asked of another endpoint, of
-/// what may not its caller learns that it may have run.
+/// A success that its endpoint did not seal reaches no caller. An idempotent request is retried at
+/// another endpoint; the caller of a non-idempotent one learns that it may have run.
 #[test]
 fn an_unsealed_success_is_not_forwarded() {
     support::run(async {
--- a/crates/cherrystandd/tests/wishes.rs
+++ b/crates/cherrystandd/tests/wishes.rs
@@ -1,4 +1,4 @@
-//! Replicas that ask for rest, or say that they leave.
+//! Replicas that ask for backoff or announce that they are leaving.
 #![allow(clippy::disallowed_methods, reason = "the machine of a test is not suspended")]
 
 mod support;
@@ -15,11 +15,12 @@
 
 /// How often each daemon gets a request of each kind.
 ///
-/// All that a case's boxes do is done on the test's thread, on which a wish counts from the moment of
-/// the answer: at a third of this it came half a second late beside other tests.
+/// All boxes of a case run on the test's thread, and a signal counts from the moment of the answer
+/// that carries it. At a third of this interval, signals were half a second late when other tests
+/// ran at the same time.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(100);
 
-/// For how long they come.
+/// For how long requests are sent.
 const REQUEST_PERIOD: Duration = Duration::from_millis(4_500);
 
 /// Sends requests of one kind to all daemons for a while.
@@ -27,19 +28,19 @@
     ask_all(nodes, path, REQUEST_INTERVAL, REQUEST_PERIOD).await
 }
 
-/// Names what daemons sent into rests and to boxes that leave.
+/// Lists the requests that daemons sent during a backoff or to boxes that are leaving.
 fn violations(site: &Site) -> Vec<String> {
     broken_wishes(&site.site.told(), &site.site.arrivals(), daemon_of)
 }
 
-/// Story: half of the replicas turned everything away for nine seconds and asked each daemon for 3 s of rest;
-/// daemons sent each of them 15 to 18 requests within it, three to four times as many as before,
-/// and questions about photos fell from 57 answers in time of 57 to 1 of 53, while replicas beside
-/// them were well. Nobody read the wish, and a replica that turns everything away has nothing in
-/// flight and so looked the quickest.
+/// Half of the replicas refused everything for nine seconds and asked each daemon for a backoff of
+/// 3 s. Daemons sent each of them 15 to 18 requests within that time, three to four times as many
+/// as before, and the questions about photos answered in time fell from 57 of 57 to 1 of 53,
+/// although other replicas were healthy. Nothing read the signal, and a replica that refuses
+/// everything has nothing in flight and therefore looks the fastest.
 ///
-/// Evidence: the counters of sends into a rest, and the lines of refused requests, each of which
-/// names three boxes that turned it away within 10 ms with all its time left.
+/// The evidence was the counters of requests sent during a backoff, and log lines of refused
+/// requests that each named three boxes that had refused within 10 ms, with all the time left.
 #[test]
 fn a_replica_that_asked_for_rest_is_left_alone_until_it_ends() {
     struct Case {
@@ -47,7 +48,7 @@
         /// What the boxes of the service ask for, in the order of their names.
         wishes: [BoxWishes; 2],
         path: &'static str,
-        /// The least share of requests that is served.
+        /// The minimum share of requests that is served.
         min_served: f64,
     }
     let (healthy, backoff) = (BoxWishes::default(), BoxWishes::rest(Sheds::All, "1.5"));
@@ -106,21 +107,21 @@
     });
 }
 
-/// Story: the same without a wish for rest: a replica that turns everything away has nothing in flight, so that
-/// it was the first choice of 148 in 150 requests beside a replica that was well.
+/// Without a backoff signal, a replica that refuses everything has nothing in flight, so it was
+/// chosen first by 148 of 150 requests although the other replica was healthy.
 #[test]
 fn a_replica_that_refuses_requests_is_not_preferred() {
     struct Case {
         name: &'static str,
         sheds: Sheds,
         path: &'static str,
-        /// The most of the requests that may reach it.
+        /// The maximum share of requests that may reach it.
         max_share: f64,
     }
     let case = Case { name: "all", sheds: Sheds::All, path: STREAM, max_share: 0.2 };
     let cases = [
         Case { name: "all, a plain service", path: CALL, ..case },
-        // One that serves half of what it gets is slower, not dead.
+        // A replica that serves half of its requests is slow, not dead.
         Case { name: "every other one", sheds: Sheds::EverySecond, max_share: 0.5, ..case },
         case,
     ];
@@ -149,8 +150,8 @@
     });
 }
 
-/// Story: as above, where every replica rested: a caller was told 0.3 s, came back to the same replicas
-/// and was turned away again, each time after three of them were asked.
+/// When every replica was in backoff, a caller was told to retry after 0.3 s, came back to the same
+/// replicas and was refused again, each time after three of them were tried.
 #[test]
 fn callers_are_refused_at_once_with_a_retry_after_while_all_replicas_are_in_backoff() {
     support::run(async {
@@ -184,7 +185,7 @@
             let after: f64 = asked.answer.header("retry-after").parse().expect("a time");
             assert_eq!(asked.answer.status, StatusCode::SERVICE_UNAVAILABLE);
             assert!(asked.took < Duration::from_millis(300), "took {:?}", asked.took);
-            // The clocks of both run while the request is on its way.
+            // Both clocks run while the request is on its way.
             assert!(after + 0.1 > first.as_secs_f64(), "told {after} s, {first:?} were left");
         }
         assert!(refused > 20, "{refused} of {}", asked.len());
@@ -192,8 +193,8 @@
     });
 }
 
-/// What an answer says that names another request is somebody else's word: a surplus answer, or garbled bytes.
-/// Taken for the box's own, it would put that out of service for good.
+/// Signals in an answer that names another request come from elsewhere, such as a surplus answer or
+/// garbled bytes. If they counted as the box's own, the box would stay out of service.
 #[test]
 fn signals_in_an_answer_to_another_request_are_ignored() {
     support::run(async {
@@ -211,7 +212,7 @@
         })
         .await;
         site.site.set_wishes("a-1", BoxWishes::default());
-        // Nobody else serves now.
+        // No other endpoint serves now.
         site.site.set_wishes("a-2", BoxWishes { sheds: Sheds::All, ..BoxWishes::default() });
         until("it is sent requests again", async || {
             let id = format!("n0-{}", site.site.arrivals().len());
@@ -222,7 +223,8 @@
     });
 }
 
-/// A life that ended owes no rest, and neither does what a box of the same name was asked.
+/// A backoff ends with the incarnation of the box that asked for it, and doesn't apply to a later
+/// box of the same name.
 #[test]
 fn a_backoff_ends_with_the_incarnation_of_its_box() {
     support::run(async {
@@ -245,15 +247,16 @@
     });
 }
 
-/// Story: replicas said in their answers that they leave while their entries stayed; daemons that passed
-/// such answers on sent them new requests for seconds, until the platform's list told the end.
+/// Replicas announced in their answers that they were leaving while their entries remained. Daemons
+/// that had forwarded such answers kept sending them new requests for seconds, until the store's
+/// list showed the end.
 #[test]
 fn a_leaving_replica_gets_no_new_requests() {
     struct Case {
         name: &'static str,
         path: &'static str,
         sheds: Sheds,
-        /// How the store treats the first daemon meanwhile.
+        /// How the store treats the first daemon in that time.
         door: Door,
     }
     let case =
@@ -277,7 +280,7 @@
             if !site.site.told().iter().any(|told| told.wish == Wish::Leaves) {
                 wrong.push("it never announced that it leaves".to_owned());
             }
-            // A stop that a box says itself costs callers nothing.
+            // A stop that a box announces costs callers nothing.
             wrong.extend(not_served(&asked));
             in_case(case.name, wrong)
         });
@@ -286,8 +289,8 @@
     });
 }
 
-/// Story: the owner of a domain planned the successor of a replica that leaves only once the store told that it
-/// is gone, though its answers had said so for seconds.
+/// The owner of a domain planned the replacement of a leaving replica only once the store showed
+/// that it was gone, although its answers had said so for seconds.
 #[test]
 fn a_leaving_replica_is_replaced_while_its_entry_remains() {
     support::run(async {
