--- a/crates/cherrystand/examples/route.rs
+++ b/crates/cherrystand/examples/route.rs
@@ -1,13 +1,13 @@
 //! Sends a burst to endpoints of which one has failed, and shows where it went.
 
-use cherrystand::{AttemptEnd, EndpointSpec, Millis, Router, Seed};
+use cherrystand::{AttemptEnd, EndpointSpec, Millis, Router, SeededRng};
 
 fn main() {
     let mut router = Router::default();
     let group = router.add_group();
-    let spec = EndpointSpec { near: true, start_limit: 8, most: 8 };
+    let spec = EndpointSpec { near: true, initial_limit: 8, max_limit: 8 };
     let endpoints: Vec<_> = (0..4).map(|_| router.add_endpoint(group, spec)).collect();
-    let mut seed = Seed::new(1);
+    let mut seed = SeededRng::new(1);
     let now = Millis(1_000);
     assert!(router.start(endpoints[0], now).is_some());
     router.finish(endpoints[0], AttemptEnd::ConnectFailed, now, None);
--- a/crates/cherrystand_core/benches/node_costs.rs
+++ b/crates/cherrystand_core/benches/node_costs.rs
@@ -81,30 +81,30 @@
     let mut sender = Membership::new(heartbeat(0, 1), Millis(0));
     let mut receiver = Membership::new(heartbeat(1, 1), Millis(0));
     for number in 2..size.nodes {
-        sender.hear(heartbeat(number, 1), Millis(0), Millis(0));
+        sender.merge_heartbeat(heartbeat(number, 1), Millis(0), Millis(0));
     }
     let mut beat = 1;
     report("a list of members sent and merged", || {
         beat += 1;
         for number in 2..size.nodes {
-            sender.hear(heartbeat(number, beat), Millis(0), Millis(0));
+            sender.merge_heartbeat(heartbeat(number, beat), Millis(0), Millis(0));
         }
         let digest = sender.digest(Millis(10));
         for (heartbeat, age) in digest {
-            receiver.hear(heartbeat, age, Millis(10));
+            receiver.merge_heartbeat(heartbeat, age, Millis(10));
         }
     });
     let mut known = Membership::new(heartbeat(0, 1), Millis(0));
     let mut following = Membership::new(heartbeat(1, 1), Millis(0));
     for members in [&mut known, &mut following] {
         for number in 0..size.nodes {
-            members.hear(heartbeat(number, 1), Millis(0), Millis(0));
+            members.merge_heartbeat(heartbeat(number, 1), Millis(0), Millis(0));
         }
     }
     report("the beats of members sent and merged", || {
         let digest = known.digest_for(following.roster(Millis(10)), Millis(10));
         assert!(matches!(digest, Digest::Beats { .. }));
-        following.take_digest(digest, Millis(0), Millis(10));
+        following.merge_digest(digest, Millis(0), Millis(10));
     });
     report("members published", || {
         let all = receiver.all(Millis(10)).into_iter();
--- a/crates/cherrystand_core/benches/routing.rs
+++ b/crates/cherrystand_core/benches/routing.rs
@@ -6,7 +6,8 @@
 
 use cherrystand_core::{
     AllowedRegions, AttemptEnd, BoxId, ChoiceRule, EndpointKey, EndpointSpec, EngineSpec, GroupKey,
-    LoadBalancer, Millis, ModelSpec, Policy, RequestSpec, Router, Seed, ServiceName, TargetSpec,
+    LoadBalancer, Millis, ModelSpec, Policy, RequestSpec, Router, SeededRng, ServiceName,
+    TargetSpec,
 };
 
 /// The number of choices that are timed.
@@ -24,7 +25,7 @@
 fn router(endpoints: usize) -> (Router, GroupKey, Vec<EndpointKey>) {
     let mut router = Router::default();
     let group = router.add_group();
-    let spec = EndpointSpec { near: true, start_limit: 256, most: 256 };
+    let spec = EndpointSpec { near: true, initial_limit: 256, max_limit: 256 };
     let keys = (0..endpoints).map(|_| router.add_endpoint(group, spec)).collect();
     (router, group, keys)
 }
@@ -34,7 +35,7 @@
     println!("{:>9} {:>9} {:>9}", "endpoints", "plain", "prefix");
     for endpoints in [10, 100, 1_000, 5_000] {
         let (mut router, group, _) = router(endpoints);
-        let mut seed = Seed::new(1);
+        let mut seed = SeededRng::new(1);
         let mut time = |prefixes: bool| {
             let began = Instant::now();
             for number in 0..u64::from(CHOICES) {
@@ -116,7 +117,7 @@
     for replicas in [10, 100, 1_000, 5_000] {
         for (name, rule) in rules {
             let mut balancer = balancer(rule, replicas);
-            let mut seed = Seed::new(1);
+            let mut seed = SeededRng::new(1);
             let choices = if rule == ChoiceRule::ExpectedCredit { CHOICES } else { CHOICES / 100 };
             let began = Instant::now();
             for number in 0..u64::from(choices) {
@@ -153,7 +154,7 @@
 fn latencies(strategy: Strategy, load: f64, slow: u64) -> Vec<u64> {
     let (mut router, group, keys) = router(SERVERS);
     let mut servers = [Server::default(); SERVERS];
-    let mut seed = Seed::new(11);
+    let mut seed = SeededRng::new(11);
     let mut open: Vec<(u64, usize, u64)> = Vec::new();
     let mut reported = [0_u64; SERVERS];
     let (mut last_report, mut latencies) = (0, Vec::new());
--- a/crates/cherrystand_core/src/lib.rs
+++ b/crates/cherrystand_core/src/lib.rs
@@ -47,52 +47,52 @@
 
 mod requests {
     pub(crate) mod admission;
-    pub(crate) mod breaker;
+    pub(crate) mod circuit_breaker;
     pub(crate) mod claim;
-    pub(crate) mod cold_life;
-    pub(crate) mod endpoint_limits;
-    pub(crate) mod endpoint_wishes;
-    pub(crate) mod kept_connections;
-    pub(crate) mod known_limit;
-    pub(crate) mod leaving_lives;
-    pub(crate) mod limit;
-    pub(crate) mod limit_account;
-    pub(crate) mod limit_news;
-    pub(crate) mod limit_permits;
-    mod limited_endpoint;
+    pub(crate) mod cold_period;
+    pub(crate) mod concurrency_limit;
+    pub(crate) mod draining_incarnations;
+    pub(crate) mod endpoint_backpressure;
+    pub(crate) mod endpoint_rate_limits;
+    pub(crate) mod idle_connections;
+    pub(crate) mod known_rate_limit;
     pub(crate) mod outcome;
+    pub(crate) mod rate_limit_ledger;
+    pub(crate) mod rate_limit_message;
+    pub(crate) mod rate_limit_permits;
+    mod rate_limited_endpoint;
     pub(crate) mod refusal;
     pub(crate) mod request_rate;
     pub(crate) mod retry;
     pub(crate) mod router;
-    pub(crate) mod seed;
+    pub(crate) mod seeded_rng;
     pub(crate) mod send_permit;
-    pub(crate) mod usual_time;
+    pub(crate) mod typical_latency;
     pub(crate) mod wait_queue;
 }
 
 mod nodes {
-    pub(crate) mod absences;
-    pub(crate) mod awake_time;
-    pub(crate) mod call_book;
+    pub(crate) mod call_history;
     pub(crate) mod change_log;
     pub(crate) mod digest;
     pub(crate) mod documents;
-    pub(crate) mod duty_share;
+    pub(crate) mod era_tracker;
+    pub(crate) mod fan_out;
     pub(crate) mod freshness;
-    pub(crate) mod limit_keeper;
+    pub(crate) mod liveness_probe;
     pub(crate) mod membership;
-    pub(crate) mod news_budget;
-    pub(crate) mod reader_note;
+    pub(crate) mod propagation_budget;
+    pub(crate) mod rate_limit_owner;
+    pub(crate) mod reader_list;
     pub(crate) mod readers;
     pub(crate) mod relays;
     pub(crate) mod replica_evidence;
-    pub(crate) mod seen_era;
-    pub(crate) mod silence_check;
-    pub(crate) mod spread;
-    pub(crate) mod stop_plan;
+    pub(crate) mod running_time;
+    pub(crate) mod shutdown_plan;
     pub(crate) mod store_outage;
-    pub(crate) mod store_reach;
+    pub(crate) mod store_reachability;
+    pub(crate) mod task_ownership;
+    pub(crate) mod tombstones;
 }
 
 mod site {
@@ -170,56 +170,60 @@
     BoxId, DomainId, GroupId, NameError, NodeId, PlanId, RegionId, ReplicaId, ServiceName,
     WorkspaceId, ZoneId,
 };
-pub use nodes::absences::Absences;
-pub use nodes::awake_time::AwakeTime;
-pub use nodes::call_book::{CallBook, CallState, OpenCall};
+pub use nodes::call_history::{CallHistory, CallId, CallStats};
 pub use nodes::change_log::{ChangeLog, ChangesSince};
 pub use nodes::digest::Digest;
 pub use nodes::documents::{Document, Documents, Version};
-pub use nodes::duty_share::{owner_of, ranked};
+pub use nodes::era_tracker::{EraTracker, ReportedEra};
+pub use nodes::fan_out::{FanOutTarget, fan_out};
 pub use nodes::freshness::{FRESH_FOR, Freshness, ServeBy};
-pub use nodes::limit_keeper::limit_keeper_of;
+pub use nodes::liveness_probe::{LivenessProbe, ProbeReason, ProbeVerdict, WITNESS_LEAD_TIME};
 pub use nodes::membership::{
-    DEAD_AFTER, FORGET_AFTER, Heartbeat, Membership, PAUSE_GAP, SUSPECT_AFTER, Standing,
+    DEAD_AFTER, FORGET_AFTER, Heartbeat, Liveness, Membership, PAUSE_GAP, SUSPECT_AFTER,
 };
-pub use nodes::news_budget::{NewsBudget, NewsFault};
-pub use nodes::reader_note::{NoteKeeper, NotedReader, ReaderNote};
+pub use nodes::propagation_budget::{PropagationBudget, PropagationFault};
+pub use nodes::rate_limit_owner::rate_limit_owner_of;
+pub use nodes::reader_list::{ListedReader, ReaderList, ReaderListPublisher};
 pub use nodes::readers::{
-    READERS_PER_ZONE, Source, SourceChooser, all_readers, between_questions, between_questions_of,
-    between_watches, branches_of, readers_of,
+    READERS_PER_ZONE, Source, SourceSelector, all_readers, branches_of, poll_interval,
+    poll_interval_of, readers_of, watch_interval,
 };
-pub use nodes::relays::{RELAYS_PER_ZONE, choose_exchange, is_relay, relays_elsewhere, relays_of};
-pub use nodes::replica_evidence::{EVIDENCE_LIFE, EvidenceTable, ReplicaEvidence};
-pub use nodes::seen_era::{SeenEra, ToldEra};
-pub use nodes::silence_check::{Doubt, SilenceCheck, SilenceVerdict, WITNESS_BEFORE};
-pub use nodes::spread::{Told, spread};
-pub use nodes::stop_plan::StopPlan;
+pub use nodes::relays::{
+    RELAYS_PER_ZONE, choose_gossip_peer, is_relay, relays_elsewhere, relays_of,
+};
+pub use nodes::replica_evidence::{EVIDENCE_TTL, EvidenceTable, ReplicaEvidence};
+pub use nodes::running_time::RunningTime;
+pub use nodes::shutdown_plan::ShutdownPlan;
 pub use nodes::store_outage::StoreOutage;
-pub use nodes::store_reach::StoreReach;
-pub use requests::admission::{Admission, Room};
-pub use requests::breaker::{Breaker, FIRST_PAUSE, LONGEST_PAUSE};
+pub use nodes::store_reachability::StoreReachability;
+pub use nodes::task_ownership::{owner_of, rank_by_hash};
+pub use nodes::tombstones::Tombstones;
+pub use requests::admission::{Admission, AdmissionLimits};
+pub use requests::circuit_breaker::{CircuitBreaker, INITIAL_OPEN_TIME, MAX_OPEN_TIME};
 pub use requests::claim::{
-    CLAIM_LIFE_SECS, CLAIM_SHARDS, CLAIM_USE_WITHIN, CallKey, Claim, ClaimAnswer, ClaimRecord,
-    ClaimRequest, MAX_CLAIMS,
+    CLAIM_SHARDS, CLAIM_TTL_SECS, CLAIM_USE_TIMEOUT, Claim, ClaimRecord, ClaimRequest,
+    ClaimResponse, IdempotencyKey, MAX_CLAIMS,
+};
+pub use requests::cold_period::{ColdPeriod, ColdPeriodUpdate, ColdStart};
+pub use requests::concurrency_limit::ConcurrencyLimit;
+pub use requests::draining_incarnations::DrainingIncarnations;
+pub use requests::endpoint_backpressure::{BackpressureState, EndpointBackpressure, MAX_BACKOFF};
+pub use requests::endpoint_rate_limits::{
+    EndpointRateLimits, ObservedRateLimit, RateLimitOwner, RateLimitRecipient, RateLimitStep,
 };
-pub use requests::cold_life::{ColdLife, ColdStart, ColdWord};
-pub use requests::endpoint_limits::{EndpointLimits, LimitHeard, LimitKeeper, LimitStep, LimitTo};
-pub use requests::endpoint_wishes::{EndpointWishes, LONGEST_REST, WishState};
-pub use requests::kept_connections::{USUALLY_KEPT, kept_connections};
-pub use requests::leaving_lives::LeavingLives;
-pub use requests::limit::Limit;
-pub use requests::limit_news::{LimitNews, LimitWord};
+pub use requests::idle_connections::{DEFAULT_IDLE_CONNECTIONS, max_idle_connections};
 pub use requests::outcome::{AttemptEnd, Outcome};
+pub use requests::rate_limit_message::{RateLimitMessage, RateLimitReport};
 pub use requests::refusal::{Refusal, RefusalReason};
 pub use requests::request_rate::RequestRate;
 pub use requests::retry::{
     BUDGET_PER_MILLE, FailedAttempt, MAX_ATTEMPTS, NoRetry, RetryBudget, decide_retry,
 };
 pub use requests::router::{EndpointKey, EndpointSpec, GroupKey, NoEndpoint, Router};
-pub use requests::seed::{Seed, hash_bytes, mix};
+pub use requests::seeded_rng::{SeededRng, hash_bytes, mix};
 pub use requests::send_permit::SendPermit;
-pub use requests::usual_time::UsualTime;
-pub use requests::wait_queue::{LONGEST_WAIT, WaitQueue};
+pub use requests::typical_latency::TypicalLatency;
+pub use requests::wait_queue::{MAX_QUEUE_WAIT, WaitQueue};
 pub use site::allowed_regions::AllowedRegions;
 pub use site::attempt_ledger::{AttemptLedger, FinalFailure};
 pub use site::box_incarnations::BoxIncarnations;
--- a/crates/cherrystand_core/src/nodes/call_book.rs
+++ b/crates/cherrystand_core/src/nodes/call_history.rs
@@ -13,7 +13,7 @@
 
 /// Names a call that has begun.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct OpenCall(u64);
+pub struct CallId(u64);
 
 /// A call that ended.
 #[derive(Clone, Copy, Debug)]
@@ -25,7 +25,7 @@
 
 /// How a daemon's calls fare at one moment.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct CallState {
+pub struct CallStats {
     /// Calls that have begun and not ended.
     pub open: usize,
     /// Calls that ended without an answer lately.
@@ -38,23 +38,23 @@
 
 /// Keeps the calls that a daemon made lately.
 #[derive(Clone, Debug, Default)]
-pub struct CallBook {
+pub struct CallHistory {
     next: u64,
-    open: BTreeMap<OpenCall, Millis>,
+    open: BTreeMap<CallId, Millis>,
     ended: VecDeque<Ended>,
 }
 
-impl CallBook {
+impl CallHistory {
     /// Notes that a call begins.
-    pub fn begin(&mut self, now: Millis) -> OpenCall {
-        let key = OpenCall(self.next);
+    pub fn begin(&mut self, now: Millis) -> CallId {
+        let key = CallId(self.next);
         self.next += 1;
         self.open.insert(key, now);
         key
     }
 
     /// Notes how a call ended, and returns how long it took.
-    pub fn end(&mut self, key: OpenCall, answered: bool, now: Millis) -> Millis {
+    pub fn end(&mut self, key: CallId, answered: bool, now: Millis) -> Millis {
         let Some(begun) = self.open.remove(&key) else {
             return Millis(0);
         };
@@ -67,16 +67,16 @@
     }
 
     /// Returns how long the quickest answer took among the calls that began from `first` to `last`.
-    pub fn answered_between(&self, first: Millis, last: Millis) -> Option<Millis> {
+    pub fn fastest_answer_between(&self, first: Millis, last: Millis) -> Option<Millis> {
         let began = |call: &&Ended| call.begun >= first && call.begun <= last;
         let answered = self.ended.iter().filter(|call| call.answered).filter(began);
         answered.map(|call| call.ended.since(call.begun)).min()
     }
 
     /// Returns how the calls fare.
-    pub fn state(&self, now: Millis) -> CallState {
+    pub fn stats(&self, now: Millis) -> CallStats {
         let lately = self.ended.iter().filter(|call| now.since(call.ended) <= KEPT);
-        let mut state = CallState { open: self.open.len(), ..CallState::default() };
+        let mut state = CallStats { open: self.open.len(), ..CallStats::default() };
         for call in lately {
             if call.answered {
                 state.answered += 1;
--- a/crates/cherrystand_core/src/nodes/documents.rs
+++ b/crates/cherrystand_core/src/nodes/documents.rs
@@ -29,7 +29,7 @@
 
 impl Documents {
     /// Takes in a copy, and tells whether it is newer than the one held.
-    pub fn offer(&mut self, document: Document) -> bool {
+    pub fn insert_if_newer(&mut self, document: Document) -> bool {
         let newer = self.revision(&document.key) < document.revision;
         if newer {
             self.held.insert(document.key.clone(), document);
@@ -60,11 +60,11 @@
 
     /// Returns one number that two daemons share when they hold the same versions.
     pub fn fingerprint(&self) -> u64 {
-        self.fingerprint_below("")
+        self.fingerprint_of_prefix("")
     }
 
     /// Returns the same of the records whose key starts with `prefix`.
-    pub fn fingerprint_below(&self, prefix: &str) -> u64 {
+    pub fn fingerprint_of_prefix(&self, prefix: &str) -> u64 {
         let one = |held: &Document| {
             let revision = crate::mix(held.revision.number() ^ crate::mix(held.revision.era().0));
             crate::mix(crate::hash_bytes(held.key.as_bytes()) ^ revision)
--- a/crates/cherrystand_core/src/nodes/seen_era.rs
+++ b/crates/cherrystand_core/src/nodes/era_tracker.rs
@@ -4,23 +4,23 @@
 
 /// What one answer of the store tells of its era.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ToldEra {
+pub enum ReportedEra {
     /// Nothing, as a store that never came back from a copy.
-    Nothing,
+    Missing,
     /// This era.
-    Is(Era),
+    Known(Era),
     /// What is no number.
-    Unreadable,
+    Invalid,
 }
 
 /// Keeps the latest era; answers come over several connections and overtake each other.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct SeenEra {
+pub struct EraTracker {
     latest: Era,
     refused: u64,
 }
 
-impl SeenEra {
+impl EraTracker {
     /// Returns the latest era.
     pub fn latest(&self) -> Era {
         self.latest
@@ -30,28 +30,28 @@
     /// known, so that nothing of the answer holds any more.
     ///
     /// An answer that tells none, or what is no number, counts as of the latest one.
-    pub fn take(&mut self, told: ToldEra) -> Option<Era> {
+    pub fn observe(&mut self, told: ReportedEra) -> Option<Era> {
         match told {
-            ToldEra::Is(era) if era < self.latest => {
+            ReportedEra::Known(era) if era < self.latest => {
                 self.refused += 1;
                 return None;
             }
-            ToldEra::Is(era) => self.latest = era,
-            ToldEra::Unreadable => self.refused += 1,
-            ToldEra::Nothing => {}
+            ReportedEra::Known(era) => self.latest = era,
+            ReportedEra::Invalid => self.refused += 1,
+            ReportedEra::Missing => {}
         }
         Some(self.latest)
     }
 
     /// Takes in the era of a revision that is to be named to the store, and tells whether its number means there what
     /// it says; a later era was told by a peer that has heard of it first.
-    pub fn holds(&mut self, era: Era) -> bool {
+    pub fn is_current(&mut self, era: Era) -> bool {
         self.latest = self.latest.max(era);
         era == self.latest
     }
 
     /// Returns how many answers told an era that could not be used since the last call.
-    pub fn take_refused(&mut self) -> u64 {
+    pub fn take_rejected_count(&mut self) -> u64 {
         std::mem::take(&mut self.refused)
     }
 }
--- a/crates/cherrystand_core/src/nodes/freshness.rs
+++ b/crates/cherrystand_core/src/nodes/freshness.rs
@@ -58,12 +58,12 @@
     }
 
     /// Replaces the daemons that there should be, as the platform lists them.
-    pub fn expect(&mut self, nodes: impl IntoIterator<Item = NodeId>) {
+    pub fn set_expected(&mut self, nodes: impl IntoIterator<Item = NodeId>) {
         self.expected = nodes.into_iter().collect();
     }
 
     /// Takes in that the platform's records were read, by someone, `age` ago.
-    pub fn platform_read(&mut self, now: Millis, age: Millis) {
+    pub fn record_platform_read(&mut self, now: Millis, age: Millis) {
         let at = now - age;
         if self.platform.is_none_or(|known| known < at) {
             self.platform = Some(at);
@@ -76,7 +76,7 @@
     }
 
     /// Takes in that a peer held, at a time, the configurations that this node holds.
-    pub fn agreed(&mut self, peer: &NodeId, at: Millis) {
+    pub fn record_agreement(&mut self, peer: &NodeId, at: Millis) {
         match self.peers.get_mut(peer) {
             Some(known) => *known = at.max(*known),
             None => {
--- a/crates/cherrystand_core/src/nodes/silence_check.rs
+++ b/crates/cherrystand_core/src/nodes/liveness_probe.rs
@@ -6,7 +6,7 @@
 //!
 //! Source: docs/design/0014-who-may-judge.md.
 
-use crate::{CallBook, Millis};
+use crate::{CallHistory, Millis};
 
 /// How long a box may take to answer, by how often it was asked before: 200 ms finds a dead box
 /// well within the half second in which it has to be known; a daemon that was held up gives more.
@@ -21,14 +21,14 @@
 const EARLY_PART: u64 = 4;
 
 /// A call that began this much before the question shows the same as one that began with it.
-pub const WITNESS_BEFORE: Millis = Millis(20);
+pub const WITNESS_LEAD_TIME: Millis = Millis(20);
 
 /// A timer this much too late tells that the daemon's own processor was busy.
 const LATE: Millis = Millis(60);
 
 /// Says what follows where a box did not answer in time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum SilenceVerdict {
+pub enum ProbeVerdict {
     /// The box is silent, while others answer.
     Silent,
     /// The daemon may be held up itself: the box is asked again.
@@ -37,7 +37,7 @@
     Undecided,
 }
 
-impl SilenceVerdict {
+impl ProbeVerdict {
     /// Returns the name that metrics use.
     pub fn as_str(self) -> &'static str {
         match self {
@@ -50,7 +50,7 @@
 
 /// Says why a box is asked whether it is there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Doubt {
+pub enum ProbeReason {
     /// Requests or orders to it, or to its replica, got no answer.
     NoAnswer,
     /// The store lists it no more, and nothing else speaks against it.
@@ -59,13 +59,13 @@
 
 /// Follows the questions to one box until it answers or a verdict is given.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct SilenceCheck {
+pub struct LivenessProbe {
     asked: usize,
 }
 
-impl SilenceCheck {
+impl LivenessProbe {
     /// Returns how long the box may take to answer this time.
-    pub fn within(&self) -> Millis {
+    pub fn timeout(&self) -> Millis {
         WITHIN[self.asked.min(WITHIN.len() - 1)]
     }
 
@@ -74,35 +74,40 @@
     /// A box that is cut off from the store refuses questions and orders as one that is dead does,
     /// and may go on serving. While nobody saw its replica stand still the refusal says nothing; one
     /// that is dead is found by its streams, within 0.4 s.
-    pub fn refused(doubt: Doubt) -> SilenceVerdict {
+    pub fn verdict_on_refusal(doubt: ProbeReason) -> ProbeVerdict {
         match doubt {
-            Doubt::NoAnswer => SilenceVerdict::Silent,
-            Doubt::NotListed => SilenceVerdict::Undecided,
+            ProbeReason::NoAnswer => ProbeVerdict::Silent,
+            ProbeReason::NotListed => ProbeVerdict::Undecided,
         }
     }
 
     /// Takes in that a question that began at `begun` was not answered by `now`, and says what
     /// follows.
-    pub fn unanswered(&mut self, begun: Millis, now: Millis, calls: &CallBook) -> SilenceVerdict {
-        let within = self.within();
+    pub fn record_timeout(
+        &mut self,
+        begun: Millis,
+        now: Millis,
+        calls: &CallHistory,
+    ) -> ProbeVerdict {
+        let within = self.timeout();
         self.asked += 1;
         if is_silent(begun, within, now, calls) {
-            SilenceVerdict::Silent
+            ProbeVerdict::Silent
         } else if self.asked < WITHIN.len() {
-            SilenceVerdict::AskAgain
+            ProbeVerdict::AskAgain
         } else {
-            SilenceVerdict::Undecided
+            ProbeVerdict::Undecided
         }
     }
 }
 
 /// Tells whether silence over a time that was to last `within` says something of the silent one.
-fn is_silent(begun: Millis, within: Millis, now: Millis, calls: &CallBook) -> bool {
+fn is_silent(begun: Millis, within: Millis, now: Millis, calls: &CallHistory) -> bool {
     let waited = now.since(begun);
     if waited > within + LATE {
         return false;
     }
     let early = begun + Millis(within.0 / EARLY_PART);
-    let quickest = calls.answered_between(begun - WITNESS_BEFORE, early);
+    let quickest = calls.fastest_answer_between(begun - WITNESS_LEAD_TIME, early);
     quickest.is_some_and(|took| took.0 * SLOWER <= waited.0)
 }
--- a/crates/cherrystand_core/src/nodes/membership.rs
+++ b/crates/cherrystand_core/src/nodes/membership.rs
@@ -64,7 +64,7 @@
 
 /// Says what a daemon thinks of another one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum Liveness {
     /// News of it is fresh.
     Alive,
     /// News of it is late.
@@ -87,7 +87,7 @@
     }
 
     fn is_dead(&self, now: Millis) -> bool {
-        standing_after(now.since(self.heard)) == Standing::Dead
+        standing_after(now.since(self.heard)) == Liveness::Dead
     }
 }
 
@@ -144,9 +144,9 @@
 
     /// Takes in a heartbeat that came directly or by way of others, `age` after it was given, and
     /// tells whether it says anything new beside its beat.
-    pub fn hear(&mut self, heartbeat: Heartbeat, age: Millis, now: Millis) -> bool {
+    pub fn merge_heartbeat(&mut self, heartbeat: Heartbeat, age: Millis, now: Millis) -> bool {
         if heartbeat.node == self.own.node {
-            self.outlive(&heartbeat);
+            self.refute(&heartbeat);
             return false;
         }
         let rank = |beat: &Heartbeat| (beat.incarnation, beat.beat);
@@ -189,25 +189,25 @@
     /// beside beats.
     ///
     /// Beats for another roster than the own one are left out; the next answer brings everything.
-    pub fn take_digest(&mut self, digest: Digest, on_the_way: Millis, now: Millis) -> bool {
+    pub fn merge_digest(&mut self, digest: Digest, on_the_way: Millis, now: Millis) -> bool {
         match digest {
             Digest::Whole(all) => {
                 let mut news = false;
                 for (heartbeat, age) in all {
-                    news |= self.hear(heartbeat, age + on_the_way, now);
+                    news |= self.merge_heartbeat(heartbeat, age + on_the_way, now);
                 }
                 news
             }
             Digest::Beats { roster, beats } => {
                 if roster == self.roster(now) {
-                    self.take_beats(&beats, on_the_way, now);
+                    self.merge_beats(&beats, on_the_way, now);
                 }
                 false
             }
         }
     }
 
-    fn take_beats(&mut self, beats: &[(u64, Millis)], on_the_way: Millis, now: Millis) {
+    fn merge_beats(&mut self, beats: &[(u64, Millis)], on_the_way: Millis, now: Millis) {
         let before = self.members.range::<NodeId, _>(..&self.own.node);
         let own = before.filter(|(_, member)| !member.is_dead(now)).count();
         let known: Vec<&mut Member> =
@@ -239,14 +239,14 @@
 
     /// Lists the daemons that hold the configurations that this one holds, and when each last told
     /// of it.
-    pub fn agreeing_since(&self) -> impl Iterator<Item = (&NodeId, Millis)> {
+    pub fn agreement_times(&self) -> impl Iterator<Item = (&NodeId, Millis)> {
         let same =
             self.members.values().filter(|member| member.heartbeat.config == self.own.config);
         same.map(|member| (&member.heartbeat.node, member.heard))
     }
 
     /// Rises above news of a life of this daemon that it does not remember.
-    fn outlive(&mut self, heard: &Heartbeat) {
+    fn refute(&mut self, heard: &Heartbeat) {
         let own = (self.own.incarnation, self.own.beat);
         if (heard.incarnation, heard.beat) > own {
             self.own.incarnation = heard.incarnation.next();
@@ -254,13 +254,13 @@
     }
 
     /// Returns what this daemon thinks of another one.
-    pub fn standing(&self, node: &NodeId, now: Millis) -> Standing {
+    pub fn liveness(&self, node: &NodeId, now: Millis) -> Liveness {
         if node == &self.own.node {
-            return Standing::Alive;
+            return Liveness::Alive;
         }
         match self.members.get(node) {
             Some(member) => standing_after(now.since(member.heard)),
-            None => Standing::Dead,
+            None => Liveness::Dead,
         }
     }
 
@@ -283,15 +283,15 @@
     pub fn alive(&self, now: Millis) -> Vec<&Heartbeat> {
         let known = self.members.values();
         let alive =
-            known.filter(|member| standing_after(now.since(member.heard)) == Standing::Alive);
+            known.filter(|member| standing_after(now.since(member.heard)) == Liveness::Alive);
         let mut beats = vec![&self.own];
         beats.extend(alive.map(|member| &member.heartbeat));
         beats
     }
 
     /// Returns every daemon known and what this one thinks of it, itself first.
-    pub fn all(&self, now: Millis) -> Vec<(&Heartbeat, Standing)> {
-        let mut all = vec![(&self.own, Standing::Alive)];
+    pub fn all(&self, now: Millis) -> Vec<(&Heartbeat, Liveness)> {
+        let mut all = vec![(&self.own, Liveness::Alive)];
         let others = self.members.values();
         all.extend(others.map(|member| {
             let standing = standing_after(now.since(member.heard));
@@ -301,12 +301,12 @@
     }
 }
 
-fn standing_after(silence: Millis) -> Standing {
+fn standing_after(silence: Millis) -> Liveness {
     if silence > DEAD_AFTER {
-        Standing::Dead
+        Liveness::Dead
     } else if silence > SUSPECT_AFTER {
-        Standing::Suspect
+        Liveness::Suspect
     } else {
-        Standing::Alive
+        Liveness::Alive
     }
 }
--- a/crates/cherrystand_core/src/nodes/limit_keeper.rs
+++ b/crates/cherrystand_core/src/nodes/rate_limit_owner.rs
@@ -2,19 +2,19 @@
 
 use std::fmt::Display;
 
-use crate::{Heartbeat, LimitKeeper, NodeId, Standing, owner_of};
+use crate::{Heartbeat, Liveness, NodeId, RateLimitOwner, owner_of};
 
 /// Names the daemon that keeps the account of an endpoint's limit, as one daemon sees the others.
 ///
 /// One that stops hands its accounts over at once. Daemons that are out of sight may see a keeper of their own,
 /// who goes by the same rule: each gives out the part of those whom it sees alive, so that both together
 /// give no more than the whole.
-pub fn limit_keeper_of(
+pub fn rate_limit_owner_of(
     id: &impl Display,
     own: &NodeId,
-    members: &[(Heartbeat, Standing)],
-) -> LimitKeeper {
-    let alive = members.iter().filter(|(_, standing)| *standing == Standing::Alive);
+    members: &[(Heartbeat, Liveness)],
+) -> RateLimitOwner {
+    let alive = members.iter().filter(|(_, standing)| *standing == Liveness::Alive);
     let alive: Vec<&Heartbeat> = alive.map(|(beat, _)| beat).collect();
     let serving = alive.iter().copied().filter(|beat| beat.serving);
     let task = format!("limit/{id}");
@@ -22,5 +22,5 @@
     let other = keeper.filter(|keeper| *keeper != own);
     let address = alive.iter().find(|beat| Some(&beat.node) == other).map(|beat| beat.address);
     let share = alive.len().max(1) as f64 / members.len().max(1) as f64;
-    LimitKeeper { address, share }
+    RateLimitOwner { address, share }
 }
--- a/crates/cherrystand_core/src/nodes/reader_note.rs
+++ b/crates/cherrystand_core/src/nodes/reader_list.rs
@@ -16,7 +16,7 @@
 
 /// A reader of the store and where it is asked.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct NotedReader {
+pub struct ListedReader {
     /// The daemon.
     pub node: NodeId,
     /// Where it passes on what changes in the store.
@@ -25,24 +25,24 @@
 
 /// The readers of one zone, the first one first.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ReaderNote {
+pub struct ReaderList {
     /// The readers.
-    pub readers: Vec<NotedReader>,
+    pub readers: Vec<ListedReader>,
 }
 
-impl ReaderNote {
+impl ReaderList {
     /// Makes the note of a daemon's zone.
     pub fn of_zone(own: &Heartbeat, alive: &[&Heartbeat]) -> Self {
         let readers = readers_of(&own.zone, alive).into_iter();
         let noted = readers.filter_map(|beat| {
-            beat.changes.map(|changes| NotedReader { node: beat.node.clone(), changes })
+            beat.changes.map(|changes| ListedReader { node: beat.node.clone(), changes })
         });
         Self { readers: noted.collect() }
     }
 
     /// Returns the readers that a daemon asks: the first reader nobody, the second the first, all
     /// others both.
-    pub fn asked_by(&self, own: &NodeId) -> &[NotedReader] {
+    pub fn readers_for(&self, own: &NodeId) -> &[ListedReader] {
         let rank = self.readers.iter().position(|reader| &reader.node == own);
         &self.readers[..rank.unwrap_or(self.readers.len())]
     }
@@ -50,15 +50,15 @@
 
 /// Decides when the first reader of a zone writes the note.
 #[derive(Clone, Debug, Default)]
-pub struct NoteKeeper {
-    seen: Option<(ReaderNote, Millis)>,
-    written: Option<ReaderNote>,
+pub struct ReaderListPublisher {
+    seen: Option<(ReaderList, Millis)>,
+    written: Option<ReaderList>,
 }
 
-impl NoteKeeper {
+impl ReaderListPublisher {
     /// Returns the note to write now, where the daemon `own` is the one to write it and the readers
     /// have been others than noted for a while.
-    pub fn due(&mut self, own: &NodeId, note: ReaderNote, now: Millis) -> Option<ReaderNote> {
+    pub fn due(&mut self, own: &NodeId, note: ReaderList, now: Millis) -> Option<ReaderList> {
         let is_first = note.readers.first().is_some_and(|first| &first.node == own);
         if !is_first {
             // Whoever writes it now, this daemon does not know what it says any more.
@@ -75,12 +75,12 @@
     }
 
     /// Notes that the store holds a note.
-    pub fn written(&mut self, note: ReaderNote) {
+    pub fn record_written(&mut self, note: ReaderList) {
         self.written = Some(note);
     }
 
     /// Notes that a note could not be written; it is tried again after a while.
-    pub fn failed(&mut self, now: Millis) {
+    pub fn record_failure(&mut self, now: Millis) {
         if let Some((_, since)) = &mut self.seen {
             *since = now;
         }
--- a/crates/cherrystand_core/src/nodes/readers.rs
+++ b/crates/cherrystand_core/src/nodes/readers.rs
@@ -2,8 +2,8 @@
 
 use std::collections::BTreeMap;
 
-use crate::nodes::duty_share::{ranked, ranked_in_zone, zones_of};
-use crate::{Heartbeat, Millis, NewsBudget, NodeId, ZoneId};
+use crate::nodes::task_ownership::{rank_by_hash, ranked_in_zone, zones_of};
+use crate::{Heartbeat, Millis, NodeId, PropagationBudget, ZoneId};
 
 /// How many daemons of each zone may read the store for the others: one that does, and one that
 /// reads from it and takes its place when it fails.
@@ -34,10 +34,10 @@
 
 /// The longest time between two questions; nothing that is told this way is bounded by less than
 /// seconds.
-const LONGEST_BETWEEN_QUESTIONS: Millis = NewsBudget::BETWEEN_QUESTIONS;
+const LONGEST_BETWEEN_QUESTIONS: Millis = PropagationBudget::MAX_POLL_INTERVAL;
 
 /// Returns how long a reader leaves between two watches, so that changes arrive together.
-pub fn between_watches(alive: &[&Heartbeat]) -> Millis {
+pub fn watch_interval(alive: &[&Heartbeat]) -> Millis {
     let readers = zones_of(alive).len() as u64;
     Millis(readers * 1_000 / WATCHES_PER_S)
 }
@@ -46,13 +46,13 @@
 ///
 /// The first change after a while of nothing is told at once, as the question waits for it; only
 /// what follows it arrives together.
-pub fn between_questions(zone: &ZoneId, alive: &[&Heartbeat]) -> Millis {
+pub fn poll_interval(zone: &ZoneId, alive: &[&Heartbeat]) -> Millis {
     between(alive.iter().filter(|beat| &beat.zone == zone).count())
 }
 
 /// Returns how long one daemon leaves between two questions to where it reads: a reader nothing, as few ask, a
 /// branch by how many of these there are, any other by its zone.
-pub fn between_questions_of(own: &Heartbeat, alive: &[&Heartbeat]) -> Millis {
+pub fn poll_interval_of(own: &Heartbeat, alive: &[&Heartbeat]) -> Millis {
     let is_own = |beat: &&Heartbeat| beat.node == own.node;
     if readers_of(&own.zone, alive).iter().any(is_own) {
         return Millis(0);
@@ -60,7 +60,7 @@
     let branches = branches_of(&own.zone, alive);
     match branches.iter().any(is_own) {
         true => between(branches.len()),
-        false => between_questions(&own.zone, alive),
+        false => poll_interval(&own.zone, alive),
     }
 }
 
@@ -113,9 +113,9 @@
     if branches.iter().any(|beat| beat.node == own.node) {
         return Vec::new();
     }
-    let mut ranked = ranked(&format!("branch/{}", own.node), branches);
-    ranked.truncate(BRANCHES_TRIED);
-    ranked
+    let mut rank_by_hash = rank_by_hash(&format!("branch/{}", own.node), branches);
+    rank_by_hash.truncate(BRANCHES_TRIED);
+    rank_by_hash
 }
 
 /// Returns the readers of all zones.
@@ -129,11 +129,11 @@
 /// the first of them that does not fail; in a large zone from a branch before that. Where all of these fail, a daemon reads the store itself;
 /// one that the store turns away reads from the readers of other zones before that.
 #[derive(Clone, Debug, Default)]
-pub struct SourceChooser {
+pub struct SourceSelector {
     avoided: BTreeMap<NodeId, Millis>,
 }
 
-impl SourceChooser {
+impl SourceSelector {
     /// Chooses where the daemon with the heartbeat `own` reads now.
     pub fn choose<'a>(
         &mut self,
@@ -154,12 +154,12 @@
     }
 
     /// Notes that a peer failed as a source.
-    pub fn failed(&mut self, peer: &NodeId, now: Millis) {
+    pub fn record_failure(&mut self, peer: &NodeId, now: Millis) {
         self.avoided.insert(peer.clone(), now + AVOIDED_FOR);
     }
 
     /// Notes that a peer answered that it knows nothing fresh.
-    pub fn knows_nothing(&mut self, peer: &NodeId, now: Millis) {
+    pub fn record_stale(&mut self, peer: &NodeId, now: Millis) {
         self.avoided.insert(peer.clone(), now + AVOIDED_WHILE_STARTING);
     }
 }
--- a/crates/cherrystand_core/src/nodes/relays.rs
+++ b/crates/cherrystand_core/src/nodes/relays.rs
@@ -6,8 +6,8 @@
 //!
 //! Source: docs/design/0012-news-between-zones.md.
 
-use crate::nodes::duty_share::{ranked_in_zone, zones_of};
-use crate::{Heartbeat, Seed, Standing, ZoneId};
+use crate::nodes::task_ownership::{ranked_in_zone, zones_of};
+use crate::{Heartbeat, Liveness, SeededRng, ZoneId};
 
 /// How many daemons of each zone carry news to and from others: one, and one that does while the
 /// first is lost and not yet missed.
@@ -46,19 +46,19 @@
 /// A relay asks the zones in turn, its own by way of the other relay, and of each zone now one
 /// relay, now another. Everybody else asks the relays of its own zone in turn, and now and then any
 /// peer there. A daemon that is alone in its zone asks whoever there is.
-pub fn choose_exchange<'a>(
+pub fn choose_gossip_peer<'a>(
     own: &Heartbeat,
-    known: &[(&'a Heartbeat, Standing)],
+    known: &[(&'a Heartbeat, Liveness)],
     round: usize,
-    seed: &mut Seed,
+    seed: &mut SeededRng,
 ) -> Option<&'a Heartbeat> {
-    let alive = with_standing(known, Standing::Alive);
+    let alive = with_standing(known, Liveness::Alive);
     let not_own = |beat: &&Heartbeat| beat.node != own.node;
     let mut relays = relays_of(&own.zone, &alive);
     let rank = relays.iter().position(|beat| beat.node == own.node);
     relays.retain(not_own);
     if let Some(rank) = rank {
-        let suspects = with_standing(known, Standing::Suspect);
+        let suspects = with_standing(known, Liveness::Suspect);
         let reachable: Vec<&Heartbeat> = alive.iter().chain(&suspects).copied().collect();
         let others = other_zone_totals(&own.zone, &reachable);
         let turn = round % (others.len() + 1);
@@ -85,8 +85,8 @@
 }
 
 fn with_standing<'a>(
-    known: &[(&'a Heartbeat, Standing)],
-    standing: Standing,
+    known: &[(&'a Heartbeat, Liveness)],
+    standing: Liveness,
 ) -> Vec<&'a Heartbeat> {
     known.iter().filter(|(_, held)| *held == standing).map(|(beat, _)| *beat).collect()
 }
--- a/crates/cherrystand_core/src/nodes/replica_evidence.rs
+++ b/crates/cherrystand_core/src/nodes/replica_evidence.rs
@@ -9,7 +9,7 @@
 /// After this long evidence says nothing any more and the replica counts as not serving.
 ///
 /// Source: docs/design/0002-replica-life.md.
-pub const EVIDENCE_LIFE: Millis = Millis(3_000);
+pub const EVIDENCE_TTL: Millis = Millis(3_000);
 
 /// Says that every member of a replica acknowledged an epoch, and how long ago.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -44,7 +44,7 @@
 
 impl EvidenceTable {
     /// Takes in evidence, and tells whether it is newer than what was held.
-    pub fn offer(&mut self, evidence: &ReplicaEvidence, now: Millis) -> bool {
+    pub fn merge(&mut self, evidence: &ReplicaEvidence, now: Millis) -> bool {
         let given = now - evidence.age;
         let key = (evidence.domain.clone(), evidence.replica.clone());
         let newer = match self.held.get(&key) {
@@ -60,7 +60,7 @@
     }
 
     /// Returns the load of a domain's replica if it is known to be whole under `epoch` now.
-    pub fn whole(
+    pub fn load_if_whole(
         &self,
         domain: &DomainId,
         replica: &ReplicaId,
@@ -68,13 +68,13 @@
         now: Millis,
     ) -> Option<u32> {
         let held = self.held.get(&(domain.clone(), replica.clone()))?;
-        let fresh = now.since(held.given) <= EVIDENCE_LIFE;
+        let fresh = now.since(held.given) <= EVIDENCE_TTL;
         (fresh && held.whole && held.epoch == epoch).then_some(held.load)
     }
 
     /// Returns the evidence that is still worth passing on.
     pub fn export(&self, now: Millis) -> Vec<ReplicaEvidence> {
-        let fresh = self.held.iter().filter(|(_, held)| now.since(held.given) <= EVIDENCE_LIFE);
+        let fresh = self.held.iter().filter(|(_, held)| now.since(held.given) <= EVIDENCE_TTL);
         let export = |((domain, replica), held): (&(DomainId, ReplicaId), &Held)| ReplicaEvidence {
             domain: domain.clone(),
             replica: replica.clone(),
@@ -88,7 +88,7 @@
 
     /// Forgets replicas whose evidence is long stale.
     pub fn prune(&mut self, now: Millis) {
-        let long = Millis(EVIDENCE_LIFE.0 * 4);
+        let long = Millis(EVIDENCE_TTL.0 * 4);
         self.held.retain(|_, held| now.since(held.given) <= long);
     }
 }
--- a/crates/cherrystand_core/src/nodes/awake_time.rs
+++ b/crates/cherrystand_core/src/nodes/running_time.rs
@@ -6,22 +6,22 @@
 ///
 /// Clocks go on meanwhile. What a daemon did not hear while it stood still is nobody's silence but its own.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct AwakeTime {
+pub struct RunningTime {
     total: Millis,
     last: Option<Millis>,
 }
 
-impl AwakeTime {
+impl RunningTime {
     /// How often a daemon says that it is awake, in milliseconds.
-    pub const TOLD_EVERY: Millis = Millis(250);
+    pub const TICK_INTERVAL: Millis = Millis(250);
 
     /// A gap of up to this length counts as awake: the processor is busy at times.
-    pub const UNNOTICED: Millis = Millis(500);
+    pub const MAX_TICK_GAP: Millis = Millis(500);
 
     /// Notes that the daemon is awake.
-    pub fn at(&mut self, now: Millis) {
+    pub fn record(&mut self, now: Millis) {
         if let Some(last) = self.last {
-            self.total = self.total + now.since(last).min(Self::UNNOTICED);
+            self.total = self.total + now.since(last).min(Self::MAX_TICK_GAP);
         }
         self.last = Some(now);
     }
--- a/crates/cherrystand_core/src/nodes/stop_plan.rs
+++ b/crates/cherrystand_core/src/nodes/shutdown_plan.rs
@@ -15,19 +15,19 @@
 
 /// Says how long a stopping daemon does what.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct StopPlan {
+pub struct ShutdownPlan {
     /// For how long it goes on taking requests, as balancers still send some.
     pub linger: Millis,
     /// For how long after that it finishes those that it has.
-    pub finish: Millis,
+    pub drain: Millis,
 }
 
-impl StopPlan {
+impl ShutdownPlan {
     /// Plans a stop within `grace`, lingering for `linger` where that leaves time.
     pub fn new(grace: Millis, linger: Millis) -> Self {
         let in_hand = IN_HAND_AT_MOST.min(Millis(grace.0 / IN_HAND_PART));
         let usable = grace - in_hand;
         let linger = linger.min(usable);
-        Self { linger, finish: usable - linger }
+        Self { linger, drain: usable - linger }
     }
 }
--- a/crates/cherrystand_core/src/nodes/store_outage.rs
+++ b/crates/cherrystand_core/src/nodes/store_outage.rs
@@ -1,6 +1,6 @@
 //! Outages of the store, after which entries may be missing whose boxes live.
 
-use crate::{AwakeTime, Millis};
+use crate::{Millis, RunningTime};
 
 /// After this time without an answer the store counts as having been out; a watch that waits is
 /// answered sooner.
@@ -19,7 +19,7 @@
 /// while can.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct StoreOutage {
-    awake: AwakeTime,
+    awake: RunningTime,
     /// Whether the last call failed.
     fails: bool,
     /// When it last answered, by the clock and by the time for which the daemon has been awake.
@@ -32,14 +32,14 @@
 }
 
 impl StoreOutage {
-    /// Notes that the daemon is awake; it is told so every [`AwakeTime::TOLD_EVERY`].
-    pub fn awake(&mut self, now: Millis) {
-        self.awake.at(now);
+    /// Notes that the daemon is awake; it is told so every [`RunningTime::TOLD_EVERY`].
+    pub fn record_running(&mut self, now: Millis) {
+        self.awake.record(now);
     }
 
     /// Notes that the store answered this daemon.
-    pub fn answered(&mut self, now: Millis) {
-        self.awake.at(now);
+    pub fn record_answer(&mut self, now: Millis) {
+        self.awake.record(now);
         let silence = |(_, awake): (Millis, Millis)| self.awake.total().since(awake);
         let late = self.answered.map(silence).is_some_and(|silence| silence > OUT_AFTER);
         if late || self.fails {
@@ -55,18 +55,18 @@
 
     /// Notes that a peer tells what the store answered it at `at`, and since when that goes on without a break;
     /// that peer judged by itself what to keep.
-    pub fn answered_peer(&mut self, at: Millis, steady_since: Millis, now: Millis) {
-        self.awake.at(now);
+    pub fn record_peer_answer(&mut self, at: Millis, steady_since: Millis, now: Millis) {
+        self.awake.record(now);
         self.fails = false;
         self.answered = Some((at, self.awake.total() - now.since(at)));
         self.steady_since = steady_since;
     }
 
     /// Notes that the store did not answer, and tells whether that says anything of the store.
-    pub fn failed(&mut self, now: Millis) -> bool {
-        self.awake.at(now);
+    pub fn record_failure(&mut self, now: Millis) -> bool {
+        self.awake.record(now);
         let stood_still = self.answered.is_some_and(|(at, awake)| {
-            now.since(at) > self.awake.total().since(awake) + AwakeTime::UNNOTICED
+            now.since(at) > self.awake.total().since(awake) + RunningTime::MAX_TICK_GAP
         });
         if stood_still {
             // The next failure counts: its call began after that.
@@ -79,29 +79,29 @@
 
     /// Returns for how long the store had been silent, where that is taken for an outage and no peer was asked yet
     /// whether it answered others; it is told once.
-    pub fn take_doubt(&mut self) -> Option<Millis> {
+    pub fn take_unconfirmed_outage(&mut self) -> Option<Millis> {
         self.doubted.take()
     }
 
     /// Notes that the store came back from a copy, which lacks entries whose boxes live.
-    pub fn came_back(&mut self, now: Millis) {
+    pub fn record_restore(&mut self, now: Millis) {
         self.keeps_until = now + KEPT_AFTER_OUTAGE;
         self.doubted = None;
         self.steady_since = now;
     }
 
     /// Notes that the store answered others all the while.
-    pub fn was_none(&mut self) {
+    pub fn clear_outage(&mut self) {
         self.keeps_until = Millis(0);
     }
 
     /// Returns for how long the store has answered without a break, as far as this daemon knows.
-    pub fn steady_for(&self, now: Millis) -> Millis {
+    pub fn answering_for(&self, now: Millis) -> Millis {
         self.answered.map_or(Millis(0), |_| now.since(self.steady_since))
     }
 
     /// Tells whether what the store lists no more is kept, since it may only have lost the entry.
-    pub fn keeps(&self, now: Millis) -> bool {
+    pub fn keeps_unlisted(&self, now: Millis) -> bool {
         now < self.keeps_until
     }
 }
--- a/crates/cherrystand_core/src/nodes/store_reach.rs
+++ b/crates/cherrystand_core/src/nodes/store_reachability.rs
@@ -14,30 +14,30 @@
 
 /// Keeps when the store was last heard, directly or by way of a peer.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct StoreReach {
+pub struct StoreReachability {
     heard: Option<Millis>,
     fresh_since: Option<Millis>,
     fails: bool,
 }
 
-impl StoreReach {
+impl StoreReachability {
     /// Notes that the store answered the daemon itself.
-    pub fn reached(&mut self) {
+    pub fn record_success(&mut self) {
         self.fails = false;
     }
 
     /// Notes that it did not.
-    pub fn missed(&mut self) {
+    pub fn record_failure(&mut self) {
         self.fails = true;
     }
 
     /// Notes that the store told something at `at`, to the daemon or to one that it reads from.
-    pub fn told(&mut self, at: Millis) {
+    pub fn record_update(&mut self, at: Millis) {
         self.heard = Some(at);
     }
 
     /// Tells whether the store did not answer the daemon itself the last time.
-    pub fn fails(&self) -> bool {
+    pub fn is_failing(&self) -> bool {
         self.fails
     }
 
--- a/crates/cherrystand_core/src/nodes/duty_share.rs
+++ b/crates/cherrystand_core/src/nodes/task_ownership.rs
@@ -10,11 +10,11 @@
     task: &str,
     nodes: impl IntoIterator<Item = &'a Heartbeat>,
 ) -> Option<&'a NodeId> {
-    ranked(task, nodes).into_iter().next().map(|beat| &beat.node)
+    rank_by_hash(task, nodes).into_iter().next().map(|beat| &beat.node)
 }
 
 /// Returns the daemons in the order of their claim to `task`.
-pub fn ranked<'a>(
+pub fn rank_by_hash<'a>(
     task: &str,
     nodes: impl IntoIterator<Item = &'a Heartbeat>,
 ) -> Vec<&'a Heartbeat> {
@@ -45,7 +45,7 @@
     able: impl Fn(&Heartbeat) -> bool,
 ) -> Vec<&'a Heartbeat> {
     let in_zone = alive.iter().copied().filter(|beat| &beat.zone == zone && able(beat));
-    let mut able = ranked(&format!("{duty}/{zone}"), in_zone);
+    let mut able = rank_by_hash(&format!("{duty}/{zone}"), in_zone);
     able.sort_by_key(|beat| std::cmp::Reverse(beat.link_mbps));
     able
 }
--- a/crates/cherrystand_core/src/nodes/absences.rs
+++ b/crates/cherrystand_core/src/nodes/tombstones.rs
@@ -13,21 +13,21 @@
 /// What is written has a revision, and a later one goes before. What is gone needs one as well: without it a copy
 /// from before, or from a peer that did not hear of the end, counts as news.
 #[derive(Clone, Debug)]
-pub struct Absences<K> {
+pub struct Tombstones<K> {
     as_of: BTreeMap<K, Revision>,
     /// The same, the oldest first.
     in_order: VecDeque<K>,
 }
 
-impl<K> Default for Absences<K> {
+impl<K> Default for Tombstones<K> {
     fn default() -> Self {
         Self { as_of: BTreeMap::new(), in_order: VecDeque::new() }
     }
 }
 
-impl<K: Ord + Clone> Absences<K> {
+impl<K: Ord + Clone> Tombstones<K> {
     /// Takes in that a key is gone as of a revision.
-    pub fn add(&mut self, key: &K, as_of: Revision) {
+    pub fn insert(&mut self, key: &K, as_of: Revision) {
         if let Some(held) = self.as_of.get_mut(key) {
             *held = as_of.max(*held);
             return;
@@ -43,7 +43,7 @@
 
     /// Takes in that all keys but those that are there are gone as of a revision of a new era: a copy of the store
     /// lists what was gone, at revisions of before, until whoever is there writes again.
-    pub fn renew(&mut self, as_of: Revision, is_there: impl Fn(&K) -> bool) {
+    pub fn advance_to_era(&mut self, as_of: Revision, is_there: impl Fn(&K) -> bool) {
         for (key, held) in &mut self.as_of {
             if !is_there(key) {
                 *held = as_of.max(*held);
@@ -52,7 +52,7 @@
     }
 
     /// Tells whether a value of this revision was gone later.
-    pub fn hide(&self, key: &K, revision: Revision) -> bool {
+    pub fn hides(&self, key: &K, revision: Revision) -> bool {
         self.as_of.get(key).is_some_and(|as_of| *as_of >= revision)
     }
 }
--- a/crates/cherrystand_core/src/requests/admission.rs
+++ b/crates/cherrystand_core/src/requests/admission.rs
@@ -1,4 +1,4 @@
-//! Room for requests on one node.
+//! AdmissionLimits for requests on one node.
 
 use std::collections::BTreeMap;
 
@@ -12,18 +12,18 @@
 
 /// Says how much room a node has.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Room {
+pub struct AdmissionLimits {
     /// Requests at once, of all classes.
     pub total: u32,
     /// The part of it that only consent requests use.
-    pub for_consent: u32,
+    pub reserved_for_consent: u32,
     /// The part of the rest that batch requests may use, in percent.
     pub batch_percent: u32,
 }
 
-impl Default for Room {
+impl Default for AdmissionLimits {
     fn default() -> Self {
-        Self { total: 2_048, for_consent: 256, batch_percent: 50 }
+        Self { total: 2_048, reserved_for_consent: 256, batch_percent: 50 }
     }
 }
 
@@ -33,14 +33,14 @@
 /// busy, each workspace gets an equal share.
 #[derive(Clone, Debug, Default)]
 pub struct Admission {
-    room: Room,
+    room: AdmissionLimits,
     in_use: BTreeMap<Class, u32>,
     workspaces: BTreeMap<WorkspaceId, u32>,
 }
 
 impl Admission {
     /// Creates an admission over an empty room.
-    pub fn new(room: Room) -> Self {
+    pub fn new(room: AdmissionLimits) -> Self {
         Self { room, ..Self::default() }
     }
 
@@ -49,9 +49,9 @@
     /// # Errors
     ///
     /// Returns the [`Refusal`] when the room is full for the class or the workspace.
-    pub fn enter(&mut self, class: Class, workspace: &WorkspaceId) -> Result<(), Refusal> {
+    pub fn admit(&mut self, class: Class, workspace: &WorkspaceId) -> Result<(), Refusal> {
         let full = |reason| Err(Refusal::with_retry_after(reason, COME_BACK));
-        if self.used() >= self.limit_for(class) || self.class_full(class) {
+        if self.in_flight() >= self.limit_for(class) || self.class_full(class) {
             return full(RefusalReason::NodeFull);
         }
         if class != Class::Consent && self.over_share(workspace) {
@@ -65,7 +65,7 @@
     }
 
     /// Gives back the room of a request.
-    pub fn leave(&mut self, class: Class, workspace: &WorkspaceId) {
+    pub fn release(&mut self, class: Class, workspace: &WorkspaceId) {
         if let Some(count) = self.in_use.get_mut(&class) {
             *count = count.saturating_sub(1);
         }
@@ -81,12 +81,12 @@
     }
 
     /// Returns how many requests are in the room.
-    pub fn used(&self) -> u32 {
+    pub fn in_flight(&self) -> u32 {
         self.in_use.values().sum()
     }
 
     fn common(&self) -> u32 {
-        self.room.total.saturating_sub(self.room.for_consent)
+        self.room.total.saturating_sub(self.room.reserved_for_consent)
     }
 
     fn limit_for(&self, class: Class) -> u32 {
@@ -108,7 +108,7 @@
     }
 
     fn over_share(&self, workspace: &WorkspaceId) -> bool {
-        let common_used = self.used() - self.used_by(Class::Consent);
+        let common_used = self.in_flight() - self.used_by(Class::Consent);
         if common_used * 100 < self.common() * BUSY_PERCENT {
             return false;
         }
--- a/crates/cherrystand_core/src/requests/breaker.rs
+++ b/crates/cherrystand_core/src/requests/circuit_breaker.rs
@@ -3,45 +3,45 @@
 use crate::Millis;
 
 /// How long an endpoint is left out after its first failure.
-pub const FIRST_PAUSE: Millis = Millis(500);
+pub const INITIAL_OPEN_TIME: Millis = Millis(500);
 
 /// The longest that an endpoint is left out between two trials.
-pub const LONGEST_PAUSE: Millis = Millis(8_000);
+pub const MAX_OPEN_TIME: Millis = Millis(8_000);
 
 /// Leaves an endpoint out after a failure and lets single trials through later.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Breaker {
+pub struct CircuitBreaker {
     failures: u32,
     closed_until: Millis,
     trial: bool,
 }
 
-impl Breaker {
+impl CircuitBreaker {
     /// Tells whether a request may go to the endpoint now.
-    pub fn admits(&self, now: Millis) -> bool {
+    pub fn allows(&self, now: Millis) -> bool {
         self.failures == 0 || (now >= self.closed_until && !self.trial)
     }
 
     /// Takes in that a request is on its way.
-    pub fn started(&mut self) {
+    pub fn record_start(&mut self) {
         self.trial = self.failures > 0;
     }
 
     /// Takes in that the endpoint answered.
-    pub fn succeeded(&mut self) {
+    pub fn record_success(&mut self) {
         *self = Self::default();
     }
 
     /// Takes in that an attempt ended without saying anything about the endpoint.
-    pub fn abandoned(&mut self) {
+    pub fn record_abandoned(&mut self) {
         self.trial = false;
     }
 
     /// Takes in that the endpoint failed.
-    pub fn failed(&mut self, now: Millis) {
-        let doubled = FIRST_PAUSE.0 << self.failures.min(8);
+    pub fn record_failure(&mut self, now: Millis) {
+        let doubled = INITIAL_OPEN_TIME.0 << self.failures.min(8);
         self.failures += 1;
         self.trial = false;
-        self.closed_until = now + Millis(doubled.min(LONGEST_PAUSE.0));
+        self.closed_until = now + Millis(doubled.min(MAX_OPEN_TIME.0));
     }
 }
--- a/crates/cherrystand_core/src/requests/claim.rs
+++ b/crates/cherrystand_core/src/requests/claim.rs
@@ -16,10 +16,10 @@
 pub const CLAIM_SHARDS: u64 = 16;
 
 /// For how long a claim is kept, in seconds.
-pub const CLAIM_LIFE_SECS: u64 = 3_600;
+pub const CLAIM_TTL_SECS: u64 = 3_600;
 
 /// Within this time after asking for a claim its holder must begin to send, or give it up.
-pub const CLAIM_USE_WITHIN: Millis = Millis(5_000);
+pub const CLAIM_USE_TIMEOUT: Millis = Millis(5_000);
 
 /// The most claims in one record, so that it stays under the platform's limit of 1 MB.
 pub const MAX_CLAIMS: usize = 6_000;
@@ -27,9 +27,9 @@
 /// Identifies a call by a hash of its workspace and key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(into = "String", try_from = "String")]
-pub struct CallKey(u128);
+pub struct IdempotencyKey(u128);
 
-impl CallKey {
+impl IdempotencyKey {
     /// Creates the key of a call from the group that it goes to and the caller's own key.
     pub fn new(group: &crate::GroupId, key: &str) -> Self {
         let text = format!("{group}\n{key}");
@@ -44,13 +44,13 @@
     }
 }
 
-impl From<CallKey> for String {
-    fn from(key: CallKey) -> Self {
+impl From<IdempotencyKey> for String {
+    fn from(key: IdempotencyKey) -> Self {
         format!("{:032x}", key.0)
     }
 }
 
-impl TryFrom<String> for CallKey {
+impl TryFrom<String> for IdempotencyKey {
     type Error = crate::NameError;
 
     fn try_from(text: String) -> Result<Self, Self::Error> {
@@ -80,7 +80,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimRecord {
     /// The claims, by call.
-    pub claims: BTreeMap<CallKey, Claim>,
+    pub claims: BTreeMap<IdempotencyKey, Claim>,
     /// The identities of the last writes.
     pub writes: RecentWrites,
 }
@@ -89,24 +89,24 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClaimRequest {
     /// Claim a call for the asking daemon life.
-    Take(CallKey),
+    Acquire(IdempotencyKey),
     /// Give a claim up, since the call was certainly not run.
-    GiveUp(CallKey),
+    Release(IdempotencyKey),
     /// Note what became of a call.
-    Settle(CallKey, Outcome),
+    Complete(IdempotencyKey, Outcome),
 }
 
 /// Answers one request for a claim.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum ClaimAnswer {
+pub enum ClaimResponse {
     /// The asking daemon life may run the call; nobody else may.
     Granted,
     /// The call was claimed before.
-    Taken(Claim),
+    AlreadyClaimed(Claim),
     /// The shard holds all the claims that it can.
-    Full,
+    ShardFull,
     /// The change was noted.
-    Noted,
+    Recorded,
 }
 
 impl ClaimRecord {
@@ -117,42 +117,42 @@
         batch: &[ClaimRequest],
         write: &WriteId,
         unix_secs: u64,
-    ) -> (Self, Vec<ClaimAnswer>) {
+    ) -> (Self, Vec<ClaimResponse>) {
         let mut next = self.clone();
         next.claims
-            .retain(|_, claim| unix_secs < claim.at_unix_secs.saturating_add(CLAIM_LIFE_SECS));
+            .retain(|_, claim| unix_secs < claim.at_unix_secs.saturating_add(CLAIM_TTL_SECS));
         let answers =
             batch.iter().map(|request| next.apply_one(request, write, unix_secs)).collect();
         next.writes.push(write.clone());
         (next, answers)
     }
 
-    fn apply_one(&mut self, request: &ClaimRequest, by: &WriteId, unix_secs: u64) -> ClaimAnswer {
+    fn apply_one(&mut self, request: &ClaimRequest, by: &WriteId, unix_secs: u64) -> ClaimResponse {
         match request {
-            ClaimRequest::Take(key) => self.take(*key, by, unix_secs),
-            ClaimRequest::GiveUp(key) => {
+            ClaimRequest::Acquire(key) => self.take(*key, by, unix_secs),
+            ClaimRequest::Release(key) => {
                 if self.is_held_by(*key, by) {
                     self.claims.remove(key);
                 }
-                ClaimAnswer::Noted
+                ClaimResponse::Recorded
             }
-            ClaimRequest::Settle(key, outcome) => {
+            ClaimRequest::Complete(key, outcome) => {
                 if self.is_held_by(*key, by)
                     && let Some(claim) = self.claims.get_mut(key)
                 {
                     claim.outcome = Some(*outcome);
                 }
-                ClaimAnswer::Noted
+                ClaimResponse::Recorded
             }
         }
     }
 
-    fn take(&mut self, key: CallKey, by: &WriteId, unix_secs: u64) -> ClaimAnswer {
+    fn take(&mut self, key: IdempotencyKey, by: &WriteId, unix_secs: u64) -> ClaimResponse {
         if let Some(claim) = self.claims.get(&key) {
-            return ClaimAnswer::Taken(claim.clone());
+            return ClaimResponse::AlreadyClaimed(claim.clone());
         }
         if self.claims.len() >= MAX_CLAIMS {
-            return ClaimAnswer::Full;
+            return ClaimResponse::ShardFull;
         }
         let claim = Claim {
             node: by.node.clone(),
@@ -161,10 +161,10 @@
             outcome: None,
         };
         self.claims.insert(key, claim);
-        ClaimAnswer::Granted
+        ClaimResponse::Granted
     }
 
-    fn is_held_by(&self, key: CallKey, by: &WriteId) -> bool {
+    fn is_held_by(&self, key: IdempotencyKey, by: &WriteId) -> bool {
         let claim = self.claims.get(&key);
         claim.is_some_and(|claim| {
             claim.node == by.node && claim.incarnation == by.incarnation && claim.outcome.is_none()
--- a/crates/cherrystand_core/src/requests/cold_life.rs
+++ b/crates/cherrystand_core/src/requests/cold_period.rs
@@ -11,14 +11,14 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ColdStart {
     /// How long it is cold after its start.
-    pub lasts: Millis,
+    pub duration: Millis,
     /// The requests a second that it bears meanwhile, from all nodes together.
     pub rate: RequestRate,
 }
 
 /// Says until when one endpoint is cold, and what it bears.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ColdLife {
+pub struct ColdPeriod {
     /// The requests a second that it bears from all nodes together.
     pub rate: RequestRate,
     /// Until when.
@@ -27,23 +27,23 @@
 
 /// Tells another node of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ColdWord {
+pub struct ColdPeriodUpdate {
     /// The requests a second that it bears from all nodes together.
     pub rate: RequestRate,
     /// How much longer it is cold.
     pub left: Millis,
 }
 
-impl ColdLife {
+impl ColdPeriod {
     /// Returns what another node is told.
-    pub fn word(self, now: Millis) -> ColdWord {
-        ColdWord { rate: self.rate, left: self.until.since(now) }
+    pub fn to_update(self, now: Millis) -> ColdPeriodUpdate {
+        ColdPeriodUpdate { rate: self.rate, left: self.until.since(now) }
     }
 }
 
-impl ColdWord {
+impl ColdPeriodUpdate {
     /// Returns what it says on this node's clock.
-    pub fn life(self, now: Millis) -> ColdLife {
-        ColdLife { rate: self.rate, until: now + self.left.min(LONGEST_COLD) }
+    pub fn to_period(self, now: Millis) -> ColdPeriod {
+        ColdPeriod { rate: self.rate, until: now + self.left.min(LONGEST_COLD) }
     }
 }
--- a/crates/cherrystand_core/src/requests/limit.rs
+++ b/crates/cherrystand_core/src/requests/concurrency_limit.rs
@@ -16,14 +16,14 @@
 /// It grows by one for each full round of answers in time and shrinks by a tenth for a late or
 /// refused one, at most once in the usual time.
 #[derive(Clone, Copy, Debug)]
-pub struct Limit {
+pub struct ConcurrencyLimit {
     limit: f64,
     most: f64,
     usual_ms: f64,
     cut_at: Millis,
 }
 
-impl Limit {
+impl ConcurrencyLimit {
     /// Creates a limit that starts at `start` and never exceeds `most`.
     pub fn new(start: u32, most: u32) -> Self {
         Self {
@@ -40,18 +40,18 @@
     }
 
     /// Returns the usual time until an answer begins.
-    pub fn usual(&self) -> Millis {
+    pub fn typical_latency(&self) -> Millis {
         Millis(self.usual_ms as u64)
     }
 
     /// Takes in that an answer began after `took`, with `in_flight` requests at the endpoint.
-    pub fn answered(&mut self, now: Millis, took: Millis, in_flight: u32) {
+    pub fn record_answer(&mut self, now: Millis, took: Millis, in_flight: u32) {
         let took = took.0 as f64;
         if self.usual_ms == 0.0 {
             self.usual_ms = took;
         }
         if took > self.usual_ms * SLOW_FACTOR + 1.0 {
-            self.overloaded(now);
+            self.record_overload(now);
         } else if f64::from(in_flight) * 2.0 >= self.limit {
             self.limit = (self.limit + 1.0 / self.limit).min(self.most);
         }
@@ -60,8 +60,8 @@
     }
 
     /// Takes in that the endpoint refused a request or did not answer in time.
-    pub fn overloaded(&mut self, now: Millis) {
-        if now.since(self.cut_at) < self.usual() && self.cut_at != Millis(0) {
+    pub fn record_overload(&mut self, now: Millis) {
+        if now.since(self.cut_at) < self.typical_latency() && self.cut_at != Millis(0) {
             return;
         }
         self.cut_at = now;
--- a/crates/cherrystand_core/src/requests/leaving_lives.rs
+++ b/crates/cherrystand_core/src/requests/draining_incarnations.rs
@@ -9,21 +9,21 @@
 /// Keeps which lives of endpoints leave: what has said so once takes nothing new any more, whatever its
 /// entry says later.
 #[derive(Clone, Debug)]
-pub struct LeavingLives<K> {
+pub struct DrainingIncarnations<K> {
     lives: BTreeSet<K>,
     /// The same, the oldest first.
     in_order: VecDeque<K>,
 }
 
-impl<K> Default for LeavingLives<K> {
+impl<K> Default for DrainingIncarnations<K> {
     fn default() -> Self {
         Self { lives: BTreeSet::new(), in_order: VecDeque::new() }
     }
 }
 
-impl<K: Ord + Clone> LeavingLives<K> {
+impl<K: Ord + Clone> DrainingIncarnations<K> {
     /// Takes in that an endpoint leaves, and tells whether that is new.
-    pub fn add(&mut self, id: &K) -> bool {
+    pub fn insert(&mut self, id: &K) -> bool {
         if !self.lives.insert(id.clone()) {
             return false;
         }
--- a/crates/cherrystand_core/src/requests/endpoint_wishes.rs
+++ b/crates/cherrystand_core/src/requests/endpoint_backpressure.rs
@@ -2,13 +2,13 @@
 
 use std::collections::BTreeMap;
 
-use crate::{EndpointLimits, LeavingLives, Millis, SendPermit};
+use crate::{DrainingIncarnations, EndpointRateLimits, Millis, SendPermit};
 
 /// The longest rest that is taken.
 ///
 /// A rest lets a queue drain, which takes seconds; what lasts longer is a planned end, which a box says
 /// otherwise. One that asks for more is asked again after this, once a time.
-pub const LONGEST_REST: Millis = Millis(600_000);
+pub const MAX_BACKOFF: Millis = Millis(600_000);
 
 /// How many requests may be under way at once to an endpoint whose rest has just ended, until it answers
 /// the first; each answer that begins doubles it.
@@ -24,33 +24,33 @@
 /// of one more (additive increase, multiplicative decrease).
 ///
 /// Nine daemons that send four replicas half as much again as these can answer get 8,600 of 10,200
-/// answers a minute with it, 5,300 without: the next rest follows at once (tests/rest_plays.rs).
+/// answers a minute with it, 5,300 without: the next rest follows at once (tests/backoff_simulation.rs).
 const BORNE_AFTER_REST: f64 = 0.7;
 
 /// Says how an endpoint stands, by what it asked of this node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum WishState {
+pub enum BackpressureState {
     /// It takes requests.
     Open,
     /// Its rest has ended, and it has yet to answer what it was sent since.
-    ComesBack,
+    Recovering,
     /// This node has as much under way there as it bore when it last asked for rest, and more would bring
     /// about the next one.
-    Full,
+    Saturated,
     /// It takes so many requests a second of all nodes, and this one has no permit, until about a time.
-    Limited(Millis),
+    RateLimited(Millis),
     /// It rests until a time.
-    Rests(Millis),
+    BackingOff(Millis),
     /// Operators have emptied its availability zone, since a time.
     Evacuated(Millis),
     /// It leaves.
-    Leaves,
+    Draining,
 }
 
-impl WishState {
+impl BackpressureState {
     /// Tells whether the endpoint wants nothing at all now.
     pub fn is_closed(self) -> bool {
-        !matches!(self, Self::Open | Self::ComesBack)
+        !matches!(self, Self::Open | Self::Recovering)
     }
 }
 
@@ -79,34 +79,34 @@
 ///
 /// It is kept apart from the list of endpoints: an entry may go and come back within a rest.
 #[derive(Clone, Debug)]
-pub struct EndpointWishes<K> {
+pub struct EndpointBackpressure<K> {
     rests: BTreeMap<K, Rest>,
-    leaving: LeavingLives<K>,
+    leaving: DrainingIncarnations<K>,
     /// Endpoints of availability zones that operators have emptied, and since when.
     evacuated: BTreeMap<K, Millis>,
     /// What endpoints take from all nodes together.
-    pub limits: EndpointLimits<K>,
+    pub limits: EndpointRateLimits<K>,
 }
 
-impl<K> Default for EndpointWishes<K> {
+impl<K> Default for EndpointBackpressure<K> {
     fn default() -> Self {
         Self {
             rests: BTreeMap::new(),
-            leaving: LeavingLives::default(),
+            leaving: DrainingIncarnations::default(),
             evacuated: BTreeMap::new(),
-            limits: EndpointLimits::default(),
+            limits: EndpointRateLimits::default(),
         }
     }
 }
 
-impl<K: Ord + Clone> EndpointWishes<K> {
+impl<K: Ord + Clone> EndpointBackpressure<K> {
     /// Takes in that an endpoint asked for rest just now, and returns until when it has it.
     ///
     /// `under_way` is what this node has there, the request that was turned away among it. A later wish never
     /// shortens an earlier one, and neither does an answer to what was under way.
-    pub fn hear_rest(&mut self, id: &K, asked: Millis, under_way: u32, now: Millis) -> Millis {
+    pub fn record_backoff(&mut self, id: &K, asked: Millis, under_way: u32, now: Millis) -> Millis {
         self.rests.retain(|_, rest| !rest.is_over(now));
-        let until = now + asked.min(LONGEST_REST);
+        let until = now + asked.min(MAX_BACKOFF);
         let limit = (f64::from(under_way.saturating_sub(1)) * BORNE_AFTER_REST).max(1.0);
         let fresh = Rest { until, window: FIRST_WINDOW, under_way: 0, limit };
         let rest = self.rests.entry(id.clone()).or_insert(fresh);
@@ -120,55 +120,55 @@
     }
 
     /// Takes in that an endpoint leaves, and tells whether that is new.
-    pub fn hear_leaving(&mut self, id: &K) -> bool {
-        self.leaving.add(id)
+    pub fn record_draining(&mut self, id: &K) -> bool {
+        self.leaving.insert(id)
     }
 
     /// Tells whether an endpoint said that it leaves.
-    pub fn is_leaving(&self, id: &K) -> bool {
+    pub fn is_draining(&self, id: &K) -> bool {
         self.leaving.contains(id)
     }
 
     /// Takes over which endpoints lie in availability zones that operators have emptied, and since when.
-    pub fn follow_evacuated(&mut self, evacuated: BTreeMap<K, Millis>) {
+    pub fn set_evacuated(&mut self, evacuated: BTreeMap<K, Millis>) {
         self.evacuated = evacuated;
     }
 
     /// Returns how an endpoint stands, where this node has `under_way` requests there.
-    pub fn state(&self, id: &K, under_way: u32, now: Millis) -> WishState {
-        match (self.is_leaving(id), self.evacuated.get(id)) {
-            (true, _) => WishState::Leaves,
-            (false, Some(since)) => WishState::Evacuated(*since),
-            (false, None) => self.staying_state(id, under_way, now),
+    pub fn state(&self, id: &K, under_way: u32, now: Millis) -> BackpressureState {
+        match (self.is_draining(id), self.evacuated.get(id)) {
+            (true, _) => BackpressureState::Draining,
+            (false, Some(since)) => BackpressureState::Evacuated(*since),
+            (false, None) => self.active_state(id, under_way, now),
         }
     }
 
     /// The same for one that is known neither to leave nor to be evacuated: of all that it asked for, the
     /// strictest holds.
-    pub(crate) fn staying_state(&self, id: &K, under_way: u32, now: Millis) -> WishState {
+    pub(crate) fn active_state(&self, id: &K, under_way: u32, now: Millis) -> BackpressureState {
         // Most choices are made while nobody wants anything.
         if self.rests.is_empty() && self.limits.is_empty() {
-            return WishState::Open;
+            return BackpressureState::Open;
         }
         let rest = self.rests.get(id);
         if let Some(rest) = rest.filter(|rest| now < rest.until) {
-            return WishState::Rests(rest.until);
+            return BackpressureState::BackingOff(rest.until);
         }
-        if let Some(Err(until)) = self.limits.wait(id, now) {
-            return WishState::Limited(until);
+        if let Some(Err(until)) = self.limits.permit_wait(id, now) {
+            return BackpressureState::RateLimited(until);
         }
         match rest {
-            Some(rest) if rest.is_over(now) => WishState::Open,
-            Some(rest) if f64::from(under_way) >= rest.limit => WishState::Full,
-            Some(rest) if rest.comes_back(now) => WishState::ComesBack,
-            _ => WishState::Open,
+            Some(rest) if rest.is_over(now) => BackpressureState::Open,
+            Some(rest) if f64::from(under_way) >= rest.limit => BackpressureState::Saturated,
+            Some(rest) if rest.comes_back(now) => BackpressureState::Recovering,
+            _ => BackpressureState::Open,
         }
     }
 
     /// Gives leave to send one request to an endpoint; nothing where it wants none.
-    pub fn permit(&mut self, id: &K, under_way: u32, now: Millis) -> Option<SendPermit> {
+    pub fn acquire_permit(&mut self, id: &K, under_way: u32, now: Millis) -> Option<SendPermit> {
         let is_closed = self.state(id, under_way, now).is_closed();
-        if is_closed || !self.limits.take(id, now) {
+        if is_closed || !self.limits.take_permit(id, now) {
             return None;
         }
         let rest = self.rests.get_mut(id).filter(|rest| !rest.is_over(now));
@@ -179,14 +179,14 @@
     /// Takes in that an endpoint began to answer what it was sent after its rest.
     ///
     /// Where it has asked for the next one meanwhile, that holds.
-    pub fn answered(&mut self, id: &K, now: Millis) {
+    pub fn record_answer(&mut self, id: &K, now: Millis) {
         let Some(rest) = self.rests.get_mut(id).filter(|rest| now >= rest.until) else { return };
         rest.window = rest.window.saturating_mul(2);
         rest.limit += 1.0 / rest.limit;
     }
 
     /// Takes in that what an endpoint was sent after its rest is under way no more.
-    pub fn ended(&mut self, id: &K) {
+    pub fn record_end(&mut self, id: &K) {
         if let Some(rest) = self.rests.get_mut(id) {
             rest.under_way = rest.under_way.saturating_sub(1);
         }
--- a/crates/cherrystand_core/src/requests/endpoint_limits.rs
+++ b/crates/cherrystand_core/src/requests/endpoint_rate_limits.rs
@@ -11,8 +11,8 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use crate::requests::limited_endpoint::LimitedEndpoint;
-use crate::{ColdLife, LimitNews, LimitWord, Millis, RequestRate};
+use crate::requests::rate_limited_endpoint::RateLimitedEndpoint;
+use crate::{ColdPeriod, Millis, RateLimitMessage, RateLimitReport, RequestRate};
 
 /// A limit from which on it is none: no endpoint is sent as many requests a second by all nodes.
 const NO_LIMIT: f64 = 1_000.0;
@@ -25,7 +25,7 @@
 
 /// Says who keeps the account of an endpoint, as this node sees it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct LimitKeeper {
+pub struct RateLimitOwner {
     /// Where it is reached; nothing where it is this node.
     pub address: Option<SocketAddr>,
     /// The part of the limit that the nodes which this one sees may have together: all, unless others are
@@ -35,7 +35,7 @@
 
 /// Says whom news of a limit is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum LimitTo {
+pub enum RateLimitRecipient {
     /// All other nodes.
     All,
     /// One node.
@@ -44,30 +44,30 @@
 
 /// What a step leads to.
 #[derive(Clone, Debug)]
-pub struct LimitStep<K> {
+pub struct RateLimitStep<K> {
     /// What is to be sent, of which endpoint.
-    pub news: Vec<(LimitTo, K, LimitNews)>,
+    pub messages: Vec<(RateLimitRecipient, K, RateLimitMessage)>,
     /// Whether this node has got permits, or the word that there are none for now.
     pub has_permits: bool,
 }
 
 /// What an answer says of its endpoint's limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct LimitHeard {
+pub struct ObservedRateLimit {
     /// The limit; nothing where it names none.
     pub limit: Option<RequestRate>,
     /// When the request was sent that is answered.
-    pub sent: Millis,
+    pub request_sent_at: Millis,
 }
 
 /// Keeps what endpoints say of how many requests they take, by the life of each, and the permits to send to them.
 #[derive(Clone, Debug)]
-pub struct EndpointLimits<K> {
-    endpoints: BTreeMap<K, LimitedEndpoint>,
+pub struct EndpointRateLimits<K> {
+    endpoints: BTreeMap<K, RateLimitedEndpoint>,
     /// What this node's own answers told that others may not know.
-    to_tell: Vec<(K, LimitWord)>,
+    to_tell: Vec<(K, RateLimitReport)>,
     /// Answers to what other nodes said.
-    replies: Vec<(LimitTo, K, LimitNews)>,
+    replies: Vec<(RateLimitRecipient, K, RateLimitMessage)>,
     /// The number of this node's last question, about whichever endpoint.
     last_number: u64,
     /// How many permits of each account may be given at once, and are there as it begins, where that is not the
@@ -75,7 +75,7 @@
     at_once: Option<f64>,
 }
 
-impl<K> Default for EndpointLimits<K> {
+impl<K> Default for EndpointRateLimits<K> {
     fn default() -> Self {
         Self {
             endpoints: BTreeMap::new(),
@@ -87,21 +87,21 @@
     }
 }
 
-impl<K: Ord + Clone> EndpointLimits<K> {
+impl<K: Ord + Clone> EndpointRateLimits<K> {
     /// Creates accounts that begin with so many permits, which may be given at once: what stands behind them is full
     /// while nobody asks.
-    pub fn with_at_once(permits: f64) -> Self {
+    pub fn with_burst(permits: f64) -> Self {
         Self { at_once: Some(permits), ..Self::default() }
     }
 
     /// Tells whether nothing is asked for or given out now.
     pub fn is_idle(&self) -> bool {
         let nothing_told = self.to_tell.is_empty() && self.replies.is_empty();
-        nothing_told && self.endpoints.values().all(LimitedEndpoint::is_idle)
+        nothing_told && self.endpoints.values().all(RateLimitedEndpoint::is_idle)
     }
 
     /// Numbers this node's questions from here on; those of its earlier lives have to be lower.
-    pub fn number_from(&mut self, first: u64) {
+    pub fn set_last_request_number(&mut self, first: u64) {
         self.last_number = first;
     }
 
@@ -112,14 +112,14 @@
 
     /// Returns how many requests an endpoint takes, where it is limited.
     pub fn limit(&self, id: &K) -> Option<RequestRate> {
-        self.endpoints.get(id).and_then(LimitedEndpoint::limit)
+        self.endpoints.get(id).and_then(RateLimitedEndpoint::limit)
     }
 
     /// Takes over whether an endpoint is cold, as this node is told of it by the endpoint itself.
-    pub fn follow_cold(&mut self, id: &K, cold: Option<ColdLife>) {
+    pub fn set_cold_period(&mut self, id: &K, cold: Option<ColdPeriod>) {
         let cold = cold.filter(|cold| cold.rate.as_f64() < NO_LIMIT);
         if cold.is_some() {
-            self.make_room(id);
+            self.ensure_entry(id);
         }
         if let Some(held) = self.endpoints.get_mut(id) {
             held.cold = cold;
@@ -127,19 +127,19 @@
     }
 
     /// Makes a place for an endpoint that may be limited, where there is room.
-    fn make_room(&mut self, id: &K) {
+    fn ensure_entry(&mut self, id: &K) {
         if self.endpoints.len() < MOST_ENDPOINTS && !self.endpoints.contains_key(id) {
-            self.endpoints.insert(id.clone(), LimitedEndpoint::default());
+            self.endpoints.insert(id.clone(), RateLimitedEndpoint::default());
         }
     }
 
     /// Takes in what an answer to a request of this node names; tells whether that is new.
-    pub fn hear_answer(&mut self, id: &K, heard: LimitHeard, now: Millis) -> bool {
+    pub fn record_answer(&mut self, id: &K, heard: ObservedRateLimit, now: Millis) -> bool {
         let limit = heard.limit.filter(|limit| limit.as_f64() < NO_LIMIT);
         // That none is named is known as of the sending only.
-        let age = if limit.is_some() { Millis(0) } else { now.since(heard.sent) };
-        let word = LimitWord { limit, age, ..LimitWord::UNHEARD };
-        let is_new = self.hear_word(id, word, heard.sent, now);
+        let age = if limit.is_some() { Millis(0) } else { now.since(heard.request_sent_at) };
+        let word = RateLimitReport { limit, age, ..RateLimitReport::UNHEARD };
+        let is_new = self.merge_report(id, word, heard.request_sent_at, now);
         if is_new {
             self.to_tell.push((id.clone(), word));
         }
@@ -147,130 +147,156 @@
     }
 
     /// Takes in a word as of its age ago, in an answer made after `made_after`.
-    fn hear_word(&mut self, id: &K, word: LimitWord, made_after: Millis, now: Millis) -> bool {
+    fn merge_report(
+        &mut self,
+        id: &K,
+        word: RateLimitReport,
+        made_after: Millis,
+        now: Millis,
+    ) -> bool {
         if word.limit.is_some() || word.cold.is_some() {
-            self.make_room(id);
+            self.ensure_entry(id);
         }
         let held = self.endpoints.get_mut(id);
-        held.is_some_and(|held| held.hear(word, made_after, now))
+        held.is_some_and(|held| held.merge_report(word, made_after, now))
     }
 
-    fn limited(&self, id: &K) -> Option<&LimitedEndpoint> {
+    fn limited(&self, id: &K) -> Option<&RateLimitedEndpoint> {
         self.endpoints.get(id).filter(|held| held.limit().is_some())
     }
 
-    fn limited_mut(&mut self, id: &K) -> Option<&mut LimitedEndpoint> {
+    fn limited_mut(&mut self, id: &K) -> Option<&mut RateLimitedEndpoint> {
         self.endpoints.get_mut(id).filter(|held| held.limit().is_some())
     }
 
     /// Tells whether a request may be sent now: nothing where the endpoint names no limit, else whether a permit
     /// is at hand, or about when one will be.
-    pub fn wait(&self, id: &K, now: Millis) -> Option<Result<(), Millis>> {
+    pub fn permit_wait(&self, id: &K, now: Millis) -> Option<Result<(), Millis>> {
         let held = self.limited(id)?;
         let rate = held.rate();
-        match held.permits.has_one(rate, now) {
+        match held.permits.has_permit(rate, now) {
             true => Some(Ok(())),
-            false => Some(Err(held.permits.next_at(rate, now))),
+            false => Some(Err(held.permits.next_permit_at(rate, now))),
         }
     }
 
     /// Tells whether a permit for an endpoint may come at any moment.
-    pub fn may_come(&self, id: &K) -> bool {
-        self.limited(id).is_some_and(|held| held.permits.may_come())
+    pub fn may_get_permit(&self, id: &K) -> bool {
+        self.limited(id).is_some_and(|held| held.permits.may_arrive())
     }
 
     /// Uses a permit for one request; true as well where the endpoint names no limit.
-    pub fn take(&mut self, id: &K, now: Millis) -> bool {
+    pub fn take_permit(&mut self, id: &K, now: Millis) -> bool {
         let Some(held) = self.limited_mut(id) else { return true };
         let rate = held.rate();
         held.permits.take(rate, now)
     }
 
     /// Takes in that the request which last used a permit was not sent.
-    pub fn not_sent(&mut self, id: &K) {
+    pub fn return_permit(&mut self, id: &K) {
         if let Some(held) = self.limited_mut(id) {
-            held.permits.not_sent();
+            held.permits.return_permit();
         }
     }
 
     /// Notes that a request could have used a permit.
-    pub fn want(&mut self, id: &K, now: Millis) {
+    pub fn request_permit(&mut self, id: &K, now: Millis) {
         if let Some(held) = self.limited_mut(id) {
-            held.permits.want(now);
+            held.permits.record_demand(now);
         }
     }
 
     /// Takes in what a node says; what follows comes with the next step.
-    pub fn hear(&mut self, from: SocketAddr, id: &K, news: LimitNews, now: Millis) {
-        if let LimitNews::Heard(word) | LimitNews::Ask { word, .. } | LimitNews::Give { word, .. } =
-            news
+    pub fn handle_message(
+        &mut self,
+        from: SocketAddr,
+        id: &K,
+        news: RateLimitMessage,
+        now: Millis,
+    ) {
+        if let RateLimitMessage::Heard(word)
+        | RateLimitMessage::Ask { word, .. }
+        | RateLimitMessage::Give { word, .. } = news
         {
-            self.hear_word(id, word, now - word.age, now);
+            self.merge_report(id, word, now - word.age, now);
         }
         let Some(held) = self.endpoints.get_mut(id) else { return };
-        let word = held.word(now);
+        let word = held.report(now);
         if held.limit().is_none() {
             // The asker may not know.
-            if let LimitNews::Ask { .. } = news {
-                self.replies.push((LimitTo::Node(from), id.clone(), LimitNews::Heard(word)));
+            if let RateLimitMessage::Ask { .. } = news {
+                self.replies.push((
+                    RateLimitRecipient::Node(from),
+                    id.clone(),
+                    RateLimitMessage::Heard(word),
+                ));
             }
             return;
         }
         match news {
-            LimitNews::Heard(_) => {}
-            LimitNews::Ask { .. } | LimitNews::Return { .. } if held.keeper.is_none() => {
+            RateLimitMessage::Heard(_) => {}
+            RateLimitMessage::Ask { .. } | RateLimitMessage::Return { .. }
+                if held.keeper.is_none() =>
+            {
                 if held.early.len() < MOST_EARLY {
                     held.early.push((from, news));
                 }
             }
-            LimitNews::Ask { .. } | LimitNews::Return { .. } => {
-                let answer = held.at_account(Some(from), news, now);
-                let reply = |news| (LimitTo::Node(from), id.clone(), news);
+            RateLimitMessage::Ask { .. } | RateLimitMessage::Return { .. } => {
+                let answer = held.handle_at_ledger(Some(from), news, now);
+                let reply = |news| (RateLimitRecipient::Node(from), id.clone(), news);
                 self.replies.extend(answer.map(reply));
             }
-            LimitNews::Give { .. } => {
+            RateLimitMessage::Give { .. } => {
                 if held.keeper.is_some_and(|keeper| keeper.address == Some(from)) {
-                    held.permits.take_in(news, now);
+                    held.permits.handle_grant(news, now);
                 }
             }
         }
     }
 
     /// Has the keepers of all accounts named anew, as nodes have come or gone.
-    pub fn follow(&mut self, now: Millis, keeper_of: impl Fn(&K) -> LimitKeeper) {
+    pub fn reassign_owners(&mut self, now: Millis, keeper_of: impl Fn(&K) -> RateLimitOwner) {
         for (id, held) in &mut self.endpoints {
             if held.limit().is_some() {
-                held.follow(keeper_of(id), self.at_once, now);
+                held.set_owner(keeper_of(id), self.at_once, now);
             }
         }
     }
 
     /// Asks, gives and hands back what is due.
-    pub fn step(&mut self, now: Millis, keeper_of: impl Fn(&K) -> LimitKeeper) -> LimitStep<K> {
+    pub fn step(
+        &mut self,
+        now: Millis,
+        keeper_of: impl Fn(&K) -> RateLimitOwner,
+    ) -> RateLimitStep<K> {
         let told = std::mem::take(&mut self.to_tell).into_iter();
-        let told = told.map(|(id, word)| (LimitTo::All, id, LimitNews::Heard(word)));
+        let told =
+            told.map(|(id, word)| (RateLimitRecipient::All, id, RateLimitMessage::Heard(word)));
         let mut has_permits = false;
         let mut news: Vec<_> = told.chain(std::mem::take(&mut self.replies)).collect();
         self.endpoints.retain(|_, held| {
             held.cold = held.cold.filter(|cold| now < cold.until);
-            !held.is_forgotten(now)
+            !held.is_expired(now)
         });
         for (id, held) in &mut self.endpoints {
             if held.limit().is_none() {
-                held.end();
+                held.clear_rate_limit();
                 continue;
             }
             if held.keeper.is_none() {
-                held.follow(keeper_of(id), self.at_once, now);
+                held.set_owner(keeper_of(id), self.at_once, now);
             }
             if self.at_once.is_none() {
-                let cold = held.tell_cold(now);
-                news.extend(cold.map(|cold| (LimitTo::All, id.clone(), cold)));
+                let cold = held.take_cold_announcement(now);
+                news.extend(cold.map(|cold| (RateLimitRecipient::All, id.clone(), cold)));
             }
             let sent = held.step(&mut self.last_number, now);
-            news.extend(sent.into_iter().map(|(to, news)| (LimitTo::Node(to), id.clone(), news)));
-            has_permits |= held.permits.has_new();
+            news.extend(
+                sent.into_iter().map(|(to, news)| (RateLimitRecipient::Node(to), id.clone(), news)),
+            );
+            has_permits |= held.permits.take_has_news();
         }
-        LimitStep { news, has_permits }
+        RateLimitStep { messages: news, has_permits }
     }
 }
--- a/crates/cherrystand_core/src/requests/kept_connections.rs
+++ b/crates/cherrystand_core/src/requests/idle_connections.rs
@@ -1,7 +1,7 @@
 //! How many idle connections one node keeps to one endpoint.
 
 /// How many idle connections a node keeps to an endpoint of which nothing else is known.
-pub const USUALLY_KEPT: usize = 64;
+pub const DEFAULT_IDLE_CONNECTIONS: usize = 64;
 
 /// The part of an endpoint's connections that all nodes together may keep idle; the rest is for requests.
 const KEPT_PART: usize = 2;
@@ -11,8 +11,8 @@
 ///
 /// Each has an even part, which needs no agreement. Where there are more nodes than connections none is kept, and each
 /// request opens its own.
-pub fn kept_connections(most: Option<u32>, nodes: usize) -> usize {
-    let Some(most) = most else { return USUALLY_KEPT };
+pub fn max_idle_connections(most: Option<u32>, nodes: usize) -> usize {
+    let Some(most) = most else { return DEFAULT_IDLE_CONNECTIONS };
     let most = usize::try_from(most).unwrap_or(usize::MAX);
-    (most / KEPT_PART / nodes.max(1)).min(USUALLY_KEPT)
+    (most / KEPT_PART / nodes.max(1)).min(DEFAULT_IDLE_CONNECTIONS)
 }
--- a/crates/cherrystand_core/src/requests/known_limit.rs
+++ b/crates/cherrystand_core/src/requests/known_rate_limit.rs
@@ -1,6 +1,6 @@
 //! What is known of the limit that one endpoint names.
 
-use crate::{LimitWord, Millis, RequestRate};
+use crate::{Millis, RateLimitReport, RequestRate};
 
 /// For how long a limit holds after it was last named, though answers come without it: an endpoint may
 /// name it in some of its answers only.
@@ -18,7 +18,7 @@
 /// its request was sent, where it names none or a higher one: the lower limit is kept where either may
 /// be the later word.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct KnownLimit {
+pub(crate) struct KnownRateLimit {
     limit: RequestRate,
     /// When the limit in force was first named.
     changed: Millis,
@@ -27,7 +27,7 @@
     unnamed: Option<Millis>,
 }
 
-impl KnownLimit {
+impl KnownRateLimit {
     pub(crate) fn new(limit: RequestRate, now: Millis) -> Self {
         Self { limit, changed: now, named: now, unnamed: None }
     }
@@ -38,13 +38,18 @@
 
     /// Takes in that a limit was named at a time, in an answer that was made after `made_after`; tells whether
     /// it is another one than was in force.
-    pub(crate) fn hear(&mut self, limit: RequestRate, at: Millis, made_after: Millis) -> bool {
+    pub(crate) fn record_limit(
+        &mut self,
+        limit: RequestRate,
+        at: Millis,
+        made_after: Millis,
+    ) -> bool {
         if limit > self.limit && made_after < self.changed {
             return false;
         }
-        let was_over = self.is_over();
+        let was_over = self.is_lifted();
         self.named = at.max(self.named);
-        let is_other = limit != self.limit || (was_over && !self.is_over());
+        let is_other = limit != self.limit || (was_over && !self.is_lifted());
         if is_other {
             (self.limit, self.changed) = (limit, at.max(self.changed));
         }
@@ -53,32 +58,34 @@
 
     /// Takes in that an answer which was made after `made_after` named none; tells whether the limit is over
     /// by that.
-    pub(crate) fn hear_none(&mut self, made_after: Millis) -> bool {
-        let was_over = self.is_over();
+    pub(crate) fn record_no_limit(&mut self, made_after: Millis) -> bool {
+        let was_over = self.is_lifted();
         self.unnamed = self.unnamed.max(Some(made_after));
-        self.is_over() && !was_over
+        self.is_lifted() && !was_over
     }
 
     /// Tells whether nothing is worth remembering of it any more.
-    pub(crate) fn is_forgotten(&self, now: Millis) -> bool {
-        match self.unnamed.filter(|_| self.is_over()) {
+    pub(crate) fn is_expired(&self, now: Millis) -> bool {
+        match self.unnamed.filter(|_| self.is_lifted()) {
             Some(unnamed) => now.since(unnamed) >= OVER_FOR,
             None => now.since(self.named) >= FORGOTTEN_AFTER,
         }
     }
 
     /// Tells whether the endpoint names no limit any more.
-    pub(crate) fn is_over(&self) -> bool {
+    pub(crate) fn is_lifted(&self) -> bool {
         self.unnamed.is_some_and(|unnamed| unnamed >= self.named + HOLDS_FOR)
     }
 
     /// Tells what is known to a peer.
-    pub(crate) fn word(&self, now: Millis) -> LimitWord {
-        match (self.is_over(), self.unnamed) {
-            (true, Some(unnamed)) => LimitWord { age: now.since(unnamed), ..LimitWord::UNHEARD },
+    pub(crate) fn report(&self, now: Millis) -> RateLimitReport {
+        match (self.is_lifted(), self.unnamed) {
+            (true, Some(unnamed)) => {
+                RateLimitReport { age: now.since(unnamed), ..RateLimitReport::UNHEARD }
+            }
             _ => {
                 let (limit, age) = (Some(self.limit), now.since(self.named));
-                LimitWord { limit, age, ..LimitWord::UNHEARD }
+                RateLimitReport { limit, age, ..RateLimitReport::UNHEARD }
             }
         }
     }
--- a/crates/cherrystand_core/src/requests/outcome.rs
+++ b/crates/cherrystand_core/src/requests/outcome.rs
@@ -105,7 +105,7 @@
     }
 
     /// Tells whether the end speaks against the endpoint's health.
-    pub fn blames_endpoint(self) -> bool {
+    pub fn is_endpoint_failure(self) -> bool {
         !matches!(self, Self::CallerLeft | Self::Answered | Self::Refused)
     }
 }
--- a/crates/cherrystand_core/src/requests/limit_account.rs
+++ b/crates/cherrystand_core/src/requests/rate_limit_ledger.rs
@@ -2,8 +2,8 @@
 
 use std::collections::VecDeque;
 
-use crate::requests::limit_permits::kept_for;
-use crate::{LimitNews, LimitWord, Millis};
+use crate::requests::rate_limit_permits::kept_for;
+use crate::{Millis, RateLimitMessage, RateLimitReport};
 
 /// How many seconds of the limit a new account owes.
 ///
@@ -32,7 +32,7 @@
 
 /// What a question asks for.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct AskedFor {
+pub(crate) struct PermitRequest {
     pub(crate) number: u64,
     pub(crate) want: u8,
     pub(crate) lasts: Millis,
@@ -57,7 +57,7 @@
 
 /// Gives permits out at the rate of one limit, to those that ask in turn (a token bucket).
 #[derive(Clone, Debug)]
-pub(crate) struct LimitAccount<N> {
+pub(crate) struct RateLimitLedger<N> {
     permits: f64,
     as_of: Millis,
     waiting: Vec<Waiting<N>>,
@@ -67,7 +67,7 @@
     at_once: Option<f64>,
 }
 
-impl<N: Copy + PartialEq> LimitAccount<N> {
+impl<N: Copy + PartialEq> RateLimitLedger<N> {
     /// Creates an account that owes what the endpoint had before, or has all that may be given at once.
     pub(crate) fn new(rate: f64, at_once: Option<f64>, now: Millis) -> Self {
         let permits = at_once.unwrap_or(-rate * OWED_SECS);
@@ -80,14 +80,14 @@
     }
 
     /// Takes in a question, and returns the answer for now: how many were given to it before.
-    pub(crate) fn ask(
+    pub(crate) fn handle_request(
         &mut self,
         from: N,
-        question: AskedFor,
-        word: LimitWord,
+        question: PermitRequest,
+        word: RateLimitReport,
         now: Millis,
-    ) -> Option<LimitNews> {
-        let AskedFor { number, want, lasts } = question;
+    ) -> Option<RateLimitMessage> {
+        let PermitRequest { number, want, lasts } = question;
         let until = now + lasts.min(LONGEST_WAIT);
         let fresh = Waiting { from, number, want, given: 0, until, is_closed: false };
         let held = self.waiting.iter().position(|held| held.from == from);
@@ -107,7 +107,7 @@
             }
             Some((place, held)) => {
                 // It has used all that it had.
-                self.forget_out(held.given);
+                self.forget_outstanding(held.given);
                 self.waiting.remove(place);
                 self.waiting.push(fresh);
                 0
@@ -119,23 +119,28 @@
             None => 0,
         };
         let is_next = self.permits >= 1.0 && given == 0;
-        (!is_next).then(|| LimitNews::Give { word, number, given, waiting: self.queued() })
+        (!is_next).then(|| RateLimitMessage::Give {
+            word,
+            number,
+            given,
+            waiting: self.queue_length(),
+        })
     }
 
     /// Counts permits as out no more, and returns how many of them did; the others are lost.
-    fn forget_out(&mut self, given: u8) -> usize {
+    fn forget_outstanding(&mut self, given: u8) -> usize {
         let before = self.out.len();
         self.out.truncate(before.saturating_sub(usize::from(given)));
         before - self.out.len()
     }
 
     /// Returns how many questions wait for a permit.
-    fn queued(&self) -> u16 {
+    fn queue_length(&self) -> u16 {
         self.waiting.iter().filter(|held| !held.is_served()).count() as u16
     }
 
     /// Takes back what was not used of a question, which is closed by that.
-    pub(crate) fn take_back(&mut self, from: N, number: u64, used: u8, now: Millis) {
+    pub(crate) fn handle_return(&mut self, from: N, number: u64, used: u8, now: Millis) {
         let mut given = 0;
         if let Some(place) = self.waiting.iter().position(|held| held.from == from) {
             let held = self.waiting[place];
@@ -147,7 +152,7 @@
                 given = held.given;
             }
         }
-        let unused = self.forget_out(given).min(usize::from(given.saturating_sub(used)));
+        let unused = self.forget_outstanding(given).min(usize::from(given.saturating_sub(used)));
         self.permits += unused as f64;
         // It is remembered, as the question itself may come late or twice.
         if self.waiting.len() < MOST_WAITING {
@@ -160,7 +165,7 @@
     ///
     /// Permits that nobody uses go round; earned beside them without a bound, they would all be used together
     /// once callers come.
-    fn earn(&mut self, rate: f64, now: Millis) {
+    fn refill(&mut self, rate: f64, now: Millis) {
         let out_for = kept_for(rate) + ON_ITS_WAY;
         while self.out.front().is_some_and(|at| now.since(*at) >= out_for) {
             self.out.pop_front();
@@ -175,9 +180,14 @@
     }
 
     /// Gives out what the endpoint takes by now.
-    pub(crate) fn step(&mut self, rate: f64, word: LimitWord, now: Millis) -> Vec<(N, LimitNews)> {
+    pub(crate) fn step(
+        &mut self,
+        rate: f64,
+        word: RateLimitReport,
+        now: Millis,
+    ) -> Vec<(N, RateLimitMessage)> {
         self.waiting.retain(|held| now < held.until);
-        self.earn(rate, now);
+        self.refill(rate, now);
         let mut out = Vec::new();
         while self.permits >= 1.0
             && let Some(place) = self.waiting.iter().position(|held| !held.is_served())
@@ -189,8 +199,8 @@
             // What is not used of it comes back later.
             held.until = held.until.max(now + LONGEST_WAIT);
             self.waiting.push(held);
-            let (number, given, waiting) = (held.number, held.given, self.queued());
-            out.push((held.from, LimitNews::Give { word, number, given, waiting }));
+            let (number, given, waiting) = (held.number, held.given, self.queue_length());
+            out.push((held.from, RateLimitMessage::Give { word, number, given, waiting }));
         }
         out
     }
--- a/crates/cherrystand_core/src/requests/limit_permits.rs
+++ b/crates/cherrystand_core/src/requests/rate_limit_permits.rs
@@ -1,6 +1,6 @@
 //! The permits that one node has for one endpoint with a limit.
 
-use crate::{LimitNews, LimitWord, Millis, RequestRate};
+use crate::{Millis, RateLimitMessage, RateLimitReport, RequestRate};
 
 /// How long a question goes on after the last request that could have used a permit, at a node to which such
 /// requests come often.
@@ -69,7 +69,7 @@
 /// Where requests come often, the next permit is asked for before it is wanted. Elsewhere it would lie there
 /// unused while others want it, and is asked for by the request that could use it.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct LimitPermits {
+pub(crate) struct RateLimitPermits {
     open: Option<Question>,
     /// When a request last could have used one, or did, that no question was asked for.
     wanted: Option<Millis>,
@@ -83,15 +83,15 @@
     has_new: bool,
 }
 
-impl Default for LimitPermits {
+impl Default for RateLimitPermits {
     fn default() -> Self {
         Self { open: None, wanted: None, last: None, gap: LONGEST_GAP, waiting: 0, has_new: false }
     }
 }
 
-impl LimitPermits {
+impl RateLimitPermits {
     /// Notes that a request could use a permit.
-    pub(crate) fn want(&mut self, now: Millis) {
+    pub(crate) fn record_demand(&mut self, now: Millis) {
         if let Some(last) = self.last.replace(now) {
             let gap = (now.since(last).0 as f64).min(LONGEST_GAP);
             self.gap += GAP_WEIGHT * (gap - self.gap);
@@ -110,19 +110,19 @@
     }
 
     /// Tells whether a permit may come at any moment.
-    pub(crate) fn may_come(&self) -> bool {
+    pub(crate) fn may_arrive(&self) -> bool {
         self.wanted.is_some()
             && self.open.is_none_or(|open| !open.answered || open.used >= open.want)
     }
 
     /// Tells whether a permit is at hand.
-    pub(crate) fn has_one(&self, rate: f64, now: Millis) -> bool {
+    pub(crate) fn has_permit(&self, rate: f64, now: Millis) -> bool {
         self.open.is_some_and(|open| open.unused() > 0 && now < open.got + kept_for(rate))
     }
 
     /// Uses a permit, where there is one.
     pub(crate) fn take(&mut self, rate: f64, now: Millis) -> bool {
-        if !self.has_one(rate, now) {
+        if !self.has_permit(rate, now) {
             return false;
         }
         if let Some(open) = &mut self.open {
@@ -133,15 +133,15 @@
     }
 
     /// Has the last permit back that was used for a request which was not sent.
-    pub(crate) fn not_sent(&mut self) {
+    pub(crate) fn return_permit(&mut self) {
         if let Some(open) = &mut self.open {
             open.used = open.used.saturating_sub(1);
         }
     }
 
     /// Takes in an answer of the keeper.
-    pub(crate) fn take_in(&mut self, news: LimitNews, now: Millis) {
-        let LimitNews::Give { number, given, waiting, .. } = news else { return };
+    pub(crate) fn handle_grant(&mut self, news: RateLimitMessage, now: Millis) {
+        let RateLimitMessage::Give { number, given, waiting, .. } = news else { return };
         let Some(open) = self.open.as_mut().filter(|open| open.number == number) else { return };
         self.waiting = waiting;
         self.has_new |= !std::mem::replace(&mut open.answered, true);
@@ -152,12 +152,12 @@
     }
 
     /// Tells whether permits came since the last time, or the word that there is none for now.
-    pub(crate) fn has_new(&mut self) -> bool {
+    pub(crate) fn take_has_news(&mut self) -> bool {
         std::mem::take(&mut self.has_new)
     }
 
     /// Returns about when the next permit comes.
-    pub(crate) fn next_at(&self, rate: f64, now: Millis) -> Millis {
+    pub(crate) fn next_permit_at(&self, rate: f64, now: Millis) -> Millis {
         let before = f64::from(self.waiting) + 1.0;
         now + Millis((before * 1_000.0 / rate.max(f64::MIN_POSITIVE)) as u64)
     }
@@ -167,16 +167,16 @@
         &mut self,
         limit: RequestRate,
         rate: f64,
-        word: LimitWord,
+        word: RateLimitReport,
         last_number: &mut u64,
         now: Millis,
-    ) -> Option<LimitNews> {
+    ) -> Option<RateLimitMessage> {
         let lasts = if self.is_busy(rate) { WANTED_FOR } else { WAITED_FOR + ANSWERED_WITHIN };
         let is_wanted = self.wanted.is_some_and(|at| now.since(at) < lasts);
         let is_used_up = self.open.is_none_or(|open| open.used >= open.want);
         if is_used_up && is_wanted {
             // Its number closes the question before it.
-            return Some(self.ask(limit, rate, word, last_number, now));
+            return Some(self.open_request(limit, rate, word, last_number, now));
         }
         let mut open = self.open?;
         let is_over = match open.unused() {
@@ -189,7 +189,7 @@
                 // The keeper has dropped it by itself.
                 return None;
             }
-            return Some(LimitNews::Return { number: open.number, used: open.used });
+            return Some(RateLimitMessage::Return { number: open.number, used: open.used });
         }
         // One that does not last is asked again as the next request wants it.
         let is_wanted_since = self.wanted > Some(open.asked) || open.lasts > ASK_EVERY;
@@ -201,17 +201,17 @@
         open.asked = now;
         self.open = Some(open);
         let Question { number, want, lasts, .. } = open;
-        Some(LimitNews::Ask { word, number, want, lasts })
+        Some(RateLimitMessage::Ask { word, number, want, lasts })
     }
 
-    fn ask(
+    fn open_request(
         &mut self,
         limit: RequestRate,
         rate: f64,
-        word: LimitWord,
+        word: RateLimitReport,
         last_number: &mut u64,
         now: Millis,
-    ) -> LimitNews {
+    ) -> RateLimitMessage {
         *last_number += 1;
         let number = *last_number;
         let ahead = (limit.as_f64() * AHEAD_FOR).ceil().clamp(1.0, MOST_AHEAD) as u8;
@@ -226,11 +226,11 @@
             got: now,
             answered: false,
         });
-        LimitNews::Ask { word, number, want, lasts }
+        RateLimitMessage::Ask { word, number, want, lasts }
     }
 
     /// Gives up what was asked of a keeper that is it no more.
-    pub(crate) fn drop_question(&mut self) {
+    pub(crate) fn abandon_request(&mut self) {
         self.open = None;
     }
 }
--- a/crates/cherrystand_core/src/requests/limited_endpoint.rs
+++ b/crates/cherrystand_core/src/requests/rate_limited_endpoint.rs
@@ -4,11 +4,11 @@
 
 use std::net::SocketAddr;
 
-use crate::requests::endpoint_limits::LimitKeeper;
-use crate::requests::known_limit::KnownLimit;
-use crate::requests::limit_account::{AskedFor, LimitAccount};
-use crate::requests::limit_permits::LimitPermits;
-use crate::{ColdLife, LimitNews, LimitWord, Millis, RequestRate};
+use crate::requests::endpoint_rate_limits::RateLimitOwner;
+use crate::requests::known_rate_limit::KnownRateLimit;
+use crate::requests::rate_limit_ledger::{PermitRequest, RateLimitLedger};
+use crate::requests::rate_limit_permits::RateLimitPermits;
+use crate::{ColdPeriod, Millis, RateLimitMessage, RateLimitReport, RequestRate};
 
 /// The least rate at which an endpoint is asked, or its word that it takes nothing would never end.
 const LEAST_RATE: f64 = 0.25;
@@ -19,25 +19,25 @@
 
 /// Keeps what is known of one endpoint's limit, and this node's part of it.
 #[derive(Clone, Debug, Default)]
-pub(super) struct LimitedEndpoint {
+pub(super) struct RateLimitedEndpoint {
     /// What it names, where it ever did.
-    named: Option<KnownLimit>,
+    named: Option<KnownRateLimit>,
     /// Until when it is cold, where it is.
-    pub(super) cold: Option<ColdLife>,
-    pub(super) permits: LimitPermits,
-    pub(super) keeper: Option<LimitKeeper>,
+    pub(super) cold: Option<ColdPeriod>,
+    pub(super) permits: RateLimitPermits,
+    pub(super) keeper: Option<RateLimitOwner>,
     /// The account, where this node keeps it.
-    account: Option<LimitAccount<Option<SocketAddr>>>,
+    account: Option<RateLimitLedger<Option<SocketAddr>>>,
     /// What came before it was known who keeps the account.
-    pub(super) early: Vec<(SocketAddr, LimitNews)>,
+    pub(super) early: Vec<(SocketAddr, RateLimitMessage)>,
     /// Until when all others were last told that it is cold.
     told_cold: Millis,
 }
 
-impl LimitedEndpoint {
+impl RateLimitedEndpoint {
     /// Returns the strictest limit in force.
     pub(super) fn limit(&self) -> Option<RequestRate> {
-        let named = self.named.filter(|named| !named.is_over()).map(|named| named.limit());
+        let named = self.named.filter(|named| !named.is_lifted()).map(|named| named.limit());
         named.into_iter().chain(self.cold.map(|cold| cold.rate)).min()
     }
 
@@ -46,24 +46,29 @@
     }
 
     /// Tells what is known of it to a peer.
-    pub(super) fn word(&self, now: Millis) -> LimitWord {
-        let named = self.named.map_or(LimitWord::UNHEARD, |named| named.word(now));
-        LimitWord { cold: self.cold.map(|cold| cold.word(now)), ..named }
+    pub(super) fn report(&self, now: Millis) -> RateLimitReport {
+        let named = self.named.map_or(RateLimitReport::UNHEARD, |named| named.report(now));
+        RateLimitReport { cold: self.cold.map(|cold| cold.to_update(now)), ..named }
     }
 
     /// Takes in that it named a limit or none; tells whether that is new.
-    pub(super) fn hear(&mut self, word: LimitWord, made_after: Millis, now: Millis) -> bool {
-        if let Some(cold) = word.cold.map(|cold| cold.life(now)) {
+    pub(super) fn merge_report(
+        &mut self,
+        word: RateLimitReport,
+        made_after: Millis,
+        now: Millis,
+    ) -> bool {
+        if let Some(cold) = word.cold.map(|cold| cold.to_period(now)) {
             let held = self.cold.map(|cold| cold.until).unwrap_or(now);
             if cold.until.since(held) > LONGER_BY {
                 self.cold = Some(cold);
             }
         }
         match (&mut self.named, word.limit) {
-            (Some(named), Some(limit)) => named.hear(limit, now - word.age, made_after),
-            (Some(named), None) => named.hear_none(made_after),
+            (Some(named), Some(limit)) => named.record_limit(limit, now - word.age, made_after),
+            (Some(named), None) => named.record_no_limit(made_after),
             (None, Some(limit)) => {
-                self.named = Some(KnownLimit::new(limit, now));
+                self.named = Some(KnownRateLimit::new(limit, now));
                 true
             }
             (None, None) => false,
@@ -73,32 +78,32 @@
     /// Returns what all others are to be told: that it is cold, by the node that keeps its account, once.
     ///
     /// Some hear neither the store nor a reader, and would send as before.
-    pub(super) fn tell_cold(&mut self, now: Millis) -> Option<LimitNews> {
+    pub(super) fn take_cold_announcement(&mut self, now: Millis) -> Option<RateLimitMessage> {
         let cold = self.cold.filter(|_| self.account.is_some())?;
         let is_news = cold.until.since(self.told_cold) > LONGER_BY;
         self.told_cold = cold.until.max(self.told_cold);
-        is_news.then(|| LimitNews::Heard(self.word(now)))
+        is_news.then(|| RateLimitMessage::Heard(self.report(now)))
     }
 
     /// Tells whether no question of this node or of another is open.
     pub(super) fn is_idle(&self) -> bool {
-        self.permits.is_idle() && self.account.as_ref().is_none_or(LimitAccount::is_idle)
+        self.permits.is_idle() && self.account.as_ref().is_none_or(RateLimitLedger::is_idle)
     }
 
     /// Tells whether nothing is worth remembering of it any more.
-    pub(super) fn is_forgotten(&self, now: Millis) -> bool {
-        self.cold.is_none() && self.named.is_none_or(|named| named.is_forgotten(now))
+    pub(super) fn is_expired(&self, now: Millis) -> bool {
+        self.cold.is_none() && self.named.is_none_or(|named| named.is_expired(now))
     }
 
     /// Takes over who keeps the account; one that this node comes to keep begins anew.
-    pub(super) fn follow(&mut self, keeper: LimitKeeper, at_once: Option<f64>, now: Millis) {
+    pub(super) fn set_owner(&mut self, keeper: RateLimitOwner, at_once: Option<f64>, now: Millis) {
         if self.keeper.is_some_and(|held| held.address != keeper.address) {
-            self.permits.drop_question();
+            self.permits.abandon_request();
         }
         self.keeper = Some(keeper);
         match keeper.address {
             None if self.account.is_none() => {
-                self.account = Some(LimitAccount::new(self.rate(), at_once, now));
+                self.account = Some(RateLimitLedger::new(self.rate(), at_once, now));
             }
             None => {}
             Some(_) => self.account = None,
@@ -106,8 +111,8 @@
     }
 
     /// Forgets what hangs on a limit that is over.
-    pub(super) fn end(&mut self) {
-        self.permits = LimitPermits::default();
+    pub(super) fn clear_rate_limit(&mut self) {
+        self.permits = RateLimitPermits::default();
         self.early.clear();
         (self.keeper, self.account) = (None, None);
     }
@@ -117,20 +122,20 @@
         &mut self,
         last_number: &mut u64,
         now: Millis,
-    ) -> Vec<(SocketAddr, LimitNews)> {
+    ) -> Vec<(SocketAddr, RateLimitMessage)> {
         let Some(keeper) = self.keeper else { return Vec::new() };
-        let (word, rate) = (self.word(now), self.rate());
+        let (word, rate) = (self.report(now), self.rate());
         let limit = self.limit().unwrap_or_default();
         let asks = self.permits.step(limit, rate, word, last_number, now);
         let mut out = Vec::new();
         for (from, news) in std::mem::take(&mut self.early) {
-            out.extend(self.at_account(Some(from), news, now).map(|answer| (from, answer)));
+            out.extend(self.handle_at_ledger(Some(from), news, now).map(|answer| (from, answer)));
         }
         match (keeper.address, asks) {
             (Some(address), Some(asks)) => out.push((address, asks)),
             (None, Some(asks)) => {
-                if let Some(answer) = self.at_account(None, asks, now) {
-                    self.permits.take_in(answer, now);
+                if let Some(answer) = self.handle_at_ledger(None, asks, now) {
+                    self.permits.handle_grant(answer, now);
                 }
             }
             (_, None) => {}
@@ -139,30 +144,30 @@
         for (to, given) in account.step(rate * keeper.share, word, now) {
             match to {
                 Some(address) => out.push((address, given)),
-                None => self.permits.take_in(given, now),
+                None => self.permits.handle_grant(given, now),
             }
         }
         out
     }
 
     /// Takes in what a node, or this one, says to the account; returns the answer where there is one at once.
-    pub(super) fn at_account(
+    pub(super) fn handle_at_ledger(
         &mut self,
         from: Option<SocketAddr>,
-        news: LimitNews,
+        news: RateLimitMessage,
         now: Millis,
-    ) -> Option<LimitNews> {
-        let word = self.word(now);
+    ) -> Option<RateLimitMessage> {
+        let word = self.report(now);
         let account = self.account.as_mut()?;
         match news {
-            LimitNews::Ask { number, want, lasts, .. } => {
-                account.ask(from, AskedFor { number, want, lasts }, word, now)
+            RateLimitMessage::Ask { number, want, lasts, .. } => {
+                account.handle_request(from, PermitRequest { number, want, lasts }, word, now)
             }
-            LimitNews::Return { number, used } => {
-                account.take_back(from, number, used, now);
+            RateLimitMessage::Return { number, used } => {
+                account.handle_return(from, number, used, now);
                 None
             }
-            LimitNews::Heard(_) | LimitNews::Give { .. } => None,
+            RateLimitMessage::Heard(_) | RateLimitMessage::Give { .. } => None,
         }
     }
 }
--- a/crates/cherrystand_core/src/requests/retry.rs
+++ b/crates/cherrystand_core/src/requests/retry.rs
@@ -55,15 +55,15 @@
     /// How many attempts have been made, this one included.
     pub attempts: u32,
     /// Whether the request may be run twice.
-    pub repeatable: bool,
+    pub is_idempotent: bool,
     /// Whether a part of an answer has gone out to the caller.
-    pub answer_begun: bool,
+    pub answer_started: bool,
     /// Whether the request can be sent again from memory.
-    pub replayable: bool,
+    pub can_resend: bool,
     /// The time left until the caller's deadline.
     pub remaining: Millis,
     /// The time that an attempt usually takes.
-    pub usual: Millis,
+    pub typical_duration: Millis,
 }
 
 /// Says why no further attempt is made.
@@ -120,19 +120,19 @@
     if failed.end == AttemptEnd::CallerLeft {
         return Err(NoRetry::CallerLeft);
     }
-    if failed.answer_begun {
+    if failed.answer_started {
         return Err(NoRetry::AnswerBegun);
     }
-    if failed.end.outcome() != Outcome::NotRun && !failed.repeatable {
+    if failed.end.outcome() != Outcome::NotRun && !failed.is_idempotent {
         return Err(NoRetry::NotRepeatable);
     }
-    if !failed.replayable {
+    if !failed.can_resend {
         return Err(NoRetry::NotReplayable);
     }
     if failed.attempts >= MAX_ATTEMPTS {
         return Err(NoRetry::AttemptsSpent);
     }
-    if failed.remaining <= failed.usual {
+    if failed.remaining <= failed.typical_duration {
         return Err(NoRetry::NoTime);
     }
     if !budget.spend() {
--- a/crates/cherrystand_core/src/requests/router.rs
+++ b/crates/cherrystand_core/src/requests/router.rs
@@ -2,7 +2,10 @@
 
 use slotmap::{SlotMap, new_key_type};
 
-use crate::{AttemptEnd, Breaker, EndpointWishes, Limit, Millis, Seed, SendPermit, WishState, mix};
+use crate::{
+    AttemptEnd, BackpressureState, CircuitBreaker, ConcurrencyLimit, EndpointBackpressure, Millis,
+    SeededRng, SendPermit, mix,
+};
 
 new_key_type! {
     /// Points to a group in the router's arena.
@@ -31,9 +34,9 @@
     /// Whether it is in the router's own zone.
     pub near: bool,
     /// How many requests it takes from this node at the start.
-    pub start_limit: u32,
+    pub initial_limit: u32,
     /// How many requests it takes from this node at the most.
-    pub most: u32,
+    pub max_limit: u32,
 }
 
 #[derive(Clone, Debug)]
@@ -43,8 +46,8 @@
     in_flight: u32,
     others: u32,
     reported: Millis,
-    limit: Limit,
-    breaker: Breaker,
+    limit: ConcurrencyLimit,
+    breaker: CircuitBreaker,
 }
 
 #[derive(Clone, Debug, Default)]
@@ -71,7 +74,7 @@
     AllFull,
     /// Every endpoint of the group asked to be left alone, the first of them until a time.
     #[error("the group's endpoints all rest")]
-    AllRest(Millis),
+    AllBackingOff(Millis),
 }
 
 /// Chooses endpoints by sampled load, with a preference for the own zone and for the endpoint
@@ -82,14 +85,14 @@
 /// # Examples
 ///
 /// ```
-/// use cherrystand_core::{AttemptEnd, EndpointSpec, Millis, Router, Seed};
+/// use cherrystand_core::{AttemptEnd, EndpointSpec, Millis, Router, SeededRng};
 ///
 /// let mut router = Router::default();
 /// let group = router.add_group();
 /// let spec = EndpointSpec { near: true, start_limit: 4, most: 8 };
 /// let only = router.add_endpoint(group, spec);
 /// let now = Millis(0);
-/// assert_eq!(router.choose(group, None, now, &mut Seed::new(1)), Ok(only));
+/// assert_eq!(router.choose(group, None, now, &mut SeededRng::new(1)), Ok(only));
 /// assert!(router.start(only, now).is_some());
 /// router.finish(only, AttemptEnd::Answered, Millis(12), Some(Millis(12)));
 /// ```
@@ -97,7 +100,7 @@
 pub struct Router {
     groups: SlotMap<GroupKey, Group>,
     endpoints: SlotMap<EndpointKey, Endpoint>,
-    wishes: EndpointWishes<EndpointKey>,
+    wishes: EndpointBackpressure<EndpointKey>,
 }
 
 impl Router {
@@ -124,8 +127,8 @@
             in_flight: 0,
             others: 0,
             reported: Millis(0),
-            limit: Limit::new(spec.start_limit, spec.most),
-            breaker: Breaker::default(),
+            limit: ConcurrencyLimit::new(spec.initial_limit, spec.max_limit),
+            breaker: CircuitBreaker::default(),
         });
         if let Some(group) = self.groups.get_mut(group) {
             group.list(spec.near).push(key);
@@ -147,7 +150,7 @@
     }
 
     /// Takes in an endpoint's own report of all it has in flight, this node's share included.
-    pub fn report(&mut self, key: EndpointKey, now: Millis, in_flight: u32) {
+    pub fn report_load(&mut self, key: EndpointKey, now: Millis, in_flight: u32) {
         if let Some(endpoint) = self.endpoints.get_mut(key) {
             endpoint.others = in_flight.saturating_sub(endpoint.in_flight);
             endpoint.reported = now;
@@ -164,26 +167,26 @@
         group: GroupKey,
         prefix: Option<u64>,
         now: Millis,
-        seed: &mut Seed,
+        seed: &mut SeededRng,
     ) -> Result<EndpointKey, NoEndpoint> {
         let group = self.groups.get(group).ok_or(NoEndpoint::NoneServing)?;
         if group.near.is_empty() && group.far.is_empty() {
             return Err(NoEndpoint::NoneServing);
         }
-        let home = prefix.and_then(|prefix| self.home_of(group, prefix, now));
+        let home = prefix.and_then(|prefix| self.affinity_endpoint(group, prefix, now));
         let choice = home
             .or_else(|| self.sample(&group.near, now, seed))
             .or_else(|| self.sample(&group.far, now, seed));
-        choice.ok_or_else(|| self.why_none(group, now, seed))
+        choice.ok_or_else(|| self.no_endpoint_reason(group, now, seed))
     }
 
     /// Counts a request as on its way and gives leave to send it; nothing where its endpoint is gone or
     /// wants none.
     pub fn start(&mut self, key: EndpointKey, now: Millis) -> Option<SendPermit> {
         let endpoint = self.endpoints.get_mut(key)?;
-        let permit = self.wishes.permit(&key, endpoint.in_flight, now)?;
+        let permit = self.wishes.acquire_permit(&key, endpoint.in_flight, now)?;
         endpoint.in_flight += 1;
-        endpoint.breaker.started();
+        endpoint.breaker.record_start();
         if let Some(group) = self.groups.get_mut(endpoint.group) {
             group.in_flight += 1;
         }
@@ -191,9 +194,9 @@
     }
 
     /// Takes in that an endpoint asked to be left alone, as it turned a request away.
-    pub fn hear_rest(&mut self, key: EndpointKey, asked: Millis, now: Millis) {
+    pub fn record_backoff(&mut self, key: EndpointKey, asked: Millis, now: Millis) {
         let under_way = self.endpoints.get(key).map_or(0, |endpoint| endpoint.in_flight);
-        self.wishes.hear_rest(&key, asked, under_way, now);
+        self.wishes.record_backoff(&key, asked, under_way, now);
     }
 
     /// Counts a request as ended; `first_byte` is how long its answer took to begin.
@@ -212,28 +215,28 @@
         if let Some(group) = self.groups.get_mut(endpoint.group) {
             group.in_flight -= u64::from(before - endpoint.in_flight);
         }
-        self.wishes.ended(&key);
+        self.wishes.record_end(&key);
         if first_byte.is_some() {
-            self.wishes.answered(&key, now);
+            self.wishes.record_answer(&key, now);
         }
         match (end, first_byte) {
-            (AttemptEnd::Refused, _) => endpoint.limit.overloaded(now),
-            (_, Some(took)) => endpoint.limit.answered(now, took, before),
-            (AttemptEnd::TimedOut, None) => endpoint.limit.overloaded(now),
+            (AttemptEnd::Refused, _) => endpoint.limit.record_overload(now),
+            (_, Some(took)) => endpoint.limit.record_answer(now, took, before),
+            (AttemptEnd::TimedOut, None) => endpoint.limit.record_overload(now),
             (_, None) => {}
         }
-        if end.blames_endpoint() {
-            endpoint.breaker.failed(now);
+        if end.is_endpoint_failure() {
+            endpoint.breaker.record_failure(now);
         } else if end == AttemptEnd::CallerLeft {
-            endpoint.breaker.abandoned();
+            endpoint.breaker.record_abandoned();
         } else {
-            endpoint.breaker.succeeded();
+            endpoint.breaker.record_success();
         }
     }
 
     /// Returns the usual time until an answer of the endpoint begins.
-    pub fn usual(&self, key: EndpointKey) -> Millis {
-        self.endpoints.get(key).map(|endpoint| endpoint.limit.usual()).unwrap_or_default()
+    pub fn typical_latency(&self, key: EndpointKey) -> Millis {
+        self.endpoints.get(key).map(|endpoint| endpoint.limit.typical_latency()).unwrap_or_default()
     }
 
     /// Returns how many requests this node has at the endpoint, and how many it may have.
@@ -242,7 +245,7 @@
         self.endpoints.get(key).map(load).unwrap_or_default()
     }
 
-    fn home_of(&self, group: &Group, prefix: u64, now: Millis) -> Option<EndpointKey> {
+    fn affinity_endpoint(&self, group: &Group, prefix: u64, now: Millis) -> Option<EndpointKey> {
         let list = if group.near.is_empty() { &group.far } else { &group.near };
         let endpoints = (group.near.len() + group.far.len()) as u64;
         let bound = (group.in_flight + 1) * AFFINITY_BOUND;
@@ -255,7 +258,12 @@
     }
 
     /// Returns the least loaded endpoint with room among a few drawn ones.
-    fn sample(&self, list: &[EndpointKey], now: Millis, seed: &mut Seed) -> Option<EndpointKey> {
+    fn sample(
+        &self,
+        list: &[EndpointKey],
+        now: Millis,
+        seed: &mut SeededRng,
+    ) -> Option<EndpointKey> {
         let mut found: Option<EndpointKey> = None;
         if list.is_empty() {
             return None;
@@ -268,7 +276,7 @@
                 continue;
             }
             found = Some(match found {
-                Some(other) => self.calmer(other, key, now),
+                Some(other) => self.less_loaded(other, key, now),
                 None => key,
             });
         }
@@ -276,36 +284,36 @@
     }
 
     /// Tells whether waiting can help: it does where an endpoint is full rather than failing.
-    fn why_none(&self, group: &Group, now: Millis, seed: &mut Seed) -> NoEndpoint {
-        if let Some(until) = self.all_rest_until(group, now) {
-            return NoEndpoint::AllRest(until);
+    fn no_endpoint_reason(&self, group: &Group, now: Millis, seed: &mut SeededRng) -> NoEndpoint {
+        if let Some(until) = self.all_backing_off_until(group, now) {
+            return NoEndpoint::AllBackingOff(until);
         }
         let lists = [&group.near, &group.far];
         let admits = |list: &Vec<EndpointKey>| {
             let start = seed.below(list.len());
             let mut probes = (0..PROBES.min(list.len())).map(|probe| (start + probe) % list.len());
-            probes.any(|index| self.endpoints[list[index]].breaker.admits(now))
+            probes.any(|index| self.endpoints[list[index]].breaker.allows(now))
         };
         if lists.into_iter().any(admits) { NoEndpoint::AllFull } else { NoEndpoint::NoneServing }
     }
 
     /// Returns when the first rest ends, where every endpoint of a group rests.
-    fn all_rest_until(&self, group: &Group, now: Millis) -> Option<Millis> {
+    fn all_backing_off_until(&self, group: &Group, now: Millis) -> Option<Millis> {
         let mut first = Millis(u64::MAX);
         for key in group.near.iter().chain(&group.far) {
             match self.wishes.state(key, self.endpoints[*key].in_flight, now) {
-                WishState::Rests(until) => first = first.min(until),
+                BackpressureState::BackingOff(until) => first = first.min(until),
                 _ => return None,
             }
         }
         Some(first)
     }
 
-    fn calmer(&self, a: EndpointKey, b: EndpointKey, now: Millis) -> EndpointKey {
-        if self.estimate(b, now) < self.estimate(a, now) { b } else { a }
+    fn less_loaded(&self, a: EndpointKey, b: EndpointKey, now: Millis) -> EndpointKey {
+        if self.estimated_load(b, now) < self.estimated_load(a, now) { b } else { a }
     }
 
-    fn estimate(&self, key: EndpointKey, now: Millis) -> u32 {
+    fn estimated_load(&self, key: EndpointKey, now: Millis) -> u32 {
         let endpoint = &self.endpoints[key];
         let told = now.since(endpoint.reported) < REPORT_LIFE;
         endpoint.in_flight + if told { endpoint.others } else { 0 }
@@ -314,7 +322,7 @@
     fn has_room(&self, key: EndpointKey, now: Millis) -> bool {
         let endpoint = &self.endpoints[key];
         endpoint.in_flight < endpoint.limit.get()
-            && endpoint.breaker.admits(now)
+            && endpoint.breaker.allows(now)
             && !self.wishes.state(&key, endpoint.in_flight, now).is_closed()
     }
 }
--- a/crates/cherrystand_core/src/requests/seed.rs
+++ b/crates/cherrystand_core/src/requests/seeded_rng.rs
@@ -4,16 +4,16 @@
 ///
 /// The step is the well-known SplitMix64 mixer, chosen because it needs eight bytes of state.
 #[derive(Clone, Copy, Debug)]
-pub struct Seed(u64);
+pub struct SeededRng(u64);
 
-impl Seed {
+impl SeededRng {
     /// Creates a sequence from a seed.
     pub fn new(seed: u64) -> Self {
         Self(seed)
     }
 
     /// Returns the next number.
-    pub fn draw(&mut self) -> u64 {
+    pub fn next_u64(&mut self) -> u64 {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
         mix(self.0)
     }
@@ -23,7 +23,7 @@
         if bound == 0 {
             return 0;
         }
-        ((u128::from(self.draw()) * bound as u128) >> 64) as usize
+        ((u128::from(self.next_u64()) * bound as u128) >> 64) as usize
     }
 }
 
--- a/crates/cherrystand_core/src/requests/send_permit.rs
+++ b/crates/cherrystand_core/src/requests/send_permit.rs
@@ -2,7 +2,7 @@
 
 /// Allows one request to be sent to the endpoint that it was given for.
 ///
-/// Only [`crate::EndpointWishes`] makes one, after it has looked at what the endpoint asked for, and what sends a
+/// Only [`crate::EndpointBackpressure`] makes one, after it has looked at what the endpoint asked for, and what sends a
 /// caller's request takes one: a path that forgets to look does not compile.
 #[derive(Debug)]
 #[must_use = "a request that is not sent after all is to be counted as ended"]
@@ -16,7 +16,7 @@
     }
 
     /// Tells whether the endpoint's rest has just ended, so that it matters how it answers.
-    pub fn comes_back(&self) -> bool {
+    pub fn is_after_backoff(&self) -> bool {
         self.comes_back
     }
 }
--- a/crates/cherrystand_core/src/requests/usual_time.rs
+++ b/crates/cherrystand_core/src/requests/typical_latency.rs
@@ -7,13 +7,13 @@
 
 /// Follows how long a group's answers take to begin.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct UsualTime {
+pub struct TypicalLatency {
     millis: f64,
 }
 
-impl UsualTime {
+impl TypicalLatency {
     /// Takes in one answer.
-    pub fn add(&mut self, took: Millis) {
+    pub fn record(&mut self, took: Millis) {
         let took = took.0 as f64;
         if self.millis == 0.0 {
             self.millis = took;
@@ -25,7 +25,7 @@
     /// nothing while none has been seen.
     ///
     /// A request with less time than this left would likely be run in vain.
-    pub fn needed(&self) -> Millis {
+    pub fn required_time(&self) -> Millis {
         Millis((self.millis * 1.5) as u64)
     }
 }
--- a/crates/cherrystand_core/src/requests/wait_queue.rs
+++ b/crates/cherrystand_core/src/requests/wait_queue.rs
@@ -3,7 +3,7 @@
 use crate::{Millis, Refusal, RefusalReason};
 
 /// The longest that a request waits for an endpoint.
-pub const LONGEST_WAIT: Millis = Millis(2_000);
+pub const MAX_QUEUE_WAIT: Millis = Millis(2_000);
 
 /// The share by which one completion moves the estimate of the drain rate.
 const SMOOTHING: f64 = 0.1;
@@ -36,7 +36,7 @@
     /// Returns the [`Refusal`] with the time after which the queue will have drained.
     pub fn join(&mut self, remaining: Millis, answer: Millis) -> Result<(), Refusal> {
         let expected = self.expected_wait();
-        if expected > (remaining - answer).min(LONGEST_WAIT) {
+        if expected > (remaining - answer).min(MAX_QUEUE_WAIT) {
             return Err(Refusal::with_retry_after(RefusalReason::WaitTooLong, expected));
         }
         self.waiting += 1;
@@ -44,14 +44,14 @@
     }
 
     /// Takes in that a request no longer waits, whatever became of it.
-    pub fn left(&mut self) {
+    pub fn leave(&mut self) {
         self.waiting = self.waiting.saturating_sub(1);
     }
 
     /// Takes in that one of the group's requests was done, making room for another.
-    pub fn done(&mut self, now: Millis) {
+    pub fn record_completion(&mut self, now: Millis) {
         if let Some(last) = self.last_done {
-            let between = (now.since(last).0 as f64).min(LONGEST_WAIT.0 as f64);
+            let between = (now.since(last).0 as f64).min(MAX_QUEUE_WAIT.0 as f64);
             if self.waiting > 0 {
                 self.between_ms += (between - self.between_ms) * SMOOTHING;
             }
--- a/crates/cherrystand_core/src/site/cold_boxes.rs
+++ b/crates/cherrystand_core/src/site/cold_boxes.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::requests::cold_life::LONGEST_COLD;
+use crate::requests::cold_period::LONGEST_COLD;
 use crate::{BoxId, Millis};
 
 /// Reports that extend a cold period by no more than this change nothing: they differ only by their
--- a/crates/cherrystand_core/src/site/load_balancer.rs
+++ b/crates/cherrystand_core/src/site/load_balancer.rs
@@ -6,8 +6,9 @@
 
 use crate::site::target::{Target, TargetSpec};
 use crate::{
-    AllowedRegions, BoxId, ChoiceRule, EndpointWishes, EngineLoad, EngineSpec, LatencyModel,
-    Millis, ModelLoads, ModelSpec, Policy, Seed, ServiceName, WishState, is_deferred,
+    AllowedRegions, BackpressureState, BoxId, ChoiceRule, EndpointBackpressure, EngineLoad,
+    EngineSpec, LatencyModel, Millis, ModelLoads, ModelSpec, Policy, SeededRng, ServiceName,
+    is_deferred,
 };
 
 new_key_type! {
@@ -93,7 +94,7 @@
     pub(super) ids: BTreeMap<BoxId, TargetKey>,
     services: HashMap<ServiceName, ServiceTargets>,
     /// The backpressure that endpoints signalled to this node, including endpoints not listed now.
-    pub(super) wishes: EndpointWishes<BoxId>,
+    pub(super) wishes: EndpointBackpressure<BoxId>,
     latency_models: HashMap<String, LatencyModel>,
 }
 
@@ -120,7 +121,7 @@
                 Some(target) => target.spec = spec,
                 None => {
                     let mut target = Target::new(spec);
-                    target.is_draining = self.wishes.is_leaving(&id);
+                    target.is_draining = self.wishes.is_draining(&id);
                     let key = self.targets.insert(target);
                     self.ids.insert(id, key);
                 }
@@ -132,13 +133,13 @@
     /// Updates which endpoints lie in evacuated zones, and which are cold.
     fn update_availability(&mut self, wanted: &BTreeMap<BoxId, TargetSpec>) {
         let evacuated = wanted.values().filter_map(|spec| Some((spec.id.clone(), spec.evacuated?)));
-        self.wishes.follow_evacuated(evacuated.collect());
+        self.wishes.set_evacuated(evacuated.collect());
         for (id, spec) in wanted {
             let held = self.ids.get(id).and_then(|key| self.targets.get(*key));
             let before = held.and_then(|target| target.spec.cold);
             // A cold period that peers report is kept if this node has no report of its own.
             if spec.cold != before {
-                self.wishes.limits.follow_cold(id, spec.cold);
+                self.wishes.limits.set_cold_period(id, spec.cold);
             }
         }
     }
@@ -206,7 +207,7 @@
         engine: Option<&EngineSpec>,
         excluded: &[BoxId],
         now: Millis,
-        rng: &mut Seed,
+        rng: &mut SeededRng,
     ) -> Option<TargetKey> {
         let candidates = self.candidates(request, engine)?;
         let engine = engine.zip(request.model);
@@ -243,7 +244,7 @@
         &self,
         candidates: &Candidates,
         choice: &Choice<'_>,
-        rng: &mut Seed,
+        rng: &mut SeededRng,
     ) -> Option<TargetKey> {
         let mut best: Option<(f64, TargetKey)> = None;
         for key in candidates.near.iter().chain(&candidates.far) {
@@ -257,7 +258,7 @@
             // choices.
             let jitter = rng.below(1_000) as f64 / 1_000.0;
             let recovering_cost =
-                if state == WishState::ComesBack { RECOVERING_COST_MS } else { 0.0 };
+                if state == BackpressureState::Recovering { RECOVERING_COST_MS } else { 0.0 };
             let cost = self.cost(target, choice) + recovering_cost + jitter;
             if best.is_none_or(|(lowest_cost, _)| cost < lowest_cost) {
                 best = Some((cost, *key));
@@ -276,7 +277,7 @@
         &self,
         candidates: &Candidates,
         choice: &Choice<'_>,
-        rng: &mut Seed,
+        rng: &mut SeededRng,
     ) -> Option<TargetKey> {
         let count = candidates.near.len() + candidates.far.len();
         let mut best: Option<(f64, TargetKey)> = None;
@@ -299,7 +300,7 @@
         &self,
         candidates: &Candidates,
         choice: &Choice<'_>,
-        rng: &mut Seed,
+        rng: &mut SeededRng,
     ) -> Option<TargetKey> {
         let near = self.best_of_sample(&candidates.near, choice, rng);
         let far = self.best_of_sample(&candidates.far, choice, rng);
@@ -318,7 +319,7 @@
         &self,
         list: &[TargetKey],
         choice: &Choice<'_>,
-        rng: &mut Seed,
+        rng: &mut SeededRng,
     ) -> Option<(f64, TargetKey)> {
         let mut best: Option<(f64, TargetKey)> = None;
         let mut sampled = 0;
@@ -345,7 +346,7 @@
         let is_excluded = choice.excluded.contains(&target.spec.id)
             || target.is_ejected(choice.now)
             || !choice.request.regions.allow(target.spec.region.as_ref());
-        let is_open = || self.backpressure_state(target, choice.now) == WishState::Open;
+        let is_open = || self.backpressure_state(target, choice.now) == BackpressureState::Open;
         (!is_excluded && is_open()).then_some(target)
     }
 
--- a/crates/cherrystand_core/src/site/load_balancer_limits.rs
+++ b/crates/cherrystand_core/src/site/load_balancer_limits.rs
@@ -2,8 +2,8 @@
 
 use crate::site::target::Target;
 use crate::{
-    BoxId, EndpointLimits, EngineSpec, LoadBalancer, Millis, RequestSpec, Seed, SendPermit,
-    TargetKey, WishState,
+    BackpressureState, BoxId, EndpointRateLimits, EngineSpec, LoadBalancer, Millis, RequestSpec,
+    SeededRng, SendPermit, TargetKey,
 };
 
 /// When a caller is told to retry if all endpoints are at their limits; streams end after 0.3 to 2
@@ -22,12 +22,12 @@
 
 impl LoadBalancer {
     /// Returns the rate limits that endpoints have for all nodes together.
-    pub fn limits(&self) -> &EndpointLimits<BoxId> {
+    pub fn limits(&self) -> &EndpointRateLimits<BoxId> {
         &self.wishes.limits
     }
 
     /// Returns the rate limits for updating.
-    pub fn limits_mut(&mut self) -> &mut EndpointLimits<BoxId> {
+    pub fn limits_mut(&mut self) -> &mut EndpointRateLimits<BoxId> {
         &mut self.wishes.limits
     }
 
@@ -41,7 +41,7 @@
         request: RequestSpec<'_>,
         engine: Option<&EngineSpec>,
         now: Millis,
-        rng: &mut Seed,
+        rng: &mut SeededRng,
     ) -> Vec<BoxId> {
         // Fast path: usually no endpoint has a rate limit.
         if self.wishes.limits.is_empty() {
@@ -57,22 +57,22 @@
         let selected = (0..considered).filter_map(|offset| {
             let target = self.targets.get(all[(first + offset) % all.len()])?;
             let state = self.backpressure_state(target, now);
-            let is_wanted = matches!(state, WishState::Limited(_))
+            let is_wanted = matches!(state, BackpressureState::RateLimited(_))
                 && !target.is_ejected(now)
                 && request.regions.allow(target.spec.region.as_ref());
             is_wanted.then(|| target.spec.id.clone())
         });
         let wanted: Vec<BoxId> = selected.take(MAX_PERMIT_REQUESTS).collect();
-        wanted.iter().for_each(|id| self.wishes.limits.want(id, now));
+        wanted.iter().for_each(|id| self.wishes.limits.request_permit(id, now));
         wanted
     }
 
     /// Returns the backpressure state of an endpoint.
-    pub(super) fn backpressure_state(&self, target: &Target, now: Millis) -> WishState {
+    pub(super) fn backpressure_state(&self, target: &Target, now: Millis) -> BackpressureState {
         match (target.is_draining, target.spec.evacuated) {
-            (true, _) => WishState::Leaves,
-            (false, Some(since)) => WishState::Evacuated(since),
-            (false, None) => self.wishes.staying_state(&target.spec.id, target.in_flight, now),
+            (true, _) => BackpressureState::Draining,
+            (false, Some(since)) => BackpressureState::Evacuated(since),
+            (false, None) => self.wishes.active_state(&target.spec.id, target.in_flight, now),
         }
     }
 
@@ -92,13 +92,15 @@
                 continue;
             }
             let until = match self.backpressure_state(target, now) {
-                WishState::Evacuated(since) => {
+                BackpressureState::Evacuated(since) => {
                     now + now.since(since).clamp(EVACUATED_RETRY_BOUNDS.0, EVACUATED_RETRY_BOUNDS.1)
                 }
-                WishState::Rests(until) | WishState::Limited(until) => until,
-                WishState::Full => now + SATURATED_RETRY_AFTER,
-                WishState::Leaves => continue,
-                WishState::Open | WishState::ComesBack => return None,
+                BackpressureState::BackingOff(until) | BackpressureState::RateLimited(until) => {
+                    until
+                }
+                BackpressureState::Saturated => now + SATURATED_RETRY_AFTER,
+                BackpressureState::Draining => continue,
+                BackpressureState::Open | BackpressureState::Recovering => return None,
             };
             first = Some(first.map_or(until, |first| first.min(until)));
         }
@@ -106,38 +108,38 @@
     }
 
     /// Records that an endpoint asked this node to back off, and returns until when it will.
-    pub fn hear_rest(&mut self, id: &BoxId, asked: Millis, now: Millis) -> Millis {
+    pub fn record_backoff(&mut self, id: &BoxId, asked: Millis, now: Millis) -> Millis {
         let target = self.ids.get(id).and_then(|key| self.targets.get(*key));
         let in_flight = target.map_or(0, |target| target.in_flight);
-        self.wishes.hear_rest(id, asked, in_flight, now)
+        self.wishes.record_backoff(id, asked, in_flight, now)
     }
 
     /// Records that an endpoint is draining, and returns whether that is new.
-    pub fn hear_leaving(&mut self, id: &BoxId) -> bool {
+    pub fn record_draining(&mut self, id: &BoxId) -> bool {
         if let Some(target) = self.ids.get(id).and_then(|key| self.targets.get_mut(*key)) {
             target.is_draining = true;
         }
-        self.wishes.hear_leaving(id)
+        self.wishes.record_draining(id)
     }
 
     /// Returns whether an endpoint announced that it drains.
-    pub fn is_leaving(&self, id: &BoxId) -> bool {
-        self.wishes.is_leaving(id)
+    pub fn is_draining(&self, id: &BoxId) -> bool {
+        self.wishes.is_draining(id)
     }
 
     /// Returns a permit to send one request to an endpoint, or `None` if it takes none.
     pub fn permit(&mut self, key: TargetKey, now: Millis) -> Option<SendPermit> {
         let target = self.targets.get(key)?;
-        self.wishes.permit(&target.spec.id, target.in_flight, now)
+        self.wishes.acquire_permit(&target.spec.id, target.in_flight, now)
     }
 
     /// Records that an endpoint began to answer the first request after its backoff.
     pub fn record_answer_after_backoff(&mut self, id: &BoxId, now: Millis) {
-        self.wishes.answered(id, now);
+        self.wishes.record_answer(id, now);
     }
 
     /// Records that the first request after an endpoint's backoff has ended.
     pub fn record_end_after_backoff(&mut self, id: &BoxId) {
-        self.wishes.ended(id);
+        self.wishes.record_end(id);
     }
 }
--- a/crates/cherrystand_core/src/site/retry_share.rs
+++ b/crates/cherrystand_core/src/site/retry_share.rs
@@ -4,7 +4,7 @@
 
 use std::collections::VecDeque;
 
-use crate::{ColdLife, Millis, RequestRate};
+use crate::{ColdPeriod, Millis, RequestRate};
 
 /// The fraction of the budget that is allocated; the rest covers what lost nodes have counted.
 const ALLOCATED_FRACTION: f64 = 0.7;
@@ -54,10 +54,10 @@
 
     /// Returns the rate at which retries are lent after that, and how long a lender has to remember
     /// it.
-    pub fn loan_rate(&self, now: Millis) -> ColdLife {
+    pub fn loan_rate(&self, now: Millis) -> ColdPeriod {
         let per_second = self.max_loan() / self.window.as_secs_f64().max(1.0);
         let rate = RequestRate::per_second(per_second).unwrap_or_default();
-        ColdLife { rate, until: now + self.window + self.window }
+        ColdPeriod { rate, until: now + self.window + self.window }
     }
 }
 
--- a/crates/cherrystand_core/src/site/site_view.rs
+++ b/crates/cherrystand_core/src/site/site_view.rs
@@ -5,8 +5,8 @@
 use std::sync::Arc;
 
 use crate::{
-    BoxId, ColdBoxes, ColdLife, Epoch, Member, MemberState, Millis, RegionId, RouteTable, SiteBox,
-    SuspectRecord, TargetSpec, ZoneId,
+    BoxId, ColdBoxes, ColdPeriod, Epoch, Member, MemberState, Millis, RegionId, RouteTable,
+    SiteBox, SuspectRecord, TargetSpec, ZoneId,
 };
 
 /// The boxes of each replica, by its name and epoch.
@@ -149,10 +149,10 @@
     }
 
     /// Returns until when a box is cold and its request rate meanwhile, if its service limits that.
-    fn cold_life(&self, site_box: &SiteBox) -> Option<ColdLife> {
+    fn cold_life(&self, site_box: &SiteBox) -> Option<ColdPeriod> {
         let until = self.cold.until(&site_box.id)?;
         let service = self.table.as_ref()?.config().service(&site_box.service)?;
-        Some(ColdLife { rate: service.cold?.rate, until })
+        Some(ColdPeriod { rate: service.cold?.rate, until })
     }
 
     fn is_usable(&self, site_box: &SiteBox) -> bool {
--- a/crates/cherrystand_core/src/site/target.rs
+++ b/crates/cherrystand_core/src/site/target.rs
@@ -1,6 +1,6 @@
 //! One endpoint as the load balancer sees it.
 
-use crate::{BoxId, ColdLife, EngineLoad, EngineSpec, Millis, ModelSpec, RegionId, ServiceName};
+use crate::{BoxId, ColdPeriod, EngineLoad, EngineSpec, Millis, ModelSpec, RegionId, ServiceName};
 
 /// How long an endpoint is ejected after a first failure.
 const INITIAL_EJECTION: Millis = Millis(300);
@@ -45,7 +45,7 @@
     /// Since when operators have evacuated its availability zone, if they have.
     pub evacuated: Option<Millis>,
     /// Until when it is cold, and its request rate meanwhile, if it is.
-    pub cold: Option<ColdLife>,
+    pub cold: Option<ColdPeriod>,
 }
 
 /// An endpoint, its load and its recent results.
--- a/crates/cherrystand_core/tests/rest_plays.rs
+++ b/crates/cherrystand_core/tests/backoff_simulation.rs
@@ -1,6 +1,6 @@
 //! How endpoints that rest come back, and what is told of rests to other daemons, compared.
 
-use cherrystand_core::{EndpointWishes, Millis, Seed, WishState};
+use cherrystand_core::{BackpressureState, EndpointBackpressure, Millis, SeededRng};
 
 const NODES: usize = 9;
 const REPLICAS: usize = 4;
@@ -38,8 +38,8 @@
 
 struct Play {
     way: Way,
-    seed: Seed,
-    nodes: Vec<EndpointWishes<usize>>,
+    seed: SeededRng,
+    nodes: Vec<EndpointBackpressure<usize>>,
     /// The node, the replica and the end of each request under way, and whether it was sent after a rest.
     under_way: Vec<(usize, usize, Millis, bool)>,
     out: Outcome,
@@ -48,8 +48,14 @@
 impl Play {
     fn new(way: Way, seed: u64) -> Self {
         let mut nodes = Vec::new();
-        nodes.resize_with(NODES, EndpointWishes::default);
-        Self { way, seed: Seed::new(seed), nodes, under_way: Vec::new(), out: Outcome::default() }
+        nodes.resize_with(NODES, EndpointBackpressure::default);
+        Self {
+            way,
+            seed: SeededRng::new(seed),
+            nodes,
+            under_way: Vec::new(),
+            out: Outcome::default(),
+        }
     }
 
     /// Plays requests that come `percent` of what all replicas can answer.
@@ -78,8 +84,8 @@
         for (node, replica, _, comes_back) in ended {
             self.out.served += 1;
             if comes_back {
-                self.nodes[node].answered(&replica, now);
-                self.nodes[node].ended(&replica);
+                self.nodes[node].record_answer(&replica, now);
+                self.nodes[node].record_end(&replica);
             }
         }
     }
@@ -90,7 +96,7 @@
         own.count() as u32
     }
 
-    fn state(&self, node: usize, replica: usize, now: Millis) -> WishState {
+    fn state(&self, node: usize, replica: usize, now: Millis) -> BackpressureState {
         let counted = if self.way == Way::Limited { self.own(node, replica) } else { 0 };
         self.nodes[node].state(&replica, counted, now)
     }
@@ -101,10 +107,10 @@
         while tried.len() < 2 {
             let Some(replica) = self.choose(node, &tried, now) else { return };
             tried.push(replica);
-            let rests = matches!(self.state(node, replica, now), WishState::Rests(_));
+            let rests = matches!(self.state(node, replica, now), BackpressureState::BackingOff(_));
             self.out.into_rest += usize::from(rests);
-            let permit = self.nodes[node].permit(&replica, 0, now);
-            let comes_back = permit.is_some_and(|permit| permit.comes_back());
+            let permit = self.nodes[node].acquire_permit(&replica, 0, now);
+            let comes_back = permit.is_some_and(|permit| permit.is_after_backoff());
             let held = self.under_way.iter().filter(|(_, at, _, _)| *at == replica).count();
             if held < ROOM {
                 self.under_way.push((node, replica, now + ANSWERS_IN, comes_back));
@@ -117,7 +123,7 @@
     fn turn_away(&mut self, node: usize, replica: usize, comes_back: bool, now: Millis) {
         self.out.turned_away += 1;
         if comes_back {
-            self.nodes[node].ended(&replica);
+            self.nodes[node].record_end(&replica);
         }
         let bound = match self.way {
             Way::BindsAll => 0..NODES,
@@ -125,7 +131,7 @@
         };
         for node in bound {
             let under_way = self.own(node, replica) + 1;
-            self.nodes[node].hear_rest(&replica, REST, under_way, now);
+            self.nodes[node].record_backoff(&replica, REST, under_way, now);
         }
     }
 
@@ -135,13 +141,13 @@
         for replica in (0..REPLICAS).map(|number| (number + first) % REPLICAS) {
             if self.way == Way::AllAtOnce {
                 // What comes back opens at once.
-                (0..4).for_each(|_| self.nodes[node].answered(&replica, now));
+                (0..4).for_each(|_| self.nodes[node].record_answer(&replica, now));
             }
             let state = self.state(node, replica, now);
             if tried.contains(&replica) || (self.way != Way::Ignore && state.is_closed()) {
                 continue;
             }
-            let behind = if state == WishState::ComesBack { 1_000 } else { 0 };
+            let behind = if state == BackpressureState::Recovering { 1_000 } else { 0 };
             let cost = self.own(node, replica) + behind;
             if best.is_none_or(|(least, _)| cost < least) {
                 best = Some((cost, replica));
--- a/crates/cherrystand_core/tests/choice.rs
+++ b/crates/cherrystand_core/tests/choice.rs
@@ -6,7 +6,7 @@
 
 use cherrystand_core::{
     AllowedRegions, BoxId, ChoiceRule, EngineLoad, LatencyModel, LoadBalancer, Millis, Policy,
-    RequestSpec, Seed, ServiceName, TargetSpec, engine_priority,
+    RequestSpec, SeededRng, ServiceName, TargetSpec, engine_priority,
 };
 use support::site_engine;
 
@@ -42,7 +42,7 @@
         regions: AllowedRegions::default(),
     };
     let engine = site_engine();
-    let mut seed = Seed::new(5);
+    let mut seed = SeededRng::new(5);
     let mut chosen = BTreeMap::new();
     for _ in 0..count {
         let key = balancer.choose(ask, Some(&engine), &[], now, &mut seed).expect("a replica");
@@ -175,7 +175,8 @@
             regions: AllowedRegions::default(),
         };
         let engine = site_engine();
-        let key = balancer.choose(ask, Some(&engine), &[], NOW, &mut Seed::new(1)).expect("one");
+        let key =
+            balancer.choose(ask, Some(&engine), &[], NOW, &mut SeededRng::new(1)).expect("one");
         let expected = balancer.predict(key, ask, &engine).expect("an engine");
         assert_eq!(expected.deferred, case.deferred, "{}", case.name);
         // It delays nobody until it runs, and counts as everybody does from then on.
--- a/crates/cherrystand_core/tests/crash_suspects.rs
+++ b/crates/cherrystand_core/tests/crash_suspects.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 
 use cherrystand_core::{
-    BoxId, CrashSuspects, Fingerprint, MAX_CRASHES, Millis, SUSPECT_TTL, Seed, SuspectRecord,
+    BoxId, CrashSuspects, Fingerprint, MAX_CRASHES, Millis, SUSPECT_TTL, SeededRng, SuspectRecord,
 };
 use proptest::prelude::*;
 
@@ -185,7 +185,7 @@
     /// meet a crash.
     const CRASHES_PER_MILLE: usize = 13;
     const REQUESTS: u128 = 200_000;
-    let mut seed = Seed::new(1);
+    let mut seed = SeededRng::new(1);
     let mut suspects = CrashSuspects::default();
     let mut refused = 0;
     for number in 0..REQUESTS {
--- a/crates/cherrystand_core/tests/crash_trials.rs
+++ b/crates/cherrystand_core/tests/crash_trials.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use cherrystand_core::{BoxId, CrashSuspects, Fingerprint, Millis, Seed};
+use cherrystand_core::{BoxId, CrashSuspects, Fingerprint, Millis, SeededRng};
 
 /// How long a harmless request runs.
 const ANSWER_TIME: Millis = Millis(800);
@@ -68,7 +68,7 @@
 
 struct Simulation {
     scenario: Scenario,
-    seed: Seed,
+    seed: SeededRng,
     nodes: Vec<CrashSuspects>,
     replicas: Vec<Replica>,
     flights: Vec<Flight>,
@@ -92,7 +92,7 @@
         replicas.resize_with(scenario.replicas, Replica::default);
         Self {
             scenario,
-            seed: Seed::new(scenario.seed),
+            seed: SeededRng::new(scenario.seed),
             nodes,
             replicas,
             flights: Vec::new(),
--- a/crates/cherrystand_core/tests/digests.rs
+++ b/crates/cherrystand_core/tests/digests.rs
@@ -15,8 +15,8 @@
     let mut teller = Membership::new(beat(0, 1, 1), Millis(0));
     let mut hearer = Membership::new(beat(fleet - 1, 1, 1), Millis(0));
     for number in 0..fleet {
-        teller.hear(beat(number, 1, 1), Millis(0), Millis(0));
-        hearer.hear(beat(number, 1, 1), Millis(0), Millis(0));
+        teller.merge_heartbeat(beat(number, 1, 1), Millis(0), Millis(0));
+        hearer.merge_heartbeat(beat(number, 1, 1), Millis(0), Millis(0));
     }
     (teller, hearer)
 }
@@ -50,10 +50,10 @@
         let now = Millis(200);
         let mut news = beat(3, 1, 2);
         (case.change)(&mut news);
-        teller.hear(news.clone(), Millis(50), now);
+        teller.merge_heartbeat(news.clone(), Millis(50), now);
         let told = teller.digest_for(hearer.roster(now), now);
         assert_eq!(matches!(told, Digest::Whole(_)), case.whole, "{}", case.name);
-        let is_news = hearer.take_digest(told, Millis(10), now);
+        let is_news = hearer.merge_digest(told, Millis(10), now);
         assert_eq!(is_news, case.whole, "{}", case.name);
         let held = heard_of(&hearer, now).into_iter().find(|(held, _)| held.node == news.node);
         assert_eq!(held, Some((news, Millis(60))), "{}", case.name);
@@ -83,7 +83,7 @@
         };
         beats.iter_mut().for_each(|(beat, _)| *beat = 7);
         (case.spoil)(&mut roster, &mut beats);
-        hearer.take_digest(Digest::Beats { roster, beats }, Millis(0), now);
+        hearer.merge_digest(Digest::Beats { roster, beats }, Millis(0), now);
         assert_eq!(heard_of(&hearer, now), before, "{}", case.name);
     }
 }
@@ -94,7 +94,7 @@
     let now = Millis(100);
     let roster = hearer.roster(now);
     let beats = vec![(9, Millis(u64::MAX)); 3];
-    hearer.take_digest(Digest::Beats { roster, beats }, Millis(u64::MAX), now);
+    hearer.merge_digest(Digest::Beats { roster, beats }, Millis(u64::MAX), now);
     assert_eq!(hearer.roster(now), teller.roster(now));
 }
 
@@ -113,11 +113,11 @@
             let who = if by_teller { &mut teller } else { &mut hearer };
             // No daemon receives beats of its own that it never sent.
             let other = 1 + number % (fleet - 2);
-            who.hear(beat(other, 1, count), Millis(age), now);
+            who.merge_heartbeat(beat(other, 1, count), Millis(age), now);
         }
         let mut by_list = hearer.clone();
-        by_list.take_digest(Digest::Whole(teller.digest(now)), Millis(30), now);
-        hearer.take_digest(teller.digest_for(hearer.roster(now), now), Millis(30), now);
+        by_list.merge_digest(Digest::Whole(teller.digest(now)), Millis(30), now);
+        hearer.merge_digest(teller.digest_for(hearer.roster(now), now), Millis(30), now);
         prop_assert_eq!(heard_of(&hearer, now), heard_of(&by_list, now));
     }
 }
@@ -127,7 +127,7 @@
     let (mut teller, mut hearer) = two_of(4);
     let now = DEAD_AFTER + Millis(500);
     for members in [&mut teller, &mut hearer] {
-        members.hear(beat(1, 1, 30), Millis(100), now);
+        members.merge_heartbeat(beat(1, 1, 30), Millis(100), now);
     }
     let told = teller.digest_for(hearer.roster(now), now);
     let Digest::Whole(told) = told else { panic!("each takes the other for dead") };
@@ -144,7 +144,7 @@
         let before = heard_of(&hearer, now);
         let roster = hearer.roster(now);
         let beats = vec![(7, Millis(0)); fleet - 1];
-        hearer.take_digest(Digest::Beats { roster, beats }, Millis(0), now);
+        hearer.merge_digest(Digest::Beats { roster, beats }, Millis(0), now);
         assert_eq!(heard_of(&hearer, now), before, "{fleet} daemons");
         assert_eq!(roster, teller.roster(now));
     }
--- a/crates/cherrystand_core/tests/endpoint_wishes.rs
+++ b/crates/cherrystand_core/tests/endpoint_backpressure.rs
@@ -1,8 +1,8 @@
 //! What endpoints ask of this node, and which requests may be sent to them.
 
 use cherrystand_core::{
-    AllowedRegions, BoxId, EndpointWishes, LONGEST_REST, LoadBalancer, Millis, RequestSpec, Seed,
-    SendPermit, ServiceName, TargetSpec, WishState,
+    AllowedRegions, BackpressureState, BoxId, EndpointBackpressure, LoadBalancer, MAX_BACKOFF,
+    Millis, RequestSpec, SeededRng, SendPermit, ServiceName, TargetSpec,
 };
 use proptest::prelude::*;
 
@@ -32,18 +32,23 @@
             asked: &[(0, Millis(3_000)), (500, Millis(4_000))],
             until: Millis(4_500),
         },
-        Case { name: "the longest there is", asked: &[(0, Millis(u64::MAX))], until: LONGEST_REST },
+        Case { name: "the longest there is", asked: &[(0, Millis(u64::MAX))], until: MAX_BACKOFF },
     ];
     for case in cases {
-        let mut wishes = EndpointWishes::default();
+        let mut wishes = EndpointBackpressure::default();
         for (at, rest) in case.asked {
-            wishes.hear_rest(&first_life(), *rest, 1, NOW + Millis(*at));
+            wishes.record_backoff(&first_life(), *rest, 1, NOW + Millis(*at));
         }
         let until = NOW + case.until;
         let last = until - Millis(1);
-        assert_eq!(wishes.state(&first_life(), 0, last), WishState::Rests(until), "{}", case.name);
-        assert!(wishes.permit(&first_life(), 0, last).is_none(), "{}", case.name);
-        assert_eq!(wishes.state(&first_life(), 0, until), WishState::Open, "{}", case.name);
+        assert_eq!(
+            wishes.state(&first_life(), 0, last),
+            BackpressureState::BackingOff(until),
+            "{}",
+            case.name
+        );
+        assert!(wishes.acquire_permit(&first_life(), 0, last).is_none(), "{}", case.name);
+        assert_eq!(wishes.state(&first_life(), 0, until), BackpressureState::Open, "{}", case.name);
     }
 }
 
@@ -51,15 +56,20 @@
 fn a_wish_binds_one_life_of_a_box_and_no_other() {
     let (next_life, another) =
         (BoxId::new("i-1").with_incarnation(8), BoxId::new("i-2").with_incarnation(7));
-    let mut wishes = EndpointWishes::default();
-    wishes.hear_rest(&first_life(), Millis(60_000), 1, NOW);
-    assert!(wishes.hear_leaving(&another));
-    assert!(!wishes.hear_leaving(&another), "it is known");
-    assert!(wishes.permit(&first_life(), 0, NOW).is_none());
-    assert!(wishes.permit(&next_life, 0, NOW).is_some_and(|permit| !permit.comes_back()));
+    let mut wishes = EndpointBackpressure::default();
+    wishes.record_backoff(&first_life(), Millis(60_000), 1, NOW);
+    assert!(wishes.record_draining(&another));
+    assert!(!wishes.record_draining(&another), "it is known");
+    assert!(wishes.acquire_permit(&first_life(), 0, NOW).is_none());
+    assert!(
+        wishes.acquire_permit(&next_life, 0, NOW).is_some_and(|permit| !permit.is_after_backoff())
+    );
     // What leaves has left for good, however long ago it said so.
     for later in [0, 10_000, 100_000_000] {
-        assert!(wishes.permit(&another, 0, NOW + Millis(later)).is_none(), "{later} ms later");
+        assert!(
+            wishes.acquire_permit(&another, 0, NOW + Millis(later)).is_none(),
+            "{later} ms later"
+        );
     }
 }
 
@@ -69,8 +79,8 @@
 fn an_endpoint_comes_back_by_one_request_first_and_by_more_as_it_answers() {
     let id = first_life();
     let rested = || {
-        let mut wishes = EndpointWishes::default();
-        wishes.hear_rest(&id, Millis(1_000), 30, NOW);
+        let mut wishes = EndpointBackpressure::default();
+        wishes.record_backoff(&id, Millis(1_000), 30, NOW);
         wishes
     };
     let over = NOW + Millis(1_000);
@@ -78,25 +88,27 @@
     let mut opened = Vec::new();
     for _ in 0..4 {
         let mut sent = 0;
-        while wishes.state(&id, 0, over) == WishState::Open && sent < 100 {
-            assert!(wishes.permit(&id, 0, over).expect("leave").comes_back());
+        while wishes.state(&id, 0, over) == BackpressureState::Open && sent < 100 {
+            assert!(wishes.acquire_permit(&id, 0, over).expect("leave").is_after_backoff());
             sent += 1;
         }
         opened.push(sent);
-        (0..sent).for_each(|_| wishes.ended(&id));
-        wishes.answered(&id, over);
+        (0..sent).for_each(|_| wishes.record_end(&id));
+        wishes.record_answer(&id, over);
     }
     assert_eq!(opened, [1, 2, 4, 8]);
     // Half a minute later nothing of it counts any more.
     let later = over + Millis(30_000);
-    assert!(wishes.permit(&id, 100, later).is_some_and(|permit| !permit.comes_back()));
+    assert!(
+        wishes.acquire_permit(&id, 100, later).is_some_and(|permit| !permit.is_after_backoff())
+    );
     // What it refuses opens nothing, and the last resort may still try it.
     let mut wishes = rested();
-    let first = wishes.permit(&id, 0, over);
-    assert_eq!(wishes.state(&id, 0, over), WishState::ComesBack);
-    assert!(first.is_some() && wishes.permit(&id, 0, over).is_some());
+    let first = wishes.acquire_permit(&id, 0, over);
+    assert_eq!(wishes.state(&id, 0, over), BackpressureState::Recovering);
+    assert!(first.is_some() && wishes.acquire_permit(&id, 0, over).is_some());
     // One that nobody asked anything is open some seconds later.
-    assert_eq!(wishes.state(&id, 0, over + Millis(10_000)), WishState::Open);
+    assert_eq!(wishes.state(&id, 0, over + Millis(10_000)), BackpressureState::Open);
 }
 
 /// Daemons that sent on as much as before after each rest got 5,300 of 10,200 answers a minute from replicas that
@@ -120,15 +132,15 @@
     ];
     let over = NOW + Millis(1_000);
     for case in cases {
-        let (id, mut wishes) = (first_life(), EndpointWishes::default());
-        wishes.hear_rest(&id, Millis(1_000), case.under_way, NOW);
+        let (id, mut wishes) = (first_life(), EndpointBackpressure::default());
+        wishes.record_backoff(&id, Millis(1_000), case.under_way, NOW);
         // Others that were on their way are turned away as well, and say nothing more of it.
-        wishes.hear_rest(&id, Millis(900), 2, NOW + Millis(50));
-        (0..case.answers).for_each(|_| wishes.answered(&id, over));
+        wishes.record_backoff(&id, Millis(900), 2, NOW + Millis(50));
+        (0..case.answers).for_each(|_| wishes.record_answer(&id, over));
         let is_closed = |under_way| wishes.state(&id, under_way, over).is_closed();
         let borne = (0..100).find(|under_way| is_closed(*under_way));
         assert_eq!(borne, Some(case.borne), "{}", case.name);
-        assert!(wishes.permit(&id, case.borne, over).is_none(), "{}", case.name);
+        assert!(wishes.acquire_permit(&id, case.borne, over).is_none(), "{}", case.name);
     }
 }
 
@@ -156,20 +168,20 @@
 proptest! {
     #[test]
     fn nothing_is_sent_into_a_rest_whatever_comes_between(events in proptest::collection::vec(event(), 1..200)) {
-        let (id, mut wishes) = (first_life(), EndpointWishes::default());
+        let (id, mut wishes) = (first_life(), EndpointBackpressure::default());
         let (mut now, mut rests_until) = (NOW, Millis(0));
         for event in events {
             match event {
                 Event::Asks(rest) => {
-                    wishes.hear_rest(&id, Millis(rest), 5, now);
+                    wishes.record_backoff(&id, Millis(rest), 5, now);
                     rests_until = rests_until.max(now + Millis(rest));
                 }
                 Event::Sent => {
-                    let permit: Option<SendPermit> = wishes.permit(&id, 0, now);
+                    let permit: Option<SendPermit> = wishes.acquire_permit(&id, 0, now);
                     prop_assert_eq!(permit.is_some(), now >= rests_until);
                 }
-                Event::Answers => wishes.answered(&id, now),
-                Event::Ends => wishes.ended(&id),
+                Event::Answers => wishes.record_answer(&id, now),
+                Event::Ends => wishes.record_end(&id),
                 Event::Passes(span) => now = now + Millis(span),
             }
         }
@@ -226,10 +238,10 @@
         balancer.set_targets(vec![spec(0), spec(1)]);
         for number in 0..2 {
             if let Some(secs) = case.rests[number] {
-                balancer.hear_rest(&spec(number).id, Millis::from_secs(secs), NOW);
+                balancer.record_backoff(&spec(number).id, Millis::from_secs(secs), NOW);
             }
             if case.leaves[number] {
-                balancer.hear_leaving(&spec(number).id);
+                balancer.record_draining(&spec(number).id);
             }
         }
         // Their entries go and come back.
@@ -242,7 +254,7 @@
             latency_goal: Millis(100),
             regions: AllowedRegions::default(),
         };
-        let key = balancer.choose(ask, None, &[], NOW, &mut Seed::new(3));
+        let key = balancer.choose(ask, None, &[], NOW, &mut SeededRng::new(3));
         let id = key.and_then(|key| balancer.id(key)).cloned();
         let chosen = case.chosen.map(|number| spec(number).id);
         assert_eq!(id, chosen, "{}", case.name);
--- a/crates/cherrystand_core/tests/endpoint_limits.rs
+++ b/crates/cherrystand_core/tests/endpoint_rate_limits.rs
@@ -3,16 +3,16 @@
 use std::net::{Ipv4Addr, SocketAddr};
 
 use cherrystand_core::{
-    BoxId, EndpointLimits, EndpointWishes, Heartbeat, Incarnation, LimitHeard, LimitKeeper,
-    LimitNews, LimitTo, LimitWord, Millis, NodeId, RequestRate, Standing, WishState, ZoneId,
-    limit_keeper_of,
+    BackpressureState, BoxId, EndpointBackpressure, EndpointRateLimits, Heartbeat, Incarnation,
+    Liveness, Millis, NodeId, ObservedRateLimit, RateLimitMessage, RateLimitOwner,
+    RateLimitRecipient, RateLimitReport, RequestRate, ZoneId, rate_limit_owner_of,
 };
 use proptest::prelude::*;
 
 const NOW: Millis = Millis(50_000);
 
 /// This node keeps the account.
-const OWN: LimitKeeper = LimitKeeper { address: None, share: 1.0 };
+const OWN: RateLimitOwner = RateLimitOwner { address: None, share: 1.0 };
 
 fn rate(per_second: f64) -> RequestRate {
     RequestRate::per_second(per_second).expect("a rate")
@@ -86,10 +86,11 @@
         },
     ];
     for case in cases {
-        let mut limits = EndpointLimits::default();
+        let mut limits = EndpointRateLimits::default();
         for (limit, came, sent) in case.answers {
-            let heard = LimitHeard { limit: limit.map(rate), sent: NOW + Millis(*sent) };
-            limits.hear_answer(&1, heard, NOW + Millis(*came));
+            let heard =
+                ObservedRateLimit { limit: limit.map(rate), request_sent_at: NOW + Millis(*sent) };
+            limits.record_answer(&1, heard, NOW + Millis(*came));
         }
         assert_eq!(limits.limit(&1), case.limit.map(rate), "{}", case.name);
         assert_eq!(limits.limit(&2), None, "{}", case.name);
@@ -101,25 +102,25 @@
 fn peers_tell_what_endpoints_name() {
     let (first, second) =
         (BoxId::new("i-1").with_incarnation(7), BoxId::new("i-1").with_incarnation(8));
-    let mut limits = EndpointLimits::default();
-    let told = |limit, age| LimitNews::Heard(LimitWord { limit, age, cold: None });
-    limits.hear(peer(1), &first, told(Some(rate(3.5)), Millis(100)), NOW);
+    let mut limits = EndpointRateLimits::default();
+    let told = |limit, age| RateLimitMessage::Heard(RateLimitReport { limit, age, cold: None });
+    limits.handle_message(peer(1), &first, told(Some(rate(3.5)), Millis(100)), NOW);
     assert_eq!((limits.limit(&first), limits.limit(&second)), (Some(rate(3.5)), None));
-    assert_eq!(limits.wait(&second, NOW), None);
-    assert!(limits.take(&second, NOW) && !limits.take(&first, NOW));
+    assert_eq!(limits.permit_wait(&second, NOW), None);
+    assert!(limits.take_permit(&second, NOW) && !limits.take_permit(&first, NOW));
     // An older word that there is none ends nothing, a newer one does.
-    limits.hear(peer(1), &first, told(None, Millis(5_000)), NOW + Millis(500));
+    limits.handle_message(peer(1), &first, told(None, Millis(5_000)), NOW + Millis(500));
     assert_eq!(limits.limit(&first), Some(rate(3.5)));
-    limits.hear(peer(1), &first, told(None, Millis(0)), NOW + Millis(1_500));
+    limits.handle_message(peer(1), &first, told(None, Millis(0)), NOW + Millis(1_500));
     assert_eq!(limits.limit(&first), None);
     // Who has yet to hear it and asks is told.
-    let word = LimitWord { limit: Some(rate(3.5)), age: Millis(3_000), cold: None };
-    let ask = LimitNews::Ask { word, number: 1, want: 1, lasts: Millis(10) };
-    limits.hear(peer(2), &first, ask, NOW + Millis(2_000));
-    let out = limits.step(NOW + Millis(2_000), |_| OWN).news;
-    let is_answer = |(to, _, news): &(LimitTo, BoxId, LimitNews)| {
-        *to == LimitTo::Node(peer(2))
-            && matches!(news, LimitNews::Heard(LimitWord { limit: None, .. }))
+    let word = RateLimitReport { limit: Some(rate(3.5)), age: Millis(3_000), cold: None };
+    let ask = RateLimitMessage::Ask { word, number: 1, want: 1, lasts: Millis(10) };
+    limits.handle_message(peer(2), &first, ask, NOW + Millis(2_000));
+    let out = limits.step(NOW + Millis(2_000), |_| OWN).messages;
+    let is_answer = |(to, _, news): &(RateLimitRecipient, BoxId, RateLimitMessage)| {
+        *to == RateLimitRecipient::Node(peer(2))
+            && matches!(news, RateLimitMessage::Heard(RateLimitReport { limit: None, .. }))
     };
     assert!(out.iter().any(is_answer), "{out:?}");
 }
@@ -127,14 +128,18 @@
 /// A word that a replica takes nothing cannot keep it out for good: it is asked now and then, and answers.
 #[test]
 fn an_endpoint_that_takes_nothing_is_asked_now_and_then() {
-    let mut limits = EndpointLimits::default();
-    limits.hear_answer(&1, LimitHeard { limit: Some(rate(0.0)), sent: NOW }, NOW);
+    let mut limits = EndpointRateLimits::default();
+    limits.record_answer(
+        &1,
+        ObservedRateLimit { limit: Some(rate(0.0)), request_sent_at: NOW },
+        NOW,
+    );
     let mut sent = Vec::new();
     for step in 0..4_000 {
         let now = NOW + Millis(step * 10);
-        limits.want(&1, now);
+        limits.request_permit(&1, now);
         limits.step(now, |_| OWN);
-        if limits.take(&1, now) {
+        if limits.take_permit(&1, now) {
             sent.push(now);
         }
     }
@@ -154,7 +159,7 @@
         limited: bool,
         has_permit: bool,
         leaves: bool,
-        state: WishState,
+        state: BackpressureState,
     }
     let until = NOW + Millis(60_000);
     let case = Case {
@@ -163,54 +168,67 @@
         limited: false,
         has_permit: false,
         leaves: false,
-        state: WishState::Open,
+        state: BackpressureState::Open,
     };
     let limited = Case { limited: true, ..case };
     let cases = [
         case,
-        Case { name: "limited", state: WishState::Limited(NOW + Millis(5_285)), ..limited },
+        Case {
+            name: "limited",
+            state: BackpressureState::RateLimited(NOW + Millis(5_285)),
+            ..limited
+        },
         Case { name: "limited, with a permit", has_permit: true, ..limited },
-        Case { name: "limited, rests", rests: true, state: WishState::Rests(until), ..limited },
+        Case {
+            name: "limited, rests",
+            rests: true,
+            state: BackpressureState::BackingOff(until),
+            ..limited
+        },
         Case {
             name: "limited, rests, with a permit",
             rests: true,
             has_permit: true,
-            state: WishState::Rests(until),
+            state: BackpressureState::BackingOff(until),
             ..limited
         },
         Case {
             name: "limited, leaves, with a permit",
             leaves: true,
             has_permit: true,
-            state: WishState::Leaves,
+            state: BackpressureState::Draining,
             ..limited
         },
     ];
     let now = NOW + Millis(5_000);
     for case in cases {
-        let mut wishes = EndpointWishes::default();
+        let mut wishes = EndpointBackpressure::default();
         if case.limited {
-            wishes.limits.hear_answer(&1, LimitHeard { limit: Some(rate(3.5)), sent: NOW }, NOW);
+            wishes.limits.record_answer(
+                &1,
+                ObservedRateLimit { limit: Some(rate(3.5)), request_sent_at: NOW },
+                NOW,
+            );
         }
         if case.has_permit {
             wishes.limits.step(NOW, |_| OWN);
-            wishes.limits.want(&1, now);
+            wishes.limits.request_permit(&1, now);
             wishes.limits.step(now, |_| OWN);
         }
         if case.rests {
-            wishes.hear_rest(&1, Millis(60_000), 1, NOW);
+            wishes.record_backoff(&1, Millis(60_000), 1, NOW);
         }
         if case.leaves {
-            wishes.hear_leaving(&1);
+            wishes.record_draining(&1);
         }
         let state = wishes.state(&1, 0, now);
         assert_eq!(state, case.state, "{}", case.name);
-        let is_given = wishes.permit(&1, 0, now).is_some();
-        assert_eq!(is_given, case.state == WishState::Open, "{}", case.name);
+        let is_given = wishes.acquire_permit(&1, 0, now).is_some();
+        assert_eq!(is_given, case.state == BackpressureState::Open, "{}", case.name);
     }
 }
 
-fn member(name: &str, port: u16, serving: bool, standing: Standing) -> (Heartbeat, Standing) {
+fn member(name: &str, port: u16, serving: bool, standing: Liveness) -> (Heartbeat, Liveness) {
     let beat = Heartbeat {
         node: NodeId::new(name),
         incarnation: Incarnation(1),
@@ -228,21 +246,21 @@
 
 #[test]
 fn all_who_see_the_same_daemons_name_one_keeper() {
-    use Standing::{Alive, Dead, Suspect};
+    use Liveness::{Alive, Dead, Suspect};
     let names = ["n1", "n2", "n3", "n4"];
     let id = BoxId::new("i-1").with_incarnation(7);
-    let seen = |states: [(bool, Standing); 4]| {
+    let seen = |states: [(bool, Liveness); 4]| {
         let all = names.iter().zip(states).enumerate();
         all.map(|(port, (name, (serving, standing)))| member(name, port as u16, serving, standing))
             .collect::<Vec<_>>()
     };
     let all = seen([(true, Alive); 4]);
-    let keepers: Vec<LimitKeeper> =
-        names.iter().map(|own| limit_keeper_of(&id, &NodeId::new(*own), &all)).collect();
+    let keepers: Vec<RateLimitOwner> =
+        names.iter().map(|own| rate_limit_owner_of(&id, &NodeId::new(*own), &all)).collect();
     let own: Vec<usize> = (0..4).filter(|node| keepers[*node].address.is_none()).collect();
     assert_eq!(own.len(), 1, "one of them is it: {keepers:?}");
     let keeper = own[0];
-    let at_it = |(node, kept): (usize, &LimitKeeper)| {
+    let at_it = |(node, kept): (usize, &RateLimitOwner)| {
         node == keeper || kept.address == Some(peer(keeper as u16))
     };
     assert!(keepers.iter().enumerate().all(at_it), "{keepers:?}");
@@ -251,7 +269,7 @@
         let mut states = [(true, Alive); 4];
         states[keeper] = gone;
         let other = NodeId::new(names[(keeper + 1) % 4]);
-        let named = limit_keeper_of(&id, &other, &seen(states));
+        let named = rate_limit_owner_of(&id, &other, &seen(states));
         assert_ne!(named.address, Some(peer(keeper as u16)), "{gone:?}");
         assert!((named.share - share).abs() < 1e-9, "{gone:?}: {named:?}");
     }
@@ -286,26 +304,26 @@
     /// Whatever becomes of the messages, no span sees more requests than the limit and what is at hand at once.
     #[test]
     fn no_order_of_messages_gives_more_than_the_limit(events in proptest::collection::vec(event(), 1..400)) {
-        let mut nodes = [0, 1, 2].map(|_| EndpointLimits::default());
+        let mut nodes = [0, 1, 2].map(|_| EndpointRateLimits::default());
         for node in &mut nodes {
-            node.hear_answer(&1, LimitHeard { limit: Some(rate(3.5)), sent: NOW }, NOW);
+            node.record_answer(&1, ObservedRateLimit { limit: Some(rate(3.5)), request_sent_at: NOW }, NOW);
         }
-        let keeper = |node: usize| LimitKeeper { address: (node != 0).then(|| peer(0)), share: 1.0 };
+        let keeper = |node: usize| RateLimitOwner { address: (node != 0).then(|| peer(0)), share: 1.0 };
         let (mut now, mut way, mut sent) = (NOW, Vec::new(), 0_u32);
         for event in events {
             match event {
-                Event::Want(node) => nodes[node].want(&1, now),
-                Event::Take(node) => sent += u32::from(nodes[node].take(&1, now)),
+                Event::Want(node) => nodes[node].request_permit(&1, now),
+                Event::Take(node) => sent += u32::from(nodes[node].take_permit(&1, now)),
                 Event::Step(node) => {
-                    for (to, _, news) in nodes[node].step(now, |_| keeper(node)).news {
-                        if let LimitTo::Node(to) = to {
+                    for (to, _, news) in nodes[node].step(now, |_| keeper(node)).messages {
+                        if let RateLimitRecipient::Node(to) = to {
                             way.push((node, usize::from(to.port()), news));
                         }
                     }
                 }
                 Event::Arrive(place) if !way.is_empty() => {
                     let (from, to, news) = way[place % way.len()];
-                    nodes[to].hear(peer(from as u16), &1, news, now);
+                    nodes[to].handle_message(peer(from as u16), &1, news, now);
                 }
                 Event::Lose(place) if !way.is_empty() => {
                     way.swap_remove(place % way.len());
--- a/crates/cherrystand_core/tests/store_eras.rs
+++ b/crates/cherrystand_core/tests/era_tracker.rs
@@ -1,31 +1,41 @@
 //! Eras of a store that comes back from copies, and the order of what it tells.
 
 use cherrystand_core::{
-    Absences, BoxId, Epoch, Era, MemberOrder, MemberTask, Revision, SeenEra, ToldEra,
+    BoxId, Epoch, Era, EraTracker, MemberOrder, MemberTask, ReportedEra, Revision, Tombstones,
 };
 
 #[test]
 fn an_answer_of_an_earlier_era_is_dropped_and_an_odd_one_counted() {
     struct Case {
         name: &'static str,
-        told: &'static [ToldEra],
+        told: &'static [ReportedEra],
         last: Option<u64>,
         refused: u64,
     }
-    use ToldEra::{Is, Nothing, Unreadable};
+    use ReportedEra::{Invalid, Known, Missing};
     let cases = [
-        Case { name: "none ever told", told: &[Nothing], last: Some(0), refused: 0 },
-        Case { name: "a drill", told: &[Nothing, Is(Era(1))], last: Some(1), refused: 0 },
-        Case { name: "two at once", told: &[Is(Era(1)), Is(Era(3))], last: Some(3), refused: 0 },
-        Case { name: "a late answer", told: &[Is(Era(2)), Is(Era(1))], last: None, refused: 1 },
-        Case { name: "told no more", told: &[Is(Era(2)), Nothing], last: Some(2), refused: 0 },
-        Case { name: "no number", told: &[Is(Era(2)), Unreadable], last: Some(2), refused: 1 },
+        Case { name: "none ever told", told: &[Missing], last: Some(0), refused: 0 },
+        Case { name: "a drill", told: &[Missing, Known(Era(1))], last: Some(1), refused: 0 },
+        Case {
+            name: "two at once",
+            told: &[Known(Era(1)), Known(Era(3))],
+            last: Some(3),
+            refused: 0,
+        },
+        Case {
+            name: "a late answer",
+            told: &[Known(Era(2)), Known(Era(1))],
+            last: None,
+            refused: 1,
+        },
+        Case { name: "told no more", told: &[Known(Era(2)), Missing], last: Some(2), refused: 0 },
+        Case { name: "no number", told: &[Known(Era(2)), Invalid], last: Some(2), refused: 1 },
     ];
     for case in cases {
-        let mut seen = SeenEra::default();
-        let all: Vec<Option<Era>> = case.told.iter().map(|told| seen.take(*told)).collect();
+        let mut seen = EraTracker::default();
+        let all: Vec<Option<Era>> = case.told.iter().map(|told| seen.observe(*told)).collect();
         assert_eq!(all.last().copied().flatten(), case.last.map(Era), "{}", case.name);
-        assert_eq!(seen.take_refused(), case.refused, "{}", case.name);
+        assert_eq!(seen.take_rejected_count(), case.refused, "{}", case.name);
     }
 }
 
@@ -51,12 +61,12 @@
 
 #[test]
 fn what_is_gone_stays_gone_in_a_copy_until_it_is_written_again() {
-    let mut absences = Absences::default();
-    absences.add(&"a", Revision::new(50));
-    absences.add(&"b", Revision::new(50));
+    let mut absences = Tombstones::default();
+    absences.insert(&"a", Revision::new(50));
+    absences.insert(&"b", Revision::new(50));
     let listed = Revision::in_era(Era(1), 40);
-    absences.renew(listed, |key| *key == "b");
-    assert!(absences.hide(&"a", Revision::in_era(Era(1), 39)), "the copy's entry");
-    assert!(!absences.hide(&"a", Revision::in_era(Era(1), 41)), "written again");
-    assert!(!absences.hide(&"b", Revision::in_era(Era(1), 39)), "it is there");
+    absences.advance_to_era(listed, |key| *key == "b");
+    assert!(absences.hides(&"a", Revision::in_era(Era(1), 39)), "the copy's entry");
+    assert!(!absences.hides(&"a", Revision::in_era(Era(1), 41)), "written again");
+    assert!(!absences.hides(&"b", Revision::in_era(Era(1), 39)), "it is there");
 }
--- a/crates/cherrystand_core/tests/evacuations.rs
+++ b/crates/cherrystand_core/tests/evacuations.rs
@@ -7,9 +7,9 @@
 use std::sync::Arc;
 
 use cherrystand_core::{
-    AllowedRegions, BoxId, CallerLimits, ColdBoxes, ColdLife, ColdStart, Evacuations, LoadBalancer,
-    Millis, RegionId, RequestRate, RequestSpec, Revision, RouteTable, Seed, Service, ServiceName,
-    SiteBox, SiteConfig, SiteView, TargetSpec, ZoneId,
+    AllowedRegions, BoxId, CallerLimits, ColdBoxes, ColdPeriod, ColdStart, Evacuations,
+    LoadBalancer, Millis, RegionId, RequestRate, RequestSpec, Revision, RouteTable, SeededRng,
+    Service, ServiceName, SiteBox, SiteConfig, SiteView, TargetSpec, ZoneId,
 };
 use proptest::prelude::*;
 
@@ -197,7 +197,8 @@
     let ask = ask(&service, AllowedRegions::default());
     let mut balancer = LoadBalancer::default();
     let since = Some(NOW - Millis(4_000));
-    let choose = |balancer: &LoadBalancer| balancer.choose(ask, None, &[], NOW, &mut Seed::new(3));
+    let choose =
+        |balancer: &LoadBalancer| balancer.choose(ask, None, &[], NOW, &mut SeededRng::new(3));
     balancer.set_targets(vec![spec(0, None), spec(1, None)]);
     let near = choose(&balancer).expect("an endpoint");
     balancer.set_targets(vec![TargetSpec { evacuated: since, ..spec(0, None) }, spec(1, None)]);
@@ -219,24 +220,25 @@
 #[test]
 fn a_cold_endpoint_needs_permits() {
     let rate = |per_second| RequestRate::per_second(per_second).expect("a rate");
-    let cold = ColdLife { rate: rate(14.0), until: NOW + Millis(3_000) };
+    let cold = ColdPeriod { rate: rate(14.0), until: NOW + Millis(3_000) };
     let mut balancer = LoadBalancer::default();
     balancer.set_targets(vec![TargetSpec { cold: Some(cold), ..spec(0, None) }]);
     let id = spec(0, None).id;
     let limits = balancer.limits_mut();
     assert_eq!(limits.limit(&id), Some(rate(14.0)));
-    assert!(limits.wait(&id, NOW).is_some_and(|wait| wait.is_err()));
-    assert!(!limits.take(&id, NOW));
-    let heard = |limit| cherrystand_core::LimitHeard { limit, sent: NOW };
-    limits.hear_answer(&id, heard(Some(rate(3.5))), NOW);
+    assert!(limits.permit_wait(&id, NOW).is_some_and(|wait| wait.is_err()));
+    assert!(!limits.take_permit(&id, NOW));
+    let heard = |limit| cherrystand_core::ObservedRateLimit { limit, request_sent_at: NOW };
+    limits.record_answer(&id, heard(Some(rate(3.5))), NOW);
     assert_eq!(limits.limit(&id), Some(rate(3.5)));
-    let own = |_: &BoxId| cherrystand_core::LimitKeeper { address: None, share: 1.0 };
+    let own = |_: &BoxId| cherrystand_core::RateLimitOwner { address: None, share: 1.0 };
     limits.step(NOW + Millis(3_000), own);
     assert_eq!(limits.limit(&id), Some(rate(3.5)));
-    let late = cherrystand_core::LimitHeard { limit: None, sent: NOW + Millis(2_000) };
-    limits.hear_answer(&id, late, NOW + Millis(3_000));
+    let late =
+        cherrystand_core::ObservedRateLimit { limit: None, request_sent_at: NOW + Millis(2_000) };
+    limits.record_answer(&id, late, NOW + Millis(3_000));
     assert_eq!(limits.limit(&id), None);
-    assert!(limits.take(&id, NOW + Millis(3_000)));
+    assert!(limits.take_permit(&id, NOW + Millis(3_000)));
     // Warm sooner than it said.
     balancer.set_targets(vec![spec(0, None)]);
     balancer.set_targets(vec![TargetSpec { cold: Some(cold), ..spec(0, None) }]);
@@ -249,7 +251,7 @@
 #[test]
 fn the_view_names_what_is_emptied_and_what_is_cold() {
     let rate = RequestRate::per_second(14.0).expect("a rate");
-    let cold = Some(ColdStart { lasts: Millis(3_000), rate });
+    let cold = Some(ColdStart { duration: Millis(3_000), rate });
     let service = |name: &str, cold| Service {
         name: ServiceName::new(name),
         engine: None,
@@ -318,7 +320,7 @@
         balancer.set_targets(specs.clone());
         for (spec, (_, _, leaves)) in specs.iter().zip(&endpoints) {
             if *leaves {
-                balancer.hear_leaving(&spec.id);
+                balancer.record_draining(&spec.id);
             }
         }
         let service = ServiceName::new("app");
@@ -328,7 +330,7 @@
             is_home(&route) && is_home(&tenant) && spec.evacuated.is_none()
         };
         let open = specs.iter().zip(&endpoints).any(|(spec, (_, _, leaves))| may_get(spec) && !leaves);
-        let chosen = balancer.choose(ask(&service, homes), None, &[], NOW, &mut Seed::new(seed));
+        let chosen = balancer.choose(ask(&service, homes), None, &[], NOW, &mut SeededRng::new(seed));
         let chosen = chosen.and_then(|key| balancer.id(key)).cloned();
         prop_assert_eq!(chosen.is_some(), open);
         if let Some(id) = chosen {
--- a/crates/cherrystand_core/tests/spread.rs
+++ b/crates/cherrystand_core/tests/fan_out.rs
@@ -2,23 +2,23 @@
 
 use std::collections::BTreeMap;
 
-use cherrystand_core::{Seed, spread};
+use cherrystand_core::{SeededRng, fan_out};
 
 /// Plays one telling; returns the most that one daemon sent, how many messages there were, and how many daemons heard it,
 /// where so many messages in a hundred are lost.
 fn play(others: usize, lost: usize, seed: u64) -> (usize, usize, usize) {
     let others: Vec<usize> = (0..others).collect();
-    let mut seed = Seed::new(seed);
+    let mut seed = SeededRng::new(seed);
     let mut heard: BTreeMap<usize, usize> = BTreeMap::new();
-    let first = spread(&others);
+    let first = fan_out(&others);
     let (mut most, mut sent) = (first.len(), first.len());
     for told in &first {
         if seed.below(100) < lost {
             continue;
         }
         *heard.entry(told.to).or_default() += 1;
-        (most, sent) = (most.max(told.pass_on_to.len()), sent + told.pass_on_to.len());
-        for other in &told.pass_on_to {
+        (most, sent) = (most.max(told.forward_to.len()), sent + told.forward_to.len());
+        for other in &told.forward_to {
             if seed.below(100) >= lost {
                 *heard.entry(*other).or_default() += 1;
             }
--- a/crates/cherrystand_core/tests/lent_repeats.rs
+++ b/crates/cherrystand_core/tests/lent_repeats.rs
@@ -4,7 +4,8 @@
 use std::net::{Ipv4Addr, SocketAddr};
 
 use cherrystand_core::{
-    EndpointLimits, LimitKeeper, LimitNews, LimitTo, Millis, RetryBounds, RetryShare, Seed,
+    EndpointRateLimits, Millis, RateLimitMessage, RateLimitOwner, RateLimitRecipient, RetryBounds,
+    RetryShare, SeededRng,
 };
 
 const STEP: Millis = Millis(5);
@@ -43,10 +44,10 @@
 struct World {
     play: Play,
     bounds: RetryBounds,
-    seed: Seed,
+    seed: SeededRng,
     shares: Vec<RetryShare>,
-    pools: Vec<EndpointLimits<usize>>,
-    on_their_way: BTreeMap<Millis, Vec<(usize, usize, LimitNews)>>,
+    pools: Vec<EndpointRateLimits<usize>>,
+    on_their_way: BTreeMap<Millis, Vec<(usize, usize, RateLimitMessage)>>,
     asking: Vec<(usize, Millis)>,
     requests: Vec<Millis>,
     repeats: Vec<Millis>,
@@ -58,11 +59,11 @@
         let window = Millis::from_secs(10);
         let bounds = RetryBounds { ratio: 0.2, slack: play.slack, window };
         let mut pools = Vec::new();
-        pools.resize_with(play.nodes, || EndpointLimits::with_at_once(bounds.max_loan()));
+        pools.resize_with(play.nodes, || EndpointRateLimits::with_burst(bounds.max_loan()));
         Self {
             play,
             bounds,
-            seed: Seed::new(seed),
+            seed: SeededRng::new(seed),
             shares: vec![RetryShare::new(bounds); play.nodes],
             pools,
             on_their_way: BTreeMap::new(),
@@ -115,8 +116,8 @@
         if self.shares[node].try_spend(now, self.play.nodes) {
             self.repeats.push(now);
         } else if self.bounds.is_lending(self.play.nodes) {
-            self.pools[node].follow_cold(&0, Some(self.bounds.loan_rate(now)));
-            self.pools[node].want(&0, now);
+            self.pools[node].set_cold_period(&0, Some(self.bounds.loan_rate(now)));
+            self.pools[node].request_permit(&0, now);
             self.asking.push((node, now));
             self.step(node, now);
         }
@@ -125,10 +126,10 @@
     fn step(&mut self, node: usize, now: Millis) {
         let keeper = self.keeper(now);
         let address_of = (keeper != node).then(|| address(keeper));
-        let keeper_of = |_: &usize| LimitKeeper { address: address_of, share: 1.0 };
-        self.pools[node].follow(now, keeper_of);
-        for (to, _, news) in self.pools[node].step(now, keeper_of).news {
-            let LimitTo::Node(to) = to else { continue };
+        let keeper_of = |_: &usize| RateLimitOwner { address: address_of, share: 1.0 };
+        self.pools[node].reassign_owners(now, keeper_of);
+        for (to, _, news) in self.pools[node].step(now, keeper_of).messages {
+            let RateLimitRecipient::Node(to) = to else { continue };
             let late = Millis(self.seed.below(2) as u64 * STEP.0);
             let to = usize::from(to.port()) - 1_000;
             self.on_their_way.entry(now + STEP + late).or_default().push((node, to, news));
@@ -137,12 +138,12 @@
 
     fn arrive(&mut self, now: Millis) {
         for (from, to, news) in self.on_their_way.remove(&now).unwrap_or_default() {
-            self.pools[to].hear(address(from), &0, news, now);
+            self.pools[to].handle_message(address(from), &0, news, now);
             self.step(to, now);
         }
         for (node, since) in std::mem::take(&mut self.asking) {
-            let has = self.pools[node].wait(&0, now) == Some(Ok(()));
-            if has && self.pools[node].take(&0, now) {
+            let has = self.pools[node].permit_wait(&0, now) == Some(Ok(()));
+            if has && self.pools[node].take_permit(&0, now) {
                 self.repeats.push(now);
             } else if now.since(since) < ASKED_FOR {
                 self.asking.push((node, since));
