--- a/crates/cherrystand_core/tests/silence.rs
+++ b/crates/cherrystand_core/tests/liveness_probe.rs
@@ -4,15 +4,15 @@
 //! well, and gave serving replicas up. A question that ran out of time was all that a verdict took;
 //! nothing asked whether anybody else's answer had arrived meanwhile.
 
-use cherrystand_core::{CallBook, Doubt, Millis, SilenceCheck, SilenceVerdict};
+use cherrystand_core::{CallHistory, LivenessProbe, Millis, ProbeReason, ProbeVerdict};
 use proptest::prelude::*;
 
 /// One call to somebody else: when it began, and when its answer came.
 type Call = (u64, Option<u64>);
 
 /// Returns what a daemon knows of its calls at a time.
-fn book_at(calls: &[Call], now: u64) -> CallBook {
-    let mut book = CallBook::default();
+fn book_at(calls: &[Call], now: u64) -> CallHistory {
+    let mut book = CallHistory::default();
     for (began, answered) in calls.iter().filter(|(began, _)| *began <= now) {
         let call = book.begin(Millis(*began));
         if let Some(at) = answered.filter(|at| *at <= now) {
@@ -29,16 +29,16 @@
     calls: &[Call],
     late: u64,
     answers: impl Fn(u64) -> Option<u64>,
-) -> Option<(SilenceVerdict, u64)> {
-    let mut check = SilenceCheck::default();
+) -> Option<(ProbeVerdict, u64)> {
+    let mut check = LivenessProbe::default();
     let mut begun = 1_000;
     loop {
-        let now = begun + check.within().0 + late;
+        let now = begun + check.timeout().0 + late;
         if answers(begun).is_some_and(|at| at <= now) {
             return None;
         }
-        match check.unanswered(Millis(begun), Millis(now), &book_at(calls, now)) {
-            SilenceVerdict::AskAgain => begun = now,
+        match check.record_timeout(Millis(begun), Millis(now), &book_at(calls, now)) {
+            ProbeVerdict::AskAgain => begun = now,
             verdict => return Some((verdict, now - 1_000)),
         }
     }
@@ -50,7 +50,7 @@
         name: &'static str,
         calls: Vec<Call>,
         late: u64,
-        verdict: SilenceVerdict,
+        verdict: ProbeVerdict,
         /// The latest time of the verdict.
         within: u64,
     }
@@ -64,63 +64,63 @@
             name: "a dead box, others answer at once",
             calls: every(100, 3),
             late: 0,
-            verdict: SilenceVerdict::Silent,
+            verdict: ProbeVerdict::Silent,
             within: 200,
         },
         Case {
             name: "a dead box, others take 60 ms over a lossy link",
             calls: every(100, 60),
             late: 5,
-            verdict: SilenceVerdict::Silent,
+            verdict: ProbeVerdict::Silent,
             within: 205,
         },
         Case {
             name: "a dead box, a busy link; known within the half second and a little",
             calls: every(100, 90),
             late: 0,
-            verdict: SilenceVerdict::Silent,
+            verdict: ProbeVerdict::Silent,
             within: 500,
         },
         Case {
             name: "nobody answers",
             calls: (0..30).map(|number| (1_000 + number * 50, None)).collect(),
             late: 0,
-            verdict: SilenceVerdict::Undecided,
+            verdict: ProbeVerdict::Undecided,
             within: 1_400,
         },
         Case {
             name: "nobody is asked",
             calls: Vec::new(),
             late: 0,
-            verdict: SilenceVerdict::Undecided,
+            verdict: ProbeVerdict::Undecided,
             within: 1_400,
         },
         Case {
             name: "all answers wait behind 400 ms of bulk",
             calls: every(100, 400),
             late: 0,
-            verdict: SilenceVerdict::Undecided,
+            verdict: ProbeVerdict::Undecided,
             within: 1_400,
         },
         Case {
             name: "the link becomes free just before time runs out: the box is asked again first",
             calls: vec![(1_000, None), (1_190, Some(1_193))],
             late: 0,
-            verdict: SilenceVerdict::Silent,
+            verdict: ProbeVerdict::Silent,
             within: 500,
         },
         Case {
             name: "the daemon's own timers are late",
             calls: every(10, 3),
             late: 150,
-            verdict: SilenceVerdict::Undecided,
+            verdict: ProbeVerdict::Undecided,
             within: 2_000,
         },
         Case {
             name: "answers of long ago",
             calls: vec![(500, Some(503)), (900, Some(905))],
             late: 0,
-            verdict: SilenceVerdict::Undecided,
+            verdict: ProbeVerdict::Undecided,
             within: 1_400,
         },
     ];
@@ -154,7 +154,7 @@
             with.map_or(Some(begun), |(_, answered)| answered.map(|at| at + slower))
         };
         let verdict = judge(&calls, 0, answers).map(|(verdict, _)| verdict);
-        prop_assert_ne!(verdict, Some(SilenceVerdict::Silent));
+        prop_assert_ne!(verdict, Some(ProbeVerdict::Silent));
     }
 }
 
@@ -167,22 +167,22 @@
 fn a_refusal_speaks_against_a_box_only_where_something_else_does() {
     struct Case {
         name: &'static str,
-        doubt: Doubt,
-        verdict: SilenceVerdict,
+        doubt: ProbeReason,
+        verdict: ProbeVerdict,
     }
     let cases = [
         Case {
             name: "its replica stands still",
-            doubt: Doubt::NoAnswer,
-            verdict: SilenceVerdict::Silent,
+            doubt: ProbeReason::NoAnswer,
+            verdict: ProbeVerdict::Silent,
         },
         Case {
             name: "its entry ran out",
-            doubt: Doubt::NotListed,
-            verdict: SilenceVerdict::Undecided,
+            doubt: ProbeReason::NotListed,
+            verdict: ProbeVerdict::Undecided,
         },
     ];
     for case in cases {
-        assert_eq!(SilenceCheck::refused(case.doubt), case.verdict, "{}", case.name);
+        assert_eq!(LivenessProbe::verdict_on_refusal(case.doubt), case.verdict, "{}", case.name);
     }
 }
--- a/crates/cherrystand_core/tests/nodes.rs
+++ b/crates/cherrystand_core/tests/nodes.rs
@@ -5,9 +5,9 @@
 use std::sync::Arc;
 
 use cherrystand_core::{
-    DEAD_AFTER, Document, Documents, DomainId, EVIDENCE_LIFE, Epoch, EvidenceTable, FRESH_FOR,
-    Freshness, GroupId, Heartbeat, Incarnation, Membership, Millis, NodeId, PAUSE_GAP,
-    ReplicaEvidence, ReplicaId, Revision, SUSPECT_AFTER, ServeBy, Standing, WorkspaceId, owner_of,
+    DEAD_AFTER, Document, Documents, DomainId, EVIDENCE_TTL, Epoch, EvidenceTable, FRESH_FOR,
+    Freshness, GroupId, Heartbeat, Incarnation, Liveness, Membership, Millis, NodeId, PAUSE_GAP,
+    ReplicaEvidence, ReplicaId, Revision, SUSPECT_AFTER, ServeBy, WorkspaceId, owner_of,
 };
 use proptest::prelude::*;
 use support::heartbeat;
@@ -24,18 +24,18 @@
 fn silence_makes_a_daemon_suspect_and_then_dead() {
     struct Case {
         silence: Millis,
-        standing: Standing,
+        standing: Liveness,
     }
     let cases = [
-        Case { silence: Millis(0), standing: Standing::Alive },
-        Case { silence: SUSPECT_AFTER, standing: Standing::Alive },
-        Case { silence: SUSPECT_AFTER + Millis(1), standing: Standing::Suspect },
-        Case { silence: DEAD_AFTER + Millis(1), standing: Standing::Dead },
+        Case { silence: Millis(0), standing: Liveness::Alive },
+        Case { silence: SUSPECT_AFTER, standing: Liveness::Alive },
+        Case { silence: SUSPECT_AFTER + Millis(1), standing: Liveness::Suspect },
+        Case { silence: DEAD_AFTER + Millis(1), standing: Liveness::Dead },
     ];
     for case in cases {
         let mut members = Membership::new(beat(0, 1, 0), Millis(0));
-        members.hear(beat(1, 1, 1), Millis(0), Millis(0));
-        assert_eq!(members.standing(&node(1), case.silence), case.standing);
+        members.merge_heartbeat(beat(1, 1, 1), Millis(0), Millis(0));
+        assert_eq!(members.liveness(&node(1), case.silence), case.standing);
     }
 }
 
@@ -44,20 +44,20 @@
     struct Case {
         name: &'static str,
         news: Heartbeat,
-        standing: Standing,
+        standing: Liveness,
     }
     let cases = [
-        Case { name: "the same beat again", news: beat(1, 2, 10), standing: Standing::Dead },
-        Case { name: "an earlier life", news: beat(1, 1, 99), standing: Standing::Dead },
-        Case { name: "a later beat", news: beat(1, 2, 11), standing: Standing::Alive },
-        Case { name: "a later life", news: beat(1, 3, 0), standing: Standing::Alive },
+        Case { name: "the same beat again", news: beat(1, 2, 10), standing: Liveness::Dead },
+        Case { name: "an earlier life", news: beat(1, 1, 99), standing: Liveness::Dead },
+        Case { name: "a later beat", news: beat(1, 2, 11), standing: Liveness::Alive },
+        Case { name: "a later life", news: beat(1, 3, 0), standing: Liveness::Alive },
     ];
     for case in cases {
         let mut members = Membership::new(beat(0, 1, 0), Millis(0));
-        members.hear(beat(1, 2, 10), Millis(0), Millis(0));
+        members.merge_heartbeat(beat(1, 2, 10), Millis(0), Millis(0));
         let later = DEAD_AFTER + Millis(1_000);
-        members.hear(case.news, Millis(0), later);
-        assert_eq!(members.standing(&node(1), later), case.standing, "{}", case.name);
+        members.merge_heartbeat(case.news, Millis(0), later);
+        assert_eq!(members.liveness(&node(1), later), case.standing, "{}", case.name);
     }
 }
 
@@ -68,7 +68,7 @@
     assert_eq!(members.own().incarnation, Incarnation(7));
     assert!(members.tick(PAUSE_GAP + PAUSE_GAP + Millis(1)));
     assert_eq!(members.own().incarnation, Incarnation(8));
-    members.hear(beat(0, 12, 5), Millis(0), Millis(9_999));
+    members.merge_heartbeat(beat(0, 12, 5), Millis(0), Millis(9_999));
     assert_eq!(members.own().incarnation, Incarnation(13), "it rises above what others heard");
 }
 
@@ -158,12 +158,12 @@
     let now = Millis(100_000);
     for case in cases {
         let mut state = Freshness::new(node(0), Millis(0));
-        state.expect((0..case.daemons).map(node));
+        state.set_expected((0..case.daemons).map(node));
         if let Some(age) = case.platform_age {
-            state.platform_read(now, Millis(age));
+            state.record_platform_read(now, Millis(age));
         }
         for (peer, age) in case.peers {
-            state.agreed(&node(*peer), now - Millis(*age));
+            state.record_agreement(&node(*peer), now - Millis(*age));
         }
         assert_eq!(state.serve_by(now), case.expected, "{}", case.name);
         assert_eq!(state.may_accept(now), case.may_accept, "{}", case.name);
@@ -199,7 +199,7 @@
     }
 
     fn take(&mut self, number: usize, record: Document) {
-        self.records[number].offer(record);
+        self.records[number].insert_if_newer(record);
         let config = self.records[number].fingerprint();
         self.members[number].set_config(config);
     }
@@ -208,7 +208,7 @@
     fn read(&mut self, number: usize) {
         let revision = self.written;
         self.take(number, Document { key: key(), revision, body: Arc::from("") });
-        self.fresh[number].platform_read(self.now, Millis(0));
+        self.fresh[number].record_platform_read(self.now, Millis(0));
     }
 
     /// An operator has a change written through a daemon, if that may accept one.
@@ -237,9 +237,9 @@
         self.members[answers].tick(self.now);
         let roster = self.members[asks].roster(self.now);
         let told = self.members[answers].digest_for(roster, self.now);
-        self.members[asks].take_digest(told, Millis(0), self.now);
-        for (node, heard) in self.members[asks].agreeing_since() {
-            self.fresh[asks].agreed(node, heard);
+        self.members[asks].merge_digest(told, Millis(0), self.now);
+        for (node, heard) in self.members[asks].agreement_times() {
+            self.fresh[asks].record_agreement(node, heard);
         }
         let theirs = self.records[answers].newer_than(&self.records[asks].versions());
         let ours = self.records[asks].newer_than(&self.records[answers].versions());
@@ -247,7 +247,7 @@
             && ours.is_empty()
             && let Some(age) = self.fresh[answers].platform_age(self.now)
         {
-            self.fresh[asks].platform_read(self.now, age);
+            self.fresh[asks].record_platform_read(self.now, age);
         }
         theirs.into_iter().for_each(|record| self.take(asks, record));
         ours.into_iter().for_each(|record| self.take(answers, record));
@@ -256,7 +256,7 @@
 
 fn expecting(number: usize, count: usize, now: Millis) -> Freshness {
     let mut fresh = Freshness::new(node(number), now);
-    fresh.expect((0..count).map(node));
+    fresh.set_expected((0..count).map(node));
     fresh
 }
 
@@ -325,7 +325,7 @@
             let key: Arc<str> = Arc::from(name.to_string());
             let before = records.revision(&key);
             let copy = Document { key: key.clone(), revision: Revision::new(revision), body: Arc::from("") };
-            let newer = records.offer(copy);
+            let newer = records.insert_if_newer(copy);
             prop_assert_eq!(newer, revision > before.number());
             prop_assert!(records.revision(&key) >= before);
         }
@@ -340,16 +340,16 @@
             let mut records = Documents::default();
             for (name, revision) in copies {
                 let key = Arc::from(name.to_string());
-                records.offer(Document { key, revision: Revision::new(revision), body: Arc::from("") });
+                records.insert_if_newer(Document { key, revision: Revision::new(revision), body: Arc::from("") });
             }
             records
         };
         let (mut left, mut right) = (make(left), make(right));
         let wanted = right.older_than(&left.versions());
         let newer = right.newer_than(&left.versions());
-        newer.into_iter().for_each(|copy| { left.offer(copy); });
+        newer.into_iter().for_each(|copy| { left.insert_if_newer(copy); });
         for (key, _) in wanted {
-            right.offer(left.get(&key).expect("held").clone());
+            right.insert_if_newer(left.get(&key).expect("held").clone());
         }
         prop_assert_eq!(left.versions(), right.versions());
         prop_assert_eq!(left.fingerprint(), right.fingerprint());
@@ -374,12 +374,12 @@
                 whole,
                 load: 0,
             };
-            table.offer(&evidence, now);
+            table.merge(&evidence, now);
             given.push((now - Millis(age), whole, epoch));
             for epoch in 1..3 {
-                if table.whole(&domain, &replica, Epoch(epoch), now).is_some() {
+                if table.load_if_whole(&domain, &replica, Epoch(epoch), now).is_some() {
                     let fresh = given.iter().any(|(at, whole, of)| {
-                        *whole && *of == epoch && now.since(*at) <= EVIDENCE_LIFE
+                        *whole && *of == epoch && now.since(*at) <= EVIDENCE_TTL
                     });
                     prop_assert!(fresh, "whole under {} without fresh evidence", epoch);
                 }
@@ -400,7 +400,7 @@
         load: 0,
     };
     let mut table = EvidenceTable::default();
-    table.offer(&evidence, Millis(100));
+    table.merge(&evidence, Millis(100));
     struct Case {
         domain: &'static str,
         epoch: u64,
@@ -413,7 +413,7 @@
     ];
     for case in cases {
         let domain = DomainId::new(case.domain);
-        let whole = table.whole(&domain, &replica, Epoch(case.epoch), Millis(100));
+        let whole = table.load_if_whole(&domain, &replica, Epoch(case.epoch), Millis(100));
         assert_eq!(whole.is_some(), case.whole, "{} {}", case.domain, case.epoch);
     }
 }
--- a/crates/cherrystand_core/tests/outcomes.rs
+++ b/crates/cherrystand_core/tests/outcomes.rs
@@ -30,7 +30,7 @@
     assert_eq!(cases.len(), AttemptEnd::ALL.len(), "a case for every end");
     for case in cases {
         assert_eq!(case.end.outcome(), case.outcome, "{:?}", case.end);
-        assert_eq!(case.end.blames_endpoint(), case.blames_endpoint, "{:?}", case.end);
+        assert_eq!(case.end.is_endpoint_failure(), case.blames_endpoint, "{:?}", case.end);
     }
 }
 
@@ -38,11 +38,11 @@
     FailedAttempt {
         end,
         attempts: 1,
-        repeatable: true,
-        answer_begun: false,
-        replayable: true,
+        is_idempotent: true,
+        answer_started: false,
+        can_resend: true,
         remaining: Millis(1_000),
-        usual: Millis(100),
+        typical_duration: Millis(100),
     }
 }
 
@@ -59,22 +59,22 @@
         Case { name: "repeatable", failed: cut, expected: Ok(()) },
         Case {
             name: "not repeatable, and it may have run",
-            failed: FailedAttempt { repeatable: false, ..cut },
+            failed: FailedAttempt { is_idempotent: false, ..cut },
             expected: Err(NoRetry::NotRepeatable),
         },
         Case {
             name: "not repeatable, and certainly not run",
-            failed: FailedAttempt { repeatable: false, ..unsent },
+            failed: FailedAttempt { is_idempotent: false, ..unsent },
             expected: Ok(()),
         },
         Case {
             name: "part of an answer is out",
-            failed: FailedAttempt { answer_begun: true, ..cut },
+            failed: FailedAttempt { answer_started: true, ..cut },
             expected: Err(NoRetry::AnswerBegun),
         },
         Case {
             name: "the body is gone",
-            failed: FailedAttempt { replayable: false, ..unsent },
+            failed: FailedAttempt { can_resend: false, ..unsent },
             expected: Err(NoRetry::NotReplayable),
         },
         Case {
@@ -134,7 +134,7 @@
                 break;
             }
             let attempts = number as u32 + 1;
-            let attempt = FailedAttempt { attempts, repeatable: false, ..failed(*end) };
+            let attempt = FailedAttempt { attempts, is_idempotent: false, ..failed(*end) };
             if decide_retry(&attempt, &mut budget).is_err() {
                 break;
             }
--- a/crates/cherrystand_core/tests/limit_plays.rs
+++ b/crates/cherrystand_core/tests/rate_limit_simulation.rs
@@ -5,8 +5,8 @@
 use std::net::{Ipv4Addr, SocketAddr};
 
 use cherrystand_core::{
-    ColdLife, EndpointLimits, LimitHeard, LimitKeeper, LimitNews, LimitTo, Millis, RequestRate,
-    Seed,
+    ColdPeriod, EndpointRateLimits, Millis, ObservedRateLimit, RateLimitMessage, RateLimitOwner,
+    RateLimitRecipient, RequestRate, SeededRng,
 };
 
 const STEP: Millis = Millis(5);
@@ -90,12 +90,12 @@
 
 struct World {
     play: Play,
-    seed: Seed,
-    nodes: Vec<EndpointLimits<usize>>,
+    seed: SeededRng,
+    nodes: Vec<EndpointRateLimits<usize>>,
     /// Permits of the ways without a keeper.
     buckets: Vec<f64>,
     /// By when it arrives: whom it is from and for.
-    on_their_way: BTreeMap<Millis, Vec<(usize, usize, LimitNews)>>,
+    on_their_way: BTreeMap<Millis, Vec<(usize, usize, RateLimitMessage)>>,
     sent: Vec<Millis>,
     /// Requests that wait for the answer of the keeper, and since when.
     asking: Vec<(usize, Millis)>,
@@ -105,9 +105,9 @@
 impl World {
     fn new(play: Play, seed: u64) -> Self {
         let mut nodes = Vec::new();
-        nodes.resize_with(play.nodes, EndpointLimits::default);
+        nodes.resize_with(play.nodes, EndpointRateLimits::default);
         let buckets = vec![if play.way == Way::EachAlone { 1.0 } else { 0.0 }; play.nodes];
-        let seed = Seed::new(seed);
+        let seed = SeededRng::new(seed);
         Self {
             play,
             seed,
@@ -145,7 +145,7 @@
         let rate = RequestRate::per_second(self.play.limit).unwrap_or_default();
         for (node, at) in learn_at.iter().enumerate() {
             if at.is_some_and(|at| at <= now && now.since(at) < STEP) {
-                self.nodes[node].follow_cold(&0, Some(ColdLife { rate, until: PLAYED_FOR }));
+                self.nodes[node].set_cold_period(&0, Some(ColdPeriod { rate, until: PLAYED_FOR }));
             }
         }
     }
@@ -154,16 +154,24 @@
         let limit = RequestRate::per_second(self.play.limit);
         let learn_at = self.learn_at();
         for node in self.nodes.iter_mut().filter(|_| learn_at.is_empty()) {
-            node.hear_answer(&0, LimitHeard { limit, sent: Millis(0) }, Millis(0));
+            node.record_answer(
+                &0,
+                ObservedRateLimit { limit, request_sent_at: Millis(0) },
+                Millis(0),
+            );
         }
         let mut now = Millis(0);
         while now < PLAYED_FOR {
             self.learn(&learn_at, now);
             if now == LOST.1 && self.play.loses_keeper {
                 // It comes back as a process that knows of nothing but the limit.
-                self.nodes[0] = EndpointLimits::default();
-                self.nodes[0].number_from(now.0);
-                self.nodes[0].hear_answer(&0, LimitHeard { limit, sent: now }, now);
+                self.nodes[0] = EndpointRateLimits::default();
+                self.nodes[0].set_last_request_number(now.0);
+                self.nodes[0].record_answer(
+                    &0,
+                    ObservedRateLimit { limit, request_sent_at: now },
+                    now,
+                );
             }
             self.arrive(now);
             self.requests(now);
@@ -194,12 +202,14 @@
         let news = self.on_their_way.remove(&now).unwrap_or_default();
         for (from, to, news) in news {
             if !self.is_lost(to, now) {
-                self.nodes[to].hear(address(from), &0, news, now);
+                self.nodes[to].handle_message(address(from), &0, news, now);
                 self.step(to, now);
             }
         }
         for (node, since) in std::mem::take(&mut self.asking) {
-            if self.nodes[node].wait(&0, now) == Some(Ok(())) && self.nodes[node].take(&0, now) {
+            if self.nodes[node].permit_wait(&0, now) == Some(Ok(()))
+                && self.nodes[node].take_permit(&0, now)
+            {
                 self.sent.push(now);
             } else if now.since(since) < ASKED_FOR {
                 self.asking.push((node, since));
@@ -213,23 +223,23 @@
         }
         let keeper = self.keeper(now);
         let address = (keeper != node).then(|| address(keeper));
-        let keeper_of = |_: &usize| LimitKeeper { address, share: 1.0 };
-        self.nodes[node].follow(now, keeper_of);
+        let keeper_of = |_: &usize| RateLimitOwner { address, share: 1.0 };
+        self.nodes[node].reassign_owners(now, keeper_of);
         let out = self.nodes[node].step(now, keeper_of);
-        for (to, _, news) in out.news {
+        for (to, _, news) in out.messages {
             match to {
-                LimitTo::Node(to) => self.send(node, node_at(to), news, now),
-                LimitTo::All if self.play.cold.is_some_and(|cold| cold.keeper_tells) => {
+                RateLimitRecipient::Node(to) => self.send(node, node_at(to), news, now),
+                RateLimitRecipient::All if self.play.cold.is_some_and(|cold| cold.keeper_tells) => {
                     let others = (0..self.play.nodes).filter(|other| *other != node);
                     others.for_each(|other| self.send(node, other, news, now));
                 }
                 // All know the limit here.
-                LimitTo::All => {}
+                RateLimitRecipient::All => {}
             }
         }
     }
 
-    fn send(&mut self, from: usize, to: usize, news: LimitNews, now: Millis) {
+    fn send(&mut self, from: usize, to: usize, news: RateLimitMessage, now: Millis) {
         self.messages += 1;
         let copies = match self.seed.below(100) {
             drawn if drawn < self.play.lost => 0,
@@ -281,8 +291,8 @@
         }
         let is_sent = match self.play.way {
             Way::OneKeeper => {
-                self.nodes[node].want(&0, now);
-                let is_sent = self.nodes[node].take(&0, now);
+                self.nodes[node].request_permit(&0, now);
+                let is_sent = self.nodes[node].take_permit(&0, now);
                 if !is_sent {
                     self.asking.push((node, now));
                 }
--- a/crates/cherrystand_core/tests/reader_notes.rs
+++ b/crates/cherrystand_core/tests/reader_list.rs
@@ -4,7 +4,7 @@
 
 use std::net::SocketAddr;
 
-use cherrystand_core::{Heartbeat, Millis, NodeId, NoteKeeper, ReaderNote};
+use cherrystand_core::{Heartbeat, Millis, NodeId, ReaderList, ReaderListPublisher};
 use support::heartbeat;
 
 fn reading(number: usize) -> Heartbeat {
@@ -12,9 +12,9 @@
     Heartbeat { changes, ..heartbeat(number, "z") }
 }
 
-fn note_of(beats: &[Heartbeat]) -> ReaderNote {
+fn note_of(beats: &[Heartbeat]) -> ReaderList {
     let alive: Vec<&Heartbeat> = beats.iter().collect();
-    ReaderNote::of_zone(&beats[0], &alive)
+    ReaderList::of_zone(&beats[0], &alive)
 }
 
 #[test]
@@ -24,7 +24,7 @@
     assert_eq!(note.readers.len(), 2);
     for beat in &beats {
         let asked: Vec<&NodeId> =
-            note.asked_by(&beat.node).iter().map(|reader| &reader.node).collect();
+            note.readers_for(&beat.node).iter().map(|reader| &reader.node).collect();
         let (first, second) = (&note.readers[0].node, &note.readers[1].node);
         let expected = match &beat.node {
             node if node == first => vec![],
@@ -60,13 +60,13 @@
         Look { name: "the first again", at: 2_500, daemons: 6, own: first, due: false },
         Look { name: "and settled", at: 3_500, daemons: 6, own: first, due: true },
     ];
-    let mut keeper = NoteKeeper::default();
+    let mut keeper = ReaderListPublisher::default();
     for look in looks {
         let note = note_of(&all[..look.daemons]);
         let due = keeper.due(&all[look.own].node, note, Millis(look.at));
         assert_eq!(due.is_some(), look.due, "{}", look.name);
         if let Some(note) = due {
-            keeper.written(note);
+            keeper.record_written(note);
         }
     }
 }
@@ -74,13 +74,13 @@
 #[test]
 fn a_note_that_could_not_be_written_is_tried_again_later() {
     let beats = [reading(0)];
-    let mut keeper = NoteKeeper::default();
-    let due = |keeper: &mut NoteKeeper, at| {
+    let mut keeper = ReaderListPublisher::default();
+    let due = |keeper: &mut ReaderListPublisher, at| {
         keeper.due(&beats[0].node, note_of(&beats), Millis(at)).is_some()
     };
     assert!(!due(&mut keeper, 0));
     assert!(due(&mut keeper, 1_000));
-    keeper.failed(Millis(1_000));
+    keeper.record_failure(Millis(1_000));
     assert!(!due(&mut keeper, 1_500));
     assert!(due(&mut keeper, 2_000));
 }
--- a/crates/cherrystand_core/tests/readers.rs
+++ b/crates/cherrystand_core/tests/readers.rs
@@ -7,9 +7,9 @@
 use std::sync::Arc;
 
 use cherrystand_core::{
-    AwakeTime, BoxId, ChangeLog, ChangesSince, Document, Heartbeat, Millis, READERS_PER_ZONE,
-    RELAYS_PER_ZONE, Revision, Source, SourceChooser, StoreOutage, StoreReach, ZoneId,
-    between_questions, between_watches, branches_of, readers_of, relays_of,
+    BoxId, ChangeLog, ChangesSince, Document, Heartbeat, Millis, READERS_PER_ZONE, RELAYS_PER_ZONE,
+    Revision, RunningTime, Source, SourceSelector, StoreOutage, StoreReachability, ZoneId,
+    branches_of, poll_interval, readers_of, relays_of, watch_interval,
 };
 use support::heartbeat;
 
@@ -92,7 +92,7 @@
         let alive: Vec<&Heartbeat> = beats.iter().collect();
         let mut stores = 0;
         for own in &beats {
-            match SourceChooser::default().choose(own, &alive, Millis(0)) {
+            match SourceSelector::default().choose(own, &alive, Millis(0)) {
                 Source::Store => stores += 1,
                 Source::Peer(peer) => {
                     let readers = readers_of(&peer.zone, &alive);
@@ -111,14 +111,14 @@
     let alive: Vec<&Heartbeat> = beats.iter().collect();
     let readers = readers_of(&ZoneId::new("a"), &alive);
     let own = beats.iter().find(|beat| !readers.contains(beat)).expect("a follower");
-    let mut sources = SourceChooser::default();
+    let mut sources = SourceSelector::default();
     let now = Millis(10_000);
     for reader in &readers {
         match sources.choose(own, &alive, now) {
             Source::Peer(peer) => assert_eq!(&peer, reader),
             Source::Store => panic!("there is a reader that did not fail"),
         }
-        sources.failed(&reader.node, now);
+        sources.record_failure(&reader.node, now);
     }
     assert_eq!(sources.choose(own, &alive, now), Source::Store);
     assert!(matches!(sources.choose(own, &alive, now + Millis(2_000)), Source::Peer(_)));
@@ -165,15 +165,15 @@
         Case { name: "not heard lately", told: &[500, 1_000], missed: &[], decides: false },
     ];
     for case in cases {
-        let mut reach = StoreReach::default();
+        let mut reach = StoreReachability::default();
         let mut decides = false;
         for now in (0..=3_000).step_by(100) {
             if case.told.contains(&now) {
-                reach.reached();
-                reach.told(Millis(now));
+                reach.record_success();
+                reach.record_update(Millis(now));
             }
             if case.missed.contains(&now) {
-                reach.missed();
+                reach.record_failure();
             }
             decides = reach.may_decide(Millis(now));
         }
@@ -210,8 +210,8 @@
             .map(|number| zone_beat(number, &format!("z{}", number % case.zones), true, true))
             .collect();
         let alive: Vec<&Heartbeat> = beats.iter().collect();
-        assert_eq!(between_watches(&alive), case.watches, "{}", case.name);
-        assert_eq!(between_questions(&beats[0].zone, &alive), case.questions, "{}", case.name);
+        assert_eq!(watch_interval(&alive), case.watches, "{}", case.name);
+        assert_eq!(poll_interval(&beats[0].zone, &alive), case.questions, "{}", case.name);
     }
 }
 
@@ -313,8 +313,8 @@
         let mut outage = StoreOutage::default();
         let mut awake_until = 0;
         let run_until = |outage: &mut StoreOutage, from: u64, until: u64| {
-            let ticks = (from..until).step_by(AwakeTime::TOLD_EVERY.0 as usize);
-            ticks.for_each(|at| outage.awake(Millis(at)));
+            let ticks = (from..until).step_by(RunningTime::TICK_INTERVAL.0 as usize);
+            ticks.for_each(|at| outage.record_running(Millis(at)));
         };
         for event in case.events {
             match *event {
@@ -326,22 +326,22 @@
                 WasNone => {}
             }
             match *event {
-                Answered(at) => outage.answered(Millis(at)),
-                AnsweredPeer(at) => outage.answered_peer(Millis(at), Millis(0), Millis(at)),
-                Failed(at) => _ = outage.failed(Millis(at)),
+                Answered(at) => outage.record_answer(Millis(at)),
+                AnsweredPeer(at) => outage.record_peer_answer(Millis(at), Millis(0), Millis(at)),
+                Failed(at) => _ = outage.record_failure(Millis(at)),
                 StoodStill(_) => {}
-                WasNone => outage.was_none(),
+                WasNone => outage.clear_outage(),
             }
         }
-        assert_eq!(outage.keeps(Millis(case.at)), case.keeps, "{}", case.name);
-        assert_eq!(outage.take_doubt(), case.doubts.map(Millis), "{}", case.name);
+        assert_eq!(outage.keeps_unlisted(Millis(case.at)), case.keeps, "{}", case.name);
+        assert_eq!(outage.take_unconfirmed_outage(), case.doubts.map(Millis), "{}", case.name);
     }
 }
 
 /// Returns whom each daemon of a zone reads from; nobody where it reads the store.
 fn sources(alive: &[&Heartbeat]) -> BTreeMap<String, Option<String>> {
     let name = |beat: &Heartbeat| beat.node.as_str().to_owned();
-    let of = |own: &Heartbeat| match SourceChooser::default().choose(own, alive, Millis(0)) {
+    let of = |own: &Heartbeat| match SourceSelector::default().choose(own, alive, Millis(0)) {
         Source::Store => None,
         Source::Peer(peer) => Some(name(peer)),
     };
@@ -409,10 +409,10 @@
     let (readers, branches) = (readers_of(&zone, &alive), branches_of(&zone, &alive));
     let is_follower = |beat: &&&Heartbeat| !readers.contains(beat) && !branches.contains(beat);
     let own = alive.iter().find(is_follower).expect("a follower");
-    let mut chooser = SourceChooser::default();
+    let mut chooser = SourceSelector::default();
     let mut tried = Vec::new();
     while let Source::Peer(peer) = chooser.choose(own, &alive, Millis(0)) {
-        chooser.failed(&peer.node, Millis(0));
+        chooser.record_failure(&peer.node, Millis(0));
         tried.push(peer);
     }
     assert_eq!(tried.len(), 4);
--- a/crates/cherrystand_core/tests/relays.rs
+++ b/crates/cherrystand_core/tests/relays.rs
@@ -5,8 +5,8 @@
 use std::collections::BTreeSet;
 
 use cherrystand_core::{
-    BoxId, EndpointLoad, Heartbeat, Membership, Millis, NodeId, PeerLoads, RELAYS_PER_ZONE, Seed,
-    Standing, ZoneId, ZoneLoads, choose_exchange, relays_of,
+    BoxId, EndpointLoad, Heartbeat, Liveness, Membership, Millis, NodeId, PeerLoads,
+    RELAYS_PER_ZONE, SeededRng, ZoneId, ZoneLoads, choose_gossip_peer, relays_of,
 };
 use proptest::prelude::*;
 use support::heartbeat;
@@ -28,7 +28,7 @@
     now: Millis,
     members: Vec<Membership>,
     faults: Vec<Option<Fault>>,
-    seed: Seed,
+    seed: SeededRng,
     /// Exchanges with a peer of another zone.
     far: usize,
     round: usize,
@@ -45,7 +45,7 @@
             now,
             members,
             faults: vec![None; size],
-            seed: Seed::new(seed),
+            seed: SeededRng::new(seed),
             far: 0,
             round: 0,
             random: false,
@@ -54,7 +54,7 @@
         for own in 0..size {
             for other in 0..size {
                 let heard = fleet.members[other].own().clone();
-                fleet.members[own].hear(heard, Millis(0), now);
+                fleet.members[own].merge_heartbeat(heard, Millis(0), now);
             }
         }
         fleet
@@ -79,7 +79,7 @@
         let known = self.members[own].all(self.now);
         let chosen = match self.random {
             true => Some(alive[1 + self.seed.below(alive.len() - 1)]),
-            false => choose_exchange(&me, &known, self.round + own, &mut self.seed),
+            false => choose_gossip_peer(&me, &known, self.round + own, &mut self.seed),
         };
         let Some(peer) = chosen else { return };
         self.far += usize::from(peer.zone != me.zone);
@@ -88,9 +88,9 @@
             return;
         }
         let roster = self.members[own].roster(self.now);
-        self.members[peer].hear(me, Millis(0), self.now);
+        self.members[peer].merge_heartbeat(me, Millis(0), self.now);
         let told = self.members[peer].digest_for(roster, self.now);
-        self.members[own].take_digest(told, Millis(0), self.now);
+        self.members[own].merge_digest(told, Millis(0), self.now);
     }
 
     fn run(&mut self, rounds: usize) {
@@ -106,7 +106,7 @@
         let pairs = sound.iter().flat_map(|own| sound.iter().map(move |other| (*own, *other)));
         let wrong = pairs.filter(|(own, other)| {
             let node = &self.members[*other].own().node;
-            self.members[*own].standing(node, self.now) != Standing::Alive
+            self.members[*own].liveness(node, self.now) != Liveness::Alive
         });
         wrong.count()
     }
--- a/crates/cherrystand_core/tests/routing.rs
+++ b/crates/cherrystand_core/tests/routing.rs
@@ -1,8 +1,9 @@
 //! The choice of endpoints, room, limits and queues.
 
 use cherrystand_core::{
-    Admission, AttemptEnd, Breaker, Class, EndpointKey, EndpointSpec, FIRST_PAUSE, GroupKey, Limit,
-    Millis, NoEndpoint, RefusalReason, Room, Router, Seed, WaitQueue, WorkspaceId,
+    Admission, AdmissionLimits, AttemptEnd, CircuitBreaker, Class, ConcurrencyLimit, EndpointKey,
+    EndpointSpec, GroupKey, INITIAL_OPEN_TIME, Millis, NoEndpoint, RefusalReason, Router,
+    SeededRng, WaitQueue, WorkspaceId,
 };
 use proptest::prelude::*;
 
@@ -11,7 +12,7 @@
 fn router(near: usize, far: usize, limit: u32) -> (Router, GroupKey, Vec<EndpointKey>) {
     let mut router = Router::default();
     let group = router.add_group();
-    let spec = |near| EndpointSpec { near, start_limit: limit, most: limit };
+    let spec = |near| EndpointSpec { near, initial_limit: limit, max_limit: limit };
     let keys = (0..near + far).map(|number| router.add_endpoint(group, spec(number < near)));
     let keys = keys.collect();
     (router, group, keys)
@@ -20,7 +21,7 @@
 #[test]
 fn the_own_zone_is_preferred_until_it_is_full() {
     let (mut router, group, keys) = router(2, 2, 1);
-    let mut seed = Seed::new(7);
+    let mut seed = SeededRng::new(7);
     let mut chosen = Vec::new();
     for _ in 0..4 {
         let key = router.choose(group, None, NOW, &mut seed).expect("room");
@@ -50,16 +51,16 @@
         let (mut router, group, keys) = router(1, 0, 8);
         assert!(router.start(keys[0], NOW).is_some());
         router.finish(keys[0], case.end, NOW, None);
-        let choose = |now| router.choose(group, None, now, &mut Seed::new(1)).map(|_| ());
+        let choose = |now| router.choose(group, None, now, &mut SeededRng::new(1)).map(|_| ());
         assert_eq!(choose(NOW), case.at_once, "{:?}", case.end);
-        assert_eq!(choose(NOW + FIRST_PAUSE), Ok(()), "{:?}", case.end);
+        assert_eq!(choose(NOW + INITIAL_OPEN_TIME), Ok(()), "{:?}", case.end);
     }
 }
 
 #[test]
 fn a_prefix_goes_to_one_endpoint_until_that_is_hot() {
     let (mut router, group, _) = router(8, 0, 64);
-    let mut seed = Seed::new(3);
+    let mut seed = SeededRng::new(3);
     let prefix = Some(0xfeed);
     let first = router.choose(group, prefix, NOW, &mut seed).expect("room");
     for _ in 0..20 {
@@ -80,8 +81,8 @@
 #[test]
 fn reported_load_counts_while_it_is_fresh() {
     let (mut router, group, keys) = router(2, 0, 64);
-    router.report(keys[0], NOW, 50);
-    let mut seed = Seed::new(5);
+    router.report_load(keys[0], NOW, 50);
+    let mut seed = SeededRng::new(5);
     let mut picks = |now| {
         let picked = (0..100).map(|_| router.choose(group, None, now, &mut seed).expect("room"));
         picked.filter(|key| *key == keys[0]).count()
@@ -93,30 +94,30 @@
 
 #[test]
 fn a_breaker_lets_one_trial_through_and_doubles_its_pause() {
-    let mut breaker = Breaker::default();
+    let mut breaker = CircuitBreaker::default();
     let mut now = NOW;
     for expected in [500, 1_000, 2_000, 4_000, 8_000, 8_000] {
-        breaker.failed(now);
-        assert!(!breaker.admits(now + Millis(expected - 1)), "{expected}");
+        breaker.record_failure(now);
+        assert!(!breaker.allows(now + Millis(expected - 1)), "{expected}");
         now = now + Millis(expected);
-        assert!(breaker.admits(now), "{expected}");
-        breaker.started();
-        assert!(!breaker.admits(now), "one trial at a time");
+        assert!(breaker.allows(now), "{expected}");
+        breaker.record_start();
+        assert!(!breaker.allows(now), "one trial at a time");
     }
-    breaker.succeeded();
-    assert!(breaker.admits(now));
+    breaker.record_success();
+    assert!(breaker.allows(now));
 }
 
 #[test]
 fn a_limit_grows_with_answers_in_time_and_shrinks_with_late_ones() {
-    let mut limit = Limit::new(4, 64);
+    let mut limit = ConcurrencyLimit::new(4, 64);
     for step in 0..200 {
-        limit.answered(Millis(step * 100), Millis(100), limit.get());
+        limit.record_answer(Millis(step * 100), Millis(100), limit.get());
     }
     let grown = limit.get();
     assert!(grown > 10, "{grown}");
     for step in 200..260 {
-        limit.answered(Millis(step * 1_000), Millis(2_000), grown);
+        limit.record_answer(Millis(step * 1_000), Millis(2_000), grown);
     }
     assert!(limit.get() < grown, "{} of {grown}", limit.get());
     assert!(limit.get() >= 1);
@@ -170,16 +171,16 @@
         },
     ];
     for case in cases {
-        let room = Room { total: 100, for_consent: 20, batch_percent: 50 };
+        let room = AdmissionLimits { total: 100, reserved_for_consent: 20, batch_percent: 50 };
         let mut admission = Admission::new(room);
         for (class, workspace, count) in case.held {
             for _ in 0..*count {
-                let entered = admission.enter(*class, &WorkspaceId::new(*workspace));
+                let entered = admission.admit(*class, &WorkspaceId::new(*workspace));
                 assert_eq!(entered, Ok(()), "{}", case.name);
             }
         }
         let (class, workspace) = case.asks;
-        let entered = admission.enter(class, &WorkspaceId::new(workspace));
+        let entered = admission.admit(class, &WorkspaceId::new(workspace));
         assert_eq!(entered.err().map(|refusal| refusal.reason), case.refused, "{}", case.name);
     }
 }
@@ -209,7 +210,7 @@
         far in 0_usize..5,
     ) {
         let (mut router, group, keys) = router(near, far, 3);
-        let mut seed = Seed::new(9);
+        let mut seed = SeededRng::new(9);
         let mut open: Vec<EndpointKey> = Vec::new();
         for (number, (prefix, end)) in steps.into_iter().enumerate() {
             let now = NOW + Millis(number as u64 * 50);
--- a/crates/cherrystand_core/tests/stop_plan.rs
+++ b/crates/cherrystand_core/tests/shutdown_plan.rs
@@ -1,6 +1,6 @@
 //! How a stopping daemon shares out its time.
 
-use cherrystand_core::{Millis, StopPlan};
+use cherrystand_core::{Millis, ShutdownPlan};
 
 #[test]
 fn what_runs_is_cut_in_the_last_sixth_of_the_grace_only_and_before_its_end() {
@@ -18,10 +18,10 @@
         Case { grace: 0, linger: 0, finish: 0 },
     ];
     for case in cases {
-        let plan = StopPlan::new(Millis(case.grace), Millis(2_500));
-        let expected = StopPlan { linger: Millis(case.linger), finish: Millis(case.finish) };
+        let plan = ShutdownPlan::new(Millis(case.grace), Millis(2_500));
+        let expected = ShutdownPlan { linger: Millis(case.linger), drain: Millis(case.finish) };
         assert_eq!(plan, expected, "{} ms", case.grace);
-        let cut_at = (plan.linger + plan.finish).0;
+        let cut_at = (plan.linger + plan.drain).0;
         assert!(cut_at * 6 >= case.grace * 5 && cut_at <= case.grace, "{} ms", case.grace);
     }
 }
--- a/crates/cherrystand_core/tests/site_formation.rs
+++ b/crates/cherrystand_core/tests/site_formation.rs
@@ -6,7 +6,7 @@
 
 use cherrystand_core::{
     BoxId, DomainRecord, Epoch, Formation, FormationInput, MemberTask, Millis, OrderEnd, Policy,
-    Revision, Seed, ServiceName, SiteBox,
+    Revision, SeededRng, ServiceName, SiteBox,
 };
 use cherrystand_testkit::FakeSiteDomain;
 use proptest::prelude::*;
@@ -20,7 +20,7 @@
     record: DomainRecord,
     revision: u64,
     nodes: Vec<Node>,
-    seed: Seed,
+    seed: SeededRng,
     /// The share of orders that get no answer and are carried out later, in percent.
     late: usize,
     /// The model that the domain is for.
@@ -53,7 +53,7 @@
             left: BTreeMap::new(),
         };
         let nodes = (0..nodes).map(|_| node()).collect();
-        let seed = Seed::new(seed);
+        let seed = SeededRng::new(seed);
         Self { domain, record, revision: 0, nodes, seed, late: 0, home: "large", second: None }
     }
 
--- a/crates/cherrystand_core/tests/site_losses.rs
+++ b/crates/cherrystand_core/tests/site_losses.rs
@@ -10,7 +10,7 @@
 
 use cherrystand_core::{
     BoxId, DomainRecord, Epoch, Formation, FormationInput, MemberTask, Millis, OrderEnd, Policy,
-    Revision, Seed, ServiceName, SiteBox,
+    Revision, SeededRng, ServiceName, SiteBox,
 };
 use cherrystand_testkit::FakeSiteDomain;
 use proptest::prelude::*;
@@ -209,7 +209,7 @@
 }
 
 fn drawn(shape: Shape, count: usize, seed: u64) -> Vec<usize> {
-    let mut seed = Seed::new(seed);
+    let mut seed = SeededRng::new(seed);
     let mut all: Vec<usize> = (0..shape.boxes).collect();
     (0..count).map(|_| all.swap_remove(seed.below(all.len()))).collect()
 }
--- a/crates/cherrystand_core/tests/site_requests.rs
+++ b/crates/cherrystand_core/tests/site_requests.rs
@@ -7,7 +7,7 @@
 use cherrystand_core::{
     AllowedRegions, BoxId, BoxStart, CallerLimits, DomainId, EngineLoad, EventSplitter,
     LoadBalancer, LogLimiter, Millis, RequestSpec, RetryBounds, RetryShare, Route, RouteError,
-    RouteKind, RouteTable, Seed, ServiceName, SiteBox, SiteConfig, TargetSpec, Tenant, ZoneId,
+    RouteKind, RouteTable, SeededRng, ServiceName, SiteBox, SiteConfig, TargetSpec, Tenant, ZoneId,
     home_models,
 };
 use proptest::prelude::*;
@@ -235,7 +235,7 @@
     let service = ServiceName::new("models");
     let ask = ask(&service, Some(model), 1_000.0);
     let engine = site_engine();
-    let key = balancer.choose(ask, Some(&engine), not, now, &mut Seed::new(1))?;
+    let key = balancer.choose(ask, Some(&engine), not, now, &mut SeededRng::new(1))?;
     balancer.id(key).map(|id| id.as_str().to_owned())
 }
 
@@ -264,7 +264,8 @@
     balancer.set_targets(vec![target("a", Some("large")), target("b", Some("large"))]);
     let service = ServiceName::new("models");
     let ask = ask(&service, Some("large"), 500.0);
-    let key = balancer.choose(ask, Some(&site_engine()), &[], NOW, &mut Seed::new(1)).expect("one");
+    let key =
+        balancer.choose(ask, Some(&site_engine()), &[], NOW, &mut SeededRng::new(1)).expect("one");
     balancer.record_start(key, 500.0, false);
     assert_eq!(balancer.load(key), EngineLoad { requests: 1.0, unread: 500.0 });
     balancer.record_first_event(key, 500.0, false);
@@ -288,7 +289,8 @@
     balancer.set_targets(vec![target("a", Some("large"))]);
     let service = ServiceName::new("models");
     let ask = ask(&service, Some("large"), 500.0);
-    let key = balancer.choose(ask, Some(&site_engine()), &[], NOW, &mut Seed::new(1)).expect("one");
+    let key =
+        balancer.choose(ask, Some(&site_engine()), &[], NOW, &mut SeededRng::new(1)).expect("one");
     balancer.record_start(key, 500.0, false);
     balancer.record_progress(key, NOW);
     balancer.record_finish(key, 0.0, false);
@@ -304,7 +306,7 @@
     balancer.set_targets(vec![target("a", None), target("b", None)]);
     let service = ServiceName::new("models");
     let ask = ask(&service, None, 0.0);
-    let mut seed = Seed::new(3);
+    let mut seed = SeededRng::new(3);
     let mut to_a = 0;
     for _ in 0..200 {
         let key = balancer.choose(ask, None, &[], NOW, &mut seed).expect("one");
@@ -318,7 +320,7 @@
     assert!(to_a < 10, "{to_a}");
     // In time it is tried again.
     let later = NOW + Millis(60_000);
-    let choose = |seed: &mut Seed| balancer.choose(ask, None, &[], later, seed).expect("one");
+    let choose = |seed: &mut SeededRng| balancer.choose(ask, None, &[], later, seed).expect("one");
     let keys: Vec<_> = (0..50).map(|_| choose(&mut seed)).collect();
     assert!(keys.iter().any(|key| balancer.id(*key).expect("known").as_str() == "a"));
 }
--- a/crates/cherrystand_peer/src/load_news.rs
+++ b/crates/cherrystand_peer/src/load_news.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use cherrystand_core::{
-    BoxId, EndpointLoad, Fingerprint, LimitNews, NodeId, ServiceName, ZoneId, ZoneLoads,
+    BoxId, EndpointLoad, Fingerprint, NodeId, RateLimitMessage, ServiceName, ZoneId, ZoneLoads,
 };
 use serde::{Deserialize, Serialize};
 
@@ -41,9 +41,9 @@
     /// Names a box that told the sender in an answer that it leaves.
     Leaves(BoxId),
     /// Tells of the requests that a box takes from all daemons together.
-    Limit(BoxId, LimitNews),
+    Limit(BoxId, RateLimitMessage),
     /// Tells of the repeats of a service's requests that one daemon lends to those that ask.
-    Repeats(ServiceName, LimitNews),
+    Repeats(ServiceName, RateLimitMessage),
     /// Has the receiver take news in and pass it on to others, where one daemon would tell too many.
     PassOn {
         /// Whose news it is.
--- a/crates/cherrystand_platform/src/http_pool.rs
+++ b/crates/cherrystand_platform/src/http_pool.rs
@@ -18,7 +18,7 @@
 use tokio::net::TcpStream;
 use tokio::task::JoinHandle;
 
-use cherrystand_core::USUALLY_KEPT;
+use cherrystand_core::DEFAULT_IDLE_CONNECTIONS;
 
 use crate::{MAX_HEAD_BYTES, since_boot};
 
@@ -106,7 +106,7 @@
         req: Request<Full<Bytes>>,
         connect_within: Duration,
     ) -> Result<Response<PooledBody>, SendError> {
-        self.send_keeping(USUALLY_KEPT, address, req, connect_within).await
+        self.send_keeping(DEFAULT_IDLE_CONNECTIONS, address, req, connect_within).await
     }
 
     /// The same to an address to which `keep` idle connections are kept at the most.
--- a/crates/cherrystand_testkit/src/domain/repair_script.rs
+++ b/crates/cherrystand_testkit/src/domain/repair_script.rs
@@ -2,7 +2,7 @@
 
 use cherrystand_core::{
     BoxId, DesiredReplica, GroupId, LoadSpec, Millis, RepairPolicy, RepairRule, ReplicaId,
-    ReturnModel, Seed, WorkspaceId,
+    ReturnModel, SeededRng, WorkspaceId,
 };
 
 use crate::{DomainSetup, FakeDomain, Losses};
@@ -83,7 +83,7 @@
         let mut domain = self.domain(rule, weights);
         form(&mut domain);
         domain.losses = Losses::default();
-        let mut seed = Seed::new(seed);
+        let mut seed = SeededRng::new(seed);
         let mut events = self.events(&mut seed);
         events.sort_by_key(|(at, _)| *at);
         let start = domain.now;
@@ -136,7 +136,7 @@
         domain
     }
 
-    fn events(self, seed: &mut Seed) -> Vec<(Millis, ScriptEvent)> {
+    fn events(self, seed: &mut SeededRng) -> Vec<(Millis, ScriptEvent)> {
         match self {
             Self::SingleLosses | Self::NoSpares | Self::StoreSqueeze => single_losses(seed),
             Self::Rack => vec![(Millis::from_secs(600), rack_loss(seed))],
@@ -185,7 +185,7 @@
     }
 }
 
-fn single_losses(seed: &mut Seed) -> Vec<(Millis, ScriptEvent)> {
+fn single_losses(seed: &mut SeededRng) -> Vec<(Millis, ScriptEvent)> {
     let losses = 16;
     let one = |number: u64| {
         let at = Millis::from_secs(number * SCRIPT_LENGTH.0 / 1_000 / (losses + 4));
@@ -197,20 +197,20 @@
     (1..=losses).map(one).collect()
 }
 
-fn rack_loss(seed: &mut Seed) -> ScriptEvent {
+fn rack_loss(seed: &mut SeededRng) -> ScriptEvent {
     let first = seed.below(64) as u32;
     let boxes = (first..first + 8).collect();
     ScriptEvent::Lose { boxes, back_after: Millis::from_secs(600) }
 }
 
-fn false_alarm(seed: &mut Seed) -> ScriptEvent {
+fn false_alarm(seed: &mut SeededRng) -> ScriptEvent {
     let first = seed.below(72) as u32;
     let boxes = (first..first + 43).collect();
     ScriptEvent::Silence { boxes, span: Millis(4_000) }
 }
 
 /// Draws a time that is exponentially distributed around a mean in seconds.
-fn exponential(seed: &mut Seed, mean: f64) -> Millis {
+fn exponential(seed: &mut SeededRng, mean: f64) -> Millis {
     let uniform = (seed.below(1 << 30) as f64 + 1.0) / f64::from(1 << 30);
     Millis((-uniform.ln() * mean * 1_000.0) as u64)
 }
--- a/crates/cherrystand_testkit/src/soak/callers.rs
+++ b/crates/cherrystand_testkit/src/soak/callers.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use bytes::Bytes;
-use cherrystand_core::Seed;
+use cherrystand_core::SeededRng;
 use cherrystand_platform::{HttpPool, SendError};
 use http_body_util::{BodyExt, Full};
 use hyper::{Request, StatusCode};
@@ -88,7 +88,7 @@
 
     /// Sends one request after the other to a daemon until `stop`.
     pub(crate) async fn run(self, daemon: usize, at: SocketAddr, seed: u64, stop: Rc<Cell<bool>>) {
-        let mut seed = Seed::new(seed);
+        let mut seed = SeededRng::new(seed);
         while !stop.get() {
             let call = match seed.below(16) {
                 0 => Call::OldKey,
--- a/crates/cherrystand_testkit/src/soak/schedule.rs
+++ b/crates/cherrystand_testkit/src/soak/schedule.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 use std::time::Duration;
 
-use cherrystand_core::{Millis, Seed};
+use cherrystand_core::{Millis, SeededRng};
 
 use crate::soak::link::LinkMode;
 use crate::{BoxMood, BoxWishes, Door, LimitIn, Sheds};
@@ -123,7 +123,7 @@
 /// Draws the faults of one run; a later fault may begin while earlier ones last, and some come in
 /// quick series.
 pub fn draw_schedule(seed: u64, targets: Targets, span: Millis) -> Vec<Fault> {
-    let mut seed = Seed::new(seed);
+    let mut seed = SeededRng::new(seed);
     let mut faults: Vec<Fault> = Vec::new();
     let mut at = 500;
     let mut last_config = 0;
@@ -153,11 +153,11 @@
 /// Draws faults besides the usual ones, by draws of their own, so that the schedules of earlier seeds stay
 /// as they are; the first comes `at` so many milliseconds.
 fn draw_besides(
-    mut seed: Seed,
+    mut seed: SeededRng,
     mut at: u64,
     span: Millis,
     first_number: usize,
-    mut draw: impl FnMut(&mut Seed) -> Drawn,
+    mut draw: impl FnMut(&mut SeededRng) -> Drawn,
 ) -> Vec<Fault> {
     let mut faults = Vec::new();
     while at < span.0 {
@@ -173,7 +173,7 @@
 pub fn draw_lives(seed: u64, targets: Targets, span: Millis, first_number: usize) -> Vec<Fault> {
     /// Tells the draws apart from those of the other faults.
     const OTHER_DRAWS: u64 = 0x11fe;
-    draw_besides(Seed::new(seed ^ OTHER_DRAWS), 700, span, first_number, |seed| {
+    draw_besides(SeededRng::new(seed ^ OTHER_DRAWS), 700, span, first_number, |seed| {
         let a_box = seed.below(targets.boxes);
         let kind = match seed.below(3) {
             0 => {
@@ -194,7 +194,7 @@
     const OTHER_DRAWS: u64 = 0x3e57;
     /// What boxes ask for; more than a fault lasts, less, next to nothing, and what is no time.
     const RESTS: [&str; 5] = ["1", "2.5", "0.05", "soon", "3"];
-    draw_besides(Seed::new(seed ^ OTHER_DRAWS), 600, span, first_number, |seed| {
+    draw_besides(SeededRng::new(seed ^ OTHER_DRAWS), 600, span, first_number, |seed| {
         let a_box = seed.below(targets.boxes);
         let rest = RESTS[seed.below(RESTS.len())];
         let wishes = match seed.below(6) {
@@ -214,7 +214,7 @@
 pub fn draw_drills(seed: u64, span: Millis, first_number: usize) -> Vec<Fault> {
     /// Tells the draws apart from those of the other faults.
     const OTHER_DRAWS: u64 = 0xd411;
-    draw_besides(Seed::new(seed ^ OTHER_DRAWS), 900, span, first_number, |seed| {
+    draw_besides(SeededRng::new(seed ^ OTHER_DRAWS), 900, span, first_number, |seed| {
         let lasts = 500 + seed.below(2_500) as u64;
         let pause = if seed.below(3) == 0 { 900 } else { 2_500 };
         // One copy at a time.
@@ -233,7 +233,7 @@
         kind: FaultKind::Evacuated,
     };
     let later =
-        draw_besides(Seed::new(seed ^ OTHER_DRAWS), 6_500, span, first_number + 1, |seed| {
+        draw_besides(SeededRng::new(seed ^ OTHER_DRAWS), 6_500, span, first_number + 1, |seed| {
             let (kind, lasts) = match seed.below(4) {
                 0 => (FaultKind::Evacuated, 1_000 + seed.below(4_000)),
                 _ => (FaultKind::Cold(seed.below(targets.boxes)), 1_500 + seed.below(2_000)),
@@ -255,7 +255,7 @@
     const LIMITS: [&str; 4] = ["0.4", "0.2", "0.1", "0"];
     /// What some name: no number, and what nobody reaches.
     const ODD: [&str; 2] = ["few", "1e9"];
-    let mut seed = Seed::new(seed ^ OTHER_DRAWS);
+    let mut seed = SeededRng::new(seed ^ OTHER_DRAWS);
     let limit_in = if seed.below(3) == 0 { LimitIn::Served } else { LimitIn::All };
     let all = Fault {
         number: first_number,
@@ -276,7 +276,7 @@
     std::iter::once(all).chain(odd).collect()
 }
 
-fn draw_kind(seed: &mut Seed, targets: Targets) -> FaultKind {
+fn draw_kind(seed: &mut SeededRng, targets: Targets) -> FaultKind {
     let (a_box, daemon) = (seed.below(targets.boxes), seed.below(targets.daemons));
     let moods =
         [BoxMood::Dark, BoxMood::Dark, BoxMood::Sheds, BoxMood::LosesAnswers, BoxMood::Fails];
--- a/crates/cherrystandd/benches/slopes.rs
+++ b/crates/cherrystandd/benches/slopes.rs
@@ -237,7 +237,7 @@
             beat += 1;
             for number in 1..members {
                 let news = Heartbeat { beat, ..heartbeat(number) };
-                membership.hear(news, Millis(0), Millis(beat));
+                membership.merge_heartbeat(news, Millis(0), Millis(beat));
             }
         });
         println!("membership: {:.2} us a heartbeat with {members} daemons", took / members as f64);
@@ -248,7 +248,7 @@
         let took = micros(20, || {
             now = now + Millis(1_000);
             for slot in 0..replicas {
-                table.offer(&ReplicaEvidence { age: Millis(0), ..evidence(slot) }, now);
+                table.merge(&ReplicaEvidence { age: Millis(0), ..evidence(slot) }, now);
             }
         });
         println!(
--- a/crates/cherrystandd/src/claim_writer.rs
+++ b/crates/cherrystandd/src/claim_writer.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use cherrystand_core::{
-    CLAIM_USE_WITHIN, ClaimAnswer, ClaimRecord, ClaimRequest, Revision, WriteId,
+    CLAIM_USE_TIMEOUT, ClaimRecord, ClaimRequest, ClaimResponse, Revision, WriteId,
 };
 use cherrystand_platform::{CallError, KeyValue, PlatformError, Swap};
 use tokio::time::Instant;
@@ -11,7 +11,7 @@
 use crate::clock;
 
 /// How long one batch is tried; a claim must be used within twice this time.
-const GIVE_UP_AFTER: Duration = Duration::from_millis(CLAIM_USE_WITHIN.0 / 2);
+const GIVE_UP_AFTER: Duration = Duration::from_millis(CLAIM_USE_TIMEOUT.0 / 2);
 
 /// How long the writer pauses before it tries again.
 const RETRY_PAUSE: Duration = Duration::from_millis(20);
@@ -48,9 +48,9 @@
         &mut self,
         requests: &[ClaimRequest],
         id: &WriteId,
-    ) -> Option<Vec<ClaimAnswer>> {
+    ) -> Option<Vec<ClaimResponse>> {
         let until = Instant::now() + GIVE_UP_AFTER;
-        let mut pending: Option<(ClaimRecord, Vec<ClaimAnswer>)> = None;
+        let mut pending: Option<(ClaimRecord, Vec<ClaimResponse>)> = None;
         while Instant::now() < until {
             let (next, answers) = pending
                 .take()
--- a/crates/cherrystandd/src/claims.rs
+++ b/crates/cherrystandd/src/claims.rs
@@ -1,6 +1,6 @@
 //! How the relay asks for claims on calls.
 
-use cherrystand_core::{CallKey, ClaimAnswer, ClaimRequest, Outcome};
+use cherrystand_core::{ClaimRequest, ClaimResponse, IdempotencyKey, Outcome};
 use tokio::sync::oneshot;
 
 use crate::DutyContext;
@@ -11,25 +11,25 @@
     /// The change.
     pub(crate) request: ClaimRequest,
     /// Where the answer goes; it is dropped when the platform does not answer.
-    pub(crate) answer: Option<oneshot::Sender<ClaimAnswer>>,
+    pub(crate) answer: Option<oneshot::Sender<ClaimResponse>>,
 }
 
 /// Claims a call; nothing is returned when the platform does not answer in time.
-pub(crate) async fn take(cx: &DutyContext, key: CallKey) -> Option<ClaimAnswer> {
+pub(crate) async fn take(cx: &DutyContext, key: IdempotencyKey) -> Option<ClaimResponse> {
     let (tx, rx) = oneshot::channel();
-    let call = ClaimCall { request: ClaimRequest::Take(key), answer: Some(tx) };
+    let call = ClaimCall { request: ClaimRequest::Acquire(key), answer: Some(tx) };
     cx.claims.try_send(call).ok()?;
     rx.await.ok()
 }
 
 /// Gives a claim up, since the call was certainly not run.
-pub(crate) fn give_up(cx: &DutyContext, key: CallKey) {
-    note(cx, ClaimRequest::GiveUp(key));
+pub(crate) fn give_up(cx: &DutyContext, key: IdempotencyKey) {
+    note(cx, ClaimRequest::Release(key));
 }
 
 /// Notes what became of a claimed call.
-pub(crate) fn settle(cx: &DutyContext, key: CallKey, outcome: Outcome) {
-    note(cx, ClaimRequest::Settle(key, outcome));
+pub(crate) fn settle(cx: &DutyContext, key: IdempotencyKey, outcome: Outcome) {
+    note(cx, ClaimRequest::Complete(key, outcome));
 }
 
 /// A note that is lost leaves the claim as it is, which answers `unknown`: safe, and less helpful.
--- a/crates/cherrystandd/src/duties/claim_keeper.rs
+++ b/crates/cherrystandd/src/duties/claim_keeper.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use cherrystand_core::{CallKey, ClaimAnswer, ClaimRequest};
+use cherrystand_core::{ClaimRequest, ClaimResponse, IdempotencyKey};
 use cherrystand_platform::PlatformClient;
 
 use crate::claim_writer::ClaimWriter;
@@ -41,9 +41,11 @@
     }
 }
 
-fn key_of(request: &ClaimRequest) -> CallKey {
+fn key_of(request: &ClaimRequest) -> IdempotencyKey {
     match request {
-        ClaimRequest::Take(key) | ClaimRequest::GiveUp(key) | ClaimRequest::Settle(key, _) => *key,
+        ClaimRequest::Acquire(key)
+        | ClaimRequest::Release(key)
+        | ClaimRequest::Complete(key, _) => *key,
     }
 }
 
@@ -80,13 +82,13 @@
         }
     }
 
-    fn answer(&self, batch: Vec<ClaimCall>, answers: Vec<ClaimAnswer>) {
+    fn answer(&self, batch: Vec<ClaimCall>, answers: Vec<ClaimResponse>) {
         for (call, answer) in batch.into_iter().zip(answers) {
             let label = match answer {
-                ClaimAnswer::Granted => "granted",
-                ClaimAnswer::Taken(_) => "taken",
-                ClaimAnswer::Full => "full",
-                ClaimAnswer::Noted => "noted",
+                ClaimResponse::Granted => "granted",
+                ClaimResponse::AlreadyClaimed(_) => "taken",
+                ClaimResponse::ShardFull => "full",
+                ClaimResponse::Recorded => "noted",
             };
             self.cx.metrics.claims.with_label_values(&[label]).inc();
             if let Some(tx) = call.answer {
--- a/crates/cherrystandd/src/duties/controller.rs
+++ b/crates/cherrystandd/src/duties/controller.rs
@@ -9,7 +9,7 @@
 
 use cherrystand_core::{
     Controller, ControllerInput, Document, DomainId, DomainRecord, Millis, Order, ReadySince,
-    Revision, ServingState, desired_in_domain, ranked,
+    Revision, ServingState, desired_in_domain, rank_by_hash,
 };
 use cherrystand_platform::{EngineClient, KeyValue, Lease, PlatformClient, PlatformError, Swap};
 
@@ -273,7 +273,7 @@
     domains.extend(view.domains.values().map(|held| held.record.domain.clone()));
     let alive: Vec<_> = view.alive().cloned().collect();
     let rank_of = |domain: &DomainId| {
-        let order = ranked(domain.as_str(), &alive);
+        let order = rank_by_hash(domain.as_str(), &alive);
         order.iter().take(OBSERVERS).position(|beat| beat.node == view.own.node)
     };
     domains.into_iter().filter_map(|id| Some((id.clone(), rank_of(&id)?))).collect()
--- a/crates/cherrystandd/src/duties/gossip.rs
+++ b/crates/cherrystandd/src/duties/gossip.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use cherrystand_core::{Heartbeat, Seed, Standing, choose_exchange, hash_bytes};
+use cherrystand_core::{Heartbeat, Liveness, SeededRng, choose_gossip_peer, hash_bytes};
 use cherrystand_peer::{PeerDialer, PeerError, Question, Reply};
 use tokio::sync::oneshot;
 
@@ -25,7 +25,7 @@
 fn run(cx: DutyContext) -> Result<(), DutyError> {
     let own = cx.settings.listen.peers;
     let name = hash_bytes(cx.settings.node.as_str().as_bytes());
-    let mut seed = Seed::new(name ^ clock::unix_millis());
+    let mut seed = SeededRng::new(name ^ clock::unix_millis());
     let mut dialer = PeerDialer::default();
     // Not all start with the same one.
     let mut round = seed.below(ROUNDS_TO_REUNITE);
@@ -54,11 +54,11 @@
     view: &View,
     own: SocketAddr,
     round: usize,
-    seed: &mut Seed,
+    seed: &mut SeededRng,
 ) -> Option<SocketAddr> {
-    let known: Vec<(&Heartbeat, Standing)> =
+    let known: Vec<(&Heartbeat, Liveness)> =
         view.members.iter().map(|(beat, standing)| (beat, *standing)).collect();
-    let chosen = choose_exchange(&view.own, &known, round, seed).map(|beat| beat.address);
+    let chosen = choose_gossip_peer(&view.own, &known, round, seed).map(|beat| beat.address);
     if chosen.is_some() && !round.is_multiple_of(ROUNDS_TO_REUNITE) {
         return chosen;
     }
--- a/crates/cherrystandd/src/duties/platform_watch.rs
+++ b/crates/cherrystandd/src/duties/platform_watch.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use cherrystand_core::{FRESH_FOR, Millis, Revision, ranked};
+use cherrystand_core::{FRESH_FOR, Millis, Revision, rank_by_hash};
 use cherrystand_platform::{BoxList, KeyValue, PlatformClient, PlatformError};
 
 use crate::counted::Counted;
@@ -68,7 +68,7 @@
 fn should_read(view: &View) -> bool {
     let zone = &view.own.zone;
     let neighbours = view.alive().filter(|beat| &beat.zone == zone);
-    let watchers = ranked("platform-watch", neighbours);
+    let watchers = rank_by_hash("platform-watch", neighbours);
     let chosen = watchers.iter().take(WATCHERS_PER_ZONE).any(|beat| beat.node == view.own.node);
     let stale = view.platform_age.is_none_or(|age| age > READ_WHEN_OLDER);
     chosen || stale
--- a/crates/cherrystandd/src/operator/status.rs
+++ b/crates/cherrystandd/src/operator/status.rs
@@ -1,6 +1,6 @@
 //! What operators see of the system.
 
-use cherrystand_core::{DomainRecord, Millis, ReplicaId, Standing, WorkspaceRecord};
+use cherrystand_core::{DomainRecord, Liveness, Millis, ReplicaId, WorkspaceRecord};
 use serde_json::{Value, json};
 
 use crate::state::{RouteGroup, RouteKind, View};
@@ -95,12 +95,12 @@
 }
 
 fn nodes(view: &View) -> Vec<Value> {
-    let standing = |standing: Standing| match standing {
-        Standing::Alive => "alive",
-        Standing::Suspect => "suspect",
-        Standing::Dead => "dead",
+    let standing = |standing: Liveness| match standing {
+        Liveness::Alive => "alive",
+        Liveness::Suspect => "suspect",
+        Liveness::Dead => "dead",
     };
-    let one = |(beat, now): &(cherrystand_core::Heartbeat, Standing)| {
+    let one = |(beat, now): &(cherrystand_core::Heartbeat, Liveness)| {
         json!({
             "node": beat.node, "zone": beat.zone, "address": beat.address,
             "incarnation": beat.incarnation, "standing": standing(*now),
--- a/crates/cherrystandd/src/relay/admitted.rs
+++ b/crates/cherrystandd/src/relay/admitted.rs
@@ -21,7 +21,7 @@
     /// Takes the room.
     pub(crate) fn enter(relay: &Rc<Relay>, call: &Rc<Call>) -> Result<Self, Refusal> {
         let mut core = relay.core.borrow_mut();
-        core.admission.enter(call.class, &call.workspace)?;
+        core.admission.admit(call.class, &call.workspace)?;
         relay.cx.metrics.in_flight.inc();
         Ok(Self { relay: relay.clone(), call: call.clone(), claimed: false, ended: false })
     }
@@ -34,7 +34,7 @@
         self.ended = true;
         let call = &self.call;
         self.relay.cx.metrics.in_flight.dec();
-        self.relay.core.borrow_mut().admission.leave(call.class, &call.workspace);
+        self.relay.core.borrow_mut().admission.release(call.class, &call.workspace);
         if outcome == Outcome::Unknown {
             log::warn!(
                 request = call.id.as_str(), group = call.group_id.to_string();
--- a/crates/cherrystandd/src/relay/attempt.rs
+++ b/crates/cherrystandd/src/relay/attempt.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use cherrystand_core::{AttemptEnd, EndpointKey, Millis, SendPermit, USUALLY_KEPT};
+use cherrystand_core::{AttemptEnd, DEFAULT_IDLE_CONNECTIONS, EndpointKey, Millis, SendPermit};
 use cherrystand_platform::{AskedRest, NOT_RUN_HEADER, PooledBody, SendError};
 use http_body_util::{BodyExt, Full};
 use hyper::body::Body;
@@ -58,11 +58,11 @@
     }
 
     /// Takes in what rest its endpoint asked for as it turned the request away.
-    fn hear_rest(&self, asked: AskedRest) {
+    fn record_backoff(&self, asked: AskedRest) {
         let now = self.relay.now();
         match asked {
             AskedRest::For(rest) => {
-                self.relay.core.borrow_mut().hear_rest(self.endpoint, rest, now);
+                self.relay.core.borrow_mut().record_backoff(self.endpoint, rest, now);
             }
             AskedRest::Unreadable => {
                 log::debug!("the rest that {} asks for is no time", self.target.address);
@@ -156,11 +156,17 @@
     let remaining = call.deadline.since(relay.now());
     let req = request_for(&call, &in_flight.target, remaining);
     let permit = in_flight.permit.take().ok_or(AttemptEnd::NotSent)?;
-    let send = relay.pool.send(permit, USUALLY_KEPT, in_flight.target.address, req, CONNECT_WITHIN);
+    let send = relay.pool.send(
+        permit,
+        DEFAULT_IDLE_CONNECTIONS,
+        in_flight.target.address,
+        req,
+        CONNECT_WITHIN,
+    );
     let answer = relay.cx.clock.by(call.deadline, send).await.ok_or(AttemptEnd::TimedOut)?;
     let answer = answer.map_err(|err| end_of(&err))?;
     if answer.headers().contains_key(NOT_RUN_HEADER) {
-        in_flight.hear_rest(AskedRest::read(answer.headers()));
+        in_flight.record_backoff(AskedRest::read(answer.headers()));
         return Err(match answer.status() {
             StatusCode::TOO_MANY_REQUESTS => AttemptEnd::Refused,
             _ => AttemptEnd::NotServing,
--- a/crates/cherrystandd/src/relay/call.rs
+++ b/crates/cherrystandd/src/relay/call.rs
@@ -5,7 +5,8 @@
 
 use bytes::{Bytes, BytesMut};
 use cherrystand_core::{
-    AttemptEnd, CallKey, Class, GroupId, GroupKey, Millis, RefusalReason, WorkspaceId, hash_bytes,
+    AttemptEnd, Class, GroupId, GroupKey, IdempotencyKey, Millis, RefusalReason, WorkspaceId,
+    hash_bytes,
 };
 use http_body_util::BodyExt;
 use hyper::body::{Body, Incoming};
@@ -52,7 +53,7 @@
     /// Whether it may be run twice.
     pub(crate) repeatable: bool,
     /// Its claim, where the caller named it.
-    pub(crate) key: Option<CallKey>,
+    pub(crate) key: Option<IdempotencyKey>,
     /// The prefix of its prompt.
     pub(crate) prefix: Option<u64>,
     /// When the caller stops waiting.
@@ -100,7 +101,7 @@
     let deadline = came + asked.unwrap_or(default_deadline(&cx.settings, is_model));
     Ok(Call {
         repeatable: key.is_none() && may_repeat(state, &head.method),
-        key: key.map(|key| CallKey::new(&state.id, &key)),
+        key: key.map(|key| IdempotencyKey::new(&state.id, &key)),
         group_id: state.id.clone(),
         workspace: state.id.workspace.clone(),
         class: state.class,
--- a/crates/cherrystandd/src/relay/core.rs
+++ b/crates/cherrystandd/src/relay/core.rs
@@ -6,8 +6,9 @@
 use std::sync::Arc;
 
 use cherrystand_core::{
-    Admission, AttemptEnd, Class, EndpointKey, EndpointSpec, Epoch, GroupId, GroupKey, Millis,
-    NoEndpoint, ReplicaId, RetryBudget, Room, Router, Seed, SendPermit, UsualTime, WaitQueue,
+    Admission, AdmissionLimits, AttemptEnd, Class, EndpointKey, EndpointSpec, Epoch, GroupId,
+    GroupKey, Millis, NoEndpoint, ReplicaId, RetryBudget, Router, SeededRng, SendPermit,
+    TypicalLatency, WaitQueue,
 };
 use slotmap::SecondaryMap;
 use tokio::sync::Notify;
@@ -35,7 +36,7 @@
     /// What its retries may cost.
     pub(crate) budget: RetryBudget,
     /// How long its answers usually take to begin.
-    pub(crate) usual: UsualTime,
+    pub(crate) usual: TypicalLatency,
     key: GroupKey,
     targets: BTreeMap<TargetId, EndpointKey>,
 }
@@ -68,12 +69,12 @@
     ids: SecondaryMap<GroupKey, GroupId>,
     targets: SecondaryMap<EndpointKey, Target>,
     routes: Arc<Vec<RouteGroup>>,
-    seed: Seed,
+    seed: SeededRng,
 }
 
 impl RelayCore {
     /// Creates a relay without groups.
-    pub(crate) fn new(room: Room, seed: u64) -> Self {
+    pub(crate) fn new(room: AdmissionLimits, seed: u64) -> Self {
         Self {
             admission: Admission::new(room),
             router: Router::default(),
@@ -81,7 +82,7 @@
             ids: SecondaryMap::new(),
             targets: SecondaryMap::new(),
             routes: Arc::default(),
-            seed: Seed::new(seed),
+            seed: SeededRng::new(seed),
         }
     }
 
@@ -149,8 +150,8 @@
     }
 
     /// Takes in that an endpoint asked to be left alone, as it turned a request away.
-    pub(crate) fn hear_rest(&mut self, endpoint: EndpointKey, asked: Millis, now: Millis) {
-        self.router.hear_rest(endpoint, asked, now);
+    pub(crate) fn record_backoff(&mut self, endpoint: EndpointKey, asked: Millis, now: Millis) {
+        self.router.record_backoff(endpoint, asked, now);
     }
 
     /// Counts a request as ended at its endpoint and lets the next one in.
@@ -164,9 +165,9 @@
     ) {
         self.router.finish(endpoint, end, now, first_byte);
         if let Some(group) = self.group_mut(group) {
-            group.queue.done(now);
+            group.queue.record_completion(now);
             if let Some(took) = first_byte {
-                group.usual.add(took);
+                group.usual.record(took);
             }
             group.room.notify_one();
         }
@@ -179,7 +180,7 @@
 
     /// Returns the usual time until an endpoint's answer begins.
     pub(crate) fn usual(&self, endpoint: EndpointKey) -> Millis {
-        self.router.usual(endpoint)
+        self.router.typical_latency(endpoint)
     }
 
     fn drop_groups(&mut self, routes: &[RouteGroup]) {
@@ -205,7 +206,7 @@
             queue: WaitQueue::default(),
             room: Rc::default(),
             budget: RetryBudget::default(),
-            usual: UsualTime::default(),
+            usual: TypicalLatency::default(),
             key: self.router.add_group(),
             targets: BTreeMap::new(),
         });
@@ -235,8 +236,11 @@
     fn follow_target(&mut self, group: &mut GroupState, target: &RouteTarget, now: Millis) {
         let (router, targets) = (&mut self.router, &mut self.targets);
         let key = *group.targets.entry(id_of(target)).or_insert_with(|| {
-            let spec =
-                EndpointSpec { near: target.near, start_limit: START_LIMIT, most: target.most };
+            let spec = EndpointSpec {
+                near: target.near,
+                initial_limit: START_LIMIT,
+                max_limit: target.most,
+            };
             let key = router.add_endpoint(group.key, spec);
             let (address, replica) = id_of(target);
             targets.insert(key, Target { address, replica });
@@ -244,7 +248,7 @@
             key
         });
         if let Some(load) = target.load {
-            router.report(key, now, load);
+            router.report_load(key, now, load);
         }
     }
 }
--- a/crates/cherrystandd/src/relay/flow.rs
+++ b/crates/cherrystandd/src/relay/flow.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use cherrystand_core::{
-    AttemptEnd, CLAIM_USE_WITHIN, CallKey, ClaimAnswer, FailedAttempt, Millis, NoRetry, Outcome,
-    RefusalReason, decide_retry,
+    AttemptEnd, CLAIM_USE_TIMEOUT, ClaimResponse, FailedAttempt, IdempotencyKey, Millis, NoRetry,
+    Outcome, RefusalReason, decide_retry,
 };
 use hyper::body::Incoming;
 use hyper::{Method, Request, Response, StatusCode};
@@ -101,7 +101,7 @@
         let endpoint = chosen.endpoint;
         let in_flight = InFlight::start(relay.clone(), call.clone(), chosen);
         attempts += 1;
-        if call.key.is_some() && relay.now().since(asked) > CLAIM_USE_WITHIN {
+        if call.key.is_some() && relay.now().since(asked) > CLAIM_USE_TIMEOUT {
             // Nothing was sent; a claim this old is given up rather than used.
             return Err(come_back(RefusalReason::KeysOutOfReach));
         }
@@ -117,15 +117,15 @@
 }
 
 /// Claims a keyed call, within the caller's deadline.
-async fn claim(relay: &Relay, call: &Call, key: CallKey) -> Result<(), Failure> {
+async fn claim(relay: &Relay, call: &Call, key: IdempotencyKey) -> Result<(), Failure> {
     let remaining = Duration::from_millis(call.deadline.since(relay.now()).0);
     let answer = tokio::time::timeout(remaining, claims::take(&relay.cx, key)).await;
     match answer.ok().flatten() {
-        Some(ClaimAnswer::Granted) => Ok(()),
-        Some(ClaimAnswer::Taken(claim)) => Err(Failure::claimed(&claim)),
+        Some(ClaimResponse::Granted) => Ok(()),
+        Some(ClaimResponse::AlreadyClaimed(claim)) => Err(Failure::claimed(&claim)),
         // Should the claim yet be written, it stays: this daemon may hold the key for an earlier
         // sending that still runs, and giving it up here would let another daemon run it again.
-        Some(ClaimAnswer::Full | ClaimAnswer::Noted) | None => {
+        Some(ClaimResponse::ShardFull | ClaimResponse::Recorded) | None => {
             Err(come_back(RefusalReason::KeysOutOfReach))
         }
     }
@@ -185,11 +185,11 @@
     let failed = FailedAttempt {
         end,
         attempts,
-        repeatable: call.repeatable,
-        answer_begun: false,
-        replayable: true,
+        is_idempotent: call.repeatable,
+        answer_started: false,
+        can_resend: true,
         remaining: call.deadline.since(relay.now()),
-        usual,
+        typical_duration: usual,
     };
     let mut core = relay.core.borrow_mut();
     let Some(group) = core.group_mut(call.group) else {
--- a/crates/cherrystandd/src/relay/waiting.rs
+++ b/crates/cherrystandd/src/relay/waiting.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use cherrystand_core::{GroupKey, LONGEST_WAIT, Millis, NoEndpoint, Refusal, RefusalReason};
+use cherrystand_core::{GroupKey, MAX_QUEUE_WAIT, Millis, NoEndpoint, Refusal, RefusalReason};
 
 use crate::relay::answer::{COME_BACK, Failure, come_back};
 use crate::relay::call::Call;
@@ -27,7 +27,7 @@
         match chosen {
             Ok(chosen) => return Ok(chosen),
             Err(NoEndpoint::NoneServing) => return Err(come_back(RefusalReason::NoneServing)),
-            Err(NoEndpoint::AllRest(until)) => {
+            Err(NoEndpoint::AllBackingOff(until)) => {
                 let (reason, after) = (RefusalReason::EndpointsRest, until.since(now));
                 return Err(Failure::not_run(Refusal::with_retry_after(reason, after)));
             }
@@ -58,7 +58,7 @@
         let group = core
             .group_mut(call.group)
             .ok_or(Refusal::with_retry_after(RefusalReason::NoneServing, COME_BACK))?;
-        group.queue.join(call.deadline.since(now), group.usual.needed())?;
+        group.queue.join(call.deadline.since(now), group.usual.required_time())?;
         let room = group.room.clone();
         Ok(Self { relay: relay.clone(), group: call.group, room, since: now })
     }
@@ -66,13 +66,13 @@
     /// Tells whether an answer that begins now would likely come in time.
     fn has_time_for_answer(&self, deadline: Millis) -> bool {
         let core = self.relay.core.borrow();
-        let needed = core.group(self.group).map(|group| group.usual.needed());
+        let needed = core.group(self.group).map(|group| group.usual.required_time());
         deadline.since(self.relay.now()) >= needed.unwrap_or_default()
     }
 
     /// Waits until there may be room, and tells whether there is still time.
     async fn for_room(&self, deadline: Millis) -> bool {
-        let until = (self.since + LONGEST_WAIT).min(deadline);
+        let until = (self.since + MAX_QUEUE_WAIT).min(deadline);
         let left = until.since(self.relay.now());
         let woken = tokio::time::timeout(Duration::from_millis(left.0), self.room.notified());
         woken.await.is_ok()
@@ -90,7 +90,7 @@
     fn drop(&mut self) {
         let mut core = self.relay.core.borrow_mut();
         if let Some(group) = core.group_mut(self.group) {
-            group.queue.left();
+            group.queue.leave();
         }
     }
 }
--- a/crates/cherrystandd/src/settings.rs
+++ b/crates/cherrystandd/src/settings.rs
@@ -5,8 +5,8 @@
 use std::path::Path;
 
 use cherrystand_core::{
-    Millis, NewsBudget, NodeId, Policy, RegionId, RepairPolicy, RepairRule, RetryBounds,
-    ReturnModel, Room, SettingsError, SettingsErrorKind, ZoneId, settings_from_toml,
+    AdmissionLimits, Millis, NodeId, Policy, PropagationBudget, RegionId, RepairPolicy, RepairRule,
+    RetryBounds, ReturnModel, SettingsError, SettingsErrorKind, ZoneId, settings_from_toml,
 };
 use serde::Deserialize;
 
@@ -102,15 +102,17 @@
 }
 
 fn usual_news_ms() -> u64 {
-    NewsBudget::USUAL.0
+    PropagationBudget::DEFAULT_BOUND.0
 }
 
 impl SiteSettings {
     /// Returns how the time is split that a change may take to all daemons: all changes go the same way, and the one
     /// that is due first decides.
-    pub fn news_budget(&self) -> NewsBudget {
+    pub fn news_budget(&self) -> PropagationBudget {
         let least = self.drain_ms.min(self.config_apply_ms);
-        NewsBudget::new(Millis(self.evacuate_ms.map_or(least, |evacuate| evacuate.min(least))))
+        PropagationBudget::new(Millis(
+            self.evacuate_ms.map_or(least, |evacuate| evacuate.min(least)),
+        ))
     }
 
     /// Returns the retry budget of all daemons together.
@@ -167,10 +169,10 @@
 
 impl Default for Limits {
     fn default() -> Self {
-        let room = Room::default();
+        let room = AdmissionLimits::default();
         Self {
             requests: room.total,
-            consent_requests: room.for_consent,
+            consent_requests: room.reserved_for_consent,
             batch_percent: room.batch_percent,
             body_bytes: 8 << 20,
             link_mbps: 0.0,
@@ -191,10 +193,10 @@
     }
 
     /// Returns the room for requests.
-    pub fn room(&self) -> Room {
-        Room {
+    pub fn room(&self) -> AdmissionLimits {
+        AdmissionLimits {
             total: self.requests,
-            for_consent: self.consent_requests,
+            reserved_for_consent: self.consent_requests,
             batch_percent: self.batch_percent,
         }
     }
@@ -379,7 +381,7 @@
             ("evacuate_ms", site.evacuate_ms),
         ];
         for (key, bound) in bounds {
-            if bound.is_some_and(|bound| bound < NewsBudget::LEAST.0) {
+            if bound.is_some_and(|bound| bound < PropagationBudget::MIN_BOUND.0) {
                 return Err(impossible(key, bound.unwrap_or_default(), "2000 or more"));
             }
         }
--- a/crates/cherrystandd/src/site/active_attempt.rs
+++ b/crates/cherrystandd/src/site/active_attempt.rs
@@ -69,7 +69,7 @@
             req,
             key,
             target,
-            after_backoff: permit.comes_back(),
+            after_backoff: permit.is_after_backoff(),
             permit: Cell::new(Some(permit)),
             answered: Cell::new(false),
             unread_tokens: Cell::new(prompt),
@@ -216,7 +216,7 @@
             balancer.record_end_after_backoff(&self.target);
         }
         if self.permit.take().is_some() {
-            balancer.limits_mut().not_sent(&self.target);
+            balancer.limits_mut().return_permit(&self.target);
         }
         self.frontend.crashes.attempt_ended(&self.target, &self.req);
     }
--- a/crates/cherrystandd/src/site/box_calls.rs
+++ b/crates/cherrystandd/src/site/box_calls.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use cherrystand_core::{
-    BoxId, DomainId, Doubt, MemberOrder, MemberTask, Millis, OrderEnd, Revision, SilenceCheck,
-    SilenceVerdict, SiteBox, WITNESS_BEFORE,
+    BoxId, DomainId, LivenessProbe, MemberOrder, MemberTask, Millis, OrderEnd, ProbeReason,
+    ProbeVerdict, Revision, SiteBox, WITNESS_LEAD_TIME,
 };
 use cherrystand_platform::{Answer, BoxCall, CallError, SendError, SiteDriver, call_with};
 
@@ -49,7 +49,7 @@
             OrderEnd::Dark | OrderEnd::Silent => {
                 let site_box = self.state.borrow().listed_box(&order.target);
                 if let Some(site_box) = site_box {
-                    self.probe(site_box, Doubt::NoAnswer).await;
+                    self.probe(site_box, ProbeReason::NoAnswer).await;
                 }
             }
             _ => {}
@@ -132,22 +132,22 @@
 
     /// Logs a verdict with the state of this node's calls: if many of them are open or unanswered
     /// at once, it is the daemon that is busy and not the box that is dead.
-    fn log_verdict(&self, id: &BoxId, sent_at: Millis, verdict: SilenceVerdict) {
+    fn log_verdict(&self, id: &BoxId, sent_at: Millis, verdict: ProbeVerdict) {
         self.cx.metrics.silence_verdicts.with_label_values(&[verdict.as_str()]).inc();
         let now = self.now();
         let calls = self.call_book.borrow();
-        let state = calls.state(now);
+        let state = calls.stats(now);
         let text = match verdict {
-            SilenceVerdict::Silent => "a box is taken for silent",
-            SilenceVerdict::AskAgain => "a box did not answer and is probed again",
-            SilenceVerdict::Undecided => "a box did not answer, but nor did any witness: undecided",
+            ProbeVerdict::Silent => "a box is taken for silent",
+            ProbeVerdict::AskAgain => "a box did not answer and is probed again",
+            ProbeVerdict::Undecided => "a box did not answer, but nor did any witness: undecided",
         };
         log::info!(
             target_box = id.as_str(), waited_ms = now.since(sent_at).0, open = state.open,
             unanswered = state.unanswered, answered = state.answered,
             slowest_ms = state.slowest.0,
             quickest_since_ms =
-                calls.answered_between(sent_at, now).map_or(-1, |took| took.0 as i64);
+                calls.fastest_answer_between(sent_at, now).map_or(-1, |took| took.0 as i64);
             "{text}"
         );
     }
@@ -161,7 +161,7 @@
 
     /// Returns whether a box may be probed, which it may not if it has just been probed for the
     /// same reason, and records the probe.
-    fn may_probe(&self, id: &BoxId, doubt: Doubt) -> bool {
+    fn may_probe(&self, id: &BoxId, doubt: ProbeReason) -> bool {
         let now = self.now();
         let mut last_probed = self.last_probed.borrow_mut();
         last_probed.retain(|_, at| now.since(*at) < PROBE_INTERVAL);
@@ -174,7 +174,7 @@
     }
 
     /// Probes a box that may be gone, repeatedly if this daemon may be delayed itself.
-    async fn probe(self: &Rc<Self>, site_box: SiteBox, doubt: Doubt) {
+    async fn probe(self: &Rc<Self>, site_box: SiteBox, doubt: ProbeReason) {
         if !self.may_probe(&site_box.id, doubt) {
             return;
         }
@@ -185,31 +185,33 @@
         self.wake.notify_one();
     }
 
-    async fn probe_until_known(self: &Rc<Self>, site_box: &SiteBox, doubt: Doubt) {
-        let mut check = SilenceCheck::default();
+    async fn probe_until_known(self: &Rc<Self>, site_box: &SiteBox, doubt: ProbeReason) {
+        let mut check = LivenessProbe::default();
         loop {
             let sent_at = self.now();
             self.probe_witnesses(site_box);
-            let timeout = Duration::from_millis(check.within().0);
+            let timeout = Duration::from_millis(check.timeout().0);
             let answer = self
                 .timed_call("report", site_box.address, Driver::report_call(&site_box.id), timeout)
                 .await;
             let verdict = match &answer {
-                Ok(answer) if is_other_box(site_box, answer) => SilenceVerdict::Silent,
+                Ok(answer) if is_other_box(site_box, answer) => ProbeVerdict::Silent,
                 Ok(answer) => {
                     self.count_probe("answered");
                     self.check_leaving(&site_box.id, answer);
                     return self.state.borrow_mut().record_answer(&site_box.id, true, self.now());
                 }
-                Err(CallError::Send(SendError::Connect { .. })) => SilenceCheck::refused(doubt),
-                Err(_) => check.unanswered(sent_at, self.now(), &self.call_book.borrow()),
+                Err(CallError::Send(SendError::Connect { .. })) => {
+                    LivenessProbe::verdict_on_refusal(doubt)
+                }
+                Err(_) => check.record_timeout(sent_at, self.now(), &self.call_book.borrow()),
             };
             self.count_probe("silent");
             self.log_verdict(&site_box.id, sent_at, verdict);
             match verdict {
-                SilenceVerdict::AskAgain => {}
-                SilenceVerdict::Undecided => return,
-                SilenceVerdict::Silent => {
+                ProbeVerdict::AskAgain => {}
+                ProbeVerdict::Undecided => return,
+                ProbeVerdict::Silent => {
                     self.state.borrow_mut().record_answer(&site_box.id, false, self.now());
                     return self.publish_and_wake();
                 }
@@ -221,7 +223,7 @@
     /// delayed itself. Does nothing if witnesses were called just before.
     fn probe_witnesses(self: &Rc<Self>, doubted: &SiteBox) {
         let now = self.now();
-        if self.witness_probed_at.get().is_some_and(|at| now.since(at) <= WITNESS_BEFORE) {
+        if self.witness_probed_at.get().is_some_and(|at| now.since(at) <= WITNESS_LEAD_TIME) {
             return;
         }
         self.witness_probed_at.set(Some(now));
@@ -238,7 +240,7 @@
                     let Some(other) = self.state.borrow().pick_witness(doubted) else { return };
                     tokio::task::spawn_local(async move {
                         let report = Driver::report_call(&other.id);
-                        let timeout = Duration::from_millis(SilenceCheck::default().within().0);
+                        let timeout = Duration::from_millis(LivenessProbe::default().timeout().0);
                         // As above.
                         let _ = control.timed_call("witness", other.address, report, timeout).await;
                     });
@@ -277,7 +279,7 @@
         // Boxes that fail together are probed together, including the spares that would replace the
         // members.
         members.extend(control.state.borrow().domain_spares(&id));
-        probe_each(&control, members, Doubt::NoAnswer);
+        probe_each(&control, members, ProbeReason::NoAnswer);
         let unknown = control.state.borrow().unknown_members(&id);
         for member in &unknown {
             control.state.borrow_mut().record_answer(member, false, control.now());
@@ -293,10 +295,10 @@
 pub(super) fn probe_unlisted(control: &Rc<Control>) {
     let mut unlisted = control.state.borrow_mut().take_unverified();
     unlisted.retain(|site_box| control.decides_for(site_box));
-    probe_each(control, unlisted, Doubt::NotListed);
+    probe_each(control, unlisted, ProbeReason::NotListed);
 }
 
-fn probe_each(control: &Rc<Control>, boxes: Vec<SiteBox>, doubt: Doubt) {
+fn probe_each(control: &Rc<Control>, boxes: Vec<SiteBox>, doubt: ProbeReason) {
     for site_box in boxes {
         let control = control.clone();
         tokio::task::spawn_local(async move { control.probe(site_box, doubt).await });
--- a/crates/cherrystandd/src/site/box_entries.rs
+++ b/crates/cherrystandd/src/site/box_entries.rs
@@ -25,7 +25,7 @@
             return;
         }
         let is_not_older = |held: &Document| held.revision >= entry.revision;
-        if self.tombstones.hide(&name, entry.revision)
+        if self.tombstones.hides(&name, entry.revision)
             || self.entries.get(&name).is_some_and(is_not_older)
         {
             return;
@@ -176,7 +176,7 @@
     /// store may have lost its entry in an outage.
     pub(super) fn delist(&mut self, name: &BoxId, as_of: Revision, now: Millis) {
         let id = self.listed_incarnations.get(name).filter(|id| self.boxes.contains_key(*id));
-        match id.filter(|_| self.store_outage.keeps(now)).cloned() {
+        match id.filter(|_| self.store_outage.keeps_unlisted(now)).cloned() {
             Some(id) => {
                 self.log_box_transition(BoxTransition::Kept, &id, now);
                 self.unlisted.insert(id);
@@ -190,7 +190,7 @@
         if self.entries.get(name).is_some_and(|held| held.revision > as_of) {
             return;
         }
-        self.tombstones.add(name, as_of);
+        self.tombstones.insert(name, as_of);
         self.entries.remove(name);
         if let Some(service) = self.incarnations.remove(name) {
             self.reapply_entries(&service, now);
--- a/crates/cherrystandd/src/site/change_sharing.rs
+++ b/crates/cherrystandd/src/site/change_sharing.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use cherrystand_core::{AwakeTime, ChangesSince, Millis, NewsBudget, NodeId, Revision};
+use cherrystand_core::{ChangesSince, Millis, NodeId, PropagationBudget, Revision, RunningTime};
 use cherrystand_peer::{
     BatchSpan, ChangeCursor, ChangeNews, ChangeQuestion, CodecError, decode, encode,
 };
@@ -20,7 +20,7 @@
 use crate::site::control::{Control, to_duration};
 
 /// How long an answer may take that does not wait for a change.
-const ANSWER_TIMEOUT: Duration = Duration::from_millis(NewsBudget::PEER_ANSWERS_WITHIN.0);
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(PropagationBudget::PEER_RESPONSE_TIME.0);
 
 /// The age of a state that a daemon has only from a peer's snapshot.
 const UNKNOWN_AGE: Millis = Millis(u64::MAX);
@@ -131,7 +131,7 @@
     loop {
         let was_fresh = fresh_store_age(control);
         let left = until.since(control.now());
-        let fresh_for = was_fresh.map(|age| control.budget.fresh_for().since(age) + Millis(1));
+        let fresh_for = was_fresh.map(|age| control.budget.max_source_age().since(age) + Millis(1));
         let timeout = to_duration(fresh_for.map_or(left, |fresh_for| fresh_for.min(left)));
         let is_changed = tokio::time::timeout(timeout, changed.wait_for(is_due)).await.is_ok();
         let is_stale = was_fresh.is_some() && fresh_store_age(control).is_none();
@@ -144,7 +144,7 @@
 /// Returns the age of the state of the store, if it is fresh.
 fn fresh_store_age(control: &Control) -> Option<Millis> {
     let is_listed = control.state.borrow().is_listed();
-    control.store_age().filter(|age| *age <= control.budget.fresh_for() && is_listed)
+    control.store_age().filter(|age| *age <= control.budget.max_source_age() && is_listed)
 }
 
 /// Builds a snapshot of everything, if it is newer than what the peer has.
@@ -209,17 +209,17 @@
     cursor: Option<ChangeCursor>,
 ) -> Result<PeerPosition, ChangesError> {
     let sent_at = control.now();
-    let timeout = control.budget.peer_given_up_after();
-    let wait = control.budget.wait();
+    let timeout = control.budget.peer_timeout();
+    let wait = control.budget.peer_wait();
     let request = ChangeQuestion::After { cursor, wait, config: control.held_config_revision() };
     let result = request_changes(control, peer, &request, to_duration(timeout)).await;
     let now = control.now();
     // An answer that arrived while this process was paused does not show the current state.
-    if now.since(sent_at) > timeout + AwakeTime::UNNOTICED {
+    if now.since(sent_at) > timeout + RunningTime::MAX_TICK_GAP {
         return Err(ChangesError::Paused);
     }
     let answer = result?;
-    if answer.store_age > control.budget.fresh_for() {
+    if answer.store_age > control.budget.max_source_age() {
         return Err(ChangesError::Stale(answer.store_age));
     }
     // The state is as old as it was at the peer, plus the time in transit.
@@ -271,7 +271,8 @@
     let request =
         ChangeQuestion::Copy { newer_than: Revision::NONE, config: control.held_config_revision() };
     let answer = request_changes(control, peer, &request, ANSWER_TIMEOUT).await?;
-    let is_refuted = answer.store_age <= control.budget.fresh_for() && answer.steady_for > silence;
+    let is_refuted =
+        answer.store_age <= control.budget.max_source_age() && answer.steady_for > silence;
     if is_refuted {
         let batch = answer.batch.unpack()?;
         let mut state = control.state.borrow_mut();
--- a/crates/cherrystandd/src/site/control.rs
+++ b/crates/cherrystandd/src/site/control.rs
@@ -7,8 +7,8 @@
 use std::time::Duration;
 
 use cherrystand_core::{
-    BoxId, CallBook, CapacityPlanner, DomainId, Doubt, Formation, Heartbeat, Millis, NewsBudget,
-    Revision, ServiceName, StoreReach, all_readers, owner_of,
+    BoxId, CallHistory, CapacityPlanner, DomainId, Formation, Heartbeat, Millis, ProbeReason,
+    PropagationBudget, Revision, ServiceName, StoreReachability, all_readers, owner_of,
 };
 use cherrystand_peer::{ChangeBatches, ChangeNews, PackedBody};
 use cherrystand_platform::{HttpPool, KeyValue, SiteDriver, since_boot};
@@ -83,7 +83,7 @@
     /// Connections to boxes and peers.
     pub(super) pool: HttpPool,
     /// The results of recent calls to boxes.
-    pub(super) call_book: RefCell<CallBook>,
+    pub(super) call_book: RefCell<CallHistory>,
     /// When other boxes or peers were last probed to check this node's own network.
     pub(super) witness_probed_at: Cell<Option<Millis>>,
     pub(super) wake: Notify,
@@ -92,12 +92,12 @@
     pub(super) capacity_planners: RefCell<BTreeMap<ServiceName, CapacityPlanner>>,
     pub(super) recent_loads: RefCell<BTreeMap<DomainId, VecDeque<Millis>>>,
     /// When each box was last probed, by the reason for the probe.
-    pub(super) last_probed: RefCell<BTreeMap<(BoxId, Doubt), Millis>>,
+    pub(super) last_probed: RefCell<BTreeMap<(BoxId, ProbeReason), Millis>>,
     /// Boxes that are being probed.
     pub(super) probing: RefCell<BTreeSet<BoxId>>,
     /// How long each hop of a change may take.
-    pub(super) budget: NewsBudget,
-    store_reach: Cell<StoreReach>,
+    pub(super) budget: PropagationBudget,
+    store_reach: Cell<StoreReachability>,
     announced_decides: Cell<bool>,
     passed_on_at: Cell<Millis>,
     passed_on_revisions: Cell<(Revision, Revision)>,
@@ -146,7 +146,7 @@
         self.cx.clock.now()
     }
 
-    fn update_reach<T>(&self, change: impl FnOnce(&mut StoreReach) -> T) -> T {
+    fn update_reach<T>(&self, change: impl FnOnce(&mut StoreReachability) -> T) -> T {
         let mut reach = self.store_reach.get();
         let out = change(&mut reach);
         self.store_reach.set(reach);
@@ -155,18 +155,18 @@
 
     /// Records that the store answered this node directly.
     pub(crate) fn record_store_answer(&self) {
-        self.update_reach(StoreReach::reached);
+        self.update_reach(StoreReachability::record_success);
     }
 
     /// Returns whether this node's last direct call to the store failed.
     pub(crate) fn is_store_unreachable(&self) -> bool {
-        self.store_reach.get().fails()
+        self.store_reach.get().is_failing()
     }
 
     /// Records that the store did not answer this node directly, while it may still read from a
     /// peer.
     pub(crate) fn record_store_miss(&self) {
-        self.update_reach(StoreReach::missed);
+        self.update_reach(StoreReachability::record_failure);
         self.wake.notify_one();
     }
 
@@ -175,7 +175,7 @@
     pub(crate) fn record_update(&self, source: &ChangeSource, age: Millis, has_changes: bool) {
         let at = self.now() - age;
         self.cx.news_heard.told(at, source);
-        self.update_reach(|reach| reach.told(at));
+        self.update_reach(|reach| reach.record_update(at));
         if has_changes {
             self.publish_and_wake();
         }
@@ -329,7 +329,7 @@
     /// Versions written in the meantime arrive as one.
     pub(crate) fn read_pause(&self, min: Duration) -> Duration {
         let pause = self.last_apply_took.take() * READ_PAUSE_FACTOR;
-        pause.min(to_duration(self.budget.longest_rest())).max(min)
+        pause.min(to_duration(self.budget.max_pause())).max(min)
     }
 
     /// Adds the values from the store that could not be used to the metrics.
--- a/crates/cherrystandd/src/site/endpoint_signals.rs
+++ b/crates/cherrystandd/src/site/endpoint_signals.rs
@@ -2,7 +2,7 @@
 //!
 //! Source: docs/design/0020-rest-and-leaving.md.
 
-use cherrystand_core::{BoxId, ColdWord, LimitHeard, Millis};
+use cherrystand_core::{BoxId, ColdPeriodUpdate, Millis, ObservedRateLimit};
 use cherrystand_peer::LoadNews;
 use cherrystand_platform::{AnswerFacts, AskedRest, NamedLimit};
 use hyper::StatusCode;
@@ -43,14 +43,16 @@
             return;
         }
         let mut balancer = self.balancer.borrow_mut();
-        if facts.leaving && balancer.hear_leaving(&attempt.target) {
+        if facts.leaving && balancer.record_draining(&attempt.target) {
             self.signal_log.leaving(&attempt.target);
             self.cx.hint(Hint::Leaves(attempt.target.clone()));
             self.loads.broadcast(LoadNews::Leaves(attempt.target.clone()));
         }
         if facts.not_run {
             let until = match facts.asked_rest {
-                AskedRest::For(rest) => Some(balancer.hear_rest(&attempt.target, rest, self.now())),
+                AskedRest::For(rest) => {
+                    Some(balancer.record_backoff(&attempt.target, rest, self.now()))
+                }
                 _ => None,
             };
             self.signal_log.refused(&attempt.target, facts, until);
@@ -78,9 +80,9 @@
             NamedLimit::PerSecond(limit) => Some(limit),
             NamedLimit::Unreadable => return self.signal_log.invalid_limit(&attempt.target),
         };
-        let heard = LimitHeard { limit, sent: attempt.started_at };
+        let heard = ObservedRateLimit { limit, request_sent_at: attempt.started_at };
         let mut balancer = self.balancer.borrow_mut();
-        let is_new = balancer.limits_mut().hear_answer(&attempt.target, heard, self.now());
+        let is_new = balancer.limits_mut().record_answer(&attempt.target, heard, self.now());
         self.signal_log.limit(&attempt.target, limit, is_new);
         if is_new {
             self.loads.limits_due.notify_one();
@@ -100,8 +102,8 @@
         let view = self.view.borrow();
         let service = view.table.as_ref().and_then(|table| table.config().service(&req.service));
         let Some(cold) = service.and_then(|service| service.cold) else { return };
-        let cold_life = ColdWord { rate: cold.rate, left }.life(self.now());
-        self.balancer.borrow_mut().limits_mut().follow_cold(&attempt.target, Some(cold_life));
+        let cold_life = ColdPeriodUpdate { rate: cold.rate, left }.to_period(self.now());
+        self.balancer.borrow_mut().limits_mut().set_cold_period(&attempt.target, Some(cold_life));
         self.loads.limits_due.notify_one();
     }
 
@@ -122,8 +124,8 @@
                 let limits = balancer.limits();
                 endpoints
                     .iter()
-                    .all(|id| limits.wait(id, self.now()).is_some_and(|wait| wait.is_err()))
-                    && endpoints.iter().any(|id| limits.may_come(id))
+                    .all(|id| limits.permit_wait(id, self.now()).is_some_and(|wait| wait.is_err()))
+                    && endpoints.iter().any(|id| limits.may_get_permit(id))
             };
             if !may_come || self.timeout_at(now + max_wait, answered).await.is_none() {
                 return;
--- a/crates/cherrystandd/src/site/evacuation_state.rs
+++ b/crates/cherrystandd/src/site/evacuation_state.rs
@@ -209,6 +209,6 @@
     pub(super) fn cold_start_duration(&self, service: &ServiceName) -> Millis {
         let table = self.table();
         let service = table.and_then(|table| table.config().service(service));
-        service.and_then(|service| service.cold).map_or(Millis(0), |cold| cold.lasts)
+        service.and_then(|service| service.cold).map_or(Millis(0), |cold| cold.duration)
     }
 }
--- a/crates/cherrystandd/src/site/frontend.rs
+++ b/crates/cherrystandd/src/site/frontend.rs
@@ -10,8 +10,8 @@
 
 use cherrystand_core::{
     AttemptEnd, BoxId, EngineLoad, LoadBalancer, LogLimiter, Millis, Outcome, PeerProgress,
-    Prediction, Route, STALL_MARGIN, Seed, ServiceName, SiteView, StallEvidence, StreamEnd,
-    engine_priority, kept_connections,
+    Prediction, Route, STALL_MARGIN, SeededRng, ServiceName, SiteView, StallEvidence, StreamEnd,
+    engine_priority, max_idle_connections,
 };
 use cherrystand_platform::{EndpointPool, HeldBytes};
 
@@ -77,7 +77,7 @@
     pub(crate) held_bytes: HeldBytes,
     pub(super) view: RefCell<Arc<SiteView>>,
     addresses: RefCell<BTreeMap<BoxId, SocketAddr>>,
-    pub(super) seed: Cell<Seed>,
+    pub(super) seed: Cell<SeededRng>,
     /// This node's share of the retries.
     pub(crate) retries: RetryShares,
     /// Logs failed requests.
@@ -98,7 +98,7 @@
         loads: Rc<LoadExchange>,
         crashes: Rc<CrashWatch>,
     ) -> Self {
-        balancer.borrow_mut().limits_mut().number_from(clock::unix_millis());
+        balancer.borrow_mut().limits_mut().set_last_request_number(clock::unix_millis());
         Self {
             balancer,
             pool: EndpointPool::default(),
@@ -113,7 +113,7 @@
             signal_log: SignalLog::new(cx.clock, cx.metrics.clone()),
             stale_log: RefCell::new(LogLimiter::new(STALE_LOGS_PER_SECOND)),
             crashes,
-            seed: Cell::new(Seed::new(clock::unix_millis())),
+            seed: Cell::new(SeededRng::new(clock::unix_millis())),
             loads,
             cx,
         }
@@ -190,12 +190,12 @@
     pub(crate) fn max_idle_connections(&self, service: &ServiceName) -> usize {
         let view = self.view.borrow();
         let known = view.table.as_ref().and_then(|table| table.config().service(service));
-        kept_connections(known.and_then(|service| service.connections), view.nodes)
+        max_idle_connections(known.and_then(|service| service.connections), view.nodes)
     }
 
     /// Returns whether a box has announced that it is leaving.
-    pub(crate) fn is_leaving(&self, id: &BoxId) -> bool {
-        let by_answer = self.balancer.borrow().is_leaving(id);
+    pub(crate) fn is_draining(&self, id: &BoxId) -> bool {
+        let by_answer = self.balancer.borrow().is_draining(id);
         by_answer || self.view.borrow().boxes.get(id).is_some_and(|known| known.leaving)
     }
 
--- a/crates/cherrystandd/src/site/frontend_duty.rs
+++ b/crates/cherrystandd/src/site/frontend_duty.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use cherrystand_core::{LoadBalancer, Millis, StopPlan};
+use cherrystand_core::{LoadBalancer, Millis, ShutdownPlan};
 use cherrystand_platform::serve_http;
 use tokio::net::TcpListener;
 use tokio::sync::watch;
@@ -50,10 +50,10 @@
     let stopping = async {
         cx.stopping(StopPhase::Draining).await;
         log::info!("draining: not ready any more, finishing what is in flight");
-        let plan = StopPlan::new(Millis(site.grace_ms), Millis(cx.settings.stop.linger_ms));
+        let plan = ShutdownPlan::new(Millis(site.grace_ms), Millis(cx.settings.stop.linger_ms));
         tokio::time::sleep(Duration::from_millis(plan.linger.0)).await;
         stop.send_replace(true);
-        tokio::time::sleep(Duration::from_millis(plan.finish.0)).await;
+        tokio::time::sleep(Duration::from_millis(plan.drain.0)).await;
     };
     let finished = async { tokio::join!(serving, cx.stopping(StopPhase::Draining)) };
     tokio::select! {
--- a/crates/cherrystandd/src/site/limit_exchange.rs
+++ b/crates/cherrystandd/src/site/limit_exchange.rs
@@ -6,7 +6,10 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use cherrystand_core::{EndpointLimits, LimitNews, LimitStep, LimitTo, Millis, limit_keeper_of};
+use cherrystand_core::{
+    EndpointRateLimits, Millis, RateLimitMessage, RateLimitRecipient, RateLimitStep,
+    rate_limit_owner_of,
+};
 use cherrystand_peer::LoadNews;
 
 use crate::site::load_exchange::Exchange;
@@ -71,32 +74,32 @@
     /// Performs what is due for one kind of limits: asking for permits, issuing and returning them.
     fn step<K: Ord + Clone + Display>(
         &self,
-        limits: &mut EndpointLimits<K>,
+        limits: &mut EndpointRateLimits<K>,
         members_changed: bool,
         view: &View,
-    ) -> LimitStep<K> {
+    ) -> RateLimitStep<K> {
         let now = self.cx.clock.now();
-        let keeper_of = |id: &K| limit_keeper_of(id, &view.own.node, &view.members);
+        let keeper_of = |id: &K| rate_limit_owner_of(id, &view.own.node, &view.members);
         if members_changed {
-            limits.follow(now, keeper_of);
+            limits.reassign_owners(now, keeper_of);
         }
         limits.step(now, keeper_of)
     }
 
     async fn send_step<K>(
         &self,
-        step: LimitStep<K>,
-        news_of: impl Fn(K, LimitNews) -> LoadNews,
+        step: RateLimitStep<K>,
+        news_of: impl Fn(K, RateLimitMessage) -> LoadNews,
         view: &View,
     ) {
         if step.has_permits {
             self.loads.permits.notify_waiters();
         }
-        for (to, id, news) in step.news {
+        for (to, id, news) in step.messages {
             let news = news_of(id, news);
             match to {
-                LimitTo::Node(address) => self.send(&news, &[address]).await,
-                LimitTo::All => {
+                RateLimitRecipient::Node(address) => self.send(&news, &[address]).await,
+                RateLimitRecipient::All => {
                     let others = view.alive().filter(|beat| beat.node != view.own.node);
                     let others: Vec<SocketAddr> = others.map(|beat| beat.address).collect();
                     self.broadcast(news, &others).await;
--- a/crates/cherrystandd/src/site/load_exchange.rs
+++ b/crates/cherrystandd/src/site/load_exchange.rs
@@ -8,8 +8,8 @@
 use std::time::Duration;
 
 use cherrystand_core::{
-    BoxId, EndpointLimits, EndpointLoad, Heartbeat, LoadBalancer, Millis, PeerLoads, PeerProgress,
-    RetryBounds, ServiceName, is_relay, relays_elsewhere, spread,
+    BoxId, EndpointLoad, EndpointRateLimits, Heartbeat, LoadBalancer, Millis, PeerLoads,
+    PeerProgress, RetryBounds, ServiceName, fan_out, is_relay, relays_elsewhere,
 };
 use cherrystand_peer::{LoadNews, decode, encode};
 use tokio::net::UdpSocket;
@@ -64,7 +64,7 @@
     last_answer_at: Cell<Option<Millis>>,
     urgent: Notify,
     /// The retries that daemons lend each other, by service.
-    pub(super) lent_retries: RefCell<EndpointLimits<ServiceName>>,
+    pub(super) lent_retries: RefCell<EndpointRateLimits<ServiceName>>,
     /// Wakes the task that maintains rate limits.
     pub(super) limits_due: Notify,
     /// Wakes requests that wait for a permit.
@@ -75,8 +75,8 @@
     /// Creates it with the rate at which retries are lent, which follows from the bounds for all
     /// daemons together.
     pub(crate) fn new(bounds: RetryBounds) -> Self {
-        let mut lent_retries = EndpointLimits::with_at_once(bounds.max_loan());
-        lent_retries.number_from(clock::unix_millis());
+        let mut lent_retries = EndpointRateLimits::with_burst(bounds.max_loan());
+        lent_retries.set_last_request_number(clock::unix_millis());
         Self { lent_retries: RefCell::new(lent_retries), ..Self::default() }
     }
 
@@ -237,11 +237,11 @@
             LoadNews::Served(requests) => self.crashes.peer_reported_served(&requests),
             LoadNews::Leaves(id) => self.cx.hint(Hint::Leaves(id)),
             LoadNews::Limit(id, news) => {
-                self.balancer.borrow_mut().limits_mut().hear(sender, &id, news, now);
+                self.balancer.borrow_mut().limits_mut().handle_message(sender, &id, news, now);
                 self.loads.limits_due.notify_one();
             }
             LoadNews::Repeats(service, news) => {
-                self.loads.lent_retries.borrow_mut().hear(sender, &service, news, now);
+                self.loads.lent_retries.borrow_mut().handle_message(sender, &service, news, now);
                 self.loads.limits_due.notify_one();
             }
             // `handle_and_forward` has forwarded it; a nested one is ignored.
@@ -373,11 +373,11 @@
     /// Sends a message to all others, through some of them if there are many.
     pub(super) async fn broadcast(&self, news: LoadNews, others: &[SocketAddr]) {
         let from = self.cx.settings.listen.peers;
-        for hop in spread(others) {
-            match hop.pass_on_to.is_empty() {
+        for hop in fan_out(others) {
+            match hop.forward_to.is_empty() {
                 true => self.send(&news, &[hop.to]).await,
                 false => {
-                    let (news, to) = (Box::new(news.clone()), hop.pass_on_to);
+                    let (news, to) = (Box::new(news.clone()), hop.forward_to);
                     self.send(&LoadNews::PassOn { from, news, to }, &[hop.to]).await;
                 }
             }
--- a/crates/cherrystandd/src/site/peer_selector.rs
+++ b/crates/cherrystandd/src/site/peer_selector.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use cherrystand_core::{
-    Heartbeat, NodeId, Seed, Source, SourceChooser, between_questions_of, between_watches,
-    readers_of,
+    Heartbeat, NodeId, SeededRng, Source, SourceSelector, poll_interval_of, readers_of,
+    watch_interval,
 };
 
 use crate::{DutyContext, clock};
@@ -18,13 +18,13 @@
 /// Selects peers by the latest view of the nodes.
 pub(crate) struct PeerSelector {
     cx: DutyContext,
-    source_chooser: RefCell<SourceChooser>,
-    seed: Cell<Seed>,
+    source_chooser: RefCell<SourceSelector>,
+    seed: Cell<SeededRng>,
 }
 
 impl PeerSelector {
     pub(crate) fn new(cx: DutyContext) -> Self {
-        let seed = Cell::new(Seed::new(clock::unix_millis()));
+        let seed = Cell::new(SeededRng::new(clock::unix_millis()));
         Self { cx, source_chooser: RefCell::default(), seed }
     }
 
@@ -57,12 +57,12 @@
 
     /// Returns the pause between two watches of the store for a reader.
     pub(crate) fn watch_interval(&self) -> Duration {
-        Duration::from_millis(self.with_alive(|_, alive| between_watches(alive)).0)
+        Duration::from_millis(self.with_alive(|_, alive| watch_interval(alive)).0)
     }
 
     /// Returns the pause between two polls of the peer that this node reads from.
     pub(crate) fn poll_interval(&self) -> Duration {
-        let interval = self.with_alive(between_questions_of);
+        let interval = self.with_alive(poll_interval_of);
         Duration::from_millis(interval.0)
     }
 
@@ -70,8 +70,8 @@
     pub(crate) fn record_source_failure(&self, peer: &NodeId, answered: bool) {
         let mut sources = self.source_chooser.borrow_mut();
         match answered {
-            true => sources.knows_nothing(peer, self.cx.clock.now()),
-            false => sources.failed(peer, self.cx.clock.now()),
+            true => sources.record_stale(peer, self.cx.clock.now()),
+            false => sources.record_failure(peer, self.cx.clock.now()),
         }
     }
 
--- a/crates/cherrystandd/src/site/reader_list.rs
+++ b/crates/cherrystandd/src/site/reader_list.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use cherrystand_core::{Heartbeat, NoteKeeper, NotedReader, ReaderNote, Revision};
+use cherrystand_core::{Heartbeat, ListedReader, ReaderList, ReaderListPublisher, Revision};
 use cherrystand_platform::{KeyValue, PlatformError, Swap};
 use futures_util::future::select_all;
 
@@ -28,7 +28,7 @@
     if !control.cx.settings.policy.readers {
         return;
     }
-    let mut publisher = NoteKeeper::default();
+    let mut publisher = ReaderListPublisher::default();
     loop {
         tokio::time::sleep(CHECK_INTERVAL).await;
         let view = control.cx.view_now();
@@ -37,15 +37,15 @@
         if total_listed < control.cx.settings.policy.note_readers_from {
             continue;
         }
-        let list = ReaderNote::of_zone(&view.own, &alive);
+        let list = ReaderList::of_zone(&view.own, &alive);
         if let Some(list) = publisher.due(&view.own.node, list, control.now()) {
             match write_reader_list(&control, &list).await {
-                Ok(true) => publisher.written(list),
+                Ok(true) => publisher.record_written(list),
                 // Another daemon wrote it at the same time. The next check reads what it wrote.
-                Ok(false) => publisher.failed(control.now()),
+                Ok(false) => publisher.record_failure(control.now()),
                 Err(err) => {
                     log::warn!("the reader list of this zone could not be written: {err}");
-                    publisher.failed(control.now());
+                    publisher.record_failure(control.now());
                 }
             }
         }
@@ -53,7 +53,7 @@
 }
 
 /// Writes the list unless the store already holds it. Returns whether the store now holds it.
-async fn write_reader_list(control: &Control, list: &ReaderNote) -> Result<bool, PlatformError> {
+async fn write_reader_list(control: &Control, list: &ReaderList) -> Result<bool, PlatformError> {
     let key = keys::readers(&control.cx.settings.zone);
     let stored = control.store.get(&key).await?;
     if stored.as_ref().and_then(|stored| parse_reader_list(&stored.body)).as_ref() == Some(list) {
@@ -72,7 +72,7 @@
     Ok(matches!(swap, Swap::Done(_)))
 }
 
-fn parse_reader_list(body: &str) -> Option<ReaderNote> {
+fn parse_reader_list(body: &str) -> Option<ReaderList> {
     match serde_json::from_str(body) {
         Ok(list) => Some(list),
         Err(err) => {
@@ -85,7 +85,7 @@
 /// A reader that a daemon started from, and how far it has read there.
 pub(crate) struct StartupSource {
     /// The reader.
-    pub(crate) reader: NotedReader,
+    pub(crate) reader: ListedReader,
     /// The position at the reader.
     pub(crate) position: PeerPosition,
 }
@@ -116,7 +116,7 @@
     let Some(list) = list else {
         return StartupOutcome::NoList;
     };
-    let started = match list.asked_by(&control.cx.settings.node) {
+    let started = match list.readers_for(&control.cx.settings.node) {
         [] => None,
         // The second reader reads the store itself if the first one does not answer, so that one of
         // them can serve the others soon.
@@ -126,7 +126,7 @@
     started.map_or(StartupOutcome::ReadStore, StartupOutcome::ReadFromPeer)
 }
 
-async fn read_from(control: &Control, reader: &NotedReader) -> Option<StartupSource> {
+async fn read_from(control: &Control, reader: &ListedReader) -> Option<StartupSource> {
     match read_changes(control, &reader.node, reader.changes, None).await {
         Ok(position) => Some(StartupSource { reader: reader.clone(), position }),
         Err(err) => {
@@ -136,8 +136,8 @@
     }
 }
 
-async fn read_from_first(control: &Control, readers: &[NotedReader]) -> Option<StartupSource> {
-    let read_with_retries = |reader: &NotedReader| {
+async fn read_from_first(control: &Control, readers: &[ListedReader]) -> Option<StartupSource> {
+    let read_with_retries = |reader: &ListedReader| {
         let reader = reader.clone();
         Box::pin(async move {
             loop {
--- a/crates/cherrystandd/src/site/retry_shares.rs
+++ b/crates/cherrystandd/src/site/retry_shares.rs
@@ -39,7 +39,7 @@
         let now = self.cx.clock.now();
         let in_share = self.with_share(service, |share| share.try_spend(now, nodes))
             || self.has_borrowed(service)
-                && self.loads.lent_retries.borrow_mut().take(service, now);
+                && self.loads.lent_retries.borrow_mut().take_permit(service, now);
         let allowed = in_share || !self.cx.settings.policy.retry_share;
         let metrics = &self.cx.metrics;
         if allowed {
@@ -68,7 +68,7 @@
         let until = self.cx.clock.now() + BORROW_TIMEOUT;
         loop {
             let answered = self.loads.permits.notified();
-            let may_come = || self.loads.lent_retries.borrow().may_come(service);
+            let may_come = || self.loads.lent_retries.borrow().may_get_permit(service);
             if self.has_left(service, nodes)
                 || !may_come()
                 || self.cx.clock.by(until, answered).await.is_none()
@@ -80,7 +80,7 @@
 
     /// Returns whether there is a borrowed retry that isn't spent.
     fn has_borrowed(&self, service: &ServiceName) -> bool {
-        let wait = self.loads.lent_retries.borrow().wait(service, self.cx.clock.now());
+        let wait = self.loads.lent_retries.borrow().permit_wait(service, self.cx.clock.now());
         wait == Some(Ok(()))
     }
 
@@ -91,8 +91,8 @@
         }
         let now = self.cx.clock.now();
         let mut lent_retries = self.loads.lent_retries.borrow_mut();
-        lent_retries.follow_cold(service, Some(bounds.loan_rate(now)));
-        lent_retries.want(service, now);
+        lent_retries.set_cold_period(service, Some(bounds.loan_rate(now)));
+        lent_retries.request_permit(service, now);
         self.loads.limits_due.notify_one();
     }
 
--- a/crates/cherrystandd/src/site/site_state.rs
+++ b/crates/cherrystandd/src/site/site_state.rs
@@ -5,9 +5,9 @@
 use std::sync::Arc;
 
 use cherrystand_core::{
-    Absences, AssignedBoxes, BoxId, BoxIncarnations, ChangeLog, ChangesSince, ColdBoxes, Document,
-    Epoch, LeavingLives, MemberOrder, MemberState, Millis, Revision, RouteTable, SiteBox,
-    SiteConfig, SiteView, StoreOutage, SuspectRecord,
+    AssignedBoxes, BoxId, BoxIncarnations, ChangeLog, ChangesSince, ColdBoxes, Document,
+    DrainingIncarnations, Epoch, MemberOrder, MemberState, Millis, Revision, RouteTable, SiteBox,
+    SiteConfig, SiteView, StoreOutage, SuspectRecord, Tombstones,
 };
 use cherrystand_peer::ChangeNews;
 use cherrystand_platform::{Changes, FormatError, SiteDriver};
@@ -48,7 +48,7 @@
     /// is kept as well, and hides the one before it.
     pub(super) entries: BTreeMap<BoxId, Document>,
     /// The revisions as of which deleted entries are known to be gone.
-    pub(super) tombstones: Absences<BoxId>,
+    pub(super) tombstones: Tombstones<BoxId>,
     /// Decides which incarnation of a box an entry belongs to.
     pub(super) incarnations: BoxIncarnations,
     /// The ID, with its incarnation, of each listed box, by box name.
@@ -74,7 +74,7 @@
     pub(super) silent_since: BTreeMap<BoxId, Millis>,
     /// Incarnations of boxes that announced in an answer that they are leaving, whatever their
     /// entries say.
-    pub(super) leaving: LeavingLives<BoxId>,
+    pub(super) leaving: DrainingIncarnations<BoxId>,
     /// Replica members whose entries are gone and that have not been probed since.
     pub(super) unverified: Vec<SiteBox>,
     /// Replicas whose leaders left them, by name and epoch, with the last epoch of the domain
@@ -141,7 +141,7 @@
     /// Applies changes read from the store.
     pub(crate) fn apply_changes(&mut self, changes: &Changes, now: Millis) {
         self.source = ChangeSource::Store;
-        self.store_outage.answered(now);
+        self.store_outage.record_answer(now);
         self.apply_zone_changes(changes, now);
         for record in &changes.records {
             self.apply_record(record, now);
@@ -157,7 +157,7 @@
     /// Applies a complete list of boxes read from the store.
     pub(crate) fn apply_list(&mut self, list: &[Document], revision: Revision, now: Millis) {
         self.source = ChangeSource::Store;
-        self.store_outage.answered(now);
+        self.store_outage.record_answer(now);
         for name in self.missing_from(list) {
             self.delist(&name, revision, now);
         }
@@ -191,7 +191,7 @@
         now: Millis,
     ) {
         let steady_since = now - news.steady_for;
-        self.store_outage.answered_peer(now - news.store_age, steady_since, now);
+        self.store_outage.record_peer_answer(now - news.store_age, steady_since, now);
         if news.whole {
             return self.apply_snapshot(source, &batch.records, news.revision, now);
         }
@@ -254,29 +254,29 @@
     /// Records that a call to the store failed. Returns whether the failure counts against the
     /// store rather than against a pause of this daemon.
     pub(crate) fn record_store_failure(&mut self, now: Millis) -> bool {
-        self.store_outage.failed(now)
+        self.store_outage.record_failure(now)
     }
 
     /// Records that the daemon is running.
     pub(crate) fn record_running(&mut self, now: Millis) {
-        self.store_outage.awake(now);
+        self.store_outage.record_running(now);
     }
 
     /// Returns how long the store was silent if boxes are being kept because of an outage that no
     /// peer has confirmed yet. The outage is returned once.
     pub(crate) fn take_unconfirmed_outage(&mut self) -> Option<Millis> {
-        self.keeps_unlisted().then(|| self.store_outage.take_doubt()).flatten()
+        self.keeps_unlisted().then(|| self.store_outage.take_unconfirmed_outage()).flatten()
     }
 
     /// Records that the store kept answering other daemons while it was silent here, so that boxes
     /// it does not list are gone.
     pub(crate) fn clear_outage(&mut self) {
-        self.store_outage.was_none();
+        self.store_outage.clear_outage();
     }
 
     /// Returns how long the store has answered without interruption.
     pub(crate) fn answering_for(&self, now: Millis) -> Millis {
-        self.store_outage.steady_for(now)
+        self.store_outage.answering_for(now)
     }
 
     /// Applies a domain's record, unless a later one is held.
@@ -307,7 +307,7 @@
 
     /// Records that a box announced in an answer that it is leaving. Returns whether that is new.
     pub(crate) fn mark_leaving(&mut self, id: &BoxId) -> bool {
-        if !self.leaving.add(id) {
+        if !self.leaving.insert(id) {
             return false;
         }
         if let Some(listed) = Arc::make_mut(&mut self.boxes).get_mut(id) {
@@ -352,7 +352,7 @@
     /// Removes expired state. Returns whether that made a change that peers have to learn of.
     pub(crate) fn remove_expired(&mut self, now: Millis) -> bool {
         let changes = self.change_count();
-        if !self.store_outage.keeps(now) {
+        if !self.store_outage.keeps_unlisted(now) {
             for id in std::mem::take(&mut self.unlisted) {
                 self.remove_box(&BoxId::new(id.name()), self.revision, now);
             }
--- a/crates/cherrystandd/src/site/store_restore.rs
+++ b/crates/cherrystandd/src/site/store_restore.rs
@@ -35,9 +35,9 @@
             era = listed.era().0, listed = listed.to_string(), known = self.revision().to_string();
             "the store came back from a copy"
         );
-        self.store_outage.came_back(now);
+        self.store_outage.record_restore(now);
         let entries = &self.entries;
-        self.tombstones.renew(listed, |name| entries.contains_key(name));
+        self.tombstones.advance_to_era(listed, |name| entries.contains_key(name));
         self.store_restore =
             StoreRestore { restored_up_to: listed, relist_at: Some(now + REWRITE_PERIOD) };
     }
--- a/crates/cherrystandd/src/site/store_watch.rs
+++ b/crates/cherrystandd/src/site/store_watch.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use cherrystand_core::{AwakeTime, Millis, NewsBudget, NodeId, NotedReader, Revision};
+use cherrystand_core::{ListedReader, Millis, NodeId, PropagationBudget, Revision, RunningTime};
 use cherrystand_peer::ChangeCursor;
 use cherrystand_platform::{Changes, KeyValue, PlatformError, SiteDriver};
 use futures_util::future::{Either, select};
@@ -20,7 +20,7 @@
 use crate::site::{ChangeSource, Driver};
 
 /// The minimum time between two watches of the store or polls of a peer.
-const MIN_READ_INTERVAL: Duration = Duration::from_millis(NewsBudget::BETWEEN_WATCHES.0);
+const MIN_READ_INTERVAL: Duration = Duration::from_millis(PropagationBudget::MIN_WATCH_INTERVAL.0);
 
 /// The same for a node that is not a reader and reads the store because its readers fail.
 const MIN_READ_INTERVAL_NON_READER: Duration = Duration::from_millis(250);
@@ -98,7 +98,7 @@
     position: Option<ReadPosition>,
     backoff: Duration,
     /// The reader that the node started from.
-    startup_reader: Option<NotedReader>,
+    startup_reader: Option<ListedReader>,
 }
 
 impl StoreFollower {
@@ -201,7 +201,7 @@
 pub(crate) async fn track_awake_time(control: Rc<Control>) {
     loop {
         control.state.borrow_mut().record_running(control.now());
-        tokio::time::sleep(Duration::from_millis(AwakeTime::TOLD_EVERY.0)).await;
+        tokio::time::sleep(Duration::from_millis(RunningTime::TICK_INTERVAL.0)).await;
     }
 }
 
@@ -210,7 +210,7 @@
     let clock = control.cx.clock;
     let until = clock.now() + Millis(control.peers.jittered(backoff).as_millis() as u64);
     while clock.now() < until && control.peers.source().is_none() {
-        clock.sleep_until(until.min(clock.now() + NewsBudget::LOOK_FOR_SOURCE)).await;
+        clock.sleep_until(until.min(clock.now() + PropagationBudget::SOURCE_CHECK_INTERVAL)).await;
     }
 }
 
@@ -321,8 +321,8 @@
 /// in time, since a connection may stall for good while new ones work. The first answer is used.
 async fn watch_hedged(control: &Control, after: Revision) -> Result<Changes, PlatformError> {
     let budget = control.budget;
-    let first = pin!(control.store.watch("", after, to_duration(budget.watch_for())));
-    let delay = tokio::time::sleep(to_duration(budget.doubled_after()));
+    let first = pin!(control.store.watch("", after, to_duration(budget.watch_timeout())));
+    let delay = tokio::time::sleep(to_duration(budget.watch_hedge_delay()));
     let mut first = match select(first, pin!(delay)).await {
         Either::Left((answer, _)) => return answer,
         Either::Right(((), first)) => first,
--- a/crates/cherrystandd/src/state/node_state.rs
+++ b/crates/cherrystandd/src/state/node_state.rs
@@ -86,13 +86,13 @@
             StateEvent::Records(records) => self.take_records(records),
             StateEvent::PlatformRead { asked } => {
                 self.changed = true;
-                self.freshness.platform_read(now, now.since(asked));
+                self.freshness.record_platform_read(now, now.since(asked));
             }
             StateEvent::Listed(inventory) => self.take_list(&inventory),
             StateEvent::Evidence(all) => {
                 self.changed = true;
                 for evidence in &all {
-                    self.evidence.offer(evidence, now);
+                    self.evidence.merge(evidence, now);
                 }
             }
             StateEvent::Decides(decides) => {
@@ -140,7 +140,7 @@
     fn answer(&mut self, question: Question, now: Millis) -> Reply {
         match question {
             Question::News(greeting) => {
-                self.changed |= self.membership.hear(greeting.from, Millis(0), now);
+                self.changed |= self.membership.merge_heartbeat(greeting.from, Millis(0), now);
                 Reply::News(self.news(greeting.roster, now))
             }
             Question::Compare(theirs) => Reply::Compared {
@@ -179,20 +179,20 @@
     /// Whatever it says the age of something is, the time since it was asked comes on top.
     fn hear(&mut self, news: News, asked: Millis, now: Millis) -> bool {
         let on_the_way = now.since(asked);
-        self.changed |= self.membership.take_digest(news.members, on_the_way, now);
-        for (node, heard) in self.membership.agreeing_since() {
-            self.freshness.agreed(node, heard);
+        self.changed |= self.membership.merge_digest(news.members, on_the_way, now);
+        for (node, heard) in self.membership.agreement_times() {
+            self.freshness.record_agreement(node, heard);
         }
         self.changed |= !news.evidence.is_empty();
         for evidence in &news.evidence {
             let age = evidence.age + on_the_way;
-            self.evidence.offer(&ReplicaEvidence { age, ..evidence.clone() }, now);
+            self.evidence.merge(&ReplicaEvidence { age, ..evidence.clone() }, now);
         }
         let differs = news.fingerprint != self.documents.fingerprint();
         if let Some(age) = news.platform_age.filter(|_| !differs) {
             // Only records that are the same here are as fresh as the peer says.
             self.changed = true;
-            self.freshness.platform_read(now, age + on_the_way);
+            self.freshness.record_platform_read(now, age + on_the_way);
         }
         differs
     }
@@ -260,13 +260,13 @@
 
     fn take_record(&mut self, document: Document) {
         let key = document.key.clone();
-        if !self.documents.offer(document.clone()) {
+        if !self.documents.insert_if_newer(document.clone()) {
             return;
         }
         self.changed = true;
         if key.starts_with(keys::WORKSPACES) {
             read_record(&document, &mut self.workspaces);
-            let config = self.documents.fingerprint_below(keys::WORKSPACES);
+            let config = self.documents.fingerprint_of_prefix(keys::WORKSPACES);
             self.membership.set_config(config);
         } else if key.starts_with(keys::DOMAINS) {
             read_record(&document, &mut self.domains);
@@ -295,7 +295,7 @@
     }
 
     fn apply_list(&mut self, inventory: Inventory) {
-        self.freshness.expect(inventory.nodes);
+        self.freshness.set_expected(inventory.nodes);
         self.fleet = Arc::new(Fleet::new(inventory.boxes));
     }
 }
--- a/crates/cherrystandd/src/state/routes.rs
+++ b/crates/cherrystandd/src/state/routes.rs
@@ -126,7 +126,8 @@
             formed.filter(|(replica, held)| &replica.group == group && held.phase == Phase::Ready);
         ready
             .filter_map(|(replica, held)| {
-                let whole = self.evidence.whole(&record.domain, replica, held.epoch, self.now);
+                let whole =
+                    self.evidence.load_if_whole(&record.domain, replica, held.epoch, self.now);
                 let leader = self.fleet.get(held.boxes.first()?)?;
                 Some(RouteTarget {
                     address: leader.address,
--- a/crates/cherrystandd/src/state/view.rs
+++ b/crates/cherrystandd/src/state/view.rs
@@ -4,8 +4,8 @@
 use std::sync::Arc;
 
 use cherrystand_core::{
-    Document, DomainRecord, Fleet, FormedReplicas, Heartbeat, Incarnation, Millis, Revision,
-    ServeBy, Standing, WorkspaceRecord,
+    Document, DomainRecord, Fleet, FormedReplicas, Heartbeat, Incarnation, Liveness, Millis,
+    Revision, ServeBy, WorkspaceRecord,
 };
 
 use crate::state::RouteGroup;
@@ -38,7 +38,7 @@
     /// How long ago the platform was last read by anyone heard from.
     pub platform_age: Option<Millis>,
     /// The daemons known, this one first.
-    pub members: Vec<(Heartbeat, Standing)>,
+    pub members: Vec<(Heartbeat, Liveness)>,
     /// The workspaces' records, by key.
     pub workspaces: BTreeMap<Arc<str>, Arc<Held<WorkspaceRecord>>>,
     /// The domains' records, by key.
@@ -78,7 +78,7 @@
 
     /// Returns the heartbeats of the daemons that are alive.
     pub(crate) fn alive(&self) -> impl Iterator<Item = &Heartbeat> {
-        let alive = self.members.iter().filter(|(_, standing)| *standing == Standing::Alive);
+        let alive = self.members.iter().filter(|(_, standing)| *standing == Liveness::Alive);
         alive.map(|(beat, _)| beat)
     }
 }
--- a/crates/cherrystandd/tests/claims.rs
+++ b/crates/cherrystandd/tests/claims.rs
@@ -5,8 +5,8 @@
 use std::collections::BTreeMap;
 
 use cherrystand_core::{
-    CallKey, ClaimAnswer, ClaimRecord, ClaimRequest, GroupId, Incarnation, NodeId, Outcome,
-    WorkspaceId, WriteId,
+    ClaimRecord, ClaimRequest, ClaimResponse, GroupId, IdempotencyKey, Incarnation, NodeId,
+    Outcome, WorkspaceId, WriteId,
 };
 use cherrystand_testkit::{CallFault, FakeKeyValue};
 use cherrystandd::ClaimWriter;
@@ -15,8 +15,8 @@
 
 const RECORD: &str = "claims";
 
-fn key(name: &str) -> CallKey {
-    CallKey::new(&GroupId::new(WorkspaceId::new("w"), "g"), name)
+fn key(name: &str) -> IdempotencyKey {
+    IdempotencyKey::new(&GroupId::new(WorkspaceId::new("w"), "g"), name)
 }
 
 fn write_id(node: usize, sequence: u64) -> WriteId {
@@ -37,25 +37,26 @@
 async fn claim_all(
     service: &FakeKeyValue,
     daemons: &[Vec<Vec<u8>>],
-) -> BTreeMap<CallKey, Vec<usize>> {
+) -> BTreeMap<IdempotencyKey, Vec<usize>> {
     let mut tasks = tokio::task::JoinSet::new();
     for (node, batches) in daemons.iter().cloned().enumerate() {
         let mut writer = ClaimWriter::new(service.clone(), RECORD.to_owned());
         tasks.spawn_local(async move {
             let mut granted = Vec::new();
             for (number, batch) in batches.into_iter().enumerate() {
-                let keys: Vec<CallKey> = batch.iter().map(|name| key(&name.to_string())).collect();
-                let requests: Vec<_> = keys.iter().copied().map(ClaimRequest::Take).collect();
+                let keys: Vec<IdempotencyKey> =
+                    batch.iter().map(|name| key(&name.to_string())).collect();
+                let requests: Vec<_> = keys.iter().copied().map(ClaimRequest::Acquire).collect();
                 let answers = writer.write(&requests, &write_id(node, number as u64)).await;
                 let answers = answers.into_iter().flatten();
                 let won =
-                    keys.iter().zip(answers).filter(|(_, told)| *told == ClaimAnswer::Granted);
+                    keys.iter().zip(answers).filter(|(_, told)| *told == ClaimResponse::Granted);
                 granted.extend(won.map(|(key, _)| *key));
             }
             (node, granted)
         });
     }
-    let mut owners: BTreeMap<CallKey, Vec<usize>> = BTreeMap::new();
+    let mut owners: BTreeMap<IdempotencyKey, Vec<usize>> = BTreeMap::new();
     while let Some(done) = tasks.join_next().await {
         let (node, granted) = done.expect("a daemon");
         for key in granted {
@@ -88,50 +89,50 @@
         name: &'static str,
         before: &'static [ClaimRequest],
         by_holder: bool,
-        expected: fn(&ClaimAnswer) -> bool,
+        expected: fn(&ClaimResponse) -> bool,
     }
     let one = key("one");
-    let give_up: &'static [ClaimRequest] = Box::leak(Box::new([ClaimRequest::GiveUp(one)]));
+    let give_up: &'static [ClaimRequest] = Box::leak(Box::new([ClaimRequest::Release(one)]));
     let ran: &'static [ClaimRequest] =
-        Box::leak(Box::new([ClaimRequest::Settle(one, Outcome::Ran)]));
+        Box::leak(Box::new([ClaimRequest::Complete(one, Outcome::Ran)]));
     let cases = [
         Case {
             name: "held by another life it is taken",
             before: &[],
             by_holder: true,
-            expected: |told| matches!(told, ClaimAnswer::Taken(claim) if claim.outcome.is_none()),
+            expected: |told| matches!(told, ClaimResponse::AlreadyClaimed(claim) if claim.outcome.is_none()),
         },
         Case {
             name: "given up by its holder it can be had again",
             before: give_up,
             by_holder: true,
-            expected: |told| *told == ClaimAnswer::Granted,
+            expected: |told| *told == ClaimResponse::Granted,
         },
         Case {
             name: "only its holder can give it up",
             before: give_up,
             by_holder: false,
-            expected: |told| matches!(told, ClaimAnswer::Taken(_)),
+            expected: |told| matches!(told, ClaimResponse::AlreadyClaimed(_)),
         },
         Case {
             name: "once run it tells so",
             before: ran,
             by_holder: true,
-            expected: |told| matches!(told, ClaimAnswer::Taken(claim) if claim.outcome == Some(Outcome::Ran)),
+            expected: |told| matches!(told, ClaimResponse::AlreadyClaimed(claim) if claim.outcome == Some(Outcome::Ran)),
         },
         Case {
             name: "only its holder can say that it ran",
             before: ran,
             by_holder: false,
-            expected: |told| matches!(told, ClaimAnswer::Taken(claim) if claim.outcome.is_none()),
+            expected: |told| matches!(told, ClaimResponse::AlreadyClaimed(claim) if claim.outcome.is_none()),
         },
     ];
     for case in cases {
         let holder = write_id(0, 0);
         let other = write_id(1, 0);
-        let take = [ClaimRequest::Take(one)];
+        let take = [ClaimRequest::Acquire(one)];
         let (record, first) = ClaimRecord::default().apply(&take, &holder, 100);
-        assert_eq!(first, [ClaimAnswer::Granted]);
+        assert_eq!(first, [ClaimResponse::Granted]);
         let by = if case.by_holder { &holder } else { &other };
         let (record, _) = record.apply(case.before, by, 101);
         let (_, told) = record.apply(&take, &other, 102);
@@ -154,9 +155,9 @@
         let service = FakeKeyValue::default();
         let mut writer = ClaimWriter::new(service.clone(), RECORD.to_owned());
         let requests: Vec<_> =
-            (0..case.calls).map(|number| ClaimRequest::Take(key(&number.to_string()))).collect();
+            (0..case.calls).map(|number| ClaimRequest::Acquire(key(&number.to_string()))).collect();
         let answers = run(writer.write(&requests, &write_id(0, 0))).expect("an answer");
-        assert!(answers.iter().all(|told| *told == ClaimAnswer::Granted));
+        assert!(answers.iter().all(|told| *told == ClaimResponse::Granted));
         assert_eq!(service.calls(), case.platform_calls, "{} calls", case.calls);
     }
 }
@@ -164,7 +165,7 @@
 #[test]
 fn a_full_shard_of_claims_fits_the_platforms_values() {
     let requests: Vec<_> = (0..cherrystand_core::MAX_CLAIMS + 1)
-        .map(|number| ClaimRequest::Take(key(&number.to_string())))
+        .map(|number| ClaimRequest::Acquire(key(&number.to_string())))
         .collect();
     let id = WriteId {
         node: NodeId::new("entry-with-a-long-name-of-its-own"),
@@ -172,7 +173,7 @@
         sequence: 0,
     };
     let (record, answers) = ClaimRecord::default().apply(&requests, &id, 1_800_000_000);
-    assert_eq!(answers.last(), Some(&ClaimAnswer::Full));
+    assert_eq!(answers.last(), Some(&ClaimResponse::ShardFull));
     let bytes = serde_json::to_string(&record).expect("JSON").len();
     assert!(bytes <= cherrystand_platform::MAX_VALUE_BYTES, "{bytes} bytes");
 }
@@ -192,9 +193,9 @@
     for case in cases {
         let service = FakeKeyValue::with_faults(case.faults.iter().copied());
         let mut writer = ClaimWriter::new(service.clone(), RECORD.to_owned());
-        let request = [ClaimRequest::Take(key("one"))];
+        let request = [ClaimRequest::Acquire(key("one"))];
         let answers = run(writer.write(&request, &write_id(0, 0)));
-        assert_eq!(answers, Some(vec![ClaimAnswer::Granted]), "{:?}", case.faults);
+        assert_eq!(answers, Some(vec![ClaimResponse::Granted]), "{:?}", case.faults);
         assert_eq!(service.calls(), case.calls, "{:?}", case.faults);
     }
 }
