--- a/crates/cherrystand_core/src/nodes/call_history.rs
+++ b/crates/cherrystand_core/src/nodes/call_history.rs
@@ -1,15 +1,15 @@
-//! How a daemon's own calls fared lately, by which it can tell its own trouble from that of others.
+//! How a daemon's own calls fared recent, by which it can tell its own trouble from that of others.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use crate::Millis;
 
 /// For how long a call is remembered after it ended.
-const KEPT: Millis = Millis(2_000);
+const RETENTION: Millis = Millis(2_000);
 
 /// How many ended calls are remembered at the most, which bounds the memory of a daemon that calls
 /// many boxes at once.
-const MOST_KEPT: usize = 1_024;
+const MAX_ENDED: usize = 1_024;
 
 /// Names a call that has begun.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -17,8 +17,8 @@
 
 /// A call that ended.
 #[derive(Clone, Copy, Debug)]
-struct Ended {
-    begun: Millis,
+struct EndedCall {
+    started: Millis,
     ended: Millis,
     answered: bool,
 }
@@ -28,20 +28,20 @@
 pub struct CallStats {
     /// Calls that have begun and not ended.
     pub open: usize,
-    /// Calls that ended without an answer lately.
+    /// Calls that ended without an answer recent.
     pub unanswered: usize,
-    /// Calls that were answered lately.
+    /// Calls that were answered recent.
     pub answered: usize,
-    /// The longest that an answer took lately.
+    /// The longest that an answer took recent.
     pub slowest: Millis,
 }
 
-/// Keeps the calls that a daemon made lately.
+/// Keeps the calls that a daemon made recent.
 #[derive(Clone, Debug, Default)]
 pub struct CallHistory {
     next: u64,
     open: BTreeMap<CallId, Millis>,
-    ended: VecDeque<Ended>,
+    ended: VecDeque<EndedCall>,
 }
 
 impl CallHistory {
@@ -55,36 +55,36 @@
 
     /// Notes how a call ended, and returns how long it took.
     pub fn end(&mut self, key: CallId, answered: bool, now: Millis) -> Millis {
-        let Some(begun) = self.open.remove(&key) else {
+        let Some(started) = self.open.remove(&key) else {
             return Millis(0);
         };
-        self.ended.push_back(Ended { begun, ended: now, answered });
-        let is_old = |call: &Ended| now.since(call.ended) > KEPT;
-        while self.ended.len() > MOST_KEPT || self.ended.front().is_some_and(is_old) {
+        self.ended.push_back(EndedCall { started, ended: now, answered });
+        let is_old = |call: &EndedCall| now.since(call.ended) > RETENTION;
+        while self.ended.len() > MAX_ENDED || self.ended.front().is_some_and(is_old) {
             self.ended.pop_front();
         }
-        now.since(begun)
+        now.since(started)
     }
 
     /// Returns how long the quickest answer took among the calls that began from `first` to `last`.
     pub fn fastest_answer_between(&self, first: Millis, last: Millis) -> Option<Millis> {
-        let began = |call: &&Ended| call.begun >= first && call.begun <= last;
+        let began = |call: &&EndedCall| call.started >= first && call.started <= last;
         let answered = self.ended.iter().filter(|call| call.answered).filter(began);
-        answered.map(|call| call.ended.since(call.begun)).min()
+        answered.map(|call| call.ended.since(call.started)).min()
     }
 
     /// Returns how the calls fare.
     pub fn stats(&self, now: Millis) -> CallStats {
-        let lately = self.ended.iter().filter(|call| now.since(call.ended) <= KEPT);
-        let mut state = CallStats { open: self.open.len(), ..CallStats::default() };
-        for call in lately {
+        let recent = self.ended.iter().filter(|call| now.since(call.ended) <= RETENTION);
+        let mut stats = CallStats { open: self.open.len(), ..CallStats::default() };
+        for call in recent {
             if call.answered {
-                state.answered += 1;
-                state.slowest = state.slowest.max(call.ended.since(call.begun));
+                stats.answered += 1;
+                stats.slowest = stats.slowest.max(call.ended.since(call.started));
             } else {
-                state.unanswered += 1;
+                stats.unanswered += 1;
             }
         }
-        state
+        stats
     }
 }
--- a/crates/cherrystand_core/src/nodes/change_log.rs
+++ b/crates/cherrystand_core/src/nodes/change_log.rs
@@ -8,7 +8,7 @@
 use crate::{BoxId, Document};
 
 /// How many changes are kept; a peer that fell behind further reads everything anew.
-const KEPT: usize = 2_000;
+const MAX_CHANGES: usize = 2_000;
 
 /// One change.
 #[derive(Clone, Debug)]
@@ -57,7 +57,7 @@
     fn push(&mut self, key: Arc<str>, change: Change) {
         self.changes.push_back((key, change));
         self.count += 1;
-        if self.changes.len() > KEPT {
+        if self.changes.len() > MAX_CHANGES {
             self.changes.pop_front();
         }
     }
@@ -68,20 +68,20 @@
     }
 
     /// Tells whether all changes after the first `count` are kept.
-    pub fn keeps_since(&self, count: u64) -> bool {
-        self.first_after(count).is_some()
+    pub fn has_all_since(&self, count: u64) -> bool {
+        self.index_after(count).is_some()
     }
 
     /// Returns the place of the first change after the first `count`.
-    fn first_after(&self, count: u64) -> Option<usize> {
-        let missed = usize::try_from(self.count.checked_sub(count)?).ok()?;
-        self.changes.len().checked_sub(missed)
+    fn index_after(&self, count: u64) -> Option<usize> {
+        let missing = usize::try_from(self.count.checked_sub(count)?).ok()?;
+        self.changes.len().checked_sub(missing)
     }
 
     /// Returns the last change of each key after the first `count` changes, or nothing where
     /// these are not all known any more.
     pub fn since(&self, count: u64) -> Option<ChangesSince> {
-        let first = self.first_after(count)?;
+        let first = self.index_after(count)?;
         let last: BTreeMap<&str, &Change> =
             self.changes.range(first..).map(|(key, change)| (key.as_ref(), change)).collect();
         let mut since = ChangesSince::default();
--- a/crates/cherrystand_core/src/nodes/documents.rs
+++ b/crates/cherrystand_core/src/nodes/documents.rs
@@ -24,7 +24,7 @@
 /// Holds the newest copies that a daemon has seen; a revision never falls.
 #[derive(Clone, Debug, Default)]
 pub struct Documents {
-    held: BTreeMap<Arc<str>, Document>,
+    copies: BTreeMap<Arc<str>, Document>,
 }
 
 impl Documents {
@@ -32,30 +32,30 @@
     pub fn insert_if_newer(&mut self, document: Document) -> bool {
         let newer = self.revision(&document.key) < document.revision;
         if newer {
-            self.held.insert(document.key.clone(), document);
+            self.copies.insert(document.key.clone(), document);
         }
         newer
     }
 
     /// Returns the copy of a record.
     pub fn get(&self, key: &str) -> Option<&Document> {
-        self.held.get(key)
+        self.copies.get(key)
     }
 
     /// Returns the revision held of a record; 0 where there is none.
     pub fn revision(&self, key: &str) -> Revision {
-        self.held.get(key).map(|held| held.revision).unwrap_or_default()
+        self.copies.get(key).map(|copy| copy.revision).unwrap_or_default()
     }
 
     /// Returns all copies whose key starts with `prefix`.
     pub fn with_prefix<'a>(&'a self, prefix: &'a str) -> impl Iterator<Item = &'a Document> + 'a {
-        self.held.values().filter(move |held| held.key.starts_with(prefix))
+        self.copies.values().filter(move |copy| copy.key.starts_with(prefix))
     }
 
     /// Returns the versions held.
     pub fn versions(&self) -> Vec<Version> {
-        let held = self.held.values();
-        held.map(|held| (held.key.clone(), held.revision)).collect()
+        let copy = self.copies.values();
+        copy.map(|copy| (copy.key.clone(), copy.revision)).collect()
     }
 
     /// Returns one number that two daemons share when they hold the same versions.
@@ -65,19 +65,19 @@
 
     /// Returns the same of the records whose key starts with `prefix`.
     pub fn fingerprint_of_prefix(&self, prefix: &str) -> u64 {
-        let one = |held: &Document| {
-            let revision = crate::mix(held.revision.number() ^ crate::mix(held.revision.era().0));
-            crate::mix(crate::hash_bytes(held.key.as_bytes()) ^ revision)
+        let one = |copy: &Document| {
+            let revision = crate::mix(copy.revision.number() ^ crate::mix(copy.revision.era().0));
+            crate::mix(crate::hash_bytes(copy.key.as_bytes()) ^ revision)
         };
-        self.with_prefix(prefix).fold(0, |sum, held| sum ^ one(held))
+        self.with_prefix(prefix).fold(0, |sum, copy| sum ^ one(copy))
     }
 
     /// Returns the copies that are newer here than in `theirs`.
     pub fn newer_than(&self, theirs: &[Version]) -> Vec<Document> {
         let theirs: BTreeMap<&str, Revision> =
             theirs.iter().map(|(key, revision)| (key.as_ref(), *revision)).collect();
-        let known = |held: &Document| theirs.get(held.key.as_ref()).copied().unwrap_or_default();
-        let newer = self.held.values().filter(|held| known(held) < held.revision);
+        let known = |copy: &Document| theirs.get(copy.key.as_ref()).copied().unwrap_or_default();
+        let newer = self.copies.values().filter(|copy| known(copy) < copy.revision);
         newer.cloned().collect()
     }
 
--- a/crates/cherrystand_core/src/nodes/era_tracker.rs
+++ b/crates/cherrystand_core/src/nodes/era_tracker.rs
@@ -17,7 +17,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct EraTracker {
     latest: Era,
-    refused: u64,
+    rejected: u64,
 }
 
 impl EraTracker {
@@ -30,14 +30,14 @@
     /// known, so that nothing of the answer holds any more.
     ///
     /// An answer that tells none, or what is no number, counts as of the latest one.
-    pub fn observe(&mut self, told: ReportedEra) -> Option<Era> {
-        match told {
+    pub fn observe(&mut self, reported: ReportedEra) -> Option<Era> {
+        match reported {
             ReportedEra::Known(era) if era < self.latest => {
-                self.refused += 1;
+                self.rejected += 1;
                 return None;
             }
             ReportedEra::Known(era) => self.latest = era,
-            ReportedEra::Invalid => self.refused += 1,
+            ReportedEra::Invalid => self.rejected += 1,
             ReportedEra::Missing => {}
         }
         Some(self.latest)
@@ -52,6 +52,6 @@
 
     /// Returns how many answers told an era that could not be used since the last call.
     pub fn take_rejected_count(&mut self) -> u64 {
-        std::mem::take(&mut self.refused)
+        std::mem::take(&mut self.rejected)
     }
 }
--- a/crates/cherrystand_core/src/nodes/freshness.rs
+++ b/crates/cherrystand_core/src/nodes/freshness.rs
@@ -20,8 +20,8 @@
 pub struct Freshness {
     own: NodeId,
     started: Millis,
-    platform: Option<Millis>,
-    peers: BTreeMap<NodeId, Millis>,
+    last_platform_read: Option<Millis>,
+    agreed_at: BTreeMap<NodeId, Millis>,
     expected: BTreeSet<NodeId>,
 }
 
@@ -52,8 +52,8 @@
             expected: BTreeSet::from([own.clone()]),
             own,
             started: now,
-            platform: None,
-            peers: BTreeMap::new(),
+            last_platform_read: None,
+            agreed_at: BTreeMap::new(),
         }
     }
 
@@ -65,22 +65,22 @@
     /// Takes in that the platform's records were read, by someone, `age` ago.
     pub fn record_platform_read(&mut self, now: Millis, age: Millis) {
         let at = now - age;
-        if self.platform.is_none_or(|known| known < at) {
-            self.platform = Some(at);
+        if self.last_platform_read.is_none_or(|known| known < at) {
+            self.last_platform_read = Some(at);
         }
     }
 
     /// Returns how long ago the platform's records were last read, by anyone heard from.
     pub fn platform_age(&self, now: Millis) -> Option<Millis> {
-        self.platform.map(|at| now.since(at))
+        self.last_platform_read.map(|at| now.since(at))
     }
 
     /// Takes in that a peer held, at a time, the configurations that this node holds.
     pub fn record_agreement(&mut self, peer: &NodeId, at: Millis) {
-        match self.peers.get_mut(peer) {
+        match self.agreed_at.get_mut(peer) {
             Some(known) => *known = at.max(*known),
             None => {
-                self.peers.insert(peer.clone(), at);
+                self.agreed_at.insert(peer.clone(), at);
             }
         }
     }
@@ -97,10 +97,10 @@
         if by_platform {
             return ServeBy::Platform;
         }
-        if self.platform.is_some() && self.hears_majority(now) {
+        if self.last_platform_read.is_some() && self.hears_majority(now) {
             return ServeBy::Majority;
         }
-        if self.platform.is_none() && now.since(self.started) <= FRESH_FOR {
+        if self.last_platform_read.is_none() && now.since(self.started) <= FRESH_FOR {
             return ServeBy::NotYet;
         }
         ServeBy::CutOff
@@ -115,7 +115,7 @@
     /// how many there are.
     pub fn heard_of_expected(&self, now: Millis) -> (usize, usize) {
         let fresh = |node: &NodeId| {
-            let heard = self.peers.get(node);
+            let heard = self.agreed_at.get(node);
             node == &self.own || heard.is_some_and(|heard| now.since(*heard) <= FRESH_FOR)
         };
         let heard = self.expected.iter().filter(|node| fresh(node)).count();
--- a/crates/cherrystand_core/src/nodes/liveness_probe.rs
+++ b/crates/cherrystand_core/src/nodes/liveness_probe.rs
@@ -10,21 +10,21 @@
 
 /// How long a box may take to answer, by how often it was asked before: 200 ms finds a dead box
 /// well within the half second in which it has to be known; a daemon that was held up gives more.
-const WITHIN: [Millis; 4] = [Millis(200), Millis(300), Millis(400), Millis(500)];
+const PROBE_TIMEOUTS: [Millis; 4] = [Millis(200), Millis(300), Millis(400), Millis(500)];
 
 /// How many times as long as others the box has to have had; a link that is so busy that others
 /// took a third of the time may well have taken all of it.
-const SLOWER: u64 = 3;
+const MIN_WAIT_RATIO: u64 = 3;
 
 /// A call shows how the daemon is doing only if it began within this part of the wait; one that
 /// began later may have met a link that had just become free.
-const EARLY_PART: u64 = 4;
+const WITNESS_WINDOW_DIVISOR: u64 = 4;
 
 /// A call that began this much before the question shows the same as one that began with it.
 pub const WITNESS_LEAD_TIME: Millis = Millis(20);
 
 /// A timer this much too late tells that the daemon's own processor was busy.
-const LATE: Millis = Millis(60);
+const MAX_TIMER_DELAY: Millis = Millis(60);
 
 /// Says what follows where a box did not answer in time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -60,13 +60,13 @@
 /// Follows the questions to one box until it answers or a verdict is given.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LivenessProbe {
-    asked: usize,
+    timeouts: usize,
 }
 
 impl LivenessProbe {
     /// Returns how long the box may take to answer this time.
     pub fn timeout(&self) -> Millis {
-        WITHIN[self.asked.min(WITHIN.len() - 1)]
+        PROBE_TIMEOUTS[self.timeouts.min(PROBE_TIMEOUTS.len() - 1)]
     }
 
     /// Says what follows where a box refused the connection.
@@ -74,8 +74,8 @@
     /// A box that is cut off from the store refuses questions and orders as one that is dead does,
     /// and may go on serving. While nobody saw its replica stand still the refusal says nothing; one
     /// that is dead is found by its streams, within 0.4 s.
-    pub fn verdict_on_refusal(doubt: ProbeReason) -> ProbeVerdict {
-        match doubt {
+    pub fn verdict_on_refusal(reason: ProbeReason) -> ProbeVerdict {
+        match reason {
             ProbeReason::NoAnswer => ProbeVerdict::Silent,
             ProbeReason::NotListed => ProbeVerdict::Undecided,
         }
@@ -85,15 +85,15 @@
     /// follows.
     pub fn record_timeout(
         &mut self,
-        begun: Millis,
+        started: Millis,
         now: Millis,
         calls: &CallHistory,
     ) -> ProbeVerdict {
-        let within = self.timeout();
-        self.asked += 1;
-        if is_silent(begun, within, now, calls) {
+        let timeout = self.timeout();
+        self.timeouts += 1;
+        if is_silent(started, timeout, now, calls) {
             ProbeVerdict::Silent
-        } else if self.asked < WITHIN.len() {
+        } else if self.timeouts < PROBE_TIMEOUTS.len() {
             ProbeVerdict::AskAgain
         } else {
             ProbeVerdict::Undecided
@@ -102,12 +102,12 @@
 }
 
 /// Tells whether silence over a time that was to last `within` says something of the silent one.
-fn is_silent(begun: Millis, within: Millis, now: Millis, calls: &CallHistory) -> bool {
-    let waited = now.since(begun);
-    if waited > within + LATE {
+fn is_silent(started: Millis, timeout: Millis, now: Millis, calls: &CallHistory) -> bool {
+    let waited = now.since(started);
+    if waited > timeout + MAX_TIMER_DELAY {
         return false;
     }
-    let early = begun + Millis(within.0 / EARLY_PART);
-    let quickest = calls.fastest_answer_between(begun - WITNESS_LEAD_TIME, early);
-    quickest.is_some_and(|took| took.0 * SLOWER <= waited.0)
+    let latest_start = started + Millis(timeout.0 / WITNESS_WINDOW_DIVISOR);
+    let quickest = calls.fastest_answer_between(started - WITNESS_LEAD_TIME, latest_start);
+    quickest.is_some_and(|took| took.0 * MIN_WAIT_RATIO <= waited.0)
 }
--- a/crates/cherrystand_core/src/nodes/membership.rs
+++ b/crates/cherrystand_core/src/nodes/membership.rs
@@ -46,7 +46,7 @@
 
 impl Heartbeat {
     /// Sums what it says beside how often the daemon beat.
-    fn without_beat(&self) -> u64 {
+    fn fingerprint_without_beat(&self) -> u64 {
         let flags = u64::from(self.serving) | u64::from(self.decides) << 1;
         let parts = [
             hash_bytes(self.node.as_str().as_bytes()),
@@ -58,7 +58,7 @@
             self.changes.map_or(0, |changes| hash_bytes(changes.to_string().as_bytes())),
             self.config,
         ];
-        parts.into_iter().fold(0, |sum, part| mix(sum.wrapping_mul(31) ^ part))
+        parts.into_iter().fold(0, |fingerprint, part| mix(fingerprint.wrapping_mul(31) ^ part))
     }
 }
 
@@ -76,18 +76,18 @@
 #[derive(Clone, Debug)]
 struct Member {
     heartbeat: Heartbeat,
-    heard: Millis,
+    last_heard: Millis,
     /// The sum of the heartbeat without its beat.
-    sum: u64,
+    fingerprint: u64,
 }
 
 impl Member {
-    fn new(heartbeat: Heartbeat, heard: Millis) -> Self {
-        Self { sum: heartbeat.without_beat(), heartbeat, heard }
+    fn new(heartbeat: Heartbeat, last_heard: Millis) -> Self {
+        Self { fingerprint: heartbeat.fingerprint_without_beat(), heartbeat, last_heard }
     }
 
     fn is_dead(&self, now: Millis) -> bool {
-        standing_after(now.since(self.heard)) == Liveness::Dead
+        liveness_after(now.since(self.last_heard)) == Liveness::Dead
     }
 }
 
@@ -98,13 +98,13 @@
 pub struct Membership {
     own: Heartbeat,
     members: BTreeMap<NodeId, Member>,
-    ticked: Millis,
+    last_tick: Millis,
 }
 
 impl Membership {
     /// Creates the view of a daemon that has just started.
     pub fn new(own: Heartbeat, now: Millis) -> Self {
-        Self { own, members: BTreeMap::new(), ticked: now }
+        Self { own, members: BTreeMap::new(), last_tick: now }
     }
 
     /// Returns the daemon's own heartbeat.
@@ -126,14 +126,14 @@
     ///
     /// After a pause it is a new life: what it held or knew before counts for nothing.
     pub fn tick(&mut self, now: Millis) -> bool {
-        let paused = now.since(self.ticked) > PAUSE_GAP;
-        self.ticked = now;
+        let paused = now.since(self.last_tick) > PAUSE_GAP;
+        self.last_tick = now;
         if paused {
             self.own.incarnation = self.own.incarnation.next();
             self.own.beat = 0;
         }
         self.own.beat += 1;
-        self.members.retain(|_, member| now.since(member.heard) <= FORGET_AFTER);
+        self.members.retain(|_, member| now.since(member.last_heard) <= FORGET_AFTER);
         paused
     }
 
@@ -150,22 +150,22 @@
             return false;
         }
         let rank = |beat: &Heartbeat| (beat.incarnation, beat.beat);
-        let heard = now - age;
+        let last_heard = now - age;
         let Some(known) = self.members.get_mut(&heartbeat.node) else {
-            self.members.insert(heartbeat.node.clone(), Member::new(heartbeat, heard));
+            self.members.insert(heartbeat.node.clone(), Member::new(heartbeat, last_heard));
             return true;
         };
         if rank(&known.heartbeat) >= rank(&heartbeat) {
             return false;
         }
-        let before = standing_after(now.since(known.heard));
+        let before = liveness_after(now.since(known.last_heard));
         let says_the_same =
             known.heartbeat == Heartbeat { beat: known.heartbeat.beat, ..heartbeat.clone() };
         *known = match says_the_same {
-            true => Member { heartbeat, heard, sum: known.sum },
-            false => Member::new(heartbeat, heard),
+            true => Member { heartbeat, last_heard, fingerprint: known.fingerprint },
+            false => Member::new(heartbeat, last_heard),
         };
-        !says_the_same || before != standing_after(age)
+        !says_the_same || before != liveness_after(age)
     }
 
     /// Returns the sum of what is known of all daemons that are not dead, beside their beats.
@@ -173,7 +173,9 @@
     /// Two daemons with the same sum know the same daemons and the same of each.
     pub fn roster(&self, now: Millis) -> u64 {
         let known = self.members.values().filter(|member| !member.is_dead(now));
-        known.fold(self.own.without_beat(), |sum, member| sum.wrapping_add(member.sum))
+        known.fold(self.own.fingerprint_without_beat(), |fingerprint, member| {
+            fingerprint.wrapping_add(member.fingerprint)
+        })
     }
 
     /// Returns what a peer with a roster is told: the beats alone where it knows the rest.
@@ -220,14 +222,14 @@
         for (member, (beat, age)) in known.into_iter().zip(others) {
             if *beat > member.heartbeat.beat {
                 member.heartbeat.beat = *beat;
-                member.heard = now - (*age + on_the_way);
+                member.last_heard = now - (*age + on_the_way);
             }
         }
     }
 
     /// Lists the daemons that are not dead in the order of their names, the own one among them.
     fn in_order(&self, now: Millis) -> impl Iterator<Item = (&Heartbeat, Millis)> {
-        let told = move |member: &Member| now.since(member.heard);
+        let told = move |member: &Member| now.since(member.last_heard);
         let fresh = move |(_, member): &(&NodeId, &Member)| !member.is_dead(now);
         let own = &self.own.node;
         let before = self.members.range::<NodeId, _>(..own).filter(fresh);
@@ -242,14 +244,14 @@
     pub fn agreement_times(&self) -> impl Iterator<Item = (&NodeId, Millis)> {
         let same =
             self.members.values().filter(|member| member.heartbeat.config == self.own.config);
-        same.map(|member| (&member.heartbeat.node, member.heard))
+        same.map(|member| (&member.heartbeat.node, member.last_heard))
     }
 
     /// Rises above news of a life of this daemon that it does not remember.
-    fn refute(&mut self, heard: &Heartbeat) {
+    fn refute(&mut self, received: &Heartbeat) {
         let own = (self.own.incarnation, self.own.beat);
-        if (heard.incarnation, heard.beat) > own {
-            self.own.incarnation = heard.incarnation.next();
+        if (received.incarnation, received.beat) > own {
+            self.own.incarnation = received.incarnation.next();
         }
     }
 
@@ -259,7 +261,7 @@
             return Liveness::Alive;
         }
         match self.members.get(node) {
-            Some(member) => standing_after(now.since(member.heard)),
+            Some(member) => liveness_after(now.since(member.last_heard)),
             None => Liveness::Dead,
         }
     }
@@ -283,7 +285,7 @@
     pub fn alive(&self, now: Millis) -> Vec<&Heartbeat> {
         let known = self.members.values();
         let alive =
-            known.filter(|member| standing_after(now.since(member.heard)) == Liveness::Alive);
+            known.filter(|member| liveness_after(now.since(member.last_heard)) == Liveness::Alive);
         let mut beats = vec![&self.own];
         beats.extend(alive.map(|member| &member.heartbeat));
         beats
@@ -294,14 +296,14 @@
         let mut all = vec![(&self.own, Liveness::Alive)];
         let others = self.members.values();
         all.extend(others.map(|member| {
-            let standing = standing_after(now.since(member.heard));
-            (&member.heartbeat, standing)
+            let liveness = liveness_after(now.since(member.last_heard));
+            (&member.heartbeat, liveness)
         }));
         all
     }
 }
 
-fn standing_after(silence: Millis) -> Liveness {
+fn liveness_after(silence: Millis) -> Liveness {
     if silence > DEAD_AFTER {
         Liveness::Dead
     } else if silence > SUSPECT_AFTER {
--- a/crates/cherrystand_core/src/nodes/propagation_budget.rs
+++ b/crates/cherrystand_core/src/nodes/propagation_budget.rs
@@ -74,34 +74,34 @@
     }
 
     /// Returns a part of the bound, `most` at the most: more would only make what fails known later.
-    fn part(self, parts: u64, of: u64, most: u64) -> Millis {
+    fn fraction(self, parts: u64, of: u64, most: u64) -> Millis {
         Millis((self.bound.0 * parts / of).min(most))
     }
 
     /// Returns for how long a question to the store waits for a change; each is a call that is paid for, and most of a
     /// quiet store's bring nothing.
     pub fn watch_timeout(self) -> Millis {
-        self.part(1, 4, 1_000)
+        self.fraction(1, 4, 1_000)
     }
 
     /// Returns after what time without its answer such a question is asked again on another connection.
     pub fn watch_hedge_delay(self) -> Millis {
-        self.watch_timeout() + self.part(1, 10, 500)
+        self.watch_timeout() + self.fraction(1, 10, 500)
     }
 
     /// Returns up to what age a daemon passes on what it knows.
     pub fn max_source_age(self) -> Millis {
-        self.part(1, 2, 1_800)
+        self.fraction(1, 2, 1_800)
     }
 
     /// Returns how long a daemon reads nothing more at the most after what took it long to take in.
     pub fn max_pause(self) -> Millis {
-        self.part(1, 10, 400)
+        self.fraction(1, 10, 400)
     }
 
     /// Returns for how long a question to a peer waits for a change.
     pub fn peer_wait(self) -> Millis {
-        self.part(1, 8, 500)
+        self.fraction(1, 8, 500)
     }
 
     /// Returns how long a question to a peer takes until it is given up.
--- a/crates/cherrystand_core/src/nodes/rate_limit_owner.rs
+++ b/crates/cherrystand_core/src/nodes/rate_limit_owner.rs
@@ -14,12 +14,12 @@
     own: &NodeId,
     members: &[(Heartbeat, Liveness)],
 ) -> RateLimitOwner {
-    let alive = members.iter().filter(|(_, standing)| *standing == Liveness::Alive);
+    let alive = members.iter().filter(|(_, liveness)| *liveness == Liveness::Alive);
     let alive: Vec<&Heartbeat> = alive.map(|(beat, _)| beat).collect();
     let serving = alive.iter().copied().filter(|beat| beat.serving);
     let task = format!("limit/{id}");
-    let keeper = owner_of(&task, serving).or_else(|| owner_of(&task, alive.iter().copied()));
-    let other = keeper.filter(|keeper| *keeper != own);
+    let owner = owner_of(&task, serving).or_else(|| owner_of(&task, alive.iter().copied()));
+    let other = owner.filter(|owner| *owner != own);
     let address = alive.iter().find(|beat| Some(&beat.node) == other).map(|beat| beat.address);
     let share = alive.len().max(1) as f64 / members.len().max(1) as f64;
     RateLimitOwner { address, share }
--- a/crates/cherrystand_core/src/nodes/reader_list.rs
+++ b/crates/cherrystand_core/src/nodes/reader_list.rs
@@ -12,7 +12,7 @@
 use crate::{Heartbeat, Millis, NodeId, readers_of};
 
 /// How long the readers of a zone have to be the same before they are noted.
-const SETTLED_AFTER: Millis = Millis(1_000);
+const SETTLE_TIME: Millis = Millis(1_000);
 
 /// A reader of the store and where it is asked.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -34,10 +34,10 @@
     /// Makes the note of a daemon's zone.
     pub fn of_zone(own: &Heartbeat, alive: &[&Heartbeat]) -> Self {
         let readers = readers_of(&own.zone, alive).into_iter();
-        let noted = readers.filter_map(|beat| {
+        let listed = readers.filter_map(|beat| {
             beat.changes.map(|changes| ListedReader { node: beat.node.clone(), changes })
         });
-        Self { readers: noted.collect() }
+        Self { readers: listed.collect() }
     }
 
     /// Returns the readers that a daemon asks: the first reader nobody, the second the first, all
@@ -51,37 +51,37 @@
 /// Decides when the first reader of a zone writes the note.
 #[derive(Clone, Debug, Default)]
 pub struct ReaderListPublisher {
-    seen: Option<(ReaderList, Millis)>,
-    written: Option<ReaderList>,
+    candidate: Option<(ReaderList, Millis)>,
+    published: Option<ReaderList>,
 }
 
 impl ReaderListPublisher {
     /// Returns the note to write now, where the daemon `own` is the one to write it and the readers
     /// have been others than noted for a while.
-    pub fn due(&mut self, own: &NodeId, note: ReaderList, now: Millis) -> Option<ReaderList> {
-        let is_first = note.readers.first().is_some_and(|first| &first.node == own);
+    pub fn due(&mut self, own: &NodeId, list: ReaderList, now: Millis) -> Option<ReaderList> {
+        let is_first = list.readers.first().is_some_and(|first| &first.node == own);
         if !is_first {
             // Whoever writes it now, this daemon does not know what it says any more.
             *self = Self::default();
             return None;
         }
-        let since = match &self.seen {
-            Some((seen, since)) if *seen == note => *since,
+        let since = match &self.candidate {
+            Some((candidate, since)) if *candidate == list => *since,
             _ => now,
         };
-        self.seen = Some((note.clone(), since));
-        let settled = now.since(since) >= SETTLED_AFTER;
-        (settled && self.written.as_ref() != Some(&note)).then_some(note)
+        self.candidate = Some((list.clone(), since));
+        let settled = now.since(since) >= SETTLE_TIME;
+        (settled && self.published.as_ref() != Some(&list)).then_some(list)
     }
 
     /// Notes that the store holds a note.
-    pub fn record_written(&mut self, note: ReaderList) {
-        self.written = Some(note);
+    pub fn record_written(&mut self, list: ReaderList) {
+        self.published = Some(list);
     }
 
     /// Notes that a note could not be written; it is tried again after a while.
     pub fn record_failure(&mut self, now: Millis) {
-        if let Some((_, since)) = &mut self.seen {
+        if let Some((_, since)) = &mut self.candidate {
             *since = now;
         }
     }
--- a/crates/cherrystand_core/src/nodes/relays.rs
+++ b/crates/cherrystand_core/src/nodes/relays.rs
@@ -6,7 +6,7 @@
 //!
 //! Source: docs/design/0012-news-between-zones.md.
 
-use crate::nodes::task_ownership::{ranked_in_zone, zones_of};
+use crate::nodes::task_ownership::{rank_in_zone, zones_of};
 use crate::{Heartbeat, Liveness, SeededRng, ZoneId};
 
 /// How many daemons of each zone carry news to and from others: one, and one that does while the
@@ -15,11 +15,11 @@
 
 /// In one exchange of this many, a daemon asks any peer of its zone instead of a relay, so that
 /// news spreads while all relays are lost.
-const ANY_PEER_EVERY: usize = 4;
+const RANDOM_PEER_EVERY: usize = 4;
 
 /// Returns the relays of a zone, the first one first.
 pub fn relays_of<'a>(zone: &ZoneId, alive: &[&'a Heartbeat]) -> Vec<&'a Heartbeat> {
-    let mut relays = ranked_in_zone("relay", zone, alive, |beat| beat.serving);
+    let mut relays = rank_in_zone("relay", zone, alive, |beat| beat.serving);
     relays.truncate(RELAYS_PER_ZONE);
     relays
 }
@@ -52,13 +52,13 @@
     round: usize,
     seed: &mut SeededRng,
 ) -> Option<&'a Heartbeat> {
-    let alive = with_standing(known, Liveness::Alive);
+    let alive = with_liveness(known, Liveness::Alive);
     let not_own = |beat: &&Heartbeat| beat.node != own.node;
     let mut relays = relays_of(&own.zone, &alive);
     let rank = relays.iter().position(|beat| beat.node == own.node);
     relays.retain(not_own);
     if let Some(rank) = rank {
-        let suspects = with_standing(known, Liveness::Suspect);
+        let suspects = with_liveness(known, Liveness::Suspect);
         let reachable: Vec<&Heartbeat> = alive.iter().chain(&suspects).copied().collect();
         let others = other_zone_totals(&own.zone, &reachable);
         let turn = round % (others.len() + 1);
@@ -73,7 +73,7 @@
             return in_turn(&left, seed.below(left.len()));
         }
     }
-    if relays.is_empty() || round.is_multiple_of(ANY_PEER_EVERY) {
+    if relays.is_empty() || round.is_multiple_of(RANDOM_PEER_EVERY) {
         let mut any = alive.clone();
         any.retain(|beat| not_own(beat) && beat.zone == own.zone);
         if any.is_empty() {
@@ -84,11 +84,11 @@
     in_turn(&relays, round)
 }
 
-fn with_standing<'a>(
+fn with_liveness<'a>(
     known: &[(&'a Heartbeat, Liveness)],
-    standing: Liveness,
+    liveness: Liveness,
 ) -> Vec<&'a Heartbeat> {
-    known.iter().filter(|(_, held)| *held == standing).map(|(beat, _)| *beat).collect()
+    known.iter().filter(|(_, held)| *held == liveness).map(|(beat, _)| *beat).collect()
 }
 
 fn in_turn<'a>(among: &[&'a Heartbeat], turn: usize) -> Option<&'a Heartbeat> {
--- a/crates/cherrystand_core/src/nodes/replica_evidence.rs
+++ b/crates/cherrystand_core/src/nodes/replica_evidence.rs
@@ -29,9 +29,9 @@
 }
 
 #[derive(Clone, Debug)]
-struct Held {
+struct StoredEvidence {
     epoch: Epoch,
-    given: Millis,
+    acknowledged_at: Millis,
     whole: bool,
     load: u32,
 }
@@ -39,22 +39,28 @@
 /// Keeps the newest evidence of each replica.
 #[derive(Clone, Debug, Default)]
 pub struct EvidenceTable {
-    held: BTreeMap<(DomainId, ReplicaId), Held>,
+    stored: BTreeMap<(DomainId, ReplicaId), StoredEvidence>,
 }
 
 impl EvidenceTable {
     /// Takes in evidence, and tells whether it is newer than what was held.
     pub fn merge(&mut self, evidence: &ReplicaEvidence, now: Millis) -> bool {
-        let given = now - evidence.age;
+        let acknowledged_at = now - evidence.age;
         let key = (evidence.domain.clone(), evidence.replica.clone());
-        let newer = match self.held.get(&key) {
-            Some(held) => (evidence.epoch, given) > (held.epoch, held.given),
+        let newer = match self.stored.get(&key) {
+            Some(stored) => {
+                (evidence.epoch, acknowledged_at) > (stored.epoch, stored.acknowledged_at)
+            }
             None => true,
         };
         if newer {
-            let held =
-                Held { epoch: evidence.epoch, given, whole: evidence.whole, load: evidence.load };
-            self.held.insert(key, held);
+            let stored = StoredEvidence {
+                epoch: evidence.epoch,
+                acknowledged_at,
+                whole: evidence.whole,
+                load: evidence.load,
+            };
+            self.stored.insert(key, stored);
         }
         newer
     }
@@ -67,21 +73,26 @@
         epoch: Epoch,
         now: Millis,
     ) -> Option<u32> {
-        let held = self.held.get(&(domain.clone(), replica.clone()))?;
-        let fresh = now.since(held.given) <= EVIDENCE_TTL;
-        (fresh && held.whole && held.epoch == epoch).then_some(held.load)
+        let stored = self.stored.get(&(domain.clone(), replica.clone()))?;
+        let fresh = now.since(stored.acknowledged_at) <= EVIDENCE_TTL;
+        (fresh && stored.whole && stored.epoch == epoch).then_some(stored.load)
     }
 
     /// Returns the evidence that is still worth passing on.
     pub fn export(&self, now: Millis) -> Vec<ReplicaEvidence> {
-        let fresh = self.held.iter().filter(|(_, held)| now.since(held.given) <= EVIDENCE_TTL);
-        let export = |((domain, replica), held): (&(DomainId, ReplicaId), &Held)| ReplicaEvidence {
-            domain: domain.clone(),
-            replica: replica.clone(),
-            epoch: held.epoch,
-            age: now.since(held.given),
-            whole: held.whole,
-            load: held.load,
+        let fresh = self
+            .stored
+            .iter()
+            .filter(|(_, stored)| now.since(stored.acknowledged_at) <= EVIDENCE_TTL);
+        let export = |((domain, replica), stored): (&(DomainId, ReplicaId), &StoredEvidence)| {
+            ReplicaEvidence {
+                domain: domain.clone(),
+                replica: replica.clone(),
+                epoch: stored.epoch,
+                age: now.since(stored.acknowledged_at),
+                whole: stored.whole,
+                load: stored.load,
+            }
         };
         fresh.map(export).collect()
     }
@@ -89,6 +100,6 @@
     /// Forgets replicas whose evidence is long stale.
     pub fn prune(&mut self, now: Millis) {
         let long = Millis(EVIDENCE_TTL.0 * 4);
-        self.held.retain(|_, held| now.since(held.given) <= long);
+        self.stored.retain(|_, stored| now.since(stored.acknowledged_at) <= long);
     }
 }
--- a/crates/cherrystand_core/src/nodes/shutdown_plan.rs
+++ b/crates/cherrystand_core/src/nodes/shutdown_plan.rs
@@ -5,13 +5,13 @@
 /// How much of its grace a stopping daemon keeps in hand at the most, to close what is left.
 ///
 /// Source: chosen, not measured; it covers a signal that is handled late.
-const IN_HAND_AT_MOST: Millis = Millis(700);
+const MAX_RESERVE: Millis = Millis(700);
 
 /// The part of a grace that is kept in hand where that is less.
 ///
 /// What still runs may be cut in the last sixth of the grace only; a fixed 0.7 s of a grace of 3 s cut
 /// answers 0.2 s before that.
-const IN_HAND_PART: u64 = 8;
+const RESERVE_DIVISOR: u64 = 8;
 
 /// Says how long a stopping daemon does what.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -25,8 +25,8 @@
 impl ShutdownPlan {
     /// Plans a stop within `grace`, lingering for `linger` where that leaves time.
     pub fn new(grace: Millis, linger: Millis) -> Self {
-        let in_hand = IN_HAND_AT_MOST.min(Millis(grace.0 / IN_HAND_PART));
-        let usable = grace - in_hand;
+        let reserve = MAX_RESERVE.min(Millis(grace.0 / RESERVE_DIVISOR));
+        let usable = grace - reserve;
         let linger = linger.min(usable);
         Self { linger, drain: usable - linger }
     }
--- a/crates/cherrystand_core/src/nodes/task_ownership.rs
+++ b/crates/cherrystand_core/src/nodes/task_ownership.rs
@@ -38,7 +38,7 @@
 /// Those with the widest links come first: what a zone reads and passes on goes over them. Where
 /// two of twenty have ten times the link of the others, 20 copies of 0.4 MB are 0.3 s instead of
 /// 3.4 s.
-pub(crate) fn ranked_in_zone<'a>(
+pub(crate) fn rank_in_zone<'a>(
     duty: &str,
     zone: &ZoneId,
     alive: &[&'a Heartbeat],
--- a/crates/cherrystand_core/src/requests/admission.rs
+++ b/crates/cherrystand_core/src/requests/admission.rs
@@ -5,10 +5,10 @@
 use crate::{Class, Millis, Refusal, RefusalReason, WorkspaceId};
 
 /// The share of the common room at which workspaces are held to their fair part, in percent.
-const BUSY_PERCENT: u32 = 75;
+const FAIR_SHARE_THRESHOLD_PERCENT: u32 = 75;
 
 /// When a caller refused for lack of room may come back.
-const COME_BACK: Millis = Millis(1_000);
+const RETRY_AFTER: Millis = Millis(1_000);
 
 /// Says how much room a node has.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -33,15 +33,15 @@
 /// busy, each workspace gets an equal share.
 #[derive(Clone, Debug, Default)]
 pub struct Admission {
-    room: AdmissionLimits,
-    in_use: BTreeMap<Class, u32>,
+    limits: AdmissionLimits,
+    by_class: BTreeMap<Class, u32>,
     workspaces: BTreeMap<WorkspaceId, u32>,
 }
 
 impl Admission {
     /// Creates an admission over an empty room.
-    pub fn new(room: AdmissionLimits) -> Self {
-        Self { room, ..Self::default() }
+    pub fn new(limits: AdmissionLimits) -> Self {
+        Self { limits, ..Self::default() }
     }
 
     /// Takes room for a request; it is given back by [`Admission::leave`].
@@ -50,14 +50,14 @@
     ///
     /// Returns the [`Refusal`] when the room is full for the class or the workspace.
     pub fn admit(&mut self, class: Class, workspace: &WorkspaceId) -> Result<(), Refusal> {
-        let full = |reason| Err(Refusal::with_retry_after(reason, COME_BACK));
-        if self.in_flight() >= self.limit_for(class) || self.class_full(class) {
-            return full(RefusalReason::NodeFull);
+        let refuse = |reason| Err(Refusal::with_retry_after(reason, RETRY_AFTER));
+        if self.in_flight() >= self.limit_for(class) || self.is_class_full(class) {
+            return refuse(RefusalReason::NodeFull);
         }
-        if class != Class::Consent && self.over_share(workspace) {
-            return full(RefusalReason::WorkspaceShare);
+        if class != Class::Consent && self.exceeds_fair_share(workspace) {
+            return refuse(RefusalReason::WorkspaceShare);
         }
-        *self.in_use.entry(class).or_default() += 1;
+        *self.by_class.entry(class).or_default() += 1;
         if class != Class::Consent {
             *self.workspaces.entry(workspace.clone()).or_default() += 1;
         }
@@ -66,7 +66,7 @@
 
     /// Gives back the room of a request.
     pub fn release(&mut self, class: Class, workspace: &WorkspaceId) {
-        if let Some(count) = self.in_use.get_mut(&class) {
+        if let Some(count) = self.by_class.get_mut(&class) {
             *count = count.saturating_sub(1);
         }
         if class == Class::Consent {
@@ -82,38 +82,38 @@
 
     /// Returns how many requests are in the room.
     pub fn in_flight(&self) -> u32 {
-        self.in_use.values().sum()
+        self.by_class.values().sum()
     }
 
-    fn common(&self) -> u32 {
-        self.room.total.saturating_sub(self.room.reserved_for_consent)
+    fn shared_limit(&self) -> u32 {
+        self.limits.total.saturating_sub(self.limits.reserved_for_consent)
     }
 
     fn limit_for(&self, class: Class) -> u32 {
         match class {
-            Class::Consent => self.room.total,
+            Class::Consent => self.limits.total,
             Class::Interactive | Class::Batch => {
-                self.common().saturating_add(self.used_by(Class::Consent))
+                self.shared_limit().saturating_add(self.in_flight_of(Class::Consent))
             }
         }
     }
 
-    fn class_full(&self, class: Class) -> bool {
-        let most = self.common() * self.room.batch_percent / 100;
-        class == Class::Batch && self.used_by(Class::Batch) >= most
+    fn is_class_full(&self, class: Class) -> bool {
+        let batch_limit = self.shared_limit() * self.limits.batch_percent / 100;
+        class == Class::Batch && self.in_flight_of(Class::Batch) >= batch_limit
     }
 
-    fn used_by(&self, class: Class) -> u32 {
-        self.in_use.get(&class).copied().unwrap_or(0)
+    fn in_flight_of(&self, class: Class) -> u32 {
+        self.by_class.get(&class).copied().unwrap_or(0)
     }
 
-    fn over_share(&self, workspace: &WorkspaceId) -> bool {
-        let common_used = self.in_flight() - self.used_by(Class::Consent);
-        if common_used * 100 < self.common() * BUSY_PERCENT {
+    fn exceeds_fair_share(&self, workspace: &WorkspaceId) -> bool {
+        let shared_in_flight = self.in_flight() - self.in_flight_of(Class::Consent);
+        if shared_in_flight * 100 < self.shared_limit() * FAIR_SHARE_THRESHOLD_PERCENT {
             return false;
         }
         let held = self.workspaces.get(workspace).copied().unwrap_or(0);
-        let sharers = self.workspaces.len() as u32 + u32::from(held == 0);
-        sharers > 1 && held >= self.common() / sharers
+        let workspaces = self.workspaces.len() as u32 + u32::from(held == 0);
+        workspaces > 1 && held >= self.shared_limit() / workspaces
     }
 }
--- a/crates/cherrystand_core/src/requests/circuit_breaker.rs
+++ b/crates/cherrystand_core/src/requests/circuit_breaker.rs
@@ -12,19 +12,19 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct CircuitBreaker {
     failures: u32,
-    closed_until: Millis,
-    trial: bool,
+    open_until: Millis,
+    probe_in_flight: bool,
 }
 
 impl CircuitBreaker {
     /// Tells whether a request may go to the endpoint now.
     pub fn allows(&self, now: Millis) -> bool {
-        self.failures == 0 || (now >= self.closed_until && !self.trial)
+        self.failures == 0 || (now >= self.open_until && !self.probe_in_flight)
     }
 
     /// Takes in that a request is on its way.
     pub fn record_start(&mut self) {
-        self.trial = self.failures > 0;
+        self.probe_in_flight = self.failures > 0;
     }
 
     /// Takes in that the endpoint answered.
@@ -34,14 +34,14 @@
 
     /// Takes in that an attempt ended without saying anything about the endpoint.
     pub fn record_abandoned(&mut self) {
-        self.trial = false;
+        self.probe_in_flight = false;
     }
 
     /// Takes in that the endpoint failed.
     pub fn record_failure(&mut self, now: Millis) {
-        let doubled = INITIAL_OPEN_TIME.0 << self.failures.min(8);
+        let open_time_ms = INITIAL_OPEN_TIME.0 << self.failures.min(8);
         self.failures += 1;
-        self.trial = false;
-        self.closed_until = now + Millis(doubled.min(MAX_OPEN_TIME.0));
+        self.probe_in_flight = false;
+        self.open_until = now + Millis(open_time_ms.min(MAX_OPEN_TIME.0));
     }
 }
--- a/crates/cherrystand_core/src/requests/claim.rs
+++ b/crates/cherrystand_core/src/requests/claim.rs
@@ -129,7 +129,7 @@
 
     fn apply_one(&mut self, request: &ClaimRequest, by: &WriteId, unix_secs: u64) -> ClaimResponse {
         match request {
-            ClaimRequest::Acquire(key) => self.take(*key, by, unix_secs),
+            ClaimRequest::Acquire(key) => self.acquire(*key, by, unix_secs),
             ClaimRequest::Release(key) => {
                 if self.is_held_by(*key, by) {
                     self.claims.remove(key);
@@ -147,7 +147,7 @@
         }
     }
 
-    fn take(&mut self, key: IdempotencyKey, by: &WriteId, unix_secs: u64) -> ClaimResponse {
+    fn acquire(&mut self, key: IdempotencyKey, by: &WriteId, unix_secs: u64) -> ClaimResponse {
         if let Some(claim) = self.claims.get(&key) {
             return ClaimResponse::AlreadyClaimed(claim.clone());
         }
--- a/crates/cherrystand_core/src/requests/cold_period.rs
+++ b/crates/cherrystand_core/src/requests/cold_period.rs
@@ -5,7 +5,7 @@
 use crate::{Millis, RequestRate};
 
 /// The longest time for which an endpoint is taken for cold by one telling.
-pub(crate) const LONGEST_COLD: Millis = Millis(600_000);
+pub(crate) const MAX_COLD_PERIOD: Millis = Millis(600_000);
 
 /// Says how an endpoint of a service takes requests while it is cold.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -44,6 +44,6 @@
 impl ColdPeriodUpdate {
     /// Returns what it says on this node's clock.
     pub fn to_period(self, now: Millis) -> ColdPeriod {
-        ColdPeriod { rate: self.rate, until: now + self.left.min(LONGEST_COLD) }
+        ColdPeriod { rate: self.rate, until: now + self.left.min(MAX_COLD_PERIOD) }
     }
 }
--- a/crates/cherrystand_core/src/requests/concurrency_limit.rs
+++ b/crates/cherrystand_core/src/requests/concurrency_limit.rs
@@ -3,10 +3,10 @@
 use crate::Millis;
 
 /// An answer that begins this many times later than the usual one speaks of overload.
-const SLOW_FACTOR: f64 = 3.0;
+const OVERLOAD_LATENCY_FACTOR: f64 = 3.0;
 
 /// What one sign of overload leaves of the limit.
-const CUT: f64 = 0.9;
+const DECREASE_FACTOR: f64 = 0.9;
 
 /// The share by which one sample moves the usual time.
 const SMOOTHING: f64 = 0.05;
@@ -18,19 +18,19 @@
 #[derive(Clone, Copy, Debug)]
 pub struct ConcurrencyLimit {
     limit: f64,
-    most: f64,
-    usual_ms: f64,
-    cut_at: Millis,
+    max: f64,
+    typical_ms: f64,
+    last_decrease: Millis,
 }
 
 impl ConcurrencyLimit {
     /// Creates a limit that starts at `start` and never exceeds `most`.
-    pub fn new(start: u32, most: u32) -> Self {
+    pub fn new(start: u32, max: u32) -> Self {
         Self {
-            limit: f64::from(start.clamp(1, most.max(1))),
-            most: f64::from(most.max(1)),
-            usual_ms: 0.0,
-            cut_at: Millis(0),
+            limit: f64::from(start.clamp(1, max.max(1))),
+            max: f64::from(max.max(1)),
+            typical_ms: 0.0,
+            last_decrease: Millis(0),
         }
     }
 
@@ -41,30 +41,31 @@
 
     /// Returns the usual time until an answer begins.
     pub fn typical_latency(&self) -> Millis {
-        Millis(self.usual_ms as u64)
+        Millis(self.typical_ms as u64)
     }
 
     /// Takes in that an answer began after `took`, with `in_flight` requests at the endpoint.
     pub fn record_answer(&mut self, now: Millis, took: Millis, in_flight: u32) {
         let took = took.0 as f64;
-        if self.usual_ms == 0.0 {
-            self.usual_ms = took;
+        if self.typical_ms == 0.0 {
+            self.typical_ms = took;
         }
-        if took > self.usual_ms * SLOW_FACTOR + 1.0 {
+        if took > self.typical_ms * OVERLOAD_LATENCY_FACTOR + 1.0 {
             self.record_overload(now);
         } else if f64::from(in_flight) * 2.0 >= self.limit {
-            self.limit = (self.limit + 1.0 / self.limit).min(self.most);
+            self.limit = (self.limit + 1.0 / self.limit).min(self.max);
         }
-        let bounded = took.min(self.usual_ms * SLOW_FACTOR + 1.0);
-        self.usual_ms += (bounded - self.usual_ms) * SMOOTHING;
+        let bounded = took.min(self.typical_ms * OVERLOAD_LATENCY_FACTOR + 1.0);
+        self.typical_ms += (bounded - self.typical_ms) * SMOOTHING;
     }
 
     /// Takes in that the endpoint refused a request or did not answer in time.
     pub fn record_overload(&mut self, now: Millis) {
-        if now.since(self.cut_at) < self.typical_latency() && self.cut_at != Millis(0) {
+        if now.since(self.last_decrease) < self.typical_latency() && self.last_decrease != Millis(0)
+        {
             return;
         }
-        self.cut_at = now;
-        self.limit = (self.limit * CUT).max(1.0);
+        self.last_decrease = now;
+        self.limit = (self.limit * DECREASE_FACTOR).max(1.0);
     }
 }
--- a/crates/cherrystand_core/src/requests/endpoint_backpressure.rs
+++ b/crates/cherrystand_core/src/requests/endpoint_backpressure.rs
@@ -12,20 +12,20 @@
 
 /// How many requests may be under way at once to an endpoint whose rest has just ended, until it answers
 /// the first; each answer that begins doubles it.
-const FIRST_WINDOW: u32 = 1;
+const INITIAL_WINDOW: u32 = 1;
 
 /// For how long after its rest an endpoint that nobody asked anything counts as coming back.
-const COMES_BACK_FOR: Millis = Millis(10_000);
+const RECOVERY_PERIOD: Millis = Millis(10_000);
 
 /// For how long after its rest this node keeps to what an endpoint bore.
-const LIMITED_FOR: Millis = Millis(30_000);
+const LIMIT_PERIOD: Millis = Millis(30_000);
 
 /// The part of what was under way that is borne after an endpoint asked for rest; each answer adds its part
 /// of one more (additive increase, multiplicative decrease).
 ///
 /// Nine daemons that send four replicas half as much again as these can answer get 8,600 of 10,200
 /// answers a minute with it, 5,300 without: the next rest follows at once (tests/backoff_simulation.rs).
-const BORNE_AFTER_REST: f64 = 0.7;
+const DECREASE_FACTOR: f64 = 0.7;
 
 /// Says how an endpoint stands, by what it asked of this node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -55,23 +55,23 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Rest {
+struct Backoff {
     until: Millis,
     /// How many requests sent since the rest are under way at the most, where there is another endpoint.
     window: u32,
     /// How many of those sent since are under way.
-    under_way: u32,
+    in_flight: u32,
     /// How many requests of this node the endpoint bears at once.
     limit: f64,
 }
 
-impl Rest {
+impl Backoff {
     fn is_over(&self, now: Millis) -> bool {
-        now >= self.until + LIMITED_FOR
+        now >= self.until + LIMIT_PERIOD
     }
 
-    fn comes_back(&self, now: Millis) -> bool {
-        now < self.until + COMES_BACK_FOR && self.under_way >= self.window
+    fn is_recovering(&self, now: Millis) -> bool {
+        now < self.until + RECOVERY_PERIOD && self.in_flight >= self.window
     }
 }
 
@@ -80,8 +80,8 @@
 /// It is kept apart from the list of endpoints: an entry may go and come back within a rest.
 #[derive(Clone, Debug)]
 pub struct EndpointBackpressure<K> {
-    rests: BTreeMap<K, Rest>,
-    leaving: DrainingIncarnations<K>,
+    backoffs: BTreeMap<K, Backoff>,
+    draining: DrainingIncarnations<K>,
     /// Endpoints of availability zones that operators have emptied, and since when.
     evacuated: BTreeMap<K, Millis>,
     /// What endpoints take from all nodes together.
@@ -91,8 +91,8 @@
 impl<K> Default for EndpointBackpressure<K> {
     fn default() -> Self {
         Self {
-            rests: BTreeMap::new(),
-            leaving: DrainingIncarnations::default(),
+            backoffs: BTreeMap::new(),
+            draining: DrainingIncarnations::default(),
             evacuated: BTreeMap::new(),
             limits: EndpointRateLimits::default(),
         }
@@ -104,29 +104,35 @@
     ///
     /// `under_way` is what this node has there, the request that was turned away among it. A later wish never
     /// shortens an earlier one, and neither does an answer to what was under way.
-    pub fn record_backoff(&mut self, id: &K, asked: Millis, under_way: u32, now: Millis) -> Millis {
-        self.rests.retain(|_, rest| !rest.is_over(now));
-        let until = now + asked.min(MAX_BACKOFF);
-        let limit = (f64::from(under_way.saturating_sub(1)) * BORNE_AFTER_REST).max(1.0);
-        let fresh = Rest { until, window: FIRST_WINDOW, under_way: 0, limit };
-        let rest = self.rests.entry(id.clone()).or_insert(fresh);
+    pub fn record_backoff(
+        &mut self,
+        id: &K,
+        requested: Millis,
+        in_flight: u32,
+        now: Millis,
+    ) -> Millis {
+        self.backoffs.retain(|_, backoff| !backoff.is_over(now));
+        let until = now + requested.min(MAX_BACKOFF);
+        let limit = (f64::from(in_flight.saturating_sub(1)) * DECREASE_FACTOR).max(1.0);
+        let fresh = Backoff { until, window: INITIAL_WINDOW, in_flight: 0, limit };
+        let backoff = self.backoffs.entry(id.clone()).or_insert(fresh);
         // Others that were on their way say nothing more of what it bears.
-        if now >= rest.until {
-            rest.limit = limit;
+        if now >= backoff.until {
+            backoff.limit = limit;
         }
-        rest.until = until.max(rest.until);
-        rest.window = FIRST_WINDOW;
-        rest.until
+        backoff.until = until.max(backoff.until);
+        backoff.window = INITIAL_WINDOW;
+        backoff.until
     }
 
     /// Takes in that an endpoint leaves, and tells whether that is new.
     pub fn record_draining(&mut self, id: &K) -> bool {
-        self.leaving.insert(id)
+        self.draining.insert(id)
     }
 
     /// Tells whether an endpoint said that it leaves.
     pub fn is_draining(&self, id: &K) -> bool {
-        self.leaving.contains(id)
+        self.draining.contains(id)
     }
 
     /// Takes over which endpoints lie in availability zones that operators have emptied, and since when.
@@ -135,60 +141,62 @@
     }
 
     /// Returns how an endpoint stands, where this node has `under_way` requests there.
-    pub fn state(&self, id: &K, under_way: u32, now: Millis) -> BackpressureState {
+    pub fn state(&self, id: &K, in_flight: u32, now: Millis) -> BackpressureState {
         match (self.is_draining(id), self.evacuated.get(id)) {
             (true, _) => BackpressureState::Draining,
             (false, Some(since)) => BackpressureState::Evacuated(*since),
-            (false, None) => self.active_state(id, under_way, now),
+            (false, None) => self.active_state(id, in_flight, now),
         }
     }
 
     /// The same for one that is known neither to leave nor to be evacuated: of all that it asked for, the
     /// strictest holds.
-    pub(crate) fn active_state(&self, id: &K, under_way: u32, now: Millis) -> BackpressureState {
+    pub(crate) fn active_state(&self, id: &K, in_flight: u32, now: Millis) -> BackpressureState {
         // Most choices are made while nobody wants anything.
-        if self.rests.is_empty() && self.limits.is_empty() {
+        if self.backoffs.is_empty() && self.limits.is_empty() {
             return BackpressureState::Open;
         }
-        let rest = self.rests.get(id);
-        if let Some(rest) = rest.filter(|rest| now < rest.until) {
-            return BackpressureState::BackingOff(rest.until);
+        let backoff = self.backoffs.get(id);
+        if let Some(backoff) = backoff.filter(|backoff| now < backoff.until) {
+            return BackpressureState::BackingOff(backoff.until);
         }
         if let Some(Err(until)) = self.limits.permit_wait(id, now) {
             return BackpressureState::RateLimited(until);
         }
-        match rest {
-            Some(rest) if rest.is_over(now) => BackpressureState::Open,
-            Some(rest) if f64::from(under_way) >= rest.limit => BackpressureState::Saturated,
-            Some(rest) if rest.comes_back(now) => BackpressureState::Recovering,
+        match backoff {
+            Some(backoff) if backoff.is_over(now) => BackpressureState::Open,
+            Some(backoff) if f64::from(in_flight) >= backoff.limit => BackpressureState::Saturated,
+            Some(backoff) if backoff.is_recovering(now) => BackpressureState::Recovering,
             _ => BackpressureState::Open,
         }
     }
 
     /// Gives leave to send one request to an endpoint; nothing where it wants none.
-    pub fn acquire_permit(&mut self, id: &K, under_way: u32, now: Millis) -> Option<SendPermit> {
-        let is_closed = self.state(id, under_way, now).is_closed();
+    pub fn acquire_permit(&mut self, id: &K, in_flight: u32, now: Millis) -> Option<SendPermit> {
+        let is_closed = self.state(id, in_flight, now).is_closed();
         if is_closed || !self.limits.take_permit(id, now) {
             return None;
         }
-        let rest = self.rests.get_mut(id).filter(|rest| !rest.is_over(now));
-        let comes_back = rest.map(|rest| rest.under_way += 1).is_some();
-        Some(SendPermit::new(comes_back))
+        let backoff = self.backoffs.get_mut(id).filter(|backoff| !backoff.is_over(now));
+        let is_after_backoff = backoff.map(|backoff| backoff.in_flight += 1).is_some();
+        Some(SendPermit::new(is_after_backoff))
     }
 
     /// Takes in that an endpoint began to answer what it was sent after its rest.
     ///
     /// Where it has asked for the next one meanwhile, that holds.
     pub fn record_answer(&mut self, id: &K, now: Millis) {
-        let Some(rest) = self.rests.get_mut(id).filter(|rest| now >= rest.until) else { return };
-        rest.window = rest.window.saturating_mul(2);
-        rest.limit += 1.0 / rest.limit;
+        let Some(backoff) = self.backoffs.get_mut(id).filter(|backoff| now >= backoff.until) else {
+            return;
+        };
+        backoff.window = backoff.window.saturating_mul(2);
+        backoff.limit += 1.0 / backoff.limit;
     }
 
     /// Takes in that what an endpoint was sent after its rest is under way no more.
     pub fn record_end(&mut self, id: &K) {
-        if let Some(rest) = self.rests.get_mut(id) {
-            rest.under_way = rest.under_way.saturating_sub(1);
+        if let Some(backoff) = self.backoffs.get_mut(id) {
+            backoff.in_flight = backoff.in_flight.saturating_sub(1);
         }
     }
 }
--- a/crates/cherrystand_core/src/requests/endpoint_rate_limits.rs
+++ b/crates/cherrystand_core/src/requests/endpoint_rate_limits.rs
@@ -15,13 +15,13 @@
 use crate::{ColdPeriod, Millis, RateLimitMessage, RateLimitReport, RequestRate};
 
 /// A limit from which on it is none: no endpoint is sent as many requests a second by all nodes.
-const NO_LIMIT: f64 = 1_000.0;
+const UNLIMITED_FROM: f64 = 1_000.0;
 
 /// The most endpoints that limits are kept of.
-const MOST_ENDPOINTS: usize = 16_384;
+const MAX_ENDPOINTS: usize = 16_384;
 
 /// How many questions about an endpoint are kept until it is known who keeps its account.
-const MOST_EARLY: usize = 64;
+const MAX_EARLY_MESSAGES: usize = 64;
 
 /// Says who keeps the account of an endpoint, as this node sees it.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -65,24 +65,24 @@
 pub struct EndpointRateLimits<K> {
     endpoints: BTreeMap<K, RateLimitedEndpoint>,
     /// What this node's own answers told that others may not know.
-    to_tell: Vec<(K, RateLimitReport)>,
+    to_announce: Vec<(K, RateLimitReport)>,
     /// Answers to what other nodes said.
     replies: Vec<(RateLimitRecipient, K, RateLimitMessage)>,
     /// The number of this node's last question, about whichever endpoint.
-    last_number: u64,
+    last_request_number: u64,
     /// How many permits of each account may be given at once, and are there as it begins, where that is not the
     /// usual figure.
-    at_once: Option<f64>,
+    burst: Option<f64>,
 }
 
 impl<K> Default for EndpointRateLimits<K> {
     fn default() -> Self {
         Self {
             endpoints: BTreeMap::new(),
-            to_tell: Vec::new(),
+            to_announce: Vec::new(),
             replies: Vec::new(),
-            last_number: 0,
-            at_once: None,
+            last_request_number: 0,
+            burst: None,
         }
     }
 }
@@ -91,18 +91,18 @@
     /// Creates accounts that begin with so many permits, which may be given at once: what stands behind them is full
     /// while nobody asks.
     pub fn with_burst(permits: f64) -> Self {
-        Self { at_once: Some(permits), ..Self::default() }
+        Self { burst: Some(permits), ..Self::default() }
     }
 
     /// Tells whether nothing is asked for or given out now.
     pub fn is_idle(&self) -> bool {
-        let nothing_told = self.to_tell.is_empty() && self.replies.is_empty();
+        let nothing_told = self.to_announce.is_empty() && self.replies.is_empty();
         nothing_told && self.endpoints.values().all(RateLimitedEndpoint::is_idle)
     }
 
     /// Numbers this node's questions from here on; those of its earlier lives have to be lower.
     pub fn set_last_request_number(&mut self, first: u64) {
-        self.last_number = first;
+        self.last_request_number = first;
     }
 
     /// Tells whether no endpoint names a limit.
@@ -117,31 +117,31 @@
 
     /// Takes over whether an endpoint is cold, as this node is told of it by the endpoint itself.
     pub fn set_cold_period(&mut self, id: &K, cold: Option<ColdPeriod>) {
-        let cold = cold.filter(|cold| cold.rate.as_f64() < NO_LIMIT);
+        let cold = cold.filter(|cold| cold.rate.as_f64() < UNLIMITED_FROM);
         if cold.is_some() {
             self.ensure_entry(id);
         }
-        if let Some(held) = self.endpoints.get_mut(id) {
-            held.cold = cold;
+        if let Some(endpoint) = self.endpoints.get_mut(id) {
+            endpoint.cold = cold;
         }
     }
 
     /// Makes a place for an endpoint that may be limited, where there is room.
     fn ensure_entry(&mut self, id: &K) {
-        if self.endpoints.len() < MOST_ENDPOINTS && !self.endpoints.contains_key(id) {
+        if self.endpoints.len() < MAX_ENDPOINTS && !self.endpoints.contains_key(id) {
             self.endpoints.insert(id.clone(), RateLimitedEndpoint::default());
         }
     }
 
     /// Takes in what an answer to a request of this node names; tells whether that is new.
-    pub fn record_answer(&mut self, id: &K, heard: ObservedRateLimit, now: Millis) -> bool {
-        let limit = heard.limit.filter(|limit| limit.as_f64() < NO_LIMIT);
+    pub fn record_answer(&mut self, id: &K, observed: ObservedRateLimit, now: Millis) -> bool {
+        let limit = observed.limit.filter(|limit| limit.as_f64() < UNLIMITED_FROM);
         // That none is named is known as of the sending only.
-        let age = if limit.is_some() { Millis(0) } else { now.since(heard.request_sent_at) };
+        let age = if limit.is_some() { Millis(0) } else { now.since(observed.request_sent_at) };
         let word = RateLimitReport { limit, age, ..RateLimitReport::UNHEARD };
-        let is_new = self.merge_report(id, word, heard.request_sent_at, now);
+        let is_new = self.merge_report(id, word, observed.request_sent_at, now);
         if is_new {
-            self.to_tell.push((id.clone(), word));
+            self.to_announce.push((id.clone(), word));
         }
         is_new
     }
@@ -157,52 +157,52 @@
         if word.limit.is_some() || word.cold.is_some() {
             self.ensure_entry(id);
         }
-        let held = self.endpoints.get_mut(id);
-        held.is_some_and(|held| held.merge_report(word, made_after, now))
+        let endpoint = self.endpoints.get_mut(id);
+        endpoint.is_some_and(|endpoint| endpoint.merge_report(word, made_after, now))
     }
 
     fn limited(&self, id: &K) -> Option<&RateLimitedEndpoint> {
-        self.endpoints.get(id).filter(|held| held.limit().is_some())
+        self.endpoints.get(id).filter(|endpoint| endpoint.limit().is_some())
     }
 
     fn limited_mut(&mut self, id: &K) -> Option<&mut RateLimitedEndpoint> {
-        self.endpoints.get_mut(id).filter(|held| held.limit().is_some())
+        self.endpoints.get_mut(id).filter(|endpoint| endpoint.limit().is_some())
     }
 
     /// Tells whether a request may be sent now: nothing where the endpoint names no limit, else whether a permit
     /// is at hand, or about when one will be.
     pub fn permit_wait(&self, id: &K, now: Millis) -> Option<Result<(), Millis>> {
-        let held = self.limited(id)?;
-        let rate = held.rate();
-        match held.permits.has_permit(rate, now) {
+        let endpoint = self.limited(id)?;
+        let rate = endpoint.rate();
+        match endpoint.permits.has_permit(rate, now) {
             true => Some(Ok(())),
-            false => Some(Err(held.permits.next_permit_at(rate, now))),
+            false => Some(Err(endpoint.permits.next_permit_at(rate, now))),
         }
     }
 
     /// Tells whether a permit for an endpoint may come at any moment.
     pub fn may_get_permit(&self, id: &K) -> bool {
-        self.limited(id).is_some_and(|held| held.permits.may_arrive())
+        self.limited(id).is_some_and(|endpoint| endpoint.permits.may_arrive())
     }
 
     /// Uses a permit for one request; true as well where the endpoint names no limit.
     pub fn take_permit(&mut self, id: &K, now: Millis) -> bool {
-        let Some(held) = self.limited_mut(id) else { return true };
-        let rate = held.rate();
-        held.permits.take(rate, now)
+        let Some(endpoint) = self.limited_mut(id) else { return true };
+        let rate = endpoint.rate();
+        endpoint.permits.take(rate, now)
     }
 
     /// Takes in that the request which last used a permit was not sent.
     pub fn return_permit(&mut self, id: &K) {
-        if let Some(held) = self.limited_mut(id) {
-            held.permits.return_permit();
+        if let Some(endpoint) = self.limited_mut(id) {
+            endpoint.permits.return_permit();
         }
     }
 
     /// Notes that a request could have used a permit.
     pub fn request_permit(&mut self, id: &K, now: Millis) {
-        if let Some(held) = self.limited_mut(id) {
-            held.permits.record_demand(now);
+        if let Some(endpoint) = self.limited_mut(id) {
+            endpoint.permits.record_demand(now);
         }
     }
 
@@ -211,20 +211,20 @@
         &mut self,
         from: SocketAddr,
         id: &K,
-        news: RateLimitMessage,
+        message: RateLimitMessage,
         now: Millis,
     ) {
         if let RateLimitMessage::Heard(word)
         | RateLimitMessage::Ask { word, .. }
-        | RateLimitMessage::Give { word, .. } = news
+        | RateLimitMessage::Give { word, .. } = message
         {
             self.merge_report(id, word, now - word.age, now);
         }
-        let Some(held) = self.endpoints.get_mut(id) else { return };
-        let word = held.report(now);
-        if held.limit().is_none() {
+        let Some(endpoint) = self.endpoints.get_mut(id) else { return };
+        let word = endpoint.report(now);
+        if endpoint.limit().is_none() {
             // The asker may not know.
-            if let RateLimitMessage::Ask { .. } = news {
+            if let RateLimitMessage::Ask { .. } = message {
                 self.replies.push((
                     RateLimitRecipient::Node(from),
                     id.clone(),
@@ -233,33 +233,33 @@
             }
             return;
         }
-        match news {
+        match message {
             RateLimitMessage::Heard(_) => {}
             RateLimitMessage::Ask { .. } | RateLimitMessage::Return { .. }
-                if held.keeper.is_none() =>
+                if endpoint.owner.is_none() =>
             {
-                if held.early.len() < MOST_EARLY {
-                    held.early.push((from, news));
+                if endpoint.early_messages.len() < MAX_EARLY_MESSAGES {
+                    endpoint.early_messages.push((from, message));
                 }
             }
             RateLimitMessage::Ask { .. } | RateLimitMessage::Return { .. } => {
-                let answer = held.handle_at_ledger(Some(from), news, now);
-                let reply = |news| (RateLimitRecipient::Node(from), id.clone(), news);
+                let answer = endpoint.handle_at_ledger(Some(from), message, now);
+                let reply = |message| (RateLimitRecipient::Node(from), id.clone(), message);
                 self.replies.extend(answer.map(reply));
             }
             RateLimitMessage::Give { .. } => {
-                if held.keeper.is_some_and(|keeper| keeper.address == Some(from)) {
-                    held.permits.handle_grant(news, now);
+                if endpoint.owner.is_some_and(|owner| owner.address == Some(from)) {
+                    endpoint.permits.handle_grant(message, now);
                 }
             }
         }
     }
 
     /// Has the keepers of all accounts named anew, as nodes have come or gone.
-    pub fn reassign_owners(&mut self, now: Millis, keeper_of: impl Fn(&K) -> RateLimitOwner) {
-        for (id, held) in &mut self.endpoints {
-            if held.limit().is_some() {
-                held.set_owner(keeper_of(id), self.at_once, now);
+    pub fn reassign_owners(&mut self, now: Millis, owner_of: impl Fn(&K) -> RateLimitOwner) {
+        for (id, endpoint) in &mut self.endpoints {
+            if endpoint.limit().is_some() {
+                endpoint.set_owner(owner_of(id), self.burst, now);
             }
         }
     }
@@ -268,35 +268,36 @@
     pub fn step(
         &mut self,
         now: Millis,
-        keeper_of: impl Fn(&K) -> RateLimitOwner,
+        owner_of: impl Fn(&K) -> RateLimitOwner,
     ) -> RateLimitStep<K> {
-        let told = std::mem::take(&mut self.to_tell).into_iter();
-        let told =
-            told.map(|(id, word)| (RateLimitRecipient::All, id, RateLimitMessage::Heard(word)));
+        let announced = std::mem::take(&mut self.to_announce).into_iter();
+        let announced = announced
+            .map(|(id, word)| (RateLimitRecipient::All, id, RateLimitMessage::Heard(word)));
         let mut has_permits = false;
-        let mut news: Vec<_> = told.chain(std::mem::take(&mut self.replies)).collect();
-        self.endpoints.retain(|_, held| {
-            held.cold = held.cold.filter(|cold| now < cold.until);
-            !held.is_expired(now)
+        let mut messages: Vec<_> = announced.chain(std::mem::take(&mut self.replies)).collect();
+        self.endpoints.retain(|_, endpoint| {
+            endpoint.cold = endpoint.cold.filter(|cold| now < cold.until);
+            !endpoint.is_expired(now)
         });
-        for (id, held) in &mut self.endpoints {
-            if held.limit().is_none() {
-                held.clear_rate_limit();
+        for (id, endpoint) in &mut self.endpoints {
+            if endpoint.limit().is_none() {
+                endpoint.clear_rate_limit();
                 continue;
             }
-            if held.keeper.is_none() {
-                held.set_owner(keeper_of(id), self.at_once, now);
+            if endpoint.owner.is_none() {
+                endpoint.set_owner(owner_of(id), self.burst, now);
             }
-            if self.at_once.is_none() {
-                let cold = held.take_cold_announcement(now);
-                news.extend(cold.map(|cold| (RateLimitRecipient::All, id.clone(), cold)));
+            if self.burst.is_none() {
+                let cold = endpoint.take_cold_announcement(now);
+                messages.extend(cold.map(|cold| (RateLimitRecipient::All, id.clone(), cold)));
             }
-            let sent = held.step(&mut self.last_number, now);
-            news.extend(
-                sent.into_iter().map(|(to, news)| (RateLimitRecipient::Node(to), id.clone(), news)),
+            let sent = endpoint.step(&mut self.last_request_number, now);
+            messages.extend(
+                sent.into_iter()
+                    .map(|(to, message)| (RateLimitRecipient::Node(to), id.clone(), message)),
             );
-            has_permits |= held.permits.take_has_news();
+            has_permits |= endpoint.permits.take_new_answer();
         }
-        RateLimitStep { messages: news, has_permits }
+        RateLimitStep { messages, has_permits }
     }
 }
--- a/crates/cherrystand_core/src/requests/known_rate_limit.rs
+++ b/crates/cherrystand_core/src/requests/known_rate_limit.rs
@@ -4,13 +4,13 @@
 
 /// For how long a limit holds after it was last named, though answers come without it: an endpoint may
 /// name it in some of its answers only.
-const HOLDS_FOR: Millis = Millis(1_000);
+const HOLD_TIME: Millis = Millis(1_000);
 
 /// For how long it is known that a limit is over, to those that have yet to hear it.
-const OVER_FOR: Millis = Millis(10_000);
+const LIFTED_TTL: Millis = Millis(10_000);
 
 /// After this time without a word an endpoint's limit is forgotten.
-const FORGOTTEN_AFTER: Millis = Millis(600_000);
+const LIMIT_TTL: Millis = Millis(600_000);
 
 /// Keeps what one endpoint named last, by the answers of this node and what peers tell of theirs.
 ///
@@ -21,15 +21,15 @@
 pub(crate) struct KnownRateLimit {
     limit: RequestRate,
     /// When the limit in force was first named.
-    changed: Millis,
-    named: Millis,
+    changed_at: Millis,
+    last_named: Millis,
     /// When the newest request was sent whose answer named none.
-    unnamed: Option<Millis>,
+    last_unnamed: Option<Millis>,
 }
 
 impl KnownRateLimit {
     pub(crate) fn new(limit: RequestRate, now: Millis) -> Self {
-        Self { limit, changed: now, named: now, unnamed: None }
+        Self { limit, changed_at: now, last_named: now, last_unnamed: None }
     }
 
     pub(crate) fn limit(&self) -> RequestRate {
@@ -44,47 +44,47 @@
         at: Millis,
         made_after: Millis,
     ) -> bool {
-        if limit > self.limit && made_after < self.changed {
+        if limit > self.limit && made_after < self.changed_at {
             return false;
         }
-        let was_over = self.is_lifted();
-        self.named = at.max(self.named);
-        let is_other = limit != self.limit || (was_over && !self.is_lifted());
-        if is_other {
-            (self.limit, self.changed) = (limit, at.max(self.changed));
+        let was_lifted = self.is_lifted();
+        self.last_named = at.max(self.last_named);
+        let is_changed = limit != self.limit || (was_lifted && !self.is_lifted());
+        if is_changed {
+            (self.limit, self.changed_at) = (limit, at.max(self.changed_at));
         }
-        is_other
+        is_changed
     }
 
     /// Takes in that an answer which was made after `made_after` named none; tells whether the limit is over
     /// by that.
     pub(crate) fn record_no_limit(&mut self, made_after: Millis) -> bool {
-        let was_over = self.is_lifted();
-        self.unnamed = self.unnamed.max(Some(made_after));
-        self.is_lifted() && !was_over
+        let was_lifted = self.is_lifted();
+        self.last_unnamed = self.last_unnamed.max(Some(made_after));
+        self.is_lifted() && !was_lifted
     }
 
     /// Tells whether nothing is worth remembering of it any more.
     pub(crate) fn is_expired(&self, now: Millis) -> bool {
-        match self.unnamed.filter(|_| self.is_lifted()) {
-            Some(unnamed) => now.since(unnamed) >= OVER_FOR,
-            None => now.since(self.named) >= FORGOTTEN_AFTER,
+        match self.last_unnamed.filter(|_| self.is_lifted()) {
+            Some(last_unnamed) => now.since(last_unnamed) >= LIFTED_TTL,
+            None => now.since(self.last_named) >= LIMIT_TTL,
         }
     }
 
     /// Tells whether the endpoint names no limit any more.
     pub(crate) fn is_lifted(&self) -> bool {
-        self.unnamed.is_some_and(|unnamed| unnamed >= self.named + HOLDS_FOR)
+        self.last_unnamed.is_some_and(|last_unnamed| last_unnamed >= self.last_named + HOLD_TIME)
     }
 
     /// Tells what is known to a peer.
     pub(crate) fn report(&self, now: Millis) -> RateLimitReport {
-        match (self.is_lifted(), self.unnamed) {
-            (true, Some(unnamed)) => {
-                RateLimitReport { age: now.since(unnamed), ..RateLimitReport::UNHEARD }
+        match (self.is_lifted(), self.last_unnamed) {
+            (true, Some(last_unnamed)) => {
+                RateLimitReport { age: now.since(last_unnamed), ..RateLimitReport::UNHEARD }
             }
             _ => {
-                let (limit, age) = (Some(self.limit), now.since(self.named));
+                let (limit, age) = (Some(self.limit), now.since(self.last_named));
                 RateLimitReport { limit, age, ..RateLimitReport::UNHEARD }
             }
         }
--- a/crates/cherrystand_core/src/requests/rate_limit_permits.rs
+++ b/crates/cherrystand_core/src/requests/rate_limit_permits.rs
@@ -4,58 +4,58 @@
 
 /// How long a question goes on after the last request that could have used a permit, at a node to which such
 /// requests come often.
-const WANTED_FOR: Millis = Millis(600);
+const BUSY_DEMAND_TIMEOUT: Millis = Millis(600);
 
 /// How long a question waits at the keeper there, unless it is asked once more.
-const LASTS_FOR: Millis = Millis(1_500);
+const BUSY_REQUEST_WAIT: Millis = Millis(1_500);
 
 /// How long a question of any other node waits there: no longer than the request that asks waits, less the way.
-const WAITED_FOR: Millis = Millis(10);
+const IDLE_REQUEST_WAIT: Millis = Millis(10);
 
 /// How much longer an answer to such a question is taken: it may be on its way.
-const ANSWERED_WITHIN: Millis = Millis(90);
+const GRANT_LATENCY: Millis = Millis(90);
 
 /// The longest time between two requests that counts, so that a node that is seldom asked does not count as
 /// one that is until many more came.
-const LONGEST_GAP: f64 = 1_000.0;
+const MAX_GAP_MS: f64 = 1_000.0;
 
 /// How much the newest time between two requests counts against those before.
 const GAP_WEIGHT: f64 = 0.25;
 
 /// How often an open question is asked again, as datagrams are lost.
-const ASK_EVERY: Millis = Millis(500);
+const RESEND_INTERVAL: Millis = Millis(500);
 
 /// The shortest and longest time for which an unused permit is kept; between them as long as the next one
 /// takes, so that about one is out unused at a time.
-const KEPT_FOR: (Millis, Millis) = (Millis(50), Millis(250));
+const PERMIT_TTL_RANGE: (Millis, Millis) = (Millis(50), Millis(250));
 
 /// Permits that are asked for at once last for this long at the endpoint's rate.
-const AHEAD_FOR: f64 = 0.1;
+const PREFETCH_SECS: f64 = 0.1;
 
 /// The most permits that are asked for at once.
-const MOST_AHEAD: f64 = 8.0;
+const MAX_PREFETCH: f64 = 8.0;
 
 /// Returns how long an unused permit is kept.
-pub(crate) fn kept_for(rate: f64) -> Millis {
+pub(crate) fn permit_ttl(rate: f64) -> Millis {
     let next = Millis((1_000.0 / rate.max(f64::MIN_POSITIVE)) as u64);
-    next.clamp(KEPT_FOR.0, KEPT_FOR.1)
+    next.clamp(PERMIT_TTL_RANGE.0, PERMIT_TTL_RANGE.1)
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Question {
+struct PendingRequest {
     number: u64,
     want: u8,
     lasts: Millis,
     given: u8,
     used: u8,
-    asked: Millis,
+    sent_at: Millis,
     /// When permits last came.
-    got: Millis,
+    granted_at: Millis,
     /// Whether the keeper has answered it.
-    answered: bool,
+    is_answered: bool,
 }
 
-impl Question {
+impl PendingRequest {
     fn unused(&self) -> u8 {
         self.given.saturating_sub(self.used)
     }
@@ -70,54 +70,65 @@
 /// unused while others want it, and is asked for by the request that could use it.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RateLimitPermits {
-    open: Option<Question>,
+    pending: Option<PendingRequest>,
     /// When a request last could have used one, or did, that no question was asked for.
-    wanted: Option<Millis>,
+    open_demand: Option<Millis>,
     /// When one last could have used a permit at all.
-    last: Option<Millis>,
+    last_demand: Option<Millis>,
     /// The usual milliseconds between two such requests.
-    gap: f64,
+    mean_gap_ms: f64,
     /// How many questions of other nodes waited, by the last answer.
     waiting: u16,
     /// Whether the keeper answered, which nobody was told of.
-    has_new: bool,
+    has_new_answer: bool,
 }
 
 impl Default for RateLimitPermits {
     fn default() -> Self {
-        Self { open: None, wanted: None, last: None, gap: LONGEST_GAP, waiting: 0, has_new: false }
+        Self {
+            pending: None,
+            open_demand: None,
+            last_demand: None,
+            mean_gap_ms: MAX_GAP_MS,
+            waiting: 0,
+            has_new_answer: false,
+        }
     }
 }
 
 impl RateLimitPermits {
     /// Notes that a request could use a permit.
     pub(crate) fn record_demand(&mut self, now: Millis) {
-        if let Some(last) = self.last.replace(now) {
-            let gap = (now.since(last).0 as f64).min(LONGEST_GAP);
-            self.gap += GAP_WEIGHT * (gap - self.gap);
+        if let Some(last_demand) = self.last_demand.replace(now) {
+            let gap = (now.since(last_demand).0 as f64).min(MAX_GAP_MS);
+            self.mean_gap_ms += GAP_WEIGHT * (gap - self.mean_gap_ms);
         }
-        self.wanted = Some(now);
+        self.open_demand = Some(now);
     }
 
     /// Tells whether nothing is asked for.
     pub(crate) fn is_idle(&self) -> bool {
-        self.open.is_none() && self.wanted.is_none()
+        self.pending.is_none() && self.open_demand.is_none()
     }
 
     /// Tells whether requests come often enough to use a permit that waits for them.
     fn is_busy(&self, rate: f64) -> bool {
-        self.gap <= kept_for(rate).0 as f64
+        self.mean_gap_ms <= permit_ttl(rate).0 as f64
     }
 
     /// Tells whether a permit may come at any moment.
     pub(crate) fn may_arrive(&self) -> bool {
-        self.wanted.is_some()
-            && self.open.is_none_or(|open| !open.answered || open.used >= open.want)
+        self.open_demand.is_some()
+            && self
+                .pending
+                .is_none_or(|pending| !pending.is_answered || pending.used >= pending.want)
     }
 
     /// Tells whether a permit is at hand.
     pub(crate) fn has_permit(&self, rate: f64, now: Millis) -> bool {
-        self.open.is_some_and(|open| open.unused() > 0 && now < open.got + kept_for(rate))
+        self.pending.is_some_and(|pending| {
+            pending.unused() > 0 && now < pending.granted_at + permit_ttl(rate)
+        })
     }
 
     /// Uses a permit, where there is one.
@@ -125,35 +136,37 @@
         if !self.has_permit(rate, now) {
             return false;
         }
-        if let Some(open) = &mut self.open {
-            open.used += 1;
+        if let Some(pending) = &mut self.pending {
+            pending.used += 1;
         }
-        self.wanted = self.is_busy(rate).then_some(now);
+        self.open_demand = self.is_busy(rate).then_some(now);
         true
     }
 
     /// Has the last permit back that was used for a request which was not sent.
     pub(crate) fn return_permit(&mut self) {
-        if let Some(open) = &mut self.open {
-            open.used = open.used.saturating_sub(1);
+        if let Some(pending) = &mut self.pending {
+            pending.used = pending.used.saturating_sub(1);
         }
     }
 
     /// Takes in an answer of the keeper.
-    pub(crate) fn handle_grant(&mut self, news: RateLimitMessage, now: Millis) {
-        let RateLimitMessage::Give { number, given, waiting, .. } = news else { return };
-        let Some(open) = self.open.as_mut().filter(|open| open.number == number) else { return };
+    pub(crate) fn handle_grant(&mut self, message: RateLimitMessage, now: Millis) {
+        let RateLimitMessage::Give { number, given, waiting, .. } = message else { return };
+        let Some(pending) = self.pending.as_mut().filter(|pending| pending.number == number) else {
+            return;
+        };
         self.waiting = waiting;
-        self.has_new |= !std::mem::replace(&mut open.answered, true);
-        if given.min(open.want) > open.given {
-            (open.given, open.got) = (given.min(open.want), now);
-            self.has_new = true;
+        self.has_new_answer |= !std::mem::replace(&mut pending.is_answered, true);
+        if given.min(pending.want) > pending.given {
+            (pending.given, pending.granted_at) = (given.min(pending.want), now);
+            self.has_new_answer = true;
         }
     }
 
     /// Tells whether permits came since the last time, or the word that there is none for now.
-    pub(crate) fn take_has_news(&mut self) -> bool {
-        std::mem::take(&mut self.has_new)
+    pub(crate) fn take_new_answer(&mut self) -> bool {
+        std::mem::take(&mut self.has_new_answer)
     }
 
     /// Returns about when the next permit comes.
@@ -168,39 +181,45 @@
         limit: RequestRate,
         rate: f64,
         word: RateLimitReport,
-        last_number: &mut u64,
+        last_request_number: &mut u64,
         now: Millis,
     ) -> Option<RateLimitMessage> {
-        let lasts = if self.is_busy(rate) { WANTED_FOR } else { WAITED_FOR + ANSWERED_WITHIN };
-        let is_wanted = self.wanted.is_some_and(|at| now.since(at) < lasts);
-        let is_used_up = self.open.is_none_or(|open| open.used >= open.want);
-        if is_used_up && is_wanted {
+        let lasts = if self.is_busy(rate) {
+            BUSY_DEMAND_TIMEOUT
+        } else {
+            IDLE_REQUEST_WAIT + GRANT_LATENCY
+        };
+        let has_demand = self.open_demand.is_some_and(|at| now.since(at) < lasts);
+        let is_used_up = self.pending.is_none_or(|pending| pending.used >= pending.want);
+        if is_used_up && has_demand {
             // Its number closes the question before it.
-            return Some(self.open_request(limit, rate, word, last_number, now));
+            return Some(self.open_request(limit, rate, word, last_request_number, now));
         }
-        let mut open = self.open?;
-        let is_over = match open.unused() {
-            0 => is_used_up || !is_wanted,
-            _ => now >= open.got + kept_for(rate),
+        let mut pending = self.pending?;
+        let is_finished = match pending.unused() {
+            0 => is_used_up || !has_demand,
+            _ => now >= pending.granted_at + permit_ttl(rate),
         };
-        if is_over {
-            (self.open, self.wanted) = (None, None);
-            if open.given == 0 && open.lasts < ASK_EVERY {
+        if is_finished {
+            (self.pending, self.open_demand) = (None, None);
+            if pending.given == 0 && pending.lasts < RESEND_INTERVAL {
                 // The keeper has dropped it by itself.
                 return None;
             }
-            return Some(RateLimitMessage::Return { number: open.number, used: open.used });
+            return Some(RateLimitMessage::Return { number: pending.number, used: pending.used });
         }
         // One that does not last is asked again as the next request wants it.
-        let is_wanted_since = self.wanted > Some(open.asked) || open.lasts > ASK_EVERY;
-        let is_due = now.since(open.asked) >= open.lasts.min(ASK_EVERY) && is_wanted_since;
-        if open.unused() > 0 || !is_due {
+        let has_new_demand =
+            self.open_demand > Some(pending.sent_at) || pending.lasts > RESEND_INTERVAL;
+        let is_due =
+            now.since(pending.sent_at) >= pending.lasts.min(RESEND_INTERVAL) && has_new_demand;
+        if pending.unused() > 0 || !is_due {
             return None;
         }
-        open.answered = false;
-        open.asked = now;
-        self.open = Some(open);
-        let Question { number, want, lasts, .. } = open;
+        pending.is_answered = false;
+        pending.sent_at = now;
+        self.pending = Some(pending);
+        let PendingRequest { number, want, lasts, .. } = pending;
         Some(RateLimitMessage::Ask { word, number, want, lasts })
     }
 
@@ -209,28 +228,29 @@
         limit: RequestRate,
         rate: f64,
         word: RateLimitReport,
-        last_number: &mut u64,
+        last_request_number: &mut u64,
         now: Millis,
     ) -> RateLimitMessage {
-        *last_number += 1;
-        let number = *last_number;
-        let ahead = (limit.as_f64() * AHEAD_FOR).ceil().clamp(1.0, MOST_AHEAD) as u8;
-        let (want, lasts) = if self.is_busy(rate) { (ahead, LASTS_FOR) } else { (1, WAITED_FOR) };
-        self.open = Some(Question {
+        *last_request_number += 1;
+        let number = *last_request_number;
+        let ahead = (limit.as_f64() * PREFETCH_SECS).ceil().clamp(1.0, MAX_PREFETCH) as u8;
+        let (want, lasts) =
+            if self.is_busy(rate) { (ahead, BUSY_REQUEST_WAIT) } else { (1, IDLE_REQUEST_WAIT) };
+        self.pending = Some(PendingRequest {
             number,
             want,
             lasts,
             given: 0,
             used: 0,
-            asked: now,
-            got: now,
-            answered: false,
+            sent_at: now,
+            granted_at: now,
+            is_answered: false,
         });
         RateLimitMessage::Ask { word, number, want, lasts }
     }
 
     /// Gives up what was asked of a keeper that is it no more.
     pub(crate) fn abandon_request(&mut self) {
-        self.open = None;
+        self.pending = None;
     }
 }
--- a/crates/cherrystand_core/src/requests/retry.rs
+++ b/crates/cherrystand_core/src/requests/retry.rs
@@ -9,7 +9,7 @@
 pub const BUDGET_PER_MILLE: u32 = 100;
 
 /// How many retries may be saved up.
-const BUDGET_CAP: u32 = 10 * RETRY_COST;
+const MAX_SAVED: u32 = 10 * RETRY_COST;
 
 /// What one retry costs, in the thousandths that first attempts earn.
 const RETRY_COST: u32 = 1_000;
@@ -22,14 +22,14 @@
 
 impl Default for RetryBudget {
     fn default() -> Self {
-        Self { saved: BUDGET_CAP }
+        Self { saved: MAX_SAVED }
     }
 }
 
 impl RetryBudget {
     /// Counts a first attempt.
     pub fn earn(&mut self) {
-        self.saved = (self.saved + BUDGET_PER_MILLE).min(BUDGET_CAP);
+        self.saved = (self.saved + BUDGET_PER_MILLE).min(MAX_SAVED);
     }
 
     /// Takes one retry out of the budget, if it holds one.
--- a/crates/cherrystand_core/src/requests/router.rs
+++ b/crates/cherrystand_core/src/requests/router.rs
@@ -17,16 +17,16 @@
 /// How many endpoints of one list are looked at for one choice.
 ///
 /// It bounds the cost of a choice whatever the number of endpoints.
-const PROBES: usize = 6;
+const MAX_PROBES: usize = 6;
 
 /// How far above the group's mean load an endpoint may be and still attract its prefixes, in
 /// percent.
 ///
 /// Beyond it a hot prefix spreads to other endpoints. Source: docs/design/0007-routing.md.
-const AFFINITY_BOUND: u64 = 125;
+const AFFINITY_LOAD_PERCENT: u64 = 125;
 
 /// After this time a load report says nothing any more.
-const REPORT_LIFE: Millis = Millis(5_000);
+const LOAD_REPORT_TTL: Millis = Millis(5_000);
 
 /// Describes an endpoint to route to.
 #[derive(Clone, Copy, Debug)]
@@ -44,8 +44,8 @@
     group: GroupKey,
     near: bool,
     in_flight: u32,
-    others: u32,
-    reported: Millis,
+    in_flight_elsewhere: u32,
+    reported_at: Millis,
     limit: ConcurrencyLimit,
     breaker: CircuitBreaker,
 }
@@ -89,7 +89,7 @@
 ///
 /// let mut router = Router::default();
 /// let group = router.add_group();
-/// let spec = EndpointSpec { near: true, start_limit: 4, most: 8 };
+/// let spec = EndpointSpec { near: true, initial_limit: 4, max_limit: 8 };
 /// let only = router.add_endpoint(group, spec);
 /// let now = Millis(0);
 /// assert_eq!(router.choose(group, None, now, &mut SeededRng::new(1)), Ok(only));
@@ -100,7 +100,7 @@
 pub struct Router {
     groups: SlotMap<GroupKey, Group>,
     endpoints: SlotMap<EndpointKey, Endpoint>,
-    wishes: EndpointBackpressure<EndpointKey>,
+    backpressure: EndpointBackpressure<EndpointKey>,
 }
 
 impl Router {
@@ -125,8 +125,8 @@
             group,
             near: spec.near,
             in_flight: 0,
-            others: 0,
-            reported: Millis(0),
+            in_flight_elsewhere: 0,
+            reported_at: Millis(0),
             limit: ConcurrencyLimit::new(spec.initial_limit, spec.max_limit),
             breaker: CircuitBreaker::default(),
         });
@@ -152,8 +152,8 @@
     /// Takes in an endpoint's own report of all it has in flight, this node's share included.
     pub fn report_load(&mut self, key: EndpointKey, now: Millis, in_flight: u32) {
         if let Some(endpoint) = self.endpoints.get_mut(key) {
-            endpoint.others = in_flight.saturating_sub(endpoint.in_flight);
-            endpoint.reported = now;
+            endpoint.in_flight_elsewhere = in_flight.saturating_sub(endpoint.in_flight);
+            endpoint.reported_at = now;
         }
     }
 
@@ -173,8 +173,8 @@
         if group.near.is_empty() && group.far.is_empty() {
             return Err(NoEndpoint::NoneServing);
         }
-        let home = prefix.and_then(|prefix| self.affinity_endpoint(group, prefix, now));
-        let choice = home
+        let affine = prefix.and_then(|prefix| self.affinity_endpoint(group, prefix, now));
+        let choice = affine
             .or_else(|| self.sample(&group.near, now, seed))
             .or_else(|| self.sample(&group.far, now, seed));
         choice.ok_or_else(|| self.no_endpoint_reason(group, now, seed))
@@ -184,7 +184,7 @@
     /// wants none.
     pub fn start(&mut self, key: EndpointKey, now: Millis) -> Option<SendPermit> {
         let endpoint = self.endpoints.get_mut(key)?;
-        let permit = self.wishes.acquire_permit(&key, endpoint.in_flight, now)?;
+        let permit = self.backpressure.acquire_permit(&key, endpoint.in_flight, now)?;
         endpoint.in_flight += 1;
         endpoint.breaker.record_start();
         if let Some(group) = self.groups.get_mut(endpoint.group) {
@@ -194,9 +194,9 @@
     }
 
     /// Takes in that an endpoint asked to be left alone, as it turned a request away.
-    pub fn record_backoff(&mut self, key: EndpointKey, asked: Millis, now: Millis) {
-        let under_way = self.endpoints.get(key).map_or(0, |endpoint| endpoint.in_flight);
-        self.wishes.record_backoff(&key, asked, under_way, now);
+    pub fn record_backoff(&mut self, key: EndpointKey, requested: Millis, now: Millis) {
+        let in_flight = self.endpoints.get(key).map_or(0, |endpoint| endpoint.in_flight);
+        self.backpressure.record_backoff(&key, requested, in_flight, now);
     }
 
     /// Counts a request as ended; `first_byte` is how long its answer took to begin.
@@ -215,9 +215,9 @@
         if let Some(group) = self.groups.get_mut(endpoint.group) {
             group.in_flight -= u64::from(before - endpoint.in_flight);
         }
-        self.wishes.record_end(&key);
+        self.backpressure.record_end(&key);
         if first_byte.is_some() {
-            self.wishes.record_answer(&key, now);
+            self.backpressure.record_answer(&key, now);
         }
         match (end, first_byte) {
             (AttemptEnd::Refused, _) => endpoint.limit.record_overload(now),
@@ -248,13 +248,14 @@
     fn affinity_endpoint(&self, group: &Group, prefix: u64, now: Millis) -> Option<EndpointKey> {
         let list = if group.near.is_empty() { &group.far } else { &group.near };
         let endpoints = (group.near.len() + group.far.len()) as u64;
-        let bound = (group.in_flight + 1) * AFFINITY_BOUND;
-        let calm = |key: &EndpointKey| {
+        let bound = (group.in_flight + 1) * AFFINITY_LOAD_PERCENT;
+        let has_headroom = |key: &EndpointKey| {
             let endpoint = &self.endpoints[*key];
             u64::from(endpoint.in_flight + 1) * endpoints * 100 <= bound.max(endpoints * 100)
         };
-        let homes = [prefix, mix(prefix)].map(|hash| list[(hash % list.len() as u64) as usize]);
-        homes.into_iter().find(|key| calm(key) && self.has_room(*key, now))
+        let candidates =
+            [prefix, mix(prefix)].map(|hash| list[(hash % list.len() as u64) as usize]);
+        candidates.into_iter().find(|key| has_headroom(key) && self.has_room(*key, now))
     }
 
     /// Returns the least loaded endpoint with room among a few drawn ones.
@@ -264,23 +265,23 @@
         now: Millis,
         seed: &mut SeededRng,
     ) -> Option<EndpointKey> {
-        let mut found: Option<EndpointKey> = None;
+        let mut best: Option<EndpointKey> = None;
         if list.is_empty() {
             return None;
         }
         let start = seed.below(list.len());
         let stride = 1 + seed.below(list.len().saturating_sub(1));
-        for probe in 0..PROBES.min(list.len()) {
+        for probe in 0..MAX_PROBES.min(list.len()) {
             let key = list[(start + probe * stride) % list.len()];
             if !self.has_room(key, now) {
                 continue;
             }
-            found = Some(match found {
+            best = Some(match best {
                 Some(other) => self.less_loaded(other, key, now),
                 None => key,
             });
         }
-        found
+        best
     }
 
     /// Tells whether waiting can help: it does where an endpoint is full rather than failing.
@@ -291,7 +292,8 @@
         let lists = [&group.near, &group.far];
         let admits = |list: &Vec<EndpointKey>| {
             let start = seed.below(list.len());
-            let mut probes = (0..PROBES.min(list.len())).map(|probe| (start + probe) % list.len());
+            let mut probes =
+                (0..MAX_PROBES.min(list.len())).map(|probe| (start + probe) % list.len());
             probes.any(|index| self.endpoints[list[index]].breaker.allows(now))
         };
         if lists.into_iter().any(admits) { NoEndpoint::AllFull } else { NoEndpoint::NoneServing }
@@ -301,7 +303,7 @@
     fn all_backing_off_until(&self, group: &Group, now: Millis) -> Option<Millis> {
         let mut first = Millis(u64::MAX);
         for key in group.near.iter().chain(&group.far) {
-            match self.wishes.state(key, self.endpoints[*key].in_flight, now) {
+            match self.backpressure.state(key, self.endpoints[*key].in_flight, now) {
                 BackpressureState::BackingOff(until) => first = first.min(until),
                 _ => return None,
             }
@@ -315,14 +317,14 @@
 
     fn estimated_load(&self, key: EndpointKey, now: Millis) -> u32 {
         let endpoint = &self.endpoints[key];
-        let told = now.since(endpoint.reported) < REPORT_LIFE;
-        endpoint.in_flight + if told { endpoint.others } else { 0 }
+        let is_fresh = now.since(endpoint.reported_at) < LOAD_REPORT_TTL;
+        endpoint.in_flight + if is_fresh { endpoint.in_flight_elsewhere } else { 0 }
     }
 
     fn has_room(&self, key: EndpointKey, now: Millis) -> bool {
         let endpoint = &self.endpoints[key];
         endpoint.in_flight < endpoint.limit.get()
             && endpoint.breaker.allows(now)
-            && !self.wishes.state(&key, endpoint.in_flight, now).is_closed()
+            && !self.backpressure.state(&key, endpoint.in_flight, now).is_closed()
     }
 }
--- a/crates/cherrystand_core/src/requests/send_permit.rs
+++ b/crates/cherrystand_core/src/requests/send_permit.rs
@@ -7,16 +7,16 @@
 #[derive(Debug)]
 #[must_use = "a request that is not sent after all is to be counted as ended"]
 pub struct SendPermit {
-    comes_back: bool,
+    is_after_backoff: bool,
 }
 
 impl SendPermit {
-    pub(crate) fn new(comes_back: bool) -> Self {
-        Self { comes_back }
+    pub(crate) fn new(is_after_backoff: bool) -> Self {
+        Self { is_after_backoff }
     }
 
     /// Tells whether the endpoint's rest has just ended, so that it matters how it answers.
     pub fn is_after_backoff(&self) -> bool {
-        self.comes_back
+        self.is_after_backoff
     }
 }
--- a/crates/cherrystand_core/src/requests/wait_queue.rs
+++ b/crates/cherrystand_core/src/requests/wait_queue.rs
@@ -9,7 +9,7 @@
 const SMOOTHING: f64 = 0.1;
 
 /// The time between completions that is assumed before any was seen.
-const FIRST_GUESS_MS: f64 = 50.0;
+const INITIAL_INTERVAL_MS: f64 = 50.0;
 
 /// Decides whether a request may wait, from how fast the group drains.
 ///
@@ -17,13 +17,13 @@
 #[derive(Clone, Copy, Debug)]
 pub struct WaitQueue {
     waiting: u32,
-    between_ms: f64,
-    last_done: Option<Millis>,
+    completion_interval_ms: f64,
+    last_completion: Option<Millis>,
 }
 
 impl Default for WaitQueue {
     fn default() -> Self {
-        Self { waiting: 0, between_ms: FIRST_GUESS_MS, last_done: None }
+        Self { waiting: 0, completion_interval_ms: INITIAL_INTERVAL_MS, last_completion: None }
     }
 }
 
@@ -50,18 +50,18 @@
 
     /// Takes in that one of the group's requests was done, making room for another.
     pub fn record_completion(&mut self, now: Millis) {
-        if let Some(last) = self.last_done {
+        if let Some(last) = self.last_completion {
             let between = (now.since(last).0 as f64).min(MAX_QUEUE_WAIT.0 as f64);
             if self.waiting > 0 {
-                self.between_ms += (between - self.between_ms) * SMOOTHING;
+                self.completion_interval_ms += (between - self.completion_interval_ms) * SMOOTHING;
             }
         }
-        self.last_done = Some(now);
+        self.last_completion = Some(now);
     }
 
     /// Returns how long one more request would wait.
     pub fn expected_wait(&self) -> Millis {
-        Millis((f64::from(self.waiting + 1) * self.between_ms) as u64)
+        Millis((f64::from(self.waiting + 1) * self.completion_interval_ms) as u64)
     }
 
     /// Returns how many requests wait.
--- a/crates/cherrystand_core/src/site/cold_boxes.rs
+++ b/crates/cherrystand_core/src/site/cold_boxes.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::requests::cold_period::LONGEST_COLD;
+use crate::requests::cold_period::MAX_COLD_PERIOD;
 use crate::{BoxId, Millis};
 
 /// Reports that extend a cold period by no more than this change nothing: they differ only by their
@@ -23,7 +23,7 @@
     ///
     /// The longest report holds until the box says that it is warm.
     pub fn record(&mut self, id: &BoxId, remaining: Millis, now: Millis) -> bool {
-        let until = now + remaining.min(LONGEST_COLD);
+        let until = now + remaining.min(MAX_COLD_PERIOD);
         let known_until = self.until.get(id).copied();
         match known_until {
             None if remaining == Millis(0) => false,
@@ -43,7 +43,7 @@
     /// otherwise.
     pub fn assume(&mut self, id: &BoxId, duration: Millis, now: Millis) {
         let until = self.until.entry(id.clone()).or_default();
-        *until = (now + duration.min(LONGEST_COLD)).max(*until);
+        *until = (now + duration.min(MAX_COLD_PERIOD)).max(*until);
     }
 
     /// Removes the boxes that are no longer cold, and returns whether there were any.
--- a/crates/cherrystandd/src/site/site_state.rs
+++ b/crates/cherrystandd/src/site/site_state.rs
@@ -410,7 +410,7 @@
 
     /// Returns whether all changes after the first `count` are still held.
     pub(crate) fn keeps_changes_since(&self, count: u64) -> bool {
-        self.change_log.keeps_since(count)
+        self.change_log.has_all_since(count)
     }
 
     /// Returns the changes after the first `count`, if they are still held.
