--- a/crates/cherrystand_core/src/nodes/call_history.rs
+++ b/crates/cherrystand_core/src/nodes/call_history.rs
@@ -1,17 +1,18 @@
-//! How a daemon's own calls fared recent, by which it can tell its own trouble from that of others.
+//! The recent calls of a daemon, from which it can tell whether it is itself slow or the daemons
+//! and boxes that it calls.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use crate::Millis;
 
-/// For how long a call is remembered after it ended.
+/// How long an ended call is remembered.
 const RETENTION: Millis = Millis(2_000);
 
-/// How many ended calls are remembered at the most, which bounds the memory of a daemon that calls
-/// many boxes at once.
+/// The largest number of ended calls that are remembered, which bounds the memory of a daemon that
+/// calls many boxes at once.
 const MAX_ENDED: usize = 1_024;
 
-/// Names a call that has begun.
+/// Identifies a call that has begun.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct CallId(u64);
 
@@ -23,20 +24,20 @@
     answered: bool,
 }
 
-/// How a daemon's calls fare at one moment.
+/// Counts of a daemon's recent calls.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct CallStats {
-    /// Calls that have begun and not ended.
+    /// Calls that have not ended.
     pub open: usize,
-    /// Calls that ended without an answer recent.
+    /// Recent calls that ended without an answer.
     pub unanswered: usize,
-    /// Calls that were answered recent.
+    /// Recent calls that were answered.
     pub answered: usize,
-    /// The longest that an answer took recent.
+    /// The longest time that a recent answer took.
     pub slowest: Millis,
 }
 
-/// Keeps the calls that a daemon made recent.
+/// Records the recent calls of a daemon.
 #[derive(Clone, Debug, Default)]
 pub struct CallHistory {
     next: u64,
@@ -45,7 +46,7 @@
 }
 
 impl CallHistory {
-    /// Notes that a call begins.
+    /// Records that a call begins.
     pub fn begin(&mut self, now: Millis) -> CallId {
         let key = CallId(self.next);
         self.next += 1;
@@ -53,7 +54,7 @@
         key
     }
 
-    /// Notes how a call ended, and returns how long it took.
+    /// Records how a call ended, and returns how long it took.
     pub fn end(&mut self, key: CallId, answered: bool, now: Millis) -> Millis {
         let Some(started) = self.open.remove(&key) else {
             return Millis(0);
@@ -66,14 +67,14 @@
         now.since(started)
     }
 
-    /// Returns how long the quickest answer took among the calls that began from `first` to `last`.
+    /// Returns the time of the fastest answer among the calls that began from `first` to `last`.
     pub fn fastest_answer_between(&self, first: Millis, last: Millis) -> Option<Millis> {
         let began = |call: &&EndedCall| call.started >= first && call.started <= last;
         let answered = self.ended.iter().filter(|call| call.answered).filter(began);
         answered.map(|call| call.ended.since(call.started)).min()
     }
 
-    /// Returns how the calls fare.
+    /// Returns counts of the recent calls.
     pub fn stats(&self, now: Millis) -> CallStats {
         let recent = self.ended.iter().filter(|call| now.since(call.ended) <= RETENTION);
         let mut stats = CallStats { open: self.open.len(), ..CallStats::default() };
--- a/crates/cherrystand_core/src/nodes/change_log.rs
+++ b/crates/cherrystand_core/src/nodes/change_log.rs
@@ -1,4 +1,4 @@
-//! The last changes that a daemon learned of, for peers that read from it.
+//! The last changes that a daemon learned of, for peers that read them from it.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -7,7 +7,7 @@
 
 use crate::{BoxId, Document};
 
-/// How many changes are kept; a peer that fell behind further reads everything anew.
+/// How many changes are kept; a peer that has fallen behind further reads the whole state again.
 const MAX_CHANGES: usize = 2_000;
 
 /// One change.
@@ -19,20 +19,20 @@
     Gone(BoxId),
 }
 
-/// Holds what changed since a peer last asked.
+/// The changes since a peer last asked.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChangesSince {
-    /// The records written, each as it is now.
+    /// The records written, each in its current version.
     pub records: Vec<Document>,
-    /// The boxes that are gone.
+    /// The boxes that were removed.
     pub gone: Vec<BoxId>,
 }
 
-/// Keeps the last changes in their order.
+/// Keeps the last changes in order.
 #[derive(Clone, Debug, Default)]
 pub struct ChangeLog {
     changes: VecDeque<(Arc<str>, Change)>,
-    /// How many there have been.
+    /// The number of all changes so far.
     count: u64,
 }
 
@@ -49,7 +49,7 @@
         self.push(document.key.clone(), Change::Record(document));
     }
 
-    /// Adds that the box with an entry under `key` is gone.
+    /// Adds that a box, whose entry was under `key`, was removed.
     pub fn gone(&mut self, key: &str, id: BoxId) {
         self.push(Arc::from(key), Change::Gone(id));
     }
@@ -62,24 +62,24 @@
         }
     }
 
-    /// Returns how many changes there have been.
+    /// Returns the number of all changes so far.
     pub fn count(&self) -> u64 {
         self.count
     }
 
-    /// Tells whether all changes after the first `count` are kept.
+    /// Tells whether all changes after the first `count` are still kept.
     pub fn has_all_since(&self, count: u64) -> bool {
         self.index_after(count).is_some()
     }
 
-    /// Returns the place of the first change after the first `count`.
+    /// Returns the index of the first change after the first `count`.
     fn index_after(&self, count: u64) -> Option<usize> {
         let missing = usize::try_from(self.count.checked_sub(count)?).ok()?;
         self.changes.len().checked_sub(missing)
     }
 
-    /// Returns the last change of each key after the first `count` changes, or nothing where
-    /// these are not all known any more.
+    /// Returns the last change of each key after the first `count` changes, or `None` if some of
+    /// these are no longer kept.
     pub fn since(&self, count: u64) -> Option<ChangesSince> {
         let first = self.index_after(count)?;
         let last: BTreeMap<&str, &Change> =
--- a/crates/cherrystand_core/src/nodes/documents.rs
+++ b/crates/cherrystand_core/src/nodes/documents.rs
@@ -1,4 +1,4 @@
-//! Copies of the platform's records that daemons pass on to one another.
+//! Copies of the platform's records that daemons pass on to each other.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -7,28 +7,28 @@
 
 use crate::Revision;
 
-/// Holds one copy of a record.
+/// One copy of a record.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Document {
-    /// The record's key in the platform's service.
+    /// The record's key in the platform's key-value service.
     pub key: Arc<str>,
     /// The revision of the copy.
     pub revision: Revision,
-    /// The record as it was written.
+    /// The content of the record as it was written.
     pub body: Arc<str>,
 }
 
-/// Names a record and the revision of a copy.
+/// The key of a record and the revision of a copy.
 pub type Version = (Arc<str>, Revision);
 
-/// Holds the newest copies that a daemon has seen; a revision never falls.
+/// Holds the newest copies that a daemon has seen; the revision of a record never decreases.
 #[derive(Clone, Debug, Default)]
 pub struct Documents {
     copies: BTreeMap<Arc<str>, Document>,
 }
 
 impl Documents {
-    /// Takes in a copy, and tells whether it is newer than the one held.
+    /// Inserts a copy if it is newer than the one held, and returns whether it was.
     pub fn insert_if_newer(&mut self, document: Document) -> bool {
         let newer = self.revision(&document.key) < document.revision;
         if newer {
@@ -42,7 +42,7 @@
         self.copies.get(key)
     }
 
-    /// Returns the revision held of a record; 0 where there is none.
+    /// Returns the revision of the copy held of a record, or the lowest one if there is none.
     pub fn revision(&self, key: &str) -> Revision {
         self.copies.get(key).map(|copy| copy.revision).unwrap_or_default()
     }
@@ -52,18 +52,18 @@
         self.copies.values().filter(move |copy| copy.key.starts_with(prefix))
     }
 
-    /// Returns the versions held.
+    /// Returns the versions of all copies.
     pub fn versions(&self) -> Vec<Version> {
         let copy = self.copies.values();
         copy.map(|copy| (copy.key.clone(), copy.revision)).collect()
     }
 
-    /// Returns one number that two daemons share when they hold the same versions.
+    /// Returns a hash that is equal on two daemons that hold the same versions.
     pub fn fingerprint(&self) -> u64 {
         self.fingerprint_of_prefix("")
     }
 
-    /// Returns the same of the records whose key starts with `prefix`.
+    /// Returns the same hash of only the records whose key starts with `prefix`.
     pub fn fingerprint_of_prefix(&self, prefix: &str) -> u64 {
         let one = |copy: &Document| {
             let revision = crate::mix(copy.revision.number() ^ crate::mix(copy.revision.era().0));
@@ -81,7 +81,7 @@
         newer.cloned().collect()
     }
 
-    /// Returns the versions held of what `theirs` has a newer copy of.
+    /// Returns the own versions of the records that `theirs` has newer copies of.
     pub fn older_than(&self, theirs: &[Version]) -> Vec<Version> {
         let newer = theirs.iter().filter(|(key, revision)| self.revision(key) < *revision);
         newer.map(|(key, _)| (key.clone(), self.revision(key))).collect()
--- a/crates/cherrystand_core/src/nodes/era_tracker.rs
+++ b/crates/cherrystand_core/src/nodes/era_tracker.rs
@@ -1,19 +1,19 @@
-//! In which era the platform's store is, as its answers tell.
+//! The era of the platform's store, as reported by its answers.
 
 use crate::Era;
 
-/// What one answer of the store tells of its era.
+/// What one answer of the store reports about its era.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReportedEra {
-    /// Nothing, as a store that never came back from a copy.
+    /// The answer reports none, like a store that has never been restored from a backup.
     Missing,
-    /// This era.
+    /// The answer reports this era.
     Known(Era),
-    /// What is no number.
+    /// The answer reports something that is not a number.
     Invalid,
 }
 
-/// Keeps the latest era; answers come over several connections and overtake each other.
+/// Tracks the latest era. Answers arrive over several connections and can overtake each other.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct EraTracker {
     latest: Era,
@@ -26,10 +26,11 @@
         self.latest
     }
 
-    /// Takes in what an answer tells, and returns the era that it is of; nothing where that is an earlier one than is
-    /// known, so that nothing of the answer holds any more.
+    /// Records the era that an answer reports and returns the era that the answer belongs to.
+    /// Returns `None` if that is earlier than the latest one, in which case the whole answer is out
+    /// of date.
     ///
-    /// An answer that tells none, or what is no number, counts as of the latest one.
+    /// An answer without a valid era counts as belonging to the latest one.
     pub fn observe(&mut self, reported: ReportedEra) -> Option<Era> {
         match reported {
             ReportedEra::Known(era) if era < self.latest => {
@@ -43,14 +44,15 @@
         Some(self.latest)
     }
 
-    /// Takes in the era of a revision that is to be named to the store, and tells whether its number means there what
-    /// it says; a later era was told by a peer that has heard of it first.
+    /// Records the era of a revision that is about to be sent to the store, and returns whether the
+    /// store will understand its number. A later era than the latest known was heard of by a peer
+    /// first.
     pub fn is_current(&mut self, era: Era) -> bool {
         self.latest = self.latest.max(era);
         era == self.latest
     }
 
-    /// Returns how many answers told an era that could not be used since the last call.
+    /// Returns how many answers since the last call reported an era that was rejected.
     pub fn take_rejected_count(&mut self) -> u64 {
         std::mem::take(&mut self.rejected)
     }
--- a/crates/cherrystand_core/src/nodes/fan_out.rs
+++ b/crates/cherrystand_core/src/nodes/fan_out.rs
@@ -1,24 +1,26 @@
-//! How what is for all daemons gets to them without one of them telling each.
+//! Distribution of a message to all daemons without one of them sending it to each.
 
-/// Up to this many others are told one by one.
+/// Up to this many daemons are each sent the message directly.
 const MAX_DIRECT: usize = 64;
 
-/// How many daemons of each part pass on what they are told: one may be lost, or its message.
+/// How many daemons of each group forward the message: two, since one of them or its message may be
+/// lost.
 const FORWARDERS_PER_GROUP: usize = 2;
 
-/// One who is told, and those to whom it passes that on.
+/// A direct recipient of a message and the daemons to which it forwards it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FanOutTarget<A> {
-    /// Who is told.
+    /// The direct recipient.
     pub to: A,
-    /// To whom it passes that on; nobody where there are few.
+    /// To whom it forwards the message; empty if the sender reaches all daemons directly.
     pub forward_to: Vec<A>,
 }
 
-/// Divides all others among those that one daemon tells.
+/// Plans how a message is distributed to all other daemons.
 ///
-/// Many are divided into as many parts as each part has members, so that nobody tells more than about twice the
-/// root of their number, and news takes two steps. Two of each part are told, so that most hear it twice.
+/// Up to 64 daemons are sent it directly. More are divided into about as many groups as each group
+/// has members, so that nobody sends more than about twice the square root of their number and a
+/// message takes two hops. Two daemons of each group forward it, so that most receive it twice.
 pub fn fan_out<A: Copy + PartialEq>(others: &[A]) -> Vec<FanOutTarget<A>> {
     if others.len() <= MAX_DIRECT {
         return others.iter().map(|to| FanOutTarget { to: *to, forward_to: Vec::new() }).collect();
--- a/crates/cherrystand_core/src/nodes/freshness.rs
+++ b/crates/cherrystand_core/src/nodes/freshness.rs
@@ -1,10 +1,11 @@
-//! Whether a node's configuration is new enough to serve by.
+//! Whether a node's configuration is recent enough to serve by.
 //!
 //! An accepted change has to be in force everywhere within seconds, yet an outage of the platform
-//! alone must stop nothing. Both hold because an operator is told that a change is accepted only
-//! once a majority of the daemons holds it, and a daemon out of touch with the platform serves
-//! only while a majority has lately held just what it holds: two majorities share a daemon, which
-//! stops counting for the old configuration when it takes the new one.
+//! alone must not stop anything. Both hold because an operator is told that a change is accepted
+//! only once a majority of the daemons holds it, and because a daemon that has no contact with the
+//! platform serves only while a majority has recently held the same configuration as itself. Any
+//! two majorities share a daemon, which stops counting for the old configuration when it takes the
+//! new one.
 //!
 //! Source: docs/design/0006-configuration-and-membership.md.
 
@@ -12,10 +13,10 @@
 
 use crate::{Millis, NodeId};
 
-/// How old the news from the platform, or from a majority, may be while a node serves.
+/// How old the last contact with the platform, or with a majority, may be while a node serves.
 pub const FRESH_FOR: Millis = Millis(8_000);
 
-/// Tracks how lately a node heard from the platform and from its peers.
+/// Tracks when a node last heard from the platform and from its peers.
 #[derive(Clone, Debug)]
 pub struct Freshness {
     own: NodeId,
@@ -25,16 +26,16 @@
     expected: BTreeSet<NodeId>,
 }
 
-/// Says by what right a node serves.
+/// Says what allows a node to serve, or why it may not.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServeBy {
-    /// The platform's records were read lately, by this node or by one it heard from.
+    /// The platform's records were read recently, by this node or by one that it heard from.
     Platform,
-    /// The platform is out of reach, but a majority of the daemons holds the same configuration.
+    /// The platform is unreachable, but a majority of the daemons holds the same configuration.
     Majority,
-    /// The node has yet to hear from the platform or a majority for the first time.
+    /// The node has not yet heard from the platform or a majority.
     NotYet,
-    /// The node is cut off; a change may have been accepted without it.
+    /// The node is cut off, and a change may have been accepted without it.
     CutOff,
 }
 
@@ -46,7 +47,7 @@
 }
 
 impl Freshness {
-    /// Creates the state of a node that starts now and is, for all it knows, alone.
+    /// Creates the state of a node that starts now and expects no other daemon yet.
     pub fn new(own: NodeId, now: Millis) -> Self {
         Self {
             expected: BTreeSet::from([own.clone()]),
@@ -57,12 +58,12 @@
         }
     }
 
-    /// Replaces the daemons that there should be, as the platform lists them.
+    /// Sets which daemons there should be, as the platform lists them.
     pub fn set_expected(&mut self, nodes: impl IntoIterator<Item = NodeId>) {
         self.expected = nodes.into_iter().collect();
     }
 
-    /// Takes in that the platform's records were read, by someone, `age` ago.
+    /// Records that the platform's records were read, by this node or another, `age` ago.
     pub fn record_platform_read(&mut self, now: Millis, age: Millis) {
         let at = now - age;
         if self.last_platform_read.is_none_or(|known| known < at) {
@@ -70,12 +71,13 @@
         }
     }
 
-    /// Returns how long ago the platform's records were last read, by anyone heard from.
+    /// Returns the time since the platform's records were last read, by this node or one that it
+    /// heard from.
     pub fn platform_age(&self, now: Millis) -> Option<Millis> {
         self.last_platform_read.map(|at| now.since(at))
     }
 
-    /// Takes in that a peer held, at a time, the configurations that this node holds.
+    /// Records that a peer held the same configurations as this node at a given time.
     pub fn record_agreement(&mut self, peer: &NodeId, at: Millis) {
         match self.agreed_at.get_mut(peer) {
             Some(known) => *known = at.max(*known),
@@ -85,7 +87,7 @@
         }
     }
 
-    /// Tells whether the daemons given are a majority of those that there should be.
+    /// Tells whether the given daemons are a majority of those expected.
     pub fn is_majority<'a>(&self, nodes: impl IntoIterator<Item = &'a NodeId>) -> bool {
         let expected = nodes.into_iter().filter(|node| self.expected.contains(node)).count();
         expected * 2 > self.expected.len()
@@ -106,13 +108,13 @@
         ServeBy::CutOff
     }
 
-    /// Tells whether this node may try to have a change accepted.
+    /// Tells whether this node may try to get a change accepted.
     pub fn may_accept(&self, now: Millis) -> bool {
         self.hears_majority(now)
     }
 
-    /// Returns how many of the expected daemons were heard from lately, this one included, and
-    /// how many there are.
+    /// Returns how many of the expected daemons were heard from recently, including this one, and
+    /// how many are expected.
     pub fn heard_of_expected(&self, now: Millis) -> (usize, usize) {
         let fresh = |node: &NodeId| {
             let heard = self.agreed_at.get(node);
--- a/crates/cherrystand_core/src/nodes/liveness_probe.rs
+++ b/crates/cherrystand_core/src/nodes/liveness_probe.rs
@@ -1,39 +1,40 @@
-//! Whether a box that does not answer is dead, or the daemon that asks is held up itself.
+//! Tells whether a box that does not answer is dead, or the daemon that probes it is itself slow.
 //!
-//! A daemon judges only while it is shown to be well: a call to somebody else that began together
-//! with the question was answered in a fraction of the time that the box had. Where none was, the
-//! daemon's link or processor may be what is slow, and it asks again with more time.
+//! A daemon may declare a box silent only while there is evidence that the daemon itself is well: a
+//! call to somebody else, the witness, that began at the same time as the probe and was answered in
+//! a fraction of the time that the box was given. Without a witness, the daemon's own link or
+//! processor may be slow, and it probes again with a longer timeout.
 //!
 //! Source: docs/design/0014-who-may-judge.md.
 
 use crate::{CallHistory, Millis};
 
-/// How long a box may take to answer, by how often it was asked before: 200 ms finds a dead box
-/// well within the half second in which it has to be known; a daemon that was held up gives more.
+/// The timeout of each probe in turn. 200 ms finds a dead box well within the half second in which
+/// that has to be known; a daemon that was slow itself allows more time.
 const PROBE_TIMEOUTS: [Millis; 4] = [Millis(200), Millis(300), Millis(400), Millis(500)];
 
-/// How many times as long as others the box has to have had; a link that is so busy that others
-/// took a third of the time may well have taken all of it.
+/// The wait for the box has to be this many times as long as the witness took: a link that is busy
+/// enough to delay others by a third of the wait may well have delayed the box by all of it.
 const MIN_WAIT_RATIO: u64 = 3;
 
-/// A call shows how the daemon is doing only if it began within this part of the wait; one that
-/// began later may have met a link that had just become free.
+/// Only a call that began within the first 1/4 of the wait is a witness; one that began later may
+/// have met a link that had just become free.
 const WITNESS_WINDOW_DIVISOR: u64 = 4;
 
-/// A call that began this much before the question shows the same as one that began with it.
+/// A call that began up to this long before the probe is a witness as well.
 pub const WITNESS_LEAD_TIME: Millis = Millis(20);
 
-/// A timer this much too late tells that the daemon's own processor was busy.
+/// A timer that fires later than this shows that the daemon's own processor was busy.
 const MAX_TIMER_DELAY: Millis = Millis(60);
 
-/// Says what follows where a box did not answer in time.
+/// The result of a probe that was not answered in time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProbeVerdict {
-    /// The box is silent, while others answer.
+    /// The box is silent while others answer.
     Silent,
-    /// The daemon may be held up itself: the box is asked again.
+    /// The daemon may be slow itself, so it probes the box again.
     AskAgain,
-    /// The daemon was held up all the time, and says nothing of the box.
+    /// The daemon was slow itself in all probes, so nothing is known about the box.
     Undecided,
 }
 
@@ -48,32 +49,32 @@
     }
 }
 
-/// Says why a box is asked whether it is there.
+/// Why a box is probed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ProbeReason {
-    /// Requests or orders to it, or to its replica, got no answer.
+    /// Requests or orders to it, or to its replica, were not answered.
     NoAnswer,
-    /// The store lists it no more, and nothing else speaks against it.
+    /// The store no longer lists it, and nothing else suggests that it is dead.
     NotListed,
 }
 
-/// Follows the questions to one box until it answers or a verdict is given.
+/// Tracks the probes of one box until it answers or a verdict is reached.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LivenessProbe {
     timeouts: usize,
 }
 
 impl LivenessProbe {
-    /// Returns how long the box may take to answer this time.
+    /// Returns the timeout of the next probe.
     pub fn timeout(&self) -> Millis {
         PROBE_TIMEOUTS[self.timeouts.min(PROBE_TIMEOUTS.len() - 1)]
     }
 
-    /// Says what follows where a box refused the connection.
+    /// Returns the verdict on a box that refused the connection.
     ///
-    /// A box that is cut off from the store refuses questions and orders as one that is dead does,
-    /// and may go on serving. While nobody saw its replica stand still the refusal says nothing; one
-    /// that is dead is found by its streams, within 0.4 s.
+    /// A box that is cut off from the store refuses probes and orders just like a dead one, and may
+    /// still be serving. Unless its replica was seen to stall, the refusal therefore proves
+    /// nothing. A box that is dead is found by its interrupted streams, within 0.4 s.
     pub fn verdict_on_refusal(reason: ProbeReason) -> ProbeVerdict {
         match reason {
             ProbeReason::NoAnswer => ProbeVerdict::Silent,
@@ -81,8 +82,8 @@
         }
     }
 
-    /// Takes in that a question that began at `begun` was not answered by `now`, and says what
-    /// follows.
+    /// Records that a probe that was sent at `started` was not answered by `now`, and returns the
+    /// verdict.
     pub fn record_timeout(
         &mut self,
         started: Millis,
@@ -101,7 +102,7 @@
     }
 }
 
-/// Tells whether silence over a time that was to last `within` says something of the silent one.
+/// Tells whether a probe that was not answered within `timeout` shows that the box is silent.
 fn is_silent(started: Millis, timeout: Millis, now: Millis, calls: &CallHistory) -> bool {
     let waited = now.since(started);
     if waited > timeout + MAX_TIMER_DELAY {
--- a/crates/cherrystand_core/src/nodes/membership.rs
+++ b/crates/cherrystand_core/src/nodes/membership.rs
@@ -1,4 +1,4 @@
-//! Which daemons are there.
+//! Gossip membership of daemons.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -7,45 +7,46 @@
 
 use crate::{Digest, Incarnation, Millis, NodeId, ZoneId, hash_bytes, mix};
 
-/// After this long without news a daemon is suspected.
+/// A daemon that was last heard of longer ago than this is suspected.
 pub const SUSPECT_AFTER: Millis = Millis(2_000);
 
-/// After this long without news a daemon counts as dead.
+/// A daemon that was last heard of longer ago than this counts as dead.
 pub const DEAD_AFTER: Millis = Millis(5_000);
 
-/// After this long a dead daemon is forgotten, so that boxes replaced every day do not pile up.
+/// A dead daemon is forgotten after this time, so that daemons of boxes replaced every day do not
+/// accumulate.
 pub const FORGET_AFTER: Millis = Millis(600_000);
 
-/// A gap this long between two of its own ticks tells a daemon that it was paused.
+/// A gap of this length between two of its own ticks tells a daemon that it was paused.
 pub const PAUSE_GAP: Millis = Millis(1_500);
 
-/// Describes one daemon as others pass it on.
+/// The state of one daemon, as gossiped by others.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heartbeat {
     /// The daemon.
     pub node: NodeId,
-    /// Its life; a later one outranks all news of earlier ones.
+    /// Its incarnation; a later one supersedes everything known of earlier ones.
     pub incarnation: Incarnation,
-    /// Counts the ticks of that life.
+    /// Counts the ticks of that incarnation.
     pub beat: u64,
     /// Its zone.
     pub zone: ZoneId,
-    /// Where its peers reach it.
+    /// The address at which its peers reach it.
     pub address: SocketAddr,
-    /// What its link carries, in Mbit/s; 0 where that is not known.
+    /// The bandwidth of its network link, in Mbit/s; 0 if that is unknown.
     pub link_mbps: u32,
     /// Whether it takes requests.
     pub serving: bool,
-    /// Whether it reaches the platform, and so may decide for domains.
+    /// Whether it reaches the platform, and so may make decisions for domains.
     pub decides: bool,
-    /// Where peers read the changes of the store that it passes on, where it does.
+    /// The address at which peers read the store's changes from it, if it serves them.
     pub changes: Option<SocketAddr>,
-    /// The sum of the versions of the configurations that it holds.
+    /// A fingerprint of the versions of the configurations that it holds.
     pub config: u64,
 }
 
 impl Heartbeat {
-    /// Sums what it says beside how often the daemon beat.
+    /// Hashes everything except the beat.
     fn fingerprint_without_beat(&self) -> u64 {
         let flags = u64::from(self.serving) | u64::from(self.decides) << 1;
         let parts = [
@@ -62,14 +63,14 @@
     }
 }
 
-/// Says what a daemon thinks of another one.
+/// Whether a daemon is considered alive by another one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Liveness {
-    /// News of it is fresh.
+    /// It was heard of recently.
     Alive,
-    /// News of it is late.
+    /// It has not been heard of for longer than [`SUSPECT_AFTER`].
     Suspect,
-    /// There has been no news of it for long.
+    /// It has not been heard of for longer than [`DEAD_AFTER`].
     Dead,
 }
 
@@ -77,7 +78,7 @@
 struct Member {
     heartbeat: Heartbeat,
     last_heard: Millis,
-    /// The sum of the heartbeat without its beat.
+    /// The fingerprint of the heartbeat without its beat.
     fingerprint: u64,
 }
 
@@ -91,7 +92,7 @@
     }
 }
 
-/// Keeps what one daemon knows of the others, and notices its own pauses.
+/// Tracks the other daemons that one daemon knows, and detects its own pauses.
 ///
 /// Source: docs/design/0006-configuration-and-membership.md.
 #[derive(Clone, Debug)]
@@ -102,7 +103,7 @@
 }
 
 impl Membership {
-    /// Creates the view of a daemon that has just started.
+    /// Creates the membership of a daemon that has just started.
     pub fn new(own: Heartbeat, now: Millis) -> Self {
         Self { own, members: BTreeMap::new(), last_tick: now }
     }
@@ -112,19 +113,19 @@
         &self.own
     }
 
-    /// Says whether this daemon takes requests.
+    /// Sets whether this daemon takes requests.
     pub fn set_serving(&mut self, serving: bool) {
         self.own.serving = serving;
     }
 
-    /// Says whether this daemon may decide for domains.
+    /// Sets whether this daemon may make decisions for domains.
     pub fn set_decides(&mut self, decides: bool) {
         self.own.decides = decides;
     }
 
-    /// Beats once, and tells whether the daemon was paused since the last time.
+    /// Increments the beat, and returns whether the daemon was paused since the last tick.
     ///
-    /// After a pause it is a new life: what it held or knew before counts for nothing.
+    /// After a pause it starts a new incarnation: what it held or knew before is no longer valid.
     pub fn tick(&mut self, now: Millis) -> bool {
         let paused = now.since(self.last_tick) > PAUSE_GAP;
         self.last_tick = now;
@@ -137,13 +138,13 @@
         paused
     }
 
-    /// Says which configurations this daemon holds.
+    /// Sets the fingerprint of the configurations that this daemon holds.
     pub fn set_config(&mut self, config: u64) {
         self.own.config = config;
     }
 
-    /// Takes in a heartbeat that came directly or by way of others, `age` after it was given, and
-    /// tells whether it says anything new beside its beat.
+    /// Merges a heartbeat that was sent `age` ago and received directly or through others; returns
+    /// whether it changes anything but the beat.
     pub fn merge_heartbeat(&mut self, heartbeat: Heartbeat, age: Millis, now: Millis) -> bool {
         if heartbeat.node == self.own.node {
             self.refute(&heartbeat);
@@ -168,9 +169,10 @@
         !says_the_same || before != liveness_after(age)
     }
 
-    /// Returns the sum of what is known of all daemons that are not dead, beside their beats.
+    /// Returns a fingerprint of what is known of all daemons that are not dead, without their
+    /// beats.
     ///
-    /// Two daemons with the same sum know the same daemons and the same of each.
+    /// Two daemons with the same fingerprint know the same daemons and the same of each.
     pub fn roster(&self, now: Millis) -> u64 {
         let known = self.members.values().filter(|member| !member.is_dead(now));
         known.fold(self.own.fingerprint_without_beat(), |fingerprint, member| {
@@ -178,7 +180,7 @@
         })
     }
 
-    /// Returns what a peer with a roster is told: the beats alone where it knows the rest.
+    /// Returns the digest for a peer with the given roster: only the beats if it knows the rest.
     pub fn digest_for(&self, roster: u64, now: Millis) -> Digest {
         if roster != self.roster(now) {
             return Digest::Whole(self.digest(now));
@@ -187,10 +189,10 @@
         Digest::Beats { roster, beats }
     }
 
-    /// Takes in what a peer told, `on_the_way` before, and tells whether that says anything new
-    /// beside beats.
+    /// Merges a digest that a peer sent `on_the_way` ago; returns whether it changes anything but
+    /// beats.
     ///
-    /// Beats for another roster than the own one are left out; the next answer brings everything.
+    /// Beats for a roster other than the own one are ignored; the next answer contains everything.
     pub fn merge_digest(&mut self, digest: Digest, on_the_way: Millis, now: Millis) -> bool {
         match digest {
             Digest::Whole(all) => {
@@ -214,7 +216,7 @@
         let own = before.filter(|(_, member)| !member.is_dead(now)).count();
         let known: Vec<&mut Member> =
             self.members.values_mut().filter(|member| !member.is_dead(now)).collect();
-        // A list of another length is not one of this roster.
+        // A list of another length does not belong to this roster.
         if beats.len() != known.len() + 1 {
             return;
         }
@@ -227,7 +229,7 @@
         }
     }
 
-    /// Lists the daemons that are not dead in the order of their names, the own one among them.
+    /// Lists the daemons that are not dead in the order of their names, including this one.
     fn in_order(&self, now: Millis) -> impl Iterator<Item = (&Heartbeat, Millis)> {
         let told = move |member: &Member| now.since(member.last_heard);
         let fresh = move |(_, member): &(&NodeId, &Member)| !member.is_dead(now);
@@ -239,15 +241,16 @@
         before.chain(std::iter::once((&self.own, Millis(0)))).chain(after)
     }
 
-    /// Lists the daemons that hold the configurations that this one holds, and when each last told
-    /// of it.
+    /// Lists the daemons that hold the same configurations as this one, and when each was last
+    /// heard of.
     pub fn agreement_times(&self) -> impl Iterator<Item = (&NodeId, Millis)> {
         let same =
             self.members.values().filter(|member| member.heartbeat.config == self.own.config);
         same.map(|member| (&member.heartbeat.node, member.last_heard))
     }
 
-    /// Rises above news of a life of this daemon that it does not remember.
+    /// Refutes a heartbeat of a later incarnation or beat of this daemon, which it does not
+    /// remember, by starting a new incarnation.
     fn refute(&mut self, received: &Heartbeat) {
         let own = (self.own.incarnation, self.own.beat);
         if (received.incarnation, received.beat) > own {
@@ -255,7 +258,7 @@
         }
     }
 
-    /// Returns what this daemon thinks of another one.
+    /// Returns whether this daemon considers another one alive.
     pub fn liveness(&self, node: &NodeId, now: Millis) -> Liveness {
         if node == &self.own.node {
             return Liveness::Alive;
@@ -266,22 +269,22 @@
         }
     }
 
-    /// Returns the heartbeats to pass on, each with its age: the own one and those of daemons not
-    /// dead.
+    /// Returns the heartbeats to gossip, each with its age: its own and those of daemons that are
+    /// not dead.
     pub fn digest(&self, now: Millis) -> Vec<(Heartbeat, Millis)> {
         self.in_order(now).map(|(heartbeat, age)| (heartbeat.clone(), age)).collect()
     }
 
-    /// Returns the daemons known to hold the configurations that this one holds, itself first.
+    /// Returns the daemons known to hold the same configurations as this one, itself first.
     ///
-    /// What a daemon holds never falls back, so old news counts as well as fresh news.
+    /// A daemon never goes back to an older configuration, so old heartbeats count as well.
     pub fn agreeing(&self) -> impl Iterator<Item = &NodeId> {
         let others = self.members.values().map(|member| &member.heartbeat);
         let same = others.filter(|beat| beat.config == self.own.config);
         std::iter::once(&self.own).chain(same).map(|beat| &beat.node)
     }
 
-    /// Returns the daemons that are alive, this one included.
+    /// Returns the daemons that are alive, including this one.
     pub fn alive(&self, now: Millis) -> Vec<&Heartbeat> {
         let known = self.members.values();
         let alive =
@@ -291,7 +294,7 @@
         beats
     }
 
-    /// Returns every daemon known and what this one thinks of it, itself first.
+    /// Returns every known daemon with its liveness, this one first.
     pub fn all(&self, now: Millis) -> Vec<(&Heartbeat, Liveness)> {
         let mut all = vec![(&self.own, Liveness::Alive)];
         let others = self.members.values();
--- a/crates/cherrystand_core/src/nodes/propagation_budget.rs
+++ b/crates/cherrystand_core/src/nodes/propagation_budget.rs
@@ -1,34 +1,36 @@
-//! How the time that a change may take to all daemons is split over its way.
+//! Splits the time in which a change has to reach all daemons into the timeouts along its path.
 //!
 //! Source: docs/design/0025-how-old-news-may-be.md.
 
 use crate::Millis;
 
-/// Splits the longest time that may pass between a change in the store and its being known everywhere.
+/// Splits the longest time that may pass between a change in the store and its being known
+/// everywhere.
 ///
-/// A change goes from the store to a zone's reader, from there to a branch in a large zone, and to everybody else. Any
-/// of them, and any connection between them, may fall silent at any moment. Times that were each chosen alone added up
-/// to more than the bound; all are parts of it here, and [`PropagationBudget::longest`] adds them up.
+/// A change goes from the store to the reader of a zone, in a large zone from there to a branch,
+/// and then to everybody else. Any of them, and any connection between them, can fail without
+/// notice at any moment. Timeouts that were chosen separately added up to more than the bound, so
+/// all of them are derived here, and [`PropagationBudget::worst_case_delay`] adds them up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PropagationBudget {
     bound: Millis,
 }
 
-/// Says what fails on the way of a change.
+/// What fails on the path of a change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PropagationFault {
-    /// The reader's connection to the store carries nothing any more; new ones work.
+    /// The reader's connection to the store is stalled; new connections work.
     StalledConnection,
-    /// The reader is cut off from the store; it answers its peers.
+    /// The reader is cut off from the store, but answers its peers.
     ReaderCutOff,
-    /// The reader answers nobody.
+    /// The reader does not answer anybody.
     ReaderUnresponsive,
-    /// The store leaves the questions of one daemon unanswered that has no reader.
+    /// The store does not answer one daemon, which has no reader.
     StoreUnresponsive,
 }
 
 impl PropagationFault {
-    /// All of them.
+    /// All faults.
     pub const ALL: [Self; 4] = [
         Self::StalledConnection,
         Self::ReaderCutOff,
@@ -44,78 +46,81 @@
 }
 
 impl PropagationBudget {
-    /// The bound where none is stated.
+    /// The bound if none is configured.
     pub const DEFAULT_BOUND: Millis = Millis(2_000);
 
-    /// The smallest bound that can be kept, by way of branches as well.
+    /// The smallest bound that can be kept, also when branches are used.
     pub const MIN_BOUND: Millis = Millis(2_000);
 
-    /// The least time between two watches; changes that come faster arrive together.
+    /// The minimum time between two watches; changes that follow each other faster arrive together.
     pub const MIN_WATCH_INTERVAL: Millis = Millis(60);
 
-    /// How long a call to the store may take that does not wait.
+    /// The timeout of a call to the store that does not wait for a change.
     pub const STORE_TIMEOUT: Millis = Millis(1_000);
 
-    /// How often a daemon whose store failed it looks whether a peer is a source.
+    /// How often a daemon that has lost the store checks whether a peer can be its source.
     pub const SOURCE_CHECK_INTERVAL: Millis = Millis(250);
 
-    /// How long a peer may take to answer beyond the time for which it waits for a change.
+    /// How long a peer may take to answer in addition to the time that it waits for a change.
     pub const PEER_RESPONSE_TIME: Millis = Millis(400);
 
-    /// The longest time between two questions to a peer.
+    /// The longest time between two polls of a peer.
     pub const MAX_POLL_INTERVAL: Millis = Millis(250);
 
-    /// How long an answer takes over links and processors that are well, the store's own time included.
+    /// The time that an answer takes over healthy links and processors, including the store's own
+    /// time.
     pub const HOP_LATENCY: Millis = Millis(50);
 
-    /// Creates the split of a bound.
+    /// Creates the budget for a bound.
     pub fn new(bound: Millis) -> Self {
         Self { bound }
     }
 
-    /// Returns a part of the bound, `most` at the most: more would only make what fails known later.
+    /// Returns a fraction of the bound, capped at `most`: a longer timeout would only delay the
+    /// detection of a failure.
     fn fraction(self, parts: u64, of: u64, most: u64) -> Millis {
         Millis((self.bound.0 * parts / of).min(most))
     }
 
-    /// Returns for how long a question to the store waits for a change; each is a call that is paid for, and most of a
-    /// quiet store's bring nothing.
+    /// Returns how long a watch on the store waits for a change. Each watch is a call that is paid
+    /// for, and most watches on a quiet store return nothing.
     pub fn watch_timeout(self) -> Millis {
         self.fraction(1, 4, 1_000)
     }
 
-    /// Returns after what time without its answer such a question is asked again on another connection.
+    /// Returns the time without an answer after which a watch is repeated on another connection.
     pub fn watch_hedge_delay(self) -> Millis {
         self.watch_timeout() + self.fraction(1, 10, 500)
     }
 
-    /// Returns up to what age a daemon passes on what it knows.
+    /// Returns the largest age of its knowledge up to which a daemon serves as a source for others.
     pub fn max_source_age(self) -> Millis {
         self.fraction(1, 2, 1_800)
     }
 
-    /// Returns how long a daemon reads nothing more at the most after what took it long to take in.
+    /// Returns the longest pause that a daemon makes before it reads again, after changes that took
+    /// it long to process.
     pub fn max_pause(self) -> Millis {
         self.fraction(1, 10, 400)
     }
 
-    /// Returns for how long a question to a peer waits for a change.
+    /// Returns how long a poll of a peer waits for a change.
     pub fn peer_wait(self) -> Millis {
         self.fraction(1, 8, 500)
     }
 
-    /// Returns how long a question to a peer takes until it is given up.
+    /// Returns the timeout of a poll of a peer.
     pub fn peer_timeout(self) -> Millis {
         self.peer_wait() + Self::PEER_RESPONSE_TIME
     }
 
-    /// Returns how old a daemon's knowledge gets at the most while one thing fails and the store is well, in a large zone
-    /// by way of a branch.
+    /// Returns the largest possible age of a daemon's knowledge while one fault lasts and the store
+    /// is healthy; `has_branches` says whether the zone is large enough to use branches.
     pub fn worst_case_delay(self, fault: PropagationFault, has_branches: bool) -> Millis {
         let hop = Self::MAX_POLL_INTERVAL.max(self.max_pause()) + Self::HOP_LATENCY;
         let below = if has_branches { hop + hop } else { hop };
-        // Whoever is told that its source knows nothing fresh asks the next at once: the second reader, which asks the
-        // store, or the store itself.
+        // A daemon whose source knows nothing fresh asks the next one at once: the second reader,
+        // which asks the store, or the store itself.
         let next = Self::HOP_LATENCY + Self::HOP_LATENCY;
         match fault {
             PropagationFault::StalledConnection => {
--- a/crates/cherrystand_core/src/nodes/rate_limit_owner.rs
+++ b/crates/cherrystand_core/src/nodes/rate_limit_owner.rs
@@ -1,14 +1,14 @@
-//! Which daemon keeps the account of an endpoint's limit.
+//! Selects the daemon that owns the rate limit of an endpoint.
 
 use std::fmt::Display;
 
 use crate::{Heartbeat, Liveness, NodeId, RateLimitOwner, owner_of};
 
-/// Names the daemon that keeps the account of an endpoint's limit, as one daemon sees the others.
+/// Returns the owner of an endpoint's rate limit, as one daemon sees the others.
 ///
-/// One that stops hands its accounts over at once. Daemons that are out of sight may see a keeper of their own,
-/// who goes by the same rule: each gives out the part of those whom it sees alive, so that both together
-/// give no more than the whole.
+/// A daemon that shuts down hands over its rate limits at once. Daemons that are out of sight may
+/// see another owner, selected by the same rule. Each owner therefore grants only the share of the
+/// daemons that it sees alive, so that together they do not exceed the limit.
 pub fn rate_limit_owner_of(
     id: &impl Display,
     own: &NodeId,
--- a/crates/cherrystand_core/src/nodes/relays.rs
+++ b/crates/cherrystand_core/src/nodes/relays.rs
@@ -1,30 +1,30 @@
-//! Which daemons carry news between zones, and whom each daemon exchanges news with.
+//! Gossip between zones: which daemons relay it, and which peer each daemon gossips with.
 //!
-//! Bytes between zones are dear and bytes within one are not. A few relays of each zone, named by
-//! rank as readers are, exchange news with those of other zones; all others ask a relay of their
-//! own zone. News so takes three exchanges at the most, whatever the number of daemons.
+//! Traffic between zones is expensive, traffic within a zone is not. A few relays of each zone,
+//! selected by rank like readers, gossip with those of other zones, and all others ask a relay of
+//! their own zone. An update thus takes at most three exchanges, whatever the number of daemons.
 //!
 //! Source: docs/design/0012-news-between-zones.md.
 
 use crate::nodes::task_ownership::{rank_in_zone, zones_of};
 use crate::{Heartbeat, Liveness, SeededRng, ZoneId};
 
-/// How many daemons of each zone carry news to and from others: one, and one that does while the
-/// first is lost and not yet missed.
+/// How many daemons of each zone relay gossip to and from other zones: one, and a second that does
+/// so while the loss of the first has not been detected.
 pub const RELAYS_PER_ZONE: usize = 2;
 
-/// In one exchange of this many, a daemon asks any peer of its zone instead of a relay, so that
-/// news spreads while all relays are lost.
+/// In every fourth exchange a daemon asks a random peer of its zone instead of a relay, so that
+/// gossip spreads even while all relays are lost.
 const RANDOM_PEER_EVERY: usize = 4;
 
-/// Returns the relays of a zone, the first one first.
+/// Returns the relays of a zone in rank order.
 pub fn relays_of<'a>(zone: &ZoneId, alive: &[&'a Heartbeat]) -> Vec<&'a Heartbeat> {
     let mut relays = rank_in_zone("relay", zone, alive, |beat| beat.serving);
     relays.truncate(RELAYS_PER_ZONE);
     relays
 }
 
-/// Tells whether a daemon is a relay of its zone; `alive` holds it as well.
+/// Tells whether a daemon is a relay of its zone; `alive` has to include it.
 pub fn is_relay(own: &Heartbeat, alive: &[&Heartbeat]) -> bool {
     relays_of(&own.zone, alive).iter().any(|beat| beat.node == own.node)
 }
@@ -40,12 +40,11 @@
     zones
 }
 
-/// Chooses the peer that a daemon exchanges news with in one of its rounds, which it counts, among
-/// all that it knows.
+/// Selects the peer that a daemon gossips with in a given round, among all that it knows.
 ///
-/// A relay asks the zones in turn, its own by way of the other relay, and of each zone now one
-/// relay, now another. Everybody else asks the relays of its own zone in turn, and now and then any
-/// peer there. A daemon that is alone in its zone asks whoever there is.
+/// A relay asks the zones in turn, its own zone through the other relay, and alternates between the
+/// relays of each zone. Every other daemon asks the relays of its own zone in turn, and sometimes a
+/// random peer there. A daemon that is alone in its zone asks any daemon.
 pub fn choose_gossip_peer<'a>(
     own: &Heartbeat,
     known: &[(&'a Heartbeat, Liveness)],
@@ -67,7 +66,7 @@
             if !far.is_empty() {
                 return in_turn(&far, rank + round / (others.len() + 1));
             }
-            // Nobody passes its news on any more: whoever is left there knows who does next.
+            // The zone has no live relay. Any daemon left there knows which one takes over next.
             let left: Vec<&Heartbeat> =
                 suspects.into_iter().filter(|beat| &beat.zone == *zone).collect();
             return in_turn(&left, seed.below(left.len()));
--- a/crates/cherrystand_core/src/nodes/replica_evidence.rs
+++ b/crates/cherrystand_core/src/nodes/replica_evidence.rs
@@ -1,4 +1,4 @@
-//! Evidence that a replica is whole, which goes stale.
+//! Evidence that a replica is whole, which expires.
 
 use std::collections::BTreeMap;
 
@@ -6,7 +6,7 @@
 
 use crate::{DomainId, Epoch, Millis, ReplicaId};
 
-/// After this long evidence says nothing any more and the replica counts as not serving.
+/// The time after which evidence expires and the replica counts as not serving.
 ///
 /// Source: docs/design/0002-replica-life.md.
 pub const EVIDENCE_TTL: Millis = Millis(3_000);
@@ -14,17 +14,17 @@
 /// Says that every member of a replica acknowledged an epoch, and how long ago.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicaEvidence {
-    /// The domain, whose epochs are its own.
+    /// The domain that the epoch belongs to.
     pub domain: DomainId,
     /// The replica.
     pub replica: ReplicaId,
-    /// The epoch acknowledged.
+    /// The epoch that was acknowledged.
     pub epoch: Epoch,
-    /// How long ago the oldest of the acknowledgements was given.
+    /// The age of the oldest acknowledgement.
     pub age: Millis,
-    /// Whether the replica was whole; a later `false` outranks an earlier `true`.
+    /// Whether the replica was whole; a later `false` supersedes an earlier `true`.
     pub whole: bool,
-    /// Requests in flight and waiting at its leader.
+    /// Requests in flight and queued at its leader.
     pub load: u32,
 }
 
@@ -43,7 +43,7 @@
 }
 
 impl EvidenceTable {
-    /// Takes in evidence, and tells whether it is newer than what was held.
+    /// Merges evidence; returns whether it is newer than what was stored.
     pub fn merge(&mut self, evidence: &ReplicaEvidence, now: Millis) -> bool {
         let acknowledged_at = now - evidence.age;
         let key = (evidence.domain.clone(), evidence.replica.clone());
@@ -65,7 +65,7 @@
         newer
     }
 
-    /// Returns the load of a domain's replica if it is known to be whole under `epoch` now.
+    /// Returns the load of a replica, if the replica is now known to be whole under `epoch`.
     pub fn load_if_whole(
         &self,
         domain: &DomainId,
@@ -78,7 +78,7 @@
         (fresh && stored.whole && stored.epoch == epoch).then_some(stored.load)
     }
 
-    /// Returns the evidence that is still worth passing on.
+    /// Returns the evidence that has not expired, to be passed on.
     pub fn export(&self, now: Millis) -> Vec<ReplicaEvidence> {
         let fresh = self
             .stored
@@ -97,7 +97,7 @@
         fresh.map(export).collect()
     }
 
-    /// Forgets replicas whose evidence is long stale.
+    /// Removes replicas whose evidence expired long ago.
     pub fn prune(&mut self, now: Millis) {
         let long = Millis(EVIDENCE_TTL.0 * 4);
         self.stored.retain(|_, stored| now.since(stored.acknowledged_at) <= long);
--- a/crates/cherrystand_core/src/nodes/running_time.rs
+++ b/crates/cherrystand_core/src/nodes/running_time.rs
@@ -1,10 +1,12 @@
-//! For how long a daemon has been awake.
+//! How long a daemon has been running, without pauses.
 
 use crate::Millis;
 
-/// Sums the time for which a daemon has run, without the spans for which it or its machine stood still.
+/// Sums the time that a daemon has run, without the times during which its process or machine was
+/// paused.
 ///
-/// Clocks go on meanwhile. What a daemon did not hear while it stood still is nobody's silence but its own.
+/// The clock advances during a pause. Messages that the daemon missed meanwhile must not count as
+/// silence of others.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RunningTime {
     total: Millis,
@@ -12,13 +14,13 @@
 }
 
 impl RunningTime {
-    /// How often a daemon says that it is awake, in milliseconds.
+    /// How often a daemon calls [`RunningTime::record`].
     pub const TICK_INTERVAL: Millis = Millis(250);
 
-    /// A gap of up to this length counts as awake: the processor is busy at times.
+    /// A gap of up to this length counts as running, since the processor is busy at times.
     pub const MAX_TICK_GAP: Millis = Millis(500);
 
-    /// Notes that the daemon is awake.
+    /// Records that the daemon is running.
     pub fn record(&mut self, now: Millis) {
         if let Some(last) = self.last {
             self.total = self.total + now.since(last).min(Self::MAX_TICK_GAP);
@@ -26,7 +28,7 @@
         self.last = Some(now);
     }
 
-    /// Returns for how long it has been.
+    /// Returns the total running time.
     pub fn total(&self) -> Millis {
         self.total
     }
--- a/crates/cherrystand_core/src/nodes/store_outage.rs
+++ b/crates/cherrystand_core/src/nodes/store_outage.rs
@@ -1,43 +1,44 @@
-//! Outages of the store, after which entries may be missing whose boxes live.
+//! Outages of the store, after which entries of live boxes may be missing.
 
 use crate::{Millis, RunningTime};
 
-/// After this time without an answer the store counts as having been out; a watch that waits is
+/// The time without an answer after which the store counts as having been out; a watch is always
 /// answered sooner.
 const OUTAGE_AFTER: Millis = Millis(2_800);
 
-/// For how long after an outage a box that is listed no more is kept.
+/// How long after an outage a box that is no longer listed is retained.
 ///
-/// Entries run out while the store is out, though their boxes serve on, and come back within about
-/// two seconds.
+/// Entries expire during an outage although their boxes go on serving, and return within about two
+/// seconds.
 const RETENTION_AFTER_OUTAGE: Millis = Millis(2_200);
 
-/// Keeps when the store answered, and until when what it lists no more is kept.
+/// Tracks when the store answered, and until when entries that it no longer lists are retained.
 ///
-/// A daemon that stood still did not listen: what it did not hear meanwhile is no silence of the store, and a
-/// call that ran out meanwhile is no failure of it. One that was cut off cannot tell; a peer that listened all the
-/// while can.
+/// A daemon that was paused cannot tell: what it did not receive meanwhile is no silence of the
+/// store, and a call that timed out meanwhile is no failure of it. A daemon that was cut off cannot
+/// tell either, but a peer that was connected all the time can.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct StoreOutage {
     running_time: RunningTime,
     /// Whether the last call failed.
     is_failing: bool,
-    /// When it last answered, by the clock and by the time for which the daemon has been awake.
+    /// When the store last answered, by the clock and by the daemon's running time.
     last_answer: Option<(Millis, Millis)>,
-    /// Since when it answers without a break.
+    /// Since when it has answered without interruption.
     answering_since: Millis,
     retains_until: Millis,
-    /// How long it was silent before it answered again, while no peer was asked about that.
+    /// How long it was silent before it answered again, until peers have been asked whether it
+    /// answered them.
     unconfirmed_outage: Option<Millis>,
 }
 
 impl StoreOutage {
-    /// Notes that the daemon is awake; it is told so every [`RunningTime::TOLD_EVERY`].
+    /// Records that the daemon is running; has to be called every [`RunningTime::TICK_INTERVAL`].
     pub fn record_running(&mut self, now: Millis) {
         self.running_time.record(now);
     }
 
-    /// Notes that the store answered this daemon.
+    /// Records that the store answered this daemon.
     pub fn record_answer(&mut self, now: Millis) {
         self.running_time.record(now);
         let silence =
@@ -54,8 +55,8 @@
         self.last_answer = Some((now, self.running_time.total()));
     }
 
-    /// Notes that a peer tells what the store answered it at `at`, and since when that goes on without a break;
-    /// that peer judged by itself what to keep.
+    /// Records a peer's report that the store answered it at `at`, and has done so without
+    /// interruption since `steady_since`. The peer has decided itself what to retain.
     pub fn record_peer_answer(&mut self, at: Millis, answering_since: Millis, now: Millis) {
         self.running_time.record(now);
         self.is_failing = false;
@@ -63,7 +64,7 @@
         self.answering_since = answering_since;
     }
 
-    /// Notes that the store did not answer, and tells whether that says anything of the store.
+    /// Records that the store did not answer; returns whether that tells anything about the store.
     pub fn record_failure(&mut self, now: Millis) -> bool {
         self.running_time.record(now);
         let was_paused = self.last_answer.is_some_and(|(at, running_time)| {
@@ -71,7 +72,7 @@
                 > self.running_time.total().since(running_time) + RunningTime::MAX_TICK_GAP
         });
         if was_paused {
-            // The next failure counts: its call began after that.
+            // The next failure counts, since its call begins after the pause.
             self.last_answer = Some((now, self.running_time.total()));
             return false;
         }
@@ -79,30 +80,31 @@
         true
     }
 
-    /// Returns for how long the store had been silent, where that is taken for an outage and no peer was asked yet
-    /// whether it answered others; it is told once.
+    /// Returns, once, how long the store was silent before it answered again, if that counts as an
+    /// outage and no peer has been asked whether the store answered it.
     pub fn take_unconfirmed_outage(&mut self) -> Option<Millis> {
         self.unconfirmed_outage.take()
     }
 
-    /// Notes that the store came back from a copy, which lacks entries whose boxes live.
+    /// Records that the store was restored from a backup, which lacks entries of live boxes.
     pub fn record_restore(&mut self, now: Millis) {
         self.retains_until = now + RETENTION_AFTER_OUTAGE;
         self.unconfirmed_outage = None;
         self.answering_since = now;
     }
 
-    /// Notes that the store answered others all the while.
+    /// Records that the store answered others all the time, so that there was no outage.
     pub fn clear_outage(&mut self) {
         self.retains_until = Millis(0);
     }
 
-    /// Returns for how long the store has answered without a break, as far as this daemon knows.
+    /// Returns how long the store has answered without interruption, as far as this daemon knows.
     pub fn answering_for(&self, now: Millis) -> Millis {
         self.last_answer.map_or(Millis(0), |_| now.since(self.answering_since))
     }
 
-    /// Tells whether what the store lists no more is kept, since it may only have lost the entry.
+    /// Tells whether entries that the store no longer lists are retained, since it may have lost
+    /// them.
     pub fn keeps_unlisted(&self, now: Millis) -> bool {
         now < self.retains_until
     }
--- a/crates/cherrystand_core/src/nodes/store_reachability.rs
+++ b/crates/cherrystand_core/src/nodes/store_reachability.rs
@@ -1,18 +1,18 @@
-//! Whether the store answers a daemon, and since when what it tells is known freshly.
+//! Whether the store answers a daemon, and since when its state is known.
 
 use crate::Millis;
 
-/// A daemon decides only by what the store told within this time.
+/// A daemon makes decisions only while its knowledge of the store is no older than this.
 const MAX_STORE_AGE: Millis = Millis(1_700);
 
-/// How long the store has to answer a daemon, and its state to be known freshly, before the daemon
-/// decides: one that just started, or was cut off, learns meanwhile who else decides.
+/// How long the store has to answer a daemon, and its state to be fresh, before the daemon makes
+/// decisions. A daemon that has just started, or was cut off, learns meanwhile which others do.
 const SETTLE_TIME: Millis = Millis(1_200);
 
-/// After this time without news of the store, peers' copies of what it told count.
+/// After this time without an update from the store, peers' copies of its state are used.
 const SILENT_AFTER: Millis = Millis(1_500);
 
-/// Keeps when the store was last heard, directly or by way of a peer.
+/// Tracks when the store was last heard from, directly or through a peer.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct StoreReachability {
     last_update: Option<Millis>,
@@ -21,38 +21,39 @@
 }
 
 impl StoreReachability {
-    /// Notes that the store answered the daemon itself.
+    /// Records that the store answered the daemon itself.
     pub fn record_success(&mut self) {
         self.is_failing = false;
     }
 
-    /// Notes that it did not.
+    /// Records that the store did not answer the daemon itself.
     pub fn record_failure(&mut self) {
         self.is_failing = true;
     }
 
-    /// Notes that the store told something at `at`, to the daemon or to one that it reads from.
+    /// Records that the store's state was read at `at`, by the daemon or by the peer that it reads
+    /// from.
     pub fn record_update(&mut self, at: Millis) {
         self.last_update = Some(at);
     }
 
-    /// Tells whether the store did not answer the daemon itself the last time.
+    /// Tells whether the last call of the daemon itself to the store failed.
     pub fn is_failing(&self) -> bool {
         self.is_failing
     }
 
-    /// Returns how long ago the store told something.
+    /// Returns the age of what is known of the store.
     pub fn age(&self, now: Millis) -> Option<Millis> {
         self.last_update.map(|last_update| now.since(last_update))
     }
 
-    /// Tells whether it has told nothing for long.
+    /// Tells whether nothing has been heard from the store for long.
     pub fn is_silent(&self, now: Millis) -> bool {
         self.age(now).is_none_or(|age| age > SILENT_AFTER)
     }
 
-    /// Tells whether the daemon has known the store's state freshly for long enough to decide by
-    /// it; it is asked at each step.
+    /// Tells whether the daemon has had fresh knowledge of the store for long enough to make
+    /// decisions; has to be called at each step.
     pub fn may_decide(&mut self, now: Millis) -> bool {
         let fresh = self.age(now).is_some_and(|age| age <= MAX_STORE_AGE) && !self.is_failing;
         let since = self.fresh_since.unwrap_or(now);
--- a/crates/cherrystand_core/src/nodes/task_ownership.rs
+++ b/crates/cherrystand_core/src/nodes/task_ownership.rs
@@ -1,11 +1,11 @@
-//! Which daemon does what for all.
+//! Assigns tasks to daemons by rendezvous hashing.
 
 use crate::{Heartbeat, NodeId, ZoneId, hash_bytes, mix};
 
-/// Returns the daemon that has the highest claim to `task` among those given.
+/// Returns the daemon that owns `task` among those given.
 ///
-/// All daemons with one view name the same one, and a daemon that comes or goes moves only the
-/// tasks that it had. Nothing unsafe follows when views differ: the work is done twice.
+/// All daemons with the same view select the same one, and a daemon that joins or leaves moves only
+/// the tasks that it owns. It is safe for views to differ: the work is then done twice.
 pub fn owner_of<'a>(
     task: &str,
     nodes: impl IntoIterator<Item = &'a Heartbeat>,
@@ -13,7 +13,7 @@
     rank_by_hash(task, nodes).into_iter().next().map(|beat| &beat.node)
 }
 
-/// Returns the daemons in the order of their claim to `task`.
+/// Returns the daemons in rank order for `task`, its owner first.
 pub fn rank_by_hash<'a>(
     task: &str,
     nodes: impl IntoIterator<Item = &'a Heartbeat>,
@@ -25,7 +25,7 @@
     beats
 }
 
-/// Returns the zones of daemons, each once and in the same order everywhere.
+/// Returns the distinct zones of daemons, in the same order everywhere.
 pub(crate) fn zones_of<'a>(beats: &[&'a Heartbeat]) -> Vec<&'a ZoneId> {
     let mut zones: Vec<&ZoneId> = beats.iter().map(|beat| &beat.zone).collect();
     zones.sort();
@@ -33,11 +33,11 @@
     zones
 }
 
-/// Returns the daemons of a zone that are able to do a duty of it, in the order of their claim.
+/// Returns the daemons of a zone that are able to perform a duty, in rank order.
 ///
-/// Those with the widest links come first: what a zone reads and passes on goes over them. Where
-/// two of twenty have ten times the link of the others, 20 copies of 0.4 MB are 0.3 s instead of
-/// 3.4 s.
+/// Those with the fastest links come first, since what a zone reads and passes on goes over them.
+/// If two of twenty have ten times the bandwidth of the others, sending 20 copies of 0.4 MB takes
+/// 0.3 s instead of 3.4 s.
 pub(crate) fn rank_in_zone<'a>(
     duty: &str,
     zone: &ZoneId,
--- a/crates/cherrystand_core/src/nodes/tombstones.rs
+++ b/crates/cherrystand_core/src/nodes/tombstones.rs
@@ -1,21 +1,22 @@
-//! As of when keys are known to be gone.
+//! Tombstones: the revisions at which keys were deleted.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use crate::Revision;
 
-/// How many keys that are gone are remembered, the newest; at 100 bytes each 1.6 MB, and at 1,900 boxes
-/// restarted or replaced a day those of eight days.
+/// How many tombstones are kept, the newest ones. At 100 bytes each they take 1.6 MB, and with
+/// 1,900 boxes restarted or replaced a day they reach back eight days.
 const MAX_TOMBSTONES: usize = 16_384;
 
-/// Keeps as of which revision keys are gone, so that no older copy brings them back.
+/// Remembers the revisions at which keys were deleted, so that no older copy brings them back.
 ///
-/// What is written has a revision, and a later one goes before. What is gone needs one as well: without it a copy
-/// from before, or from a peer that did not hear of the end, counts as news.
+/// Of two written values the one with the later revision wins. A deletion needs a revision as well:
+/// without it a copy from before, or from a peer that has not heard of the deletion, would count as
+/// new.
 #[derive(Clone, Debug)]
 pub struct Tombstones<K> {
     deleted_at: BTreeMap<K, Revision>,
-    /// The same, the oldest first.
+    /// The same keys, the oldest first.
     by_age: VecDeque<K>,
 }
 
@@ -26,7 +27,7 @@
 }
 
 impl<K: Ord + Clone> Tombstones<K> {
-    /// Takes in that a key is gone as of a revision.
+    /// Records that a key was deleted as of a revision.
     pub fn insert(&mut self, key: &K, deleted_at: Revision) {
         if let Some(held) = self.deleted_at.get_mut(key) {
             *held = deleted_at.max(*held);
@@ -41,8 +42,9 @@
         }
     }
 
-    /// Takes in that all keys but those that are there are gone as of a revision of a new era: a copy of the store
-    /// lists what was gone, at revisions of before, until whoever is there writes again.
+    /// Moves all tombstones, except those of keys that exist, to a revision of a new era. A store
+    /// that was restored from a backup lists deleted keys at old revisions, until their owners
+    /// write again.
     pub fn advance_to_era(&mut self, deleted_at: Revision, exists: impl Fn(&K) -> bool) {
         for (key, held) in &mut self.deleted_at {
             if !exists(key) {
@@ -51,7 +53,7 @@
         }
     }
 
-    /// Tells whether a value of this revision was gone later.
+    /// Tells whether a value of this revision has been deleted since.
     pub fn hides(&self, key: &K, revision: Revision) -> bool {
         self.deleted_at.get(key).is_some_and(|deleted_at| *deleted_at >= revision)
     }
--- a/crates/cherrystand_core/src/requests/admission.rs
+++ b/crates/cherrystand_core/src/requests/admission.rs
@@ -1,23 +1,24 @@
-//! AdmissionLimits for requests on one node.
+//! Admission control for requests on one node.
 
 use std::collections::BTreeMap;
 
 use crate::{Class, Millis, Refusal, RefusalReason, WorkspaceId};
 
-/// The share of the common room at which workspaces are held to their fair part, in percent.
+/// The share of the shared limit in use, in percent, from which each workspace is held to its fair
+/// share.
 const FAIR_SHARE_THRESHOLD_PERCENT: u32 = 75;
 
-/// When a caller refused for lack of room may come back.
+/// The retry delay named to a caller that is refused because the node is full.
 const RETRY_AFTER: Millis = Millis(1_000);
 
-/// Says how much room a node has.
+/// Limits how many requests a node holds at once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AdmissionLimits {
-    /// Requests at once, of all classes.
+    /// Requests of all classes.
     pub total: u32,
-    /// The part of it that only consent requests use.
+    /// The part of `total` that is reserved for consent requests.
     pub reserved_for_consent: u32,
-    /// The part of the rest that batch requests may use, in percent.
+    /// The part of the remaining limit that batch requests may use, in percent.
     pub batch_percent: u32,
 }
 
@@ -29,8 +30,8 @@
 
 /// Admits requests by class and workspace.
 ///
-/// Consent requests have a part of the room that nothing else can use. Of the rest, once it is
-/// busy, each workspace gets an equal share.
+/// Consent requests have a reserved part that no other class can use. Once the shared rest is busy,
+/// each workspace is held to an equal share of it.
 #[derive(Clone, Debug, Default)]
 pub struct Admission {
     limits: AdmissionLimits,
@@ -39,16 +40,16 @@
 }
 
 impl Admission {
-    /// Creates an admission over an empty room.
+    /// Creates an admission control without requests.
     pub fn new(limits: AdmissionLimits) -> Self {
         Self { limits, ..Self::default() }
     }
 
-    /// Takes room for a request; it is given back by [`Admission::leave`].
+    /// Admits a request, which counts until [`Admission::release`] is called.
     ///
     /// # Errors
     ///
-    /// Returns the [`Refusal`] when the room is full for the class or the workspace.
+    /// Returns the [`Refusal`] when the limit of the class or of the workspace is reached.
     pub fn admit(&mut self, class: Class, workspace: &WorkspaceId) -> Result<(), Refusal> {
         let refuse = |reason| Err(Refusal::with_retry_after(reason, RETRY_AFTER));
         if self.in_flight() >= self.limit_for(class) || self.is_class_full(class) {
@@ -64,7 +65,7 @@
         Ok(())
     }
 
-    /// Gives back the room of a request.
+    /// Ends an admitted request.
     pub fn release(&mut self, class: Class, workspace: &WorkspaceId) {
         if let Some(count) = self.by_class.get_mut(&class) {
             *count = count.saturating_sub(1);
@@ -80,7 +81,7 @@
         }
     }
 
-    /// Returns how many requests are in the room.
+    /// Returns how many admitted requests have not ended.
     pub fn in_flight(&self) -> u32 {
         self.by_class.values().sum()
     }
--- a/crates/cherrystand_core/src/requests/circuit_breaker.rs
+++ b/crates/cherrystand_core/src/requests/circuit_breaker.rs
@@ -1,14 +1,15 @@
-//! Whether an endpoint that failed is tried again.
+//! Stops requests to an endpoint that fails, and probes whether it has recovered.
 
 use crate::Millis;
 
-/// How long an endpoint is left out after its first failure.
+/// How long the breaker stays open after the first failure.
 pub const INITIAL_OPEN_TIME: Millis = Millis(500);
 
-/// The longest that an endpoint is left out between two trials.
+/// The longest time that the breaker stays open between two probes.
 pub const MAX_OPEN_TIME: Millis = Millis(8_000);
 
-/// Leaves an endpoint out after a failure and lets single trials through later.
+/// Opens after a failure, with a delay that doubles at each further one, and then lets a single
+/// request through as a probe.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct CircuitBreaker {
     failures: u32,
@@ -17,27 +18,27 @@
 }
 
 impl CircuitBreaker {
-    /// Tells whether a request may go to the endpoint now.
+    /// Tells whether a request may be sent to the endpoint now.
     pub fn allows(&self, now: Millis) -> bool {
         self.failures == 0 || (now >= self.open_until && !self.probe_in_flight)
     }
 
-    /// Takes in that a request is on its way.
+    /// Records that a request was sent.
     pub fn record_start(&mut self) {
         self.probe_in_flight = self.failures > 0;
     }
 
-    /// Takes in that the endpoint answered.
+    /// Records that the endpoint answered, which closes the breaker.
     pub fn record_success(&mut self) {
         *self = Self::default();
     }
 
-    /// Takes in that an attempt ended without saying anything about the endpoint.
+    /// Records that an attempt ended without telling anything about the endpoint.
     pub fn record_abandoned(&mut self) {
         self.probe_in_flight = false;
     }
 
-    /// Takes in that the endpoint failed.
+    /// Records that the endpoint failed.
     pub fn record_failure(&mut self, now: Millis) {
         let open_time_ms = INITIAL_OPEN_TIME.0 << self.failures.min(8);
         self.failures += 1;
--- a/crates/cherrystand_core/src/requests/claim.rs
+++ b/crates/cherrystand_core/src/requests/claim.rs
@@ -1,8 +1,9 @@
-//! Claims on calls that must not be repeated.
+//! Claims on calls that must not be repeated (idempotency keys).
 //!
-//! A call that names a key is run only by the daemon life that wrote the key into the platform's
-//! service first. Nobody takes a claim over, so a holder that pauses can do no harm when it comes
-//! back; a claim whose holder is gone stays and answers `unknown`.
+//! A call that carries a key is run only by the daemon incarnation that first wrote the key into
+//! the platform's key-value service. A claim is never taken over, so a holder that pauses and comes
+//! back does no harm. A claim whose holder is gone stays, and repeats of the call are answered
+//! `unknown`.
 //!
 //! Source: docs/design/0008-at-most-once.md.
 
@@ -12,25 +13,27 @@
 
 use crate::{Incarnation, Millis, NodeId, Outcome, RecentWrites, WriteId, hash_bytes};
 
-/// Over how many records the claims are spread.
+/// The number of records over which the claims are sharded.
 pub const CLAIM_SHARDS: u64 = 16;
 
-/// For how long a claim is kept, in seconds.
+/// How long a claim is kept, in seconds.
 pub const CLAIM_TTL_SECS: u64 = 3_600;
 
-/// Within this time after asking for a claim its holder must begin to send, or give it up.
+/// The time after asking for a claim within which its holder must begin to send the call or release
+/// the claim.
 pub const CLAIM_USE_TIMEOUT: Millis = Millis(5_000);
 
-/// The most claims in one record, so that it stays under the platform's limit of 1 MB.
+/// The largest number of claims in one record, which keeps the record below the platform's limit of
+/// 1 MB.
 pub const MAX_CLAIMS: usize = 6_000;
 
-/// Identifies a call by a hash of its workspace and key.
+/// Identifies a call by a hash of its group and of the key that the caller chose.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(into = "String", try_from = "String")]
 pub struct IdempotencyKey(u128);
 
 impl IdempotencyKey {
-    /// Creates the key of a call from the group that it goes to and the caller's own key.
+    /// Hashes the group that the call goes to and the caller's own key.
     pub fn new(group: &crate::GroupId, key: &str) -> Self {
         let text = format!("{group}\n{key}");
         let high = hash_bytes(text.as_bytes());
@@ -38,7 +41,7 @@
         Self(u128::from(high) << 64 | u128::from(hash_bytes(salted.as_bytes())))
     }
 
-    /// Returns the record that holds the key's claim.
+    /// Returns the number of the record that holds the claim.
     pub fn shard(self) -> u64 {
         self.0 as u64 % CLAIM_SHARDS
     }
@@ -63,55 +66,55 @@
     }
 }
 
-/// Says who holds a call and what became of it.
+/// Says who holds a call and how it ended.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claim {
     /// The daemon that may run the call.
     pub node: NodeId,
-    /// The life of that daemon.
+    /// The incarnation of that daemon.
     pub incarnation: Incarnation,
-    /// When it was claimed, in seconds since 1970.
+    /// When the call was claimed, in seconds since 1970.
     pub at_unix_secs: u64,
-    /// What became of it; nothing while it may still be running.
+    /// How the call ended; `None` while it may still be running.
     pub outcome: Option<Outcome>,
 }
 
 /// Holds the claims of one shard.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimRecord {
-    /// The claims, by call.
+    /// The claims by the key of their call.
     pub claims: BTreeMap<IdempotencyKey, Claim>,
-    /// The identities of the last writes.
+    /// The identities of the last writes to this record.
     pub writes: RecentWrites,
 }
 
-/// Asks for a change of one claim.
+/// A change of one claim.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClaimRequest {
-    /// Claim a call for the asking daemon life.
+    /// Claims a call for the requesting daemon incarnation.
     Acquire(IdempotencyKey),
-    /// Give a claim up, since the call was certainly not run.
+    /// Releases a claim, because the call was certainly not run.
     Release(IdempotencyKey),
-    /// Note what became of a call.
+    /// Records how a call ended.
     Complete(IdempotencyKey, Outcome),
 }
 
-/// Answers one request for a claim.
+/// The response to one [`ClaimRequest`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClaimResponse {
-    /// The asking daemon life may run the call; nobody else may.
+    /// The requesting daemon incarnation may run the call, and nobody else.
     Granted,
-    /// The call was claimed before.
+    /// The call had already been claimed.
     AlreadyClaimed(Claim),
-    /// The shard holds all the claims that it can.
+    /// The shard holds [`MAX_CLAIMS`] claims.
     ShardFull,
-    /// The change was noted.
+    /// The change was recorded.
     Recorded,
 }
 
 impl ClaimRecord {
-    /// Works out the record after a batch of requests by one daemon life, and their answers,
-    /// which hold only once the record has been written.
+    /// Applies a batch of requests from one daemon incarnation and returns the new record with a
+    /// response to each request. The responses are valid only once the record has been written.
     pub fn apply(
         &self,
         batch: &[ClaimRequest],
--- a/crates/cherrystand_core/src/requests/cold_period.rs
+++ b/crates/cherrystand_core/src/requests/cold_period.rs
@@ -1,48 +1,48 @@
-//! An endpoint that takes little for a while, as it has just started.
+//! Endpoints that have just started and take few requests for a while.
 
 use serde::{Deserialize, Serialize};
 
 use crate::{Millis, RequestRate};
 
-/// The longest time for which an endpoint is taken for cold by one telling.
+/// The longest cold period that is accepted from one message.
 pub(crate) const MAX_COLD_PERIOD: Millis = Millis(600_000);
 
-/// Says how an endpoint of a service takes requests while it is cold.
+/// Says how an endpoint of a service takes requests after it has started.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ColdStart {
     /// How long it is cold after its start.
     pub duration: Millis,
-    /// The requests a second that it bears meanwhile, from all nodes together.
+    /// The requests per second that it takes from all nodes together meanwhile.
     pub rate: RequestRate,
 }
 
-/// Says until when one endpoint is cold, and what it bears.
+/// The cold period of one endpoint, on this node's clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ColdPeriod {
-    /// The requests a second that it bears from all nodes together.
+    /// The requests per second that the endpoint takes from all nodes together.
     pub rate: RequestRate,
-    /// Until when.
+    /// The end of the cold period.
     pub until: Millis,
 }
 
-/// Tells another node of it.
+/// A [`ColdPeriod`] as it is sent to another node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ColdPeriodUpdate {
-    /// The requests a second that it bears from all nodes together.
+    /// The requests per second that the endpoint takes from all nodes together.
     pub rate: RequestRate,
-    /// How much longer it is cold.
+    /// The remaining time of the cold period.
     pub left: Millis,
 }
 
 impl ColdPeriod {
-    /// Returns what another node is told.
+    /// Converts the period for sending, with its end as a remaining time.
     pub fn to_update(self, now: Millis) -> ColdPeriodUpdate {
         ColdPeriodUpdate { rate: self.rate, left: self.until.since(now) }
     }
 }
 
 impl ColdPeriodUpdate {
-    /// Returns what it says on this node's clock.
+    /// Converts a received update to this node's clock.
     pub fn to_period(self, now: Millis) -> ColdPeriod {
         ColdPeriod { rate: self.rate, until: now + self.left.min(MAX_COLD_PERIOD) }
     }
--- a/crates/cherrystand_core/src/requests/concurrency_limit.rs
+++ b/crates/cherrystand_core/src/requests/concurrency_limit.rs
@@ -1,20 +1,21 @@
-//! How many requests one endpoint may have at once.
+//! Adaptive limit on the number of concurrent requests to one endpoint.
 
 use crate::Millis;
 
-/// An answer that begins this many times later than the usual one speaks of overload.
+/// An answer that takes this many times as long as usual to begin counts as a sign of overload.
 const OVERLOAD_LATENCY_FACTOR: f64 = 3.0;
 
-/// What one sign of overload leaves of the limit.
+/// The factor by which a sign of overload reduces the limit.
 const DECREASE_FACTOR: f64 = 0.9;
 
-/// The share by which one sample moves the usual time.
+/// The weight of one sample in the moving average of the latency.
 const SMOOTHING: f64 = 0.05;
 
-/// Adapts the number of requests in flight at one endpoint to how it answers.
+/// Adapts the number of requests in flight at one endpoint to how it answers (additive increase,
+/// multiplicative decrease).
 ///
-/// It grows by one for each full round of answers in time and shrinks by a tenth for a late or
-/// refused one, at most once in the usual time.
+/// The limit grows by one for each full round of answers in time, and shrinks by a tenth for an
+/// answer that is late or refused, at most once per typical latency.
 #[derive(Clone, Copy, Debug)]
 pub struct ConcurrencyLimit {
     limit: f64,
@@ -24,7 +25,7 @@
 }
 
 impl ConcurrencyLimit {
-    /// Creates a limit that starts at `start` and never exceeds `most`.
+    /// Creates a limit that starts at `start` and never exceeds `max`.
     pub fn new(start: u32, max: u32) -> Self {
         Self {
             limit: f64::from(start.clamp(1, max.max(1))),
@@ -34,17 +35,17 @@
         }
     }
 
-    /// Returns the limit now; at least 1.
+    /// Returns the current limit, which is at least 1.
     pub fn get(&self) -> u32 {
         self.limit as u32
     }
 
-    /// Returns the usual time until an answer begins.
+    /// Returns the moving average of the time until an answer begins.
     pub fn typical_latency(&self) -> Millis {
         Millis(self.typical_ms as u64)
     }
 
-    /// Takes in that an answer began after `took`, with `in_flight` requests at the endpoint.
+    /// Records that an answer began after `took`, while `in_flight` requests were at the endpoint.
     pub fn record_answer(&mut self, now: Millis, took: Millis, in_flight: u32) {
         let took = took.0 as f64;
         if self.typical_ms == 0.0 {
@@ -59,7 +60,7 @@
         self.typical_ms += (bounded - self.typical_ms) * SMOOTHING;
     }
 
-    /// Takes in that the endpoint refused a request or did not answer in time.
+    /// Records that the endpoint refused a request or did not answer in time.
     pub fn record_overload(&mut self, now: Millis) {
         if now.since(self.last_decrease) < self.typical_latency() && self.last_decrease != Millis(0)
         {
--- a/crates/cherrystand_core/src/requests/draining_incarnations.rs
+++ b/crates/cherrystand_core/src/requests/draining_incarnations.rs
@@ -1,17 +1,17 @@
-//! Endpoints that said that they leave.
+//! Endpoints that have announced that they are shutting down.
 
 use std::collections::{BTreeSet, VecDeque};
 
-/// How many lives that leave are remembered, the newest; at 100 bytes each 1.6 MB, and at 1,900 boxes
-/// restarted or replaced a day those of eight days.
+/// How many draining incarnations are remembered, the newest ones. At 100 bytes each they take 1.6
+/// MB, and with 1,900 boxes restarted or replaced a day they reach back eight days.
 const MAX_REMEMBERED: usize = 16_384;
 
-/// Keeps which lives of endpoints leave: what has said so once takes nothing new any more, whatever its
-/// entry says later.
+/// Remembers which incarnations of endpoints are draining. Once an incarnation has announced that,
+/// it is sent nothing new, whatever its entry in the store says later.
 #[derive(Clone, Debug)]
 pub struct DrainingIncarnations<K> {
     incarnations: BTreeSet<K>,
-    /// The same, the oldest first.
+    /// The same incarnations, the oldest first.
     by_age: VecDeque<K>,
 }
 
@@ -22,7 +22,7 @@
 }
 
 impl<K: Ord + Clone> DrainingIncarnations<K> {
-    /// Takes in that an endpoint leaves, and tells whether that is new.
+    /// Records that an endpoint is draining; returns whether that is new.
     pub fn insert(&mut self, id: &K) -> bool {
         if !self.incarnations.insert(id.clone()) {
             return false;
@@ -36,12 +36,12 @@
         true
     }
 
-    /// Tells whether an endpoint leaves.
+    /// Tells whether an endpoint is draining.
     pub fn contains(&self, id: &K) -> bool {
         self.incarnations.contains(id)
     }
 
-    /// Tells whether none leaves.
+    /// Tells whether no endpoint is draining.
     pub fn is_empty(&self) -> bool {
         self.incarnations.is_empty()
     }
--- a/crates/cherrystand_core/src/requests/endpoint_backpressure.rs
+++ b/crates/cherrystand_core/src/requests/endpoint_backpressure.rs
@@ -1,54 +1,58 @@
-//! What endpoints ask of this node: to be left alone for a while, or for good, or to be sent so much at the most.
+//! Backpressure from endpoints: backoff times, rate limits and shutdowns that they announce to this
+//! node.
 
 use std::collections::BTreeMap;
 
 use crate::{DrainingIncarnations, EndpointRateLimits, Millis, SendPermit};
 
-/// The longest rest that is taken.
+/// The longest backoff that is honoured.
 ///
-/// A rest lets a queue drain, which takes seconds; what lasts longer is a planned end, which a box says
-/// otherwise. One that asks for more is asked again after this, once a time.
+/// A backoff lets a queue drain, which takes seconds. An endpoint that will be away for longer
+/// announces a shutdown instead. One that asks for more than this is sent a request again after
+/// this time, and can then repeat its wish.
 pub const MAX_BACKOFF: Millis = Millis(600_000);
 
-/// How many requests may be under way at once to an endpoint whose rest has just ended, until it answers
-/// the first; each answer that begins doubles it.
+/// How many requests may be in flight to an endpoint whose backoff has just ended, until it answers
+/// the first one. Each answer that begins doubles the number.
 const INITIAL_WINDOW: u32 = 1;
 
-/// For how long after its rest an endpoint that nobody asked anything counts as coming back.
+/// How long after its backoff an endpoint counts as recovering if it has not been sent anything.
 const RECOVERY_PERIOD: Millis = Millis(10_000);
 
-/// For how long after its rest this node keeps to what an endpoint bore.
+/// How long after the backoff this node keeps to its concurrency limit for the endpoint.
 const LIMIT_PERIOD: Millis = Millis(30_000);
 
-/// The part of what was under way that is borne after an endpoint asked for rest; each answer adds its part
-/// of one more (additive increase, multiplicative decrease).
+/// The part of the requests in flight that becomes the concurrency limit when an endpoint asks for
+/// a backoff. Each answer then raises the limit by its reciprocal (additive increase,
+/// multiplicative decrease).
 ///
 /// Nine daemons that send four replicas half as much again as these can answer get 8,600 of 10,200
-/// answers a minute with it, 5,300 without: the next rest follows at once (tests/backoff_simulation.rs).
+/// answers a minute with the limit and 5,300 without it, because the next backoff then follows at
+/// once (tests/backoff_simulation.rs).
 const DECREASE_FACTOR: f64 = 0.7;
 
-/// Says how an endpoint stands, by what it asked of this node.
+/// Says whether an endpoint takes requests from this node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BackpressureState {
     /// It takes requests.
     Open,
-    /// Its rest has ended, and it has yet to answer what it was sent since.
+    /// Its backoff has ended, and it has not yet answered the requests sent since.
     Recovering,
-    /// This node has as much under way there as it bore when it last asked for rest, and more would bring
-    /// about the next one.
+    /// This node has as many requests in flight there as the endpoint could bear when it last asked
+    /// for a backoff; more would provoke the next one.
     Saturated,
-    /// It takes so many requests a second of all nodes, and this one has no permit, until about a time.
+    /// It has a rate limit over all nodes, and this node has no permit until about the given time.
     RateLimited(Millis),
-    /// It rests until a time.
+    /// It has asked not to be sent requests until the given time.
     BackingOff(Millis),
-    /// Operators have emptied its availability zone, since a time.
+    /// Operators have evacuated its availability zone at the given time.
     Evacuated(Millis),
-    /// It leaves.
+    /// It has announced that it is shutting down.
     Draining,
 }
 
 impl BackpressureState {
-    /// Tells whether the endpoint wants nothing at all now.
+    /// Tells whether the endpoint must not be sent any request now.
     pub fn is_closed(self) -> bool {
         !matches!(self, Self::Open | Self::Recovering)
     }
@@ -57,11 +61,12 @@
 #[derive(Clone, Copy, Debug)]
 struct Backoff {
     until: Millis,
-    /// How many requests sent since the rest are under way at the most, where there is another endpoint.
+    /// The largest number of requests sent since the backoff that may be in flight while another
+    /// endpoint is available.
     window: u32,
-    /// How many of those sent since are under way.
+    /// How many of the requests sent since the backoff are in flight.
     in_flight: u32,
-    /// How many requests of this node the endpoint bears at once.
+    /// The concurrency limit of this node for the endpoint.
     limit: f64,
 }
 
@@ -75,16 +80,17 @@
     }
 }
 
-/// Keeps what endpoints asked of this node, by the life of each, and gives the leave to send to them.
+/// Keeps the backpressure of each endpoint incarnation, and issues permits to send to it.
 ///
-/// It is kept apart from the list of endpoints: an entry may go and come back within a rest.
+/// It is kept apart from the list of endpoints, since an entry can disappear from that list and
+/// return while a backoff lasts.
 #[derive(Clone, Debug)]
 pub struct EndpointBackpressure<K> {
     backoffs: BTreeMap<K, Backoff>,
     draining: DrainingIncarnations<K>,
-    /// Endpoints of availability zones that operators have emptied, and since when.
+    /// Endpoints in evacuated availability zones, and since when they are evacuated.
     evacuated: BTreeMap<K, Millis>,
-    /// What endpoints take from all nodes together.
+    /// The rate limits of endpoints over all nodes.
     pub limits: EndpointRateLimits<K>,
 }
 
@@ -100,10 +106,11 @@
 }
 
 impl<K: Ord + Clone> EndpointBackpressure<K> {
-    /// Takes in that an endpoint asked for rest just now, and returns until when it has it.
+    /// Records that an endpoint asked for a backoff just now, and returns when the backoff ends.
     ///
-    /// `under_way` is what this node has there, the request that was turned away among it. A later wish never
-    /// shortens an earlier one, and neither does an answer to what was under way.
+    /// `in_flight` counts this node's requests there, including the one that was turned away.
+    /// Neither a later request for a shorter backoff nor an answer to a request in flight shortens
+    /// a backoff.
     pub fn record_backoff(
         &mut self,
         id: &K,
@@ -116,7 +123,7 @@
         let limit = (f64::from(in_flight.saturating_sub(1)) * DECREASE_FACTOR).max(1.0);
         let fresh = Backoff { until, window: INITIAL_WINDOW, in_flight: 0, limit };
         let backoff = self.backoffs.entry(id.clone()).or_insert(fresh);
-        // Others that were on their way say nothing more of what it bears.
+        // Refusals of other requests that were in flight tell nothing more about the limit.
         if now >= backoff.until {
             backoff.limit = limit;
         }
@@ -125,22 +132,23 @@
         backoff.until
     }
 
-    /// Takes in that an endpoint leaves, and tells whether that is new.
+    /// Records that an endpoint is shutting down; returns whether that is new.
     pub fn record_draining(&mut self, id: &K) -> bool {
         self.draining.insert(id)
     }
 
-    /// Tells whether an endpoint said that it leaves.
+    /// Tells whether an endpoint has announced that it is shutting down.
     pub fn is_draining(&self, id: &K) -> bool {
         self.draining.contains(id)
     }
 
-    /// Takes over which endpoints lie in availability zones that operators have emptied, and since when.
+    /// Replaces the set of endpoints in evacuated availability zones, with the time of each
+    /// evacuation.
     pub fn set_evacuated(&mut self, evacuated: BTreeMap<K, Millis>) {
         self.evacuated = evacuated;
     }
 
-    /// Returns how an endpoint stands, where this node has `under_way` requests there.
+    /// Returns the state of an endpoint at which this node has `in_flight` requests.
     pub fn state(&self, id: &K, in_flight: u32, now: Millis) -> BackpressureState {
         match (self.is_draining(id), self.evacuated.get(id)) {
             (true, _) => BackpressureState::Draining,
@@ -149,10 +157,10 @@
         }
     }
 
-    /// The same for one that is known neither to leave nor to be evacuated: of all that it asked for, the
-    /// strictest holds.
+    /// Returns the state of an endpoint that is known to be neither draining nor evacuated; the
+    /// strictest of its backpressure applies.
     pub(crate) fn active_state(&self, id: &K, in_flight: u32, now: Millis) -> BackpressureState {
-        // Most choices are made while nobody wants anything.
+        // Fast path: usually no endpoint asks for anything.
         if self.backoffs.is_empty() && self.limits.is_empty() {
             return BackpressureState::Open;
         }
@@ -171,7 +179,8 @@
         }
     }
 
-    /// Gives leave to send one request to an endpoint; nothing where it wants none.
+    /// Issues a permit to send one request to an endpoint, or `None` if the endpoint must not be
+    /// sent any.
     pub fn acquire_permit(&mut self, id: &K, in_flight: u32, now: Millis) -> Option<SendPermit> {
         let is_closed = self.state(id, in_flight, now).is_closed();
         if is_closed || !self.limits.take_permit(id, now) {
@@ -182,9 +191,9 @@
         Some(SendPermit::new(is_after_backoff))
     }
 
-    /// Takes in that an endpoint began to answer what it was sent after its rest.
+    /// Records that an endpoint began to answer a request that was sent after its backoff.
     ///
-    /// Where it has asked for the next one meanwhile, that holds.
+    /// If it has asked for another backoff meanwhile, that one stays in force.
     pub fn record_answer(&mut self, id: &K, now: Millis) {
         let Some(backoff) = self.backoffs.get_mut(id).filter(|backoff| now >= backoff.until) else {
             return;
@@ -193,7 +202,7 @@
         backoff.limit += 1.0 / backoff.limit;
     }
 
-    /// Takes in that what an endpoint was sent after its rest is under way no more.
+    /// Records that a request that was sent after the endpoint's backoff has ended.
     pub fn record_end(&mut self, id: &K) {
         if let Some(backoff) = self.backoffs.get_mut(id) {
             backoff.in_flight = backoff.in_flight.saturating_sub(1);
--- a/crates/cherrystand_core/src/requests/endpoint_rate_limits.rs
+++ b/crates/cherrystand_core/src/requests/endpoint_rate_limits.rs
@@ -1,10 +1,12 @@
-//! How many requests endpoints take from all nodes together, and this node's part of them.
+//! Rate limits of endpoints over all nodes, and this node's share of them.
 //!
-//! One node keeps the account of an endpoint and gives permits out to all, each for one request. Which one it is
-//! follows from who is alive, so that no node is set aside for it and nothing is stored.
+//! One node, the owner of a rate limit, keeps its ledger and grants permits to all nodes, each for
+//! one request. The owner follows from the set of live nodes, so no node is dedicated to it and
+//! nothing is stored.
 //!
-//! An endpoint is limited by what it names in its answers, and while it is cold by what its service says that it
-//! then bears; the strictest holds, and both are kept by one account.
+//! An endpoint is limited by the rate that it names in its answers, and while it is cold also by
+//! the rate that its service states for cold endpoints. The stricter one applies, and one ledger
+//! enforces both.
 //!
 //! Source: docs/design/0022-limits.md, docs/design/0023-evacuated-zones-and-cold-endpoints.md.
 
@@ -14,26 +16,27 @@
 use crate::requests::rate_limited_endpoint::RateLimitedEndpoint;
 use crate::{ColdPeriod, Millis, RateLimitMessage, RateLimitReport, RequestRate};
 
-/// A limit from which on it is none: no endpoint is sent as many requests a second by all nodes.
+/// Rates from this value on count as unlimited, in requests per second: all nodes together never
+/// send one endpoint that many.
 const UNLIMITED_FROM: f64 = 1_000.0;
 
-/// The most endpoints that limits are kept of.
+/// The largest number of endpoints whose rate limits are kept.
 const MAX_ENDPOINTS: usize = 16_384;
 
-/// How many questions about an endpoint are kept until it is known who keeps its account.
+/// How many messages about an endpoint are kept until the owner of its rate limit is known.
 const MAX_EARLY_MESSAGES: usize = 64;
 
-/// Says who keeps the account of an endpoint, as this node sees it.
+/// The owner of an endpoint's rate limit, as this node sees it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RateLimitOwner {
-    /// Where it is reached; nothing where it is this node.
+    /// The address of the owner; `None` if it is this node.
     pub address: Option<SocketAddr>,
-    /// The part of the limit that the nodes which this one sees may have together: all, unless others are
-    /// out of sight and may have a keeper of their own.
+    /// The share of the rate that the owner may grant to the nodes that this node sees: 1.0 unless
+    /// others are out of sight, since those may have an owner of their own.
     pub share: f64,
 }
 
-/// Says whom news of a limit is for.
+/// The recipient of a message about a rate limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RateLimitRecipient {
     /// All other nodes.
@@ -42,36 +45,35 @@
     Node(SocketAddr),
 }
 
-/// What a step leads to.
+/// The result of [`EndpointRateLimits::step`].
 #[derive(Clone, Debug)]
 pub struct RateLimitStep<K> {
-    /// What is to be sent, of which endpoint.
+    /// The messages to send, each with the endpoint that it is about.
     pub messages: Vec<(RateLimitRecipient, K, RateLimitMessage)>,
-    /// Whether this node has got permits, or the word that there are none for now.
+    /// Whether this node was granted permits, or was told that there are none for now.
     pub has_permits: bool,
 }
 
-/// What an answer says of its endpoint's limit.
+/// What an answer tells about its endpoint's rate limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ObservedRateLimit {
-    /// The limit; nothing where it names none.
+    /// The limit; `None` if the answer names none.
     pub limit: Option<RequestRate>,
     /// When the request was sent that is answered.
     pub request_sent_at: Millis,
 }
 
-/// Keeps what endpoints say of how many requests they take, by the life of each, and the permits to send to them.
+/// Keeps the rate limit of each endpoint incarnation, and the permits to send to it.
 #[derive(Clone, Debug)]
 pub struct EndpointRateLimits<K> {
     endpoints: BTreeMap<K, RateLimitedEndpoint>,
-    /// What this node's own answers told that others may not know.
+    /// Limits learned from this node's own answers, which other nodes may not know.
     to_announce: Vec<(K, RateLimitReport)>,
-    /// Answers to what other nodes said.
+    /// Replies to messages from other nodes.
     replies: Vec<(RateLimitRecipient, K, RateLimitMessage)>,
-    /// The number of this node's last question, about whichever endpoint.
+    /// The number of this node's last request for permits, for whichever endpoint.
     last_request_number: u64,
-    /// How many permits of each account may be given at once, and are there as it begins, where that is not the
-    /// usual figure.
+    /// Overrides how many permits a ledger may grant at once and starts with.
     burst: Option<f64>,
 }
 
@@ -88,34 +90,35 @@
 }
 
 impl<K: Ord + Clone> EndpointRateLimits<K> {
-    /// Creates accounts that begin with so many permits, which may be given at once: what stands behind them is full
-    /// while nobody asks.
+    /// Creates rate limits whose ledgers start with this many permits and may grant them all at
+    /// once: the capacity behind them is at its full while nobody asks.
     pub fn with_burst(permits: f64) -> Self {
         Self { burst: Some(permits), ..Self::default() }
     }
 
-    /// Tells whether nothing is asked for or given out now.
+    /// Tells whether no permits are being requested or granted.
     pub fn is_idle(&self) -> bool {
         let nothing_told = self.to_announce.is_empty() && self.replies.is_empty();
         nothing_told && self.endpoints.values().all(RateLimitedEndpoint::is_idle)
     }
 
-    /// Numbers this node's questions from here on; those of its earlier lives have to be lower.
+    /// Sets the number after which this node's requests for permits are numbered. The requests of
+    /// its earlier incarnations must have lower numbers.
     pub fn set_last_request_number(&mut self, first: u64) {
         self.last_request_number = first;
     }
 
-    /// Tells whether no endpoint names a limit.
+    /// Tells whether no endpoint has a rate limit.
     pub fn is_empty(&self) -> bool {
         self.endpoints.is_empty()
     }
 
-    /// Returns how many requests an endpoint takes, where it is limited.
+    /// Returns the rate limit of an endpoint, if it has one.
     pub fn limit(&self, id: &K) -> Option<RequestRate> {
         self.endpoints.get(id).and_then(RateLimitedEndpoint::limit)
     }
 
-    /// Takes over whether an endpoint is cold, as this node is told of it by the endpoint itself.
+    /// Sets whether an endpoint is cold, as the endpoint itself tells this node.
     pub fn set_cold_period(&mut self, id: &K, cold: Option<ColdPeriod>) {
         let cold = cold.filter(|cold| cold.rate.as_f64() < UNLIMITED_FROM);
         if cold.is_some() {
@@ -126,17 +129,18 @@
         }
     }
 
-    /// Makes a place for an endpoint that may be limited, where there is room.
+    /// Adds an entry for an endpoint that may be limited, unless there are too many.
     fn ensure_entry(&mut self, id: &K) {
         if self.endpoints.len() < MAX_ENDPOINTS && !self.endpoints.contains_key(id) {
             self.endpoints.insert(id.clone(), RateLimitedEndpoint::default());
         }
     }
 
-    /// Takes in what an answer to a request of this node names; tells whether that is new.
+    /// Records what an answer to one of this node's requests says about the rate limit; returns
+    /// whether that is new.
     pub fn record_answer(&mut self, id: &K, observed: ObservedRateLimit, now: Millis) -> bool {
         let limit = observed.limit.filter(|limit| limit.as_f64() < UNLIMITED_FROM);
-        // That none is named is known as of the sending only.
+        // An answer without a limit is only known to be as recent as the sending of its request.
         let age = if limit.is_some() { Millis(0) } else { now.since(observed.request_sent_at) };
         let word = RateLimitReport { limit, age, ..RateLimitReport::UNHEARD };
         let is_new = self.merge_report(id, word, observed.request_sent_at, now);
@@ -146,7 +150,7 @@
         is_new
     }
 
-    /// Takes in a word as of its age ago, in an answer made after `made_after`.
+    /// Merges a report that comes from an answer made after `made_after`.
     fn merge_report(
         &mut self,
         id: &K,
@@ -169,8 +173,8 @@
         self.endpoints.get_mut(id).filter(|endpoint| endpoint.limit().is_some())
     }
 
-    /// Tells whether a request may be sent now: nothing where the endpoint names no limit, else whether a permit
-    /// is at hand, or about when one will be.
+    /// Tells whether a request may be sent now: `None` if the endpoint has no rate limit, `Ok` if a
+    /// permit is available, else about when one will be.
     pub fn permit_wait(&self, id: &K, now: Millis) -> Option<Result<(), Millis>> {
         let endpoint = self.limited(id)?;
         let rate = endpoint.rate();
@@ -180,33 +184,33 @@
         }
     }
 
-    /// Tells whether a permit for an endpoint may come at any moment.
+    /// Tells whether a permit for an endpoint may arrive at any moment.
     pub fn may_get_permit(&self, id: &K) -> bool {
         self.limited(id).is_some_and(|endpoint| endpoint.permits.may_arrive())
     }
 
-    /// Uses a permit for one request; true as well where the endpoint names no limit.
+    /// Uses a permit for one request; also returns `true` if the endpoint has no rate limit.
     pub fn take_permit(&mut self, id: &K, now: Millis) -> bool {
         let Some(endpoint) = self.limited_mut(id) else { return true };
         let rate = endpoint.rate();
         endpoint.permits.take(rate, now)
     }
 
-    /// Takes in that the request which last used a permit was not sent.
+    /// Returns the last permit used, as its request was not sent.
     pub fn return_permit(&mut self, id: &K) {
         if let Some(endpoint) = self.limited_mut(id) {
             endpoint.permits.return_permit();
         }
     }
 
-    /// Notes that a request could have used a permit.
+    /// Records that a request could have used a permit.
     pub fn request_permit(&mut self, id: &K, now: Millis) {
         if let Some(endpoint) = self.limited_mut(id) {
             endpoint.permits.record_demand(now);
         }
     }
 
-    /// Takes in what a node says; what follows comes with the next step.
+    /// Handles a message from another node; resulting messages are returned by the next step.
     pub fn handle_message(
         &mut self,
         from: SocketAddr,
@@ -223,7 +227,7 @@
         let Some(endpoint) = self.endpoints.get_mut(id) else { return };
         let word = endpoint.report(now);
         if endpoint.limit().is_none() {
-            // The asker may not know.
+            // The sender may not know that the limit is lifted.
             if let RateLimitMessage::Ask { .. } = message {
                 self.replies.push((
                     RateLimitRecipient::Node(from),
@@ -255,7 +259,7 @@
         }
     }
 
-    /// Has the keepers of all accounts named anew, as nodes have come or gone.
+    /// Reassigns the owners of all rate limits, after nodes have joined or left.
     pub fn reassign_owners(&mut self, now: Millis, owner_of: impl Fn(&K) -> RateLimitOwner) {
         for (id, endpoint) in &mut self.endpoints {
             if endpoint.limit().is_some() {
@@ -264,7 +268,7 @@
         }
     }
 
-    /// Asks, gives and hands back what is due.
+    /// Requests, grants and returns the permits that are due.
     pub fn step(
         &mut self,
         now: Millis,
--- a/crates/cherrystand_core/src/requests/known_rate_limit.rs
+++ b/crates/cherrystand_core/src/requests/known_rate_limit.rs
@@ -1,29 +1,30 @@
-//! What is known of the limit that one endpoint names.
+//! The rate limit that one endpoint has named, as far as this node knows.
 
 use crate::{Millis, RateLimitReport, RequestRate};
 
-/// For how long a limit holds after it was last named, though answers come without it: an endpoint may
-/// name it in some of its answers only.
+/// How long a limit stays in force after it was last named although later answers lack it, since an
+/// endpoint may name it in only some of its answers.
 const HOLD_TIME: Millis = Millis(1_000);
 
-/// For how long it is known that a limit is over, to those that have yet to hear it.
+/// How long it is remembered that a limit was lifted, to tell nodes that do not know it yet.
 const LIFTED_TTL: Millis = Millis(10_000);
 
-/// After this time without a word an endpoint's limit is forgotten.
+/// After this time without any report the limit of an endpoint is forgotten.
 const LIMIT_TTL: Millis = Millis(600_000);
 
-/// Keeps what one endpoint named last, by the answers of this node and what peers tell of theirs.
+/// Keeps the limit that an endpoint named last, from answers to this node and from reports of
+/// peers.
 ///
-/// Answers overtake each other. So an answer counts as made when it came, where it names a limit, and when
-/// its request was sent, where it names none or a higher one: the lower limit is kept where either may
-/// be the later word.
+/// Answers can overtake each other. An answer that names a limit therefore counts as made when it
+/// arrived. One that names none, or a higher limit, counts as made when its request was sent. If
+/// either order is possible, the lower limit is kept.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct KnownRateLimit {
     limit: RequestRate,
     /// When the limit in force was first named.
     changed_at: Millis,
     last_named: Millis,
-    /// When the newest request was sent whose answer named none.
+    /// When the newest request was sent whose answer named no limit.
     last_unnamed: Option<Millis>,
 }
 
@@ -36,8 +37,8 @@
         self.limit
     }
 
-    /// Takes in that a limit was named at a time, in an answer that was made after `made_after`; tells whether
-    /// it is another one than was in force.
+    /// Records that a limit was named at `at`, in an answer that was made after `made_after`;
+    /// returns whether the limit in force changes.
     pub(crate) fn record_limit(
         &mut self,
         limit: RequestRate,
@@ -56,15 +57,15 @@
         is_changed
     }
 
-    /// Takes in that an answer which was made after `made_after` named none; tells whether the limit is over
-    /// by that.
+    /// Records that an answer which was made after `made_after` named no limit; returns whether
+    /// that lifts the limit.
     pub(crate) fn record_no_limit(&mut self, made_after: Millis) -> bool {
         let was_lifted = self.is_lifted();
         self.last_unnamed = self.last_unnamed.max(Some(made_after));
         self.is_lifted() && !was_lifted
     }
 
-    /// Tells whether nothing is worth remembering of it any more.
+    /// Tells whether nothing about the limit is worth remembering any longer.
     pub(crate) fn is_expired(&self, now: Millis) -> bool {
         match self.last_unnamed.filter(|_| self.is_lifted()) {
             Some(last_unnamed) => now.since(last_unnamed) >= LIFTED_TTL,
@@ -72,12 +73,12 @@
         }
     }
 
-    /// Tells whether the endpoint names no limit any more.
+    /// Tells whether the endpoint no longer names a limit.
     pub(crate) fn is_lifted(&self) -> bool {
         self.last_unnamed.is_some_and(|last_unnamed| last_unnamed >= self.last_named + HOLD_TIME)
     }
 
-    /// Tells what is known to a peer.
+    /// Returns what is known as a report for a peer.
     pub(crate) fn report(&self, now: Millis) -> RateLimitReport {
         match (self.is_lifted(), self.last_unnamed) {
             (true, Some(last_unnamed)) => {
--- a/crates/cherrystand_core/src/requests/outcome.rs
+++ b/crates/cherrystand_core/src/requests/outcome.rs
@@ -1,4 +1,4 @@
-//! What became of a request, as far as it can be known.
+//! How a request or an attempt ended, as far as that can be known.
 
 use serde::{Deserialize, Serialize};
 
@@ -15,7 +15,7 @@
 }
 
 impl Outcome {
-    /// Returns the name that the answer's header carries.
+    /// Returns the name that the response header carries.
     pub fn as_str(self) -> &'static str {
         match self {
             Outcome::NotRun => "not-run",
@@ -28,27 +28,27 @@
 /// Says how one attempt at an endpoint ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum AttemptEnd {
-    /// No connection came about.
+    /// The connection could not be established.
     ConnectFailed,
     /// The connection closed before a byte of the request was written.
     NotSent,
-    /// The endpoint itself answered that it did not run the request, for want of room.
+    /// The endpoint itself answered that it did not run the request, because it is full.
     Refused,
-    /// The endpoint itself answered that it did not run the request and does not serve.
+    /// The endpoint itself answered that it did not run the request, because it is not serving.
     NotServing,
     /// The connection failed after a byte of the request may have been written.
     CutBeforeAnswer,
     /// The endpoint did not begin its answer in time.
     TimedOut,
-    /// The answer began and broke off.
+    /// The answer began and was interrupted.
     AnswerCut,
-    /// The endpoint's replica is known to be lost, and its answer cannot come.
+    /// The endpoint's replica is known to be lost, so its answer cannot arrive.
     ReplicaLost,
     /// Another attempt for the same request was faster.
     Overtaken,
-    /// The caller left before the answer was complete.
+    /// The caller disconnected before the answer was complete.
     CallerLeft,
-    /// The whole answer came.
+    /// The whole answer arrived.
     Answered,
 }
 
@@ -68,10 +68,10 @@
         Self::Answered,
     ];
 
-    /// Returns what this end says about the request.
+    /// Returns what this end says about whether the request was run.
     ///
-    /// Only an end at which no byte can have reached the endpoint, or at which the endpoint said
-    /// so itself, is [`Outcome::NotRun`].
+    /// The outcome is [`Outcome::NotRun`] only if no byte can have reached the endpoint, or if the
+    /// endpoint said so itself.
     pub fn outcome(self) -> Outcome {
         match self {
             Self::ConnectFailed | Self::NotSent | Self::Refused | Self::NotServing => {
@@ -104,7 +104,7 @@
         }
     }
 
-    /// Tells whether the end speaks against the endpoint's health.
+    /// Tells whether the end counts as a failure of the endpoint.
     pub fn is_endpoint_failure(self) -> bool {
         !matches!(self, Self::CallerLeft | Self::Answered | Self::Refused)
     }
--- a/crates/cherrystand_core/src/requests/rate_limit_ledger.rs
+++ b/crates/cherrystand_core/src/requests/rate_limit_ledger.rs
@@ -1,36 +1,41 @@
-//! The account of one endpoint's limit, at the node that keeps it for all.
+//! The ledger of one endpoint's rate limit, kept by the node that owns the limit.
 
 use std::collections::VecDeque;
 
 use crate::requests::rate_limit_permits::permit_ttl;
 use crate::{Millis, RateLimitMessage, RateLimitReport};
 
-/// How many seconds of the limit a new account owes.
+/// How many seconds' worth of permits a new ledger starts in debt.
 ///
-/// The endpoint had more than it takes before it named the limit, and another keeper may have given
-/// permits until just now.
+/// Before the endpoint named the limit it was sent more than it takes, and another owner may have
+/// granted permits until just now.
 const INITIAL_DEBT_SECS: f64 = 1.0;
 
-/// The permits that may be given at once after a pause: with one alone a fifth of the limit would be lost between
-/// the requests of callers that come by chance.
+/// The permits that may be granted at once after a pause. With one alone, a fifth of the limit
+/// would be lost between requests that arrive at random.
 const DEFAULT_BURST: f64 = 2.0;
 
-/// The rate below which one permit alone may be given at once: two would be those of many seconds.
+/// The rate, in requests per second, below which only one permit may be granted at once: two would
+/// be the permits of many seconds.
 const LOW_RATE: f64 = 0.3;
 
-/// The seconds of a high limit that may be given at once, as time goes in steps.
+/// At high rates, the seconds' worth of permits that may be granted at once, since time advances in
+/// steps.
 const BURST_SECS: f64 = 0.025;
 
-/// How much longer than it is kept a permit counts as out: what is handed back is on its way.
+/// How much longer than its time to live a permit counts as outstanding, since it may be on its way
+/// back.
 const RETURN_LATENCY: Millis = Millis(50);
 
-/// The longest time for which a question waits unless it is asked again, and for which its end is remembered.
+/// How long a request for permits waits unless it is sent again, and how long its end is
+/// remembered.
 const MAX_REQUEST_WAIT: Millis = Millis(2_000);
 
-/// The most questions that wait; more come from nowhere, as each node has one.
+/// The largest number of waiting requests. Each node has at most one, so more do not occur in
+/// practice.
 const MAX_QUEUED: usize = 1_024;
 
-/// What a question asks for.
+/// A request for permits from one node.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PermitRequest {
     pub(crate) number: u64,
@@ -45,7 +50,7 @@
     want: u8,
     given: u8,
     until: Millis,
-    /// Whether its asker has closed it.
+    /// Whether the requester has closed it.
     is_closed: bool,
 }
 
@@ -55,31 +60,32 @@
     }
 }
 
-/// Gives permits out at the rate of one limit, to those that ask in turn (a token bucket).
+/// A token bucket that grants permits at the rate of one limit, to the requesters in turn.
 #[derive(Clone, Debug)]
 pub(crate) struct RateLimitLedger<N> {
     permits: f64,
     updated_at: Millis,
     queue: Vec<QueuedRequest<N>>,
-    /// When the permits were given that may be out unused.
+    /// When the permits were granted that may be unused yet.
     outstanding: VecDeque<Millis>,
-    /// How many may be given at once, where that is not the usual figure.
+    /// Overrides how many permits may be granted at once.
     burst: Option<f64>,
 }
 
 impl<N: Copy + PartialEq> RateLimitLedger<N> {
-    /// Creates an account that owes what the endpoint had before, or has all that may be given at once.
+    /// Creates a ledger that starts in debt, or with `burst` permits if that is given.
     pub(crate) fn new(rate: f64, burst: Option<f64>, now: Millis) -> Self {
         let permits = burst.unwrap_or(-rate * INITIAL_DEBT_SECS);
         Self { permits, updated_at: now, queue: Vec::new(), outstanding: VecDeque::new(), burst }
     }
 
-    /// Tells whether nobody waits for a permit, and none is out that may come back.
+    /// Tells whether no request waits and no permit that may be returned is outstanding.
     pub(crate) fn is_idle(&self) -> bool {
         self.outstanding.is_empty() && self.queue.iter().all(QueuedRequest::is_served)
     }
 
-    /// Takes in a question, and returns the answer for now: how many were given to it before.
+    /// Handles a request for permits, and returns an immediate reply with the number that it has
+    /// been granted so far.
     pub(crate) fn handle_request(
         &mut self,
         from: N,
@@ -100,13 +106,14 @@
                 self.queue[place].until = new_request.until;
                 queued.given
             }
-            // Who gave up a question and asks anew keeps its place; who was served goes to the end.
+            // A requester that gave up its request and sends a new one keeps its place; one that
+            // has been granted permits goes to the end of the queue.
             Some((place, queued)) if queued.given == 0 && !queued.is_closed => {
                 self.queue[place] = new_request;
                 0
             }
             Some((place, queued)) => {
-                // It has used all that it had.
+                // A new request means that all permits of the previous one were used.
                 self.forget_outstanding(queued.given);
                 self.queue.remove(place);
                 self.queue.push(new_request);
@@ -127,19 +134,20 @@
         })
     }
 
-    /// Counts permits as out no more, and returns how many of them did; the others are lost.
+    /// Stops counting `given` permits as outstanding and returns how many still did; the others
+    /// have expired.
     fn forget_outstanding(&mut self, given: u8) -> usize {
         let before = self.outstanding.len();
         self.outstanding.truncate(before.saturating_sub(usize::from(given)));
         before - self.outstanding.len()
     }
 
-    /// Returns how many questions wait for a permit.
+    /// Returns how many requests wait for a permit.
     fn queue_length(&self) -> u16 {
         self.queue.iter().filter(|queued| !queued.is_served()).count() as u16
     }
 
-    /// Takes back what was not used of a question, which is closed by that.
+    /// Takes back the unused permits of a request, and closes the request.
     pub(crate) fn handle_return(&mut self, from: N, number: u64, used: u8, now: Millis) {
         let mut given = 0;
         if let Some(place) = self.queue.iter().position(|queued| queued.from == from) {
@@ -154,7 +162,7 @@
         }
         let unused = self.forget_outstanding(given).min(usize::from(given.saturating_sub(used)));
         self.permits += unused as f64;
-        // It is remembered, as the question itself may come late or twice.
+        // The closed request is remembered, since the request itself may arrive late or twice.
         if self.queue.len() < MAX_QUEUED {
             let until = now + MAX_REQUEST_WAIT;
             self.queue.push(QueuedRequest {
@@ -168,10 +176,10 @@
         }
     }
 
-    /// Earns permits, unless as many are out unused as may be used at once.
+    /// Adds the permits earned since the last call, limited by the permits that are outstanding.
     ///
-    /// Permits that nobody uses go round; earned beside them without a bound, they would all be used together
-    /// once callers come.
+    /// Unused permits return to the ledger. Without this limit, permits earned meanwhile would add
+    /// to them, and all would be used together once callers come.
     fn refill(&mut self, rate: f64, now: Millis) {
         let outstanding_for = permit_ttl(rate) + RETURN_LATENCY;
         while self.outstanding.front().is_some_and(|at| now.since(*at) >= outstanding_for) {
@@ -187,7 +195,7 @@
         self.permits = (self.permits + earned).min(room.max(self.permits));
     }
 
-    /// Gives out what the endpoint takes by now.
+    /// Grants the permits that the rate allows by now.
     pub(crate) fn step(
         &mut self,
         rate: f64,
@@ -204,7 +212,7 @@
             self.outstanding.push_back(now);
             let mut queued = self.queue.remove(place);
             queued.given += 1;
-            // What is not used of it comes back later.
+            // Its unused permits are returned later.
             queued.until = queued.until.max(now + MAX_REQUEST_WAIT);
             self.queue.push(queued);
             let (number, given, waiting) = (queued.number, queued.given, self.queue_length());
--- a/crates/cherrystand_core/src/requests/rate_limit_message.rs
+++ b/crates/cherrystand_core/src/requests/rate_limit_message.rs
@@ -1,55 +1,56 @@
-//! What daemons tell each other of the requests that endpoints take.
+//! Messages between daemons about the rate limits of endpoints.
 
 use serde::{Deserialize, Serialize};
 
 use crate::{ColdPeriodUpdate, Millis, RequestRate};
 
-/// Says what an endpoint named last, as far as the sender knows.
+/// The rate limit that an endpoint named last, as far as the sender knows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RateLimitReport {
-    /// The requests that it takes from all daemons together; nothing where it names no limit any more.
+    /// The requests per second that it takes from all daemons together; `None` if it no longer
+    /// names a limit.
     pub limit: Option<RequestRate>,
-    /// How long ago that was heard.
+    /// The time since that was heard.
     pub age: Millis,
-    /// How much longer the endpoint is cold, where it is.
+    /// The rest of the endpoint's cold period, if it is cold.
     pub cold: Option<ColdPeriodUpdate>,
 }
 
 impl RateLimitReport {
-    /// Says that an endpoint was never heard to name a limit.
+    /// The report about an endpoint that has never named a limit.
     pub(crate) const UNHEARD: Self = Self { limit: None, age: Millis(u64::MAX), cold: None };
 }
 
-/// One message about one endpoint's limit; any of them may be lost, late, doubled or out of order.
+/// A message about one endpoint's rate limit. It may be lost, delayed, duplicated or reordered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RateLimitMessage {
-    /// Tells what was heard.
+    /// Reports a limit.
     Heard(RateLimitReport),
-    /// Asks the keeper of the endpoint's account for permits, or once more for those of the same number.
+    /// Requests permits from the owner of the limit, or repeats a request under the same number.
     Ask {
-        /// What the asker heard.
+        /// What the requester knows about the limit.
         word: RateLimitReport,
-        /// Numbers the asker's questions; a later one closes those before it.
+        /// The number of the request; a later one closes those before it.
         number: u64,
-        /// How many permits it wants.
+        /// How many permits are requested.
         want: u8,
-        /// How long it waits for them, unless it asks once more.
+        /// How long the request waits for permits unless it is repeated.
         lasts: Millis,
     },
-    /// Gives permits.
+    /// Grants permits.
     Give {
-        /// What the keeper heard.
+        /// What the owner knows about the limit.
         word: RateLimitReport,
-        /// The question that is answered.
+        /// The number of the request that is answered.
         number: u64,
-        /// How many are given to it in all.
+        /// How many permits have been granted to the request in total.
         given: u8,
-        /// How many questions wait before the next permit of the asker.
+        /// How many requests are queued before the requester's next permit.
         waiting: u16,
     },
-    /// Closes a question and hands back what was not used of it.
+    /// Closes a request and returns its unused permits.
     Return {
-        /// The question.
+        /// The number of the request.
         number: u64,
         /// How many of its permits were used.
         used: u8,
--- a/crates/cherrystand_core/src/requests/rate_limit_permits.rs
+++ b/crates/cherrystand_core/src/requests/rate_limit_permits.rs
@@ -1,41 +1,41 @@
-//! The permits that one node has for one endpoint with a limit.
+//! The permits of one node for one rate-limited endpoint.
 
 use crate::{Millis, RateLimitMessage, RateLimitReport, RequestRate};
 
-/// How long a question goes on after the last request that could have used a permit, at a node to which such
-/// requests come often.
+/// On a busy node, how long a request for permits stays open after the last demand for one.
 const BUSY_DEMAND_TIMEOUT: Millis = Millis(600);
 
-/// How long a question waits at the keeper there, unless it is asked once more.
+/// On a busy node, how long the request waits at the owner unless it is sent again.
 const BUSY_REQUEST_WAIT: Millis = Millis(1_500);
 
-/// How long a question of any other node waits there: no longer than the request that asks waits, less the way.
+/// On any other node, how long the request waits at the owner: as long as the caller's request
+/// waits, less the network latency.
 const IDLE_REQUEST_WAIT: Millis = Millis(10);
 
-/// How much longer an answer to such a question is taken: it may be on its way.
+/// How much longer a grant to such a request is accepted, as it may be in transit.
 const GRANT_LATENCY: Millis = Millis(90);
 
-/// The longest time between two requests that counts, so that a node that is seldom asked does not count as
-/// one that is until many more came.
+/// The longest time between two demands that enters the mean, in milliseconds. Without a cap, a
+/// node that was idle for long would count as idle until many more demands came.
 const MAX_GAP_MS: f64 = 1_000.0;
 
-/// How much the newest time between two requests counts against those before.
+/// The weight of the newest gap in the mean.
 const GAP_WEIGHT: f64 = 0.25;
 
-/// How often an open question is asked again, as datagrams are lost.
+/// How often an open request is sent again, since datagrams can be lost.
 const RESEND_INTERVAL: Millis = Millis(500);
 
-/// The shortest and longest time for which an unused permit is kept; between them as long as the next one
-/// takes, so that about one is out unused at a time.
+/// The shortest and the longest time to live of an unused permit. Between them it equals the time
+/// between two permits, so that about one is outstanding at a time.
 const PERMIT_TTL_RANGE: (Millis, Millis) = (Millis(50), Millis(250));
 
-/// Permits that are asked for at once last for this long at the endpoint's rate.
+/// A request asks for as many permits as last for this long at the endpoint's rate, in seconds.
 const PREFETCH_SECS: f64 = 0.1;
 
-/// The most permits that are asked for at once.
+/// The largest number of permits in one request.
 const MAX_PREFETCH: f64 = 8.0;
 
-/// Returns how long an unused permit is kept.
+/// Returns the time to live of an unused permit.
 pub(crate) fn permit_ttl(rate: f64) -> Millis {
     let next = Millis((1_000.0 / rate.max(f64::MIN_POSITIVE)) as u64);
     next.clamp(PERMIT_TTL_RANGE.0, PERMIT_TTL_RANGE.1)
@@ -49,9 +49,9 @@
     given: u8,
     used: u8,
     sent_at: Millis,
-    /// When permits last came.
+    /// When permits were last granted.
     granted_at: Millis,
-    /// Whether the keeper has answered it.
+    /// Whether the owner has answered it since it was last sent.
     is_answered: bool,
 }
 
@@ -61,25 +61,26 @@
     }
 }
 
-/// Keeps a node's permits for one endpoint, and what it asks for.
+/// Holds a node's permits for one endpoint and its open request for more.
 ///
-/// Permits come one question at a time, as their number in all, so that a doubled or late answer gives none
-/// twice; those that are not used soon go back.
+/// Grants carry the total for one request, so that a duplicated or delayed grant counts once.
+/// Permits that are not used soon are returned.
 ///
-/// Where requests come often, the next permit is asked for before it is wanted. Elsewhere it would lie there
-/// unused while others want it, and is asked for by the request that could use it.
+/// A node with frequent demand requests the next permit in advance. On other nodes such a permit
+/// would lie unused while others need it, so they request one only when there is a demand for it.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RateLimitPermits {
     pending: Option<PendingRequest>,
-    /// When a request last could have used one, or did, that no question was asked for.
+    /// The time of the last demand, on a busy node also of the last use, while it still calls for a
+    /// permit.
     open_demand: Option<Millis>,
-    /// When one last could have used a permit at all.
+    /// The time of the last demand.
     last_demand: Option<Millis>,
-    /// The usual milliseconds between two such requests.
+    /// The moving average of the time between two demands, in milliseconds.
     mean_gap_ms: f64,
-    /// How many questions of other nodes waited, by the last answer.
+    /// How many requests of other nodes were queued at the owner, by its last answer.
     waiting: u16,
-    /// Whether the keeper answered, which nobody was told of.
+    /// Whether the owner has answered something that has not been reported yet.
     has_new_answer: bool,
 }
 
@@ -97,7 +98,7 @@
 }
 
 impl RateLimitPermits {
-    /// Notes that a request could use a permit.
+    /// Records that a caller's request could use a permit.
     pub(crate) fn record_demand(&mut self, now: Millis) {
         if let Some(last_demand) = self.last_demand.replace(now) {
             let gap = (now.since(last_demand).0 as f64).min(MAX_GAP_MS);
@@ -106,17 +107,17 @@
         self.open_demand = Some(now);
     }
 
-    /// Tells whether nothing is asked for.
+    /// Tells whether no request is open and there is no demand.
     pub(crate) fn is_idle(&self) -> bool {
         self.pending.is_none() && self.open_demand.is_none()
     }
 
-    /// Tells whether requests come often enough to use a permit that waits for them.
+    /// Tells whether demands are frequent enough to use a permit before it expires.
     fn is_busy(&self, rate: f64) -> bool {
         self.mean_gap_ms <= permit_ttl(rate).0 as f64
     }
 
-    /// Tells whether a permit may come at any moment.
+    /// Tells whether a permit may arrive at any moment.
     pub(crate) fn may_arrive(&self) -> bool {
         self.open_demand.is_some()
             && self
@@ -124,14 +125,14 @@
                 .is_none_or(|pending| !pending.is_answered || pending.used >= pending.want)
     }
 
-    /// Tells whether a permit is at hand.
+    /// Tells whether a permit is available.
     pub(crate) fn has_permit(&self, rate: f64, now: Millis) -> bool {
         self.pending.is_some_and(|pending| {
             pending.unused() > 0 && now < pending.granted_at + permit_ttl(rate)
         })
     }
 
-    /// Uses a permit, where there is one.
+    /// Uses a permit, if there is one; returns whether there was.
     pub(crate) fn take(&mut self, rate: f64, now: Millis) -> bool {
         if !self.has_permit(rate, now) {
             return false;
@@ -143,14 +144,14 @@
         true
     }
 
-    /// Has the last permit back that was used for a request which was not sent.
+    /// Returns the last permit used, as its request was not sent.
     pub(crate) fn return_permit(&mut self) {
         if let Some(pending) = &mut self.pending {
             pending.used = pending.used.saturating_sub(1);
         }
     }
 
-    /// Takes in an answer of the keeper.
+    /// Handles a grant from the owner.
     pub(crate) fn handle_grant(&mut self, message: RateLimitMessage, now: Millis) {
         let RateLimitMessage::Give { number, given, waiting, .. } = message else { return };
         let Some(pending) = self.pending.as_mut().filter(|pending| pending.number == number) else {
@@ -164,18 +165,19 @@
         }
     }
 
-    /// Tells whether permits came since the last time, or the word that there is none for now.
+    /// Tells whether permits, or the answer that there are none for now, have arrived since the
+    /// last call.
     pub(crate) fn take_new_answer(&mut self) -> bool {
         std::mem::take(&mut self.has_new_answer)
     }
 
-    /// Returns about when the next permit comes.
+    /// Estimates when the next permit arrives.
     pub(crate) fn next_permit_at(&self, rate: f64, now: Millis) -> Millis {
         let before = f64::from(self.waiting) + 1.0;
         now + Millis((before * 1_000.0 / rate.max(f64::MIN_POSITIVE)) as u64)
     }
 
-    /// Returns what the keeper is to be told now.
+    /// Returns the message that is due to the owner, if any.
     pub(crate) fn step(
         &mut self,
         limit: RequestRate,
@@ -192,7 +194,7 @@
         let has_demand = self.open_demand.is_some_and(|at| now.since(at) < lasts);
         let is_used_up = self.pending.is_none_or(|pending| pending.used >= pending.want);
         if is_used_up && has_demand {
-            // Its number closes the question before it.
+            // The new number closes the previous request.
             return Some(self.open_request(limit, rate, word, last_request_number, now));
         }
         let mut pending = self.pending?;
@@ -203,12 +205,12 @@
         if is_finished {
             (self.pending, self.open_demand) = (None, None);
             if pending.given == 0 && pending.lasts < RESEND_INTERVAL {
-                // The keeper has dropped it by itself.
+                // The owner has already dropped the request.
                 return None;
             }
             return Some(RateLimitMessage::Return { number: pending.number, used: pending.used });
         }
-        // One that does not last is asked again as the next request wants it.
+        // A short request is sent again only when there is new demand.
         let has_new_demand =
             self.open_demand > Some(pending.sent_at) || pending.lasts > RESEND_INTERVAL;
         let is_due =
@@ -249,7 +251,7 @@
         RateLimitMessage::Ask { word, number, want, lasts }
     }
 
-    /// Gives up what was asked of a keeper that is it no more.
+    /// Abandons the open request, after the owner has changed.
     pub(crate) fn abandon_request(&mut self) {
         self.pending = None;
     }
--- a/crates/cherrystand_core/src/requests/rate_limited_endpoint.rs
+++ b/crates/cherrystand_core/src/requests/rate_limited_endpoint.rs
@@ -1,4 +1,4 @@
-//! What one endpoint takes from all nodes together, as one node knows it.
+//! The rate limit of one endpoint over all nodes, as one node knows it.
 //!
 //! Source: docs/design/0022-limits.md, docs/design/0023-evacuated-zones-and-cold-endpoints.md.
 
@@ -10,27 +10,29 @@
 use crate::requests::rate_limit_permits::RateLimitPermits;
 use crate::{ColdPeriod, Millis, RateLimitMessage, RateLimitReport, RequestRate};
 
-/// The least rate at which an endpoint is asked, or its word that it takes nothing would never end.
+/// The lowest rate at which an endpoint is sent requests. At zero it would never answer anything,
+/// and a limit of zero could never be lifted.
 const MIN_RATE: f64 = 0.25;
 
-/// A peer's word that an endpoint is cold for longer counts where it is longer by more than this, which a
-/// message takes: handed back and forth it would grow otherwise.
+/// A peer's report extends a cold period only if its end is later by more than this. A message
+/// takes some time, so that without a margin the period would grow each time it is passed back and
+/// forth.
 const MIN_COLD_EXTENSION: Millis = Millis(250);
 
-/// Keeps what is known of one endpoint's limit, and this node's part of it.
+/// Keeps what is known of one endpoint's rate limit, and this node's share of it.
 #[derive(Clone, Debug, Default)]
 pub(super) struct RateLimitedEndpoint {
-    /// What it names, where it ever did.
+    /// The limit that it names, if it ever named one.
     named_limit: Option<KnownRateLimit>,
-    /// Until when it is cold, where it is.
+    /// Its cold period, if it is cold.
     pub(super) cold: Option<ColdPeriod>,
     pub(super) permits: RateLimitPermits,
     pub(super) owner: Option<RateLimitOwner>,
-    /// The account, where this node keeps it.
+    /// The ledger, if this node owns the rate limit.
     ledger: Option<RateLimitLedger<Option<SocketAddr>>>,
-    /// What came before it was known who keeps the account.
+    /// Messages that arrived before the owner was known.
     pub(super) early_messages: Vec<(SocketAddr, RateLimitMessage)>,
-    /// Until when all others were last told that it is cold.
+    /// The end of the cold period that was last announced to all other nodes.
     cold_announced_until: Millis,
 }
 
@@ -48,7 +50,7 @@
         self.limit().unwrap_or_default().as_f64().max(MIN_RATE)
     }
 
-    /// Tells what is known of it to a peer.
+    /// Returns what is known as a report for a peer.
     pub(super) fn report(&self, now: Millis) -> RateLimitReport {
         let named_limit = self
             .named_limit
@@ -56,7 +58,7 @@
         RateLimitReport { cold: self.cold.map(|cold| cold.to_update(now)), ..named_limit }
     }
 
-    /// Takes in that it named a limit or none; tells whether that is new.
+    /// Merges a report; returns whether the limit in force changes.
     pub(super) fn merge_report(
         &mut self,
         word: RateLimitReport,
@@ -82,9 +84,11 @@
         }
     }
 
-    /// Returns what all others are to be told: that it is cold, by the node that keeps its account, once.
+    /// Returns an announcement to all other nodes that the endpoint is cold. Only the owner
+    /// announces it, once per cold period.
     ///
-    /// Some hear neither the store nor a reader, and would send as before.
+    /// Some nodes reach neither the store nor a reader of it, and would not reduce their rate
+    /// otherwise.
     pub(super) fn take_cold_announcement(&mut self, now: Millis) -> Option<RateLimitMessage> {
         let cold = self.cold.filter(|_| self.ledger.is_some())?;
         let is_news = cold.until.since(self.cold_announced_until) > MIN_COLD_EXTENSION;
@@ -92,18 +96,18 @@
         is_news.then(|| RateLimitMessage::Heard(self.report(now)))
     }
 
-    /// Tells whether no question of this node or of another is open.
+    /// Tells whether neither this node nor another has an open request for permits.
     pub(super) fn is_idle(&self) -> bool {
         self.permits.is_idle() && self.ledger.as_ref().is_none_or(RateLimitLedger::is_idle)
     }
 
-    /// Tells whether nothing is worth remembering of it any more.
+    /// Tells whether nothing about it is worth remembering any longer.
     pub(super) fn is_expired(&self, now: Millis) -> bool {
         self.cold.is_none()
             && self.named_limit.is_none_or(|named_limit| named_limit.is_expired(now))
     }
 
-    /// Takes over who keeps the account; one that this node comes to keep begins anew.
+    /// Sets the owner of the rate limit. If this node becomes the owner, it starts a new ledger.
     pub(super) fn set_owner(&mut self, owner: RateLimitOwner, burst: Option<f64>, now: Millis) {
         if self.owner.is_some_and(|held| held.address != owner.address) {
             self.permits.abandon_request();
@@ -118,14 +122,14 @@
         }
     }
 
-    /// Forgets what hangs on a limit that is over.
+    /// Drops the permits and the ledger, after the limit was lifted.
     pub(super) fn clear_rate_limit(&mut self) {
         self.permits = RateLimitPermits::default();
         self.early_messages.clear();
         (self.owner, self.ledger) = (None, None);
     }
 
-    /// Asks, gives and hands back what is due, and returns what other nodes are to be told.
+    /// Requests, grants and returns the permits that are due; returns the messages to other nodes.
     pub(super) fn step(
         &mut self,
         last_request_number: &mut u64,
@@ -160,7 +164,8 @@
         out
     }
 
-    /// Takes in what a node, or this one, says to the account; returns the answer where there is one at once.
+    /// Passes a message from another node, or with `None` from this one, to the ledger; returns an
+    /// immediate reply if there is one.
     pub(super) fn handle_at_ledger(
         &mut self,
         from: Option<SocketAddr>,
--- a/crates/cherrystand_core/src/requests/refusal.rs
+++ b/crates/cherrystand_core/src/requests/refusal.rs
@@ -1,4 +1,4 @@
-//! Reasons for which a request is refused.
+//! The reasons for which a request is refused.
 
 use serde::{Deserialize, Serialize};
 
@@ -8,13 +8,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum RefusalReason {
-    /// The request is not one that can be understood.
+    /// The request is malformed.
     BadRequest,
     /// The request is larger than allowed.
     TooLarge,
     /// No group serves the model or path.
     UnknownTarget,
-    /// The node has no room for the request's class.
+    /// The node has reached its limit for the request's class.
     NodeFull,
     /// The workspace already has its share of a busy node.
     WorkspaceShare,
@@ -24,19 +24,19 @@
     NoneServing,
     /// The deadline passed before the request was sent.
     DeadlinePassed,
-    /// Every endpoint tried was out of reach or refused.
+    /// Every endpoint tried was unreachable or refused.
     EndpointsFailed,
-    /// The key of the call is in use or was used.
+    /// The key of the call is in use or has been used.
     KeyInUse,
-    /// The platform that keeps keys does not answer.
+    /// The platform service that stores the keys does not answer.
     KeysOutOfReach,
-    /// The node is cut off and its configuration may be old.
+    /// The node is cut off, and its configuration may be out of date.
     ConfigurationOld,
-    /// The node is stopping.
+    /// The node is shutting down.
     Stopping,
-    /// The request ended each replica that ran it.
+    /// Each replica that ran the request crashed.
     EndsReplicas,
-    /// Every endpoint that could serve it has asked this node for rest.
+    /// Every endpoint that could serve the request has asked this node for a backoff.
     EndpointsRest,
 }
 
@@ -90,7 +90,7 @@
             Self::KeyInUse => 409,
             Self::NodeFull | Self::WorkspaceShare | Self::WaitTooLong => 429,
             Self::DeadlinePassed => 504,
-            // Its earlier tries have run: no promise goes with it.
+            // Earlier attempts may have run, so the status promises nothing about that.
             Self::EndpointsFailed | Self::EndsReplicas => 502,
             Self::NoneServing
             | Self::KeysOutOfReach
@@ -101,22 +101,22 @@
     }
 }
 
-/// Refuses a request at once and says when to come back.
+/// A refusal, with the time after which the caller may retry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refusal {
     /// The reason.
     pub reason: RefusalReason,
-    /// After how long another try makes sense; nothing where it never does.
+    /// The time after which a retry makes sense; `None` if it never does.
     pub retry_after: Option<Millis>,
 }
 
 impl Refusal {
-    /// Creates a refusal after which coming back unchanged makes no sense.
+    /// Creates a refusal that a retry of the same request would meet again.
     pub fn final_for(reason: RefusalReason) -> Self {
         Self { reason, retry_after: None }
     }
 
-    /// Creates a refusal after which the caller may come back.
+    /// Creates a refusal after which the caller may retry.
     pub fn with_retry_after(reason: RefusalReason, span: Millis) -> Self {
         Self { reason, retry_after: Some(span) }
     }
--- a/crates/cherrystand_core/src/requests/request_rate.rs
+++ b/crates/cherrystand_core/src/requests/request_rate.rs
@@ -1,13 +1,13 @@
-//! How many requests a second.
+//! Request rates.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// Thousandths in one.
+/// Thousandths per unit.
 const THOUSAND: f64 = 1_000.0;
 
-/// A number of requests a second, kept in thousandths of one, so that rates compare exactly.
+/// A number of requests per second, stored in thousandths so that rates compare exactly.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -15,14 +15,14 @@
 pub struct RequestRate(u64);
 
 impl RequestRate {
-    /// Creates a rate, rounded down to thousandths; nothing of what is negative or no number.
+    /// Creates a rate, rounded down to thousandths; `None` for a negative number or NaN.
     ///
-    /// Huge numbers saturate.
+    /// Values that are too large saturate.
     pub fn per_second(requests: f64) -> Option<Self> {
         (requests >= 0.0).then_some(Self((requests * THOUSAND) as u64))
     }
 
-    /// Returns the requests a second.
+    /// Returns the requests per second.
     pub fn as_f64(self) -> f64 {
         self.0 as f64 / THOUSAND
     }
--- a/crates/cherrystand_core/src/requests/retry.rs
+++ b/crates/cherrystand_core/src/requests/retry.rs
@@ -1,20 +1,20 @@
-//! Whether a failed attempt is followed by another.
+//! Decides whether a failed attempt is retried.
 
 use crate::{AttemptEnd, Millis, Outcome};
 
-/// The most attempts that one request gets.
+/// The largest number of attempts for one request.
 pub const MAX_ATTEMPTS: u32 = 3;
 
-/// The share of first attempts that may be retried, in thousandths.
+/// How many retries are allowed per 1,000 first attempts.
 pub const BUDGET_PER_MILLE: u32 = 100;
 
-/// How many retries may be saved up.
+/// The largest balance of the budget, in thousandths of a retry.
 const MAX_SAVED: u32 = 10 * RETRY_COST;
 
-/// What one retry costs, in the thousandths that first attempts earn.
+/// The cost of one retry, in thousandths; each first attempt earns [`BUDGET_PER_MILLE`].
 const RETRY_COST: u32 = 1_000;
 
-/// Limits retries to a share of first attempts, so that they cannot multiply a failure.
+/// Limits retries to a share of first attempts, so that they cannot amplify a failure.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryBudget {
     saved: u32,
@@ -27,12 +27,12 @@
 }
 
 impl RetryBudget {
-    /// Counts a first attempt.
+    /// Records a first attempt.
     pub fn earn(&mut self) {
         self.saved = (self.saved + BUDGET_PER_MILLE).min(MAX_SAVED);
     }
 
-    /// Takes one retry out of the budget, if it holds one.
+    /// Takes one retry out of the budget; returns whether it held one.
     pub fn spend(&mut self) -> bool {
         let Some(left) = self.saved.checked_sub(RETRY_COST) else {
             return false;
@@ -47,18 +47,18 @@
     }
 }
 
-/// Describes a failed attempt.
+/// A failed attempt.
 #[derive(Clone, Copy, Debug)]
 pub struct FailedAttempt {
     /// How it ended.
     pub end: AttemptEnd,
-    /// How many attempts have been made, this one included.
+    /// How many attempts have been made, including this one.
     pub attempts: u32,
     /// Whether the request may be run twice.
     pub is_idempotent: bool,
-    /// Whether a part of an answer has gone out to the caller.
+    /// Whether a part of the answer has been sent to the caller.
     pub answer_started: bool,
-    /// Whether the request can be sent again from memory.
+    /// Whether the request body is kept and can be sent again.
     pub can_resend: bool,
     /// The time left until the caller's deadline.
     pub remaining: Millis,
@@ -69,15 +69,15 @@
 /// Says why no further attempt is made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum NoRetry {
-    /// The request may have been run and must not run twice.
+    /// The request may have been run and must not be run twice.
     NotRepeatable,
-    /// A part of the answer is already with the caller.
+    /// A part of the answer has been sent to the caller.
     AnswerBegun,
     /// The request's body was not kept.
     NotReplayable,
-    /// The caller left.
+    /// The caller disconnected.
     CallerLeft,
-    /// The request has had all its attempts.
+    /// The request has used all its attempts.
     AttemptsSpent,
     /// The time left is too short for another attempt.
     NoTime,
@@ -111,11 +111,11 @@
     }
 }
 
-/// Decides whether to try again, taking the retry out of the budget.
+/// Decides whether to retry, and takes the retry out of the budget.
 ///
 /// # Errors
 ///
-/// Returns the reason why not.
+/// Returns the reason why the attempt is not retried.
 pub fn decide_retry(failed: &FailedAttempt, budget: &mut RetryBudget) -> Result<(), NoRetry> {
     if failed.end == AttemptEnd::CallerLeft {
         return Err(NoRetry::CallerLeft);
--- a/crates/cherrystand_core/src/requests/router.rs
+++ b/crates/cherrystand_core/src/requests/router.rs
@@ -1,4 +1,4 @@
-//! The choice of an endpoint for each request.
+//! Selects an endpoint for each request.
 
 use slotmap::{SlotMap, new_key_type};
 
@@ -8,24 +8,22 @@
 };
 
 new_key_type! {
-    /// Points to a group in the router's arena.
+    /// Key of a group in the router.
     pub struct GroupKey;
-    /// Points to an endpoint in the router's arena.
+    /// Key of an endpoint in the router.
     pub struct EndpointKey;
 }
 
-/// How many endpoints of one list are looked at for one choice.
-///
-/// It bounds the cost of a choice whatever the number of endpoints.
+/// How many endpoints of a list are examined per choice, which bounds the cost of a choice whatever
+/// the number of endpoints.
 const MAX_PROBES: usize = 6;
 
-/// How far above the group's mean load an endpoint may be and still attract its prefixes, in
-/// percent.
+/// An endpoint keeps the prefixes that map to it up to this percentage of the group's mean load.
 ///
-/// Beyond it a hot prefix spreads to other endpoints. Source: docs/design/0007-routing.md.
+/// Beyond that a hot prefix spreads to other endpoints. Source: docs/design/0007-routing.md.
 const AFFINITY_LOAD_PERCENT: u64 = 125;
 
-/// After this time a load report says nothing any more.
+/// The time after which a load report is ignored.
 const LOAD_REPORT_TTL: Millis = Millis(5_000);
 
 /// Describes an endpoint to route to.
@@ -33,9 +31,9 @@
 pub struct EndpointSpec {
     /// Whether it is in the router's own zone.
     pub near: bool,
-    /// How many requests it takes from this node at the start.
+    /// The initial limit on this node's concurrent requests to it.
     pub initial_limit: u32,
-    /// How many requests it takes from this node at the most.
+    /// The upper bound of that limit.
     pub max_limit: u32,
 }
 
@@ -63,16 +61,17 @@
     }
 }
 
-/// Tells why no endpoint was chosen.
+/// Says why no endpoint was selected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, thiserror::Error)]
 pub enum NoEndpoint {
-    /// The group has no endpoint in service, or those looked at have just failed.
+    /// The group has no endpoint in service, or those examined have just failed.
     #[error("the group has no endpoint in service")]
     NoneServing,
-    /// The endpoints looked at have no room now.
+    /// The endpoints examined are at their limits.
     #[error("the group's endpoints have no room")]
     AllFull,
-    /// Every endpoint of the group asked to be left alone, the first of them until a time.
+    /// Every endpoint of the group has asked for a backoff; the first backoff ends at the given
+    /// time.
     #[error("the group's endpoints all rest")]
     AllBackingOff(Millis),
 }
@@ -136,9 +135,9 @@
         key
     }
 
-    /// Takes an endpoint out of its group's choice for good.
+    /// Removes an endpoint from its group.
     ///
-    /// What it has in flight may still be finished; finishing it is then without effect.
+    /// Its requests in flight may still complete; [`Router::finish`] then has no effect.
     pub fn remove_endpoint(&mut self, key: EndpointKey) {
         let Some(endpoint) = self.endpoints.remove(key) else {
             return;
@@ -149,7 +148,8 @@
         }
     }
 
-    /// Takes in an endpoint's own report of all it has in flight, this node's share included.
+    /// Records an endpoint's own report of all its requests in flight, including those of this
+    /// node.
     pub fn report_load(&mut self, key: EndpointKey, now: Millis, in_flight: u32) {
         if let Some(endpoint) = self.endpoints.get_mut(key) {
             endpoint.in_flight_elsewhere = in_flight.saturating_sub(endpoint.in_flight);
@@ -157,11 +157,12 @@
         }
     }
 
-    /// Chooses an endpoint of `group`, near the prefix's own one where that is not overloaded.
+    /// Selects an endpoint of `group`, with preference for the one that the prefix maps to unless
+    /// that is overloaded.
     ///
     /// # Errors
     ///
-    /// Returns [`NoEndpoint`] when none serves or none of those looked at has room.
+    /// Returns [`NoEndpoint`] if none is in service or none of those examined can take a request.
     pub fn choose(
         &self,
         group: GroupKey,
@@ -180,8 +181,8 @@
         choice.ok_or_else(|| self.no_endpoint_reason(group, now, seed))
     }
 
-    /// Counts a request as on its way and gives leave to send it; nothing where its endpoint is gone or
-    /// wants none.
+    /// Counts a request as in flight and returns a permit to send it; `None` if the endpoint is
+    /// gone or must not be sent any.
     pub fn start(&mut self, key: EndpointKey, now: Millis) -> Option<SendPermit> {
         let endpoint = self.endpoints.get_mut(key)?;
         let permit = self.backpressure.acquire_permit(&key, endpoint.in_flight, now)?;
@@ -193,13 +194,13 @@
         Some(permit)
     }
 
-    /// Takes in that an endpoint asked to be left alone, as it turned a request away.
+    /// Records that an endpoint asked for a backoff as it turned a request away.
     pub fn record_backoff(&mut self, key: EndpointKey, requested: Millis, now: Millis) {
         let in_flight = self.endpoints.get(key).map_or(0, |endpoint| endpoint.in_flight);
         self.backpressure.record_backoff(&key, requested, in_flight, now);
     }
 
-    /// Counts a request as ended; `first_byte` is how long its answer took to begin.
+    /// Records that a request ended; `first_byte` is the time until its answer began.
     pub fn finish(
         &mut self,
         key: EndpointKey,
@@ -234,12 +235,12 @@
         }
     }
 
-    /// Returns the usual time until an answer of the endpoint begins.
+    /// Returns the typical time until an answer of the endpoint begins.
     pub fn typical_latency(&self, key: EndpointKey) -> Millis {
         self.endpoints.get(key).map(|endpoint| endpoint.limit.typical_latency()).unwrap_or_default()
     }
 
-    /// Returns how many requests this node has at the endpoint, and how many it may have.
+    /// Returns the number of this node's requests in flight at the endpoint, and their limit.
     pub fn load(&self, key: EndpointKey) -> (u32, u32) {
         let load = |endpoint: &Endpoint| (endpoint.in_flight, endpoint.limit.get());
         self.endpoints.get(key).map(load).unwrap_or_default()
@@ -258,7 +259,7 @@
         candidates.into_iter().find(|key| has_headroom(key) && self.has_room(*key, now))
     }
 
-    /// Returns the least loaded endpoint with room among a few drawn ones.
+    /// Returns the least loaded of a few random endpoints that can take a request.
     fn sample(
         &self,
         list: &[EndpointKey],
@@ -284,7 +285,7 @@
         best
     }
 
-    /// Tells whether waiting can help: it does where an endpoint is full rather than failing.
+    /// Says whether waiting can help, which it does if an endpoint is full rather than failing.
     fn no_endpoint_reason(&self, group: &Group, now: Millis, seed: &mut SeededRng) -> NoEndpoint {
         if let Some(until) = self.all_backing_off_until(group, now) {
             return NoEndpoint::AllBackingOff(until);
@@ -299,7 +300,7 @@
         if lists.into_iter().any(admits) { NoEndpoint::AllFull } else { NoEndpoint::NoneServing }
     }
 
-    /// Returns when the first rest ends, where every endpoint of a group rests.
+    /// Returns when the first backoff ends, if all endpoints of the group are backing off.
     fn all_backing_off_until(&self, group: &Group, now: Millis) -> Option<Millis> {
         let mut first = Millis(u64::MAX);
         for key in group.near.iter().chain(&group.far) {
--- a/crates/cherrystand_core/src/requests/seeded_rng.rs
+++ b/crates/cherrystand_core/src/requests/seeded_rng.rs
@@ -1,13 +1,13 @@
-//! Numbers that look random and follow from a seed.
+//! A pseudo-random number generator.
 
-/// Draws numbers from a seed that the caller brings.
+/// Generates pseudo-random numbers from a given seed.
 ///
-/// The step is the well-known SplitMix64 mixer, chosen because it needs eight bytes of state.
+/// It uses SplitMix64, which needs only eight bytes of state.
 #[derive(Clone, Copy, Debug)]
 pub struct SeededRng(u64);
 
 impl SeededRng {
-    /// Creates a sequence from a seed.
+    /// Creates a generator.
     pub fn new(seed: u64) -> Self {
         Self(seed)
     }
--- a/crates/cherrystand_core/src/requests/send_permit.rs
+++ b/crates/cherrystand_core/src/requests/send_permit.rs
@@ -1,9 +1,10 @@
-//! Leave to send one request to one endpoint.
+//! Permits to send one request to one endpoint.
 
-/// Allows one request to be sent to the endpoint that it was given for.
+/// Allows one request to be sent to the endpoint that it was issued for.
 ///
-/// Only [`crate::EndpointBackpressure`] makes one, after it has looked at what the endpoint asked for, and what sends a
-/// caller's request takes one: a path that forgets to look does not compile.
+/// Only [`crate::EndpointBackpressure`] issues permits, after checking the endpoint's backpressure,
+/// and the code that sends a caller's request requires one. A path that skips the check therefore
+/// does not compile.
 #[derive(Debug)]
 #[must_use = "a request that is not sent after all is to be counted as ended"]
 pub struct SendPermit {
@@ -15,7 +16,8 @@
         Self { is_after_backoff }
     }
 
-    /// Tells whether the endpoint's rest has just ended, so that it matters how it answers.
+    /// Tells whether the endpoint's backoff has just ended, in which case its answer has to be
+    /// reported.
     pub fn is_after_backoff(&self) -> bool {
         self.is_after_backoff
     }
--- a/crates/cherrystand_core/src/requests/typical_latency.rs
+++ b/crates/cherrystand_core/src/requests/typical_latency.rs
@@ -1,18 +1,18 @@
-//! How long answers usually take to begin.
+//! The typical time until an answer begins.
 
 use crate::Millis;
 
-/// The share by which one answer moves the usual time.
+/// The weight of one sample in the moving average.
 const SMOOTHING: f64 = 0.05;
 
-/// Follows how long a group's answers take to begin.
+/// Tracks a moving average of the time until a group's answers begin.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct TypicalLatency {
     millis: f64,
 }
 
 impl TypicalLatency {
-    /// Takes in one answer.
+    /// Adds the time of one answer.
     pub fn record(&mut self, took: Millis) {
         let took = took.0 as f64;
         if self.millis == 0.0 {
@@ -21,10 +21,10 @@
         self.millis += (took - self.millis) * SMOOTHING;
     }
 
-    /// Returns the time that nearly every answer needs: half as much again as the usual one, and
-    /// nothing while none has been seen.
+    /// Returns the time that nearly every answer needs: 1.5 times the average, or zero while there
+    /// are no samples.
     ///
-    /// A request with less time than this left would likely be run in vain.
+    /// A request with less time left than this would likely be run in vain.
     pub fn required_time(&self) -> Millis {
         Millis((self.millis * 1.5) as u64)
     }
--- a/crates/cherrystand_core/src/requests/wait_queue.rs
+++ b/crates/cherrystand_core/src/requests/wait_queue.rs
@@ -1,19 +1,19 @@
-//! The queue in front of a group whose endpoints are full.
+//! The queue in front of a group whose endpoints are at their limits.
 
 use crate::{Millis, Refusal, RefusalReason};
 
-/// The longest that a request waits for an endpoint.
+/// The longest time that a request waits for an endpoint.
 pub const MAX_QUEUE_WAIT: Millis = Millis(2_000);
 
-/// The share by which one completion moves the estimate of the drain rate.
+/// The weight of one completion in the estimate of the drain rate.
 const SMOOTHING: f64 = 0.1;
 
-/// The time between completions that is assumed before any was seen.
+/// The time between completions that is assumed until some have been seen.
 const INITIAL_INTERVAL_MS: f64 = 50.0;
 
-/// Decides whether a request may wait, from how fast the group drains.
+/// Decides whether a request may wait, by how fast the group drains.
 ///
-/// It holds no requests itself, only how many wait.
+/// It only counts the waiting requests and does not hold them.
 #[derive(Clone, Copy, Debug)]
 pub struct WaitQueue {
     waiting: u32,
@@ -28,12 +28,12 @@
 }
 
 impl WaitQueue {
-    /// Lets one more request wait, if its turn will likely come while there is still time for its
-    /// answer, which needs `answer` of the `remaining` time.
+    /// Lets one more request wait, if its turn is likely to come while enough of the `remaining`
+    /// time is left for its answer, which takes `answer`.
     ///
     /// # Errors
     ///
-    /// Returns the [`Refusal`] with the time after which the queue will have drained.
+    /// Returns the [`Refusal`] with the time after which the queue is expected to have drained.
     pub fn join(&mut self, remaining: Millis, answer: Millis) -> Result<(), Refusal> {
         let expected = self.expected_wait();
         if expected > (remaining - answer).min(MAX_QUEUE_WAIT) {
@@ -43,12 +43,12 @@
         Ok(())
     }
 
-    /// Takes in that a request no longer waits, whatever became of it.
+    /// Records that a request no longer waits, for whatever reason.
     pub fn leave(&mut self) {
         self.waiting = self.waiting.saturating_sub(1);
     }
 
-    /// Takes in that one of the group's requests was done, making room for another.
+    /// Records that one of the group's requests completed, which frees a slot.
     pub fn record_completion(&mut self, now: Millis) {
         if let Some(last) = self.last_completion {
             let between = (now.since(last).0 as f64).min(MAX_QUEUE_WAIT.0 as f64);
