--- a/crates/cherrystand_core/src/control/repair.rs
+++ b/crates/cherrystand_core/src/control/repair.rs
@@ -152,11 +152,13 @@
     let rejoin_price =
         (case.queue_secs + case.load_time(case.missing)) * price_per_second(case, case.span);
     let price_until = |secs: f64| {
-        let returned = restart_probability * (1.0 - (-secs / mean).exp());
-        let waited_secs = restart_probability * mean * (1.0 - (-secs / mean).exp())
+        let return_probability = restart_probability * (1.0 - (-secs / mean).exp());
+        let expected_wait_secs = restart_probability * mean * (1.0 - (-secs / mean).exp())
             + (1.0 - restart_probability) * secs;
         let fallback = repair_now.unwrap_or(waiting_per_second * mean);
-        waited_secs * waiting_per_second + returned * rejoin_price + (1.0 - returned) * fallback
+        expected_wait_secs * waiting_per_second
+            + return_probability * rejoin_price
+            + (1.0 - return_probability) * fallback
     };
     let waits = (1..=WAIT_STEPS)
         .map(|step| f64::from(step) * MAX_WAIT_RESTARTS * mean / f64::from(WAIT_STEPS));
--- a/crates/cherrystand_core/src/site/crash_suspects.rs
+++ b/crates/cherrystand_core/src/site/crash_suspects.rs
@@ -131,10 +131,10 @@
     fn dismiss_crashes(&mut self, request: Fingerprint, now: Millis) -> bool {
         self.close_trial(request);
         let Some(suspect) = self.suspects.get_mut(&request) else { return false };
-        let is_news = !suspect.crash_groups.is_empty();
+        let had_crashes = !suspect.crash_groups.is_empty();
         suspect.dismiss_crashes();
         suspect.last_activity = now;
-        is_news
+        had_crashes
     }
 
     /// Returns how many boxes crashed while running a request since it was last served.
@@ -267,9 +267,9 @@
         unix_ms: u64,
         now: Millis,
     ) -> SuspectRecord {
-        let from = if is_isolated { 1 } else { MIN_RECORDED_CRASHES };
+        let min_crashes = if is_isolated { 1 } else { MIN_RECORDED_CRASHES };
         let entries = self.suspects.iter().filter(|(request, suspect)| {
-            suspect.crash_count() >= from || stored.contains(**request)
+            suspect.crash_count() >= min_crashes || stored.contains(**request)
         });
         let entry = |(request, suspect): (&Fingerprint, &Suspect)| SuspectEntry {
             request: *request,
--- a/crates/cherrystand_core/src/site/stream_end.rs
+++ b/crates/cherrystand_core/src/site/stream_end.rs
@@ -6,7 +6,7 @@
 const MIN_CALLER_STALL: Millis = Millis(1_000);
 
 /// How long after the caller resumed reading an interruption is still attributed to it.
-const CALLER_STALL_EFFECT: Millis = Millis(5_000);
+const CALLER_STALL_WINDOW: Millis = Millis(5_000);
 
 /// How a stream ended for its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -42,8 +42,8 @@
     /// Endpoints close an answer that nobody reads after a few seconds, and what they sent before
     /// arrives first. Such an end says nothing about the endpoint, and another one would repeat the
     /// work for the same caller.
-    pub fn is_caused_by_slow_caller(stalled_at: Option<Millis>, now: Millis) -> bool {
-        stalled_at.is_some_and(|at| now.since(at) < CALLER_STALL_EFFECT)
+    pub fn is_caused_by_slow_caller(resumed_at: Option<Millis>, now: Millis) -> bool {
+        resumed_at.is_some_and(|at| now.since(at) < CALLER_STALL_WINDOW)
     }
 
     /// Returns whether a caller that took this long to read what it was given is stalling its
--- a/crates/cherrystand_core/tests/assignment_safety.rs
+++ b/crates/cherrystand_core/tests/assignment_safety.rs
@@ -45,7 +45,8 @@
         1 => any::<bool>().prop_map(Event::ServiceDown),
         1 => (0_u32..3).prop_map(Event::LoseAnswers),
         1 => (0_u32..3).prop_map(Event::DelayWrites),
-        2 => (0_u32..4, 1_u8..4).prop_map(|(replicas, version)| Event::SetDesired { replicas, version }),
+        2 => (0_u32..4, 1_u8..4)
+            .prop_map(|(replicas, version)| Event::SetDesired { replicas, version }),
         1 => (number, 0_u32..3).prop_map(|(number, in_flight)| Event::Busy { number, in_flight }),
         8 => (1_u32..40).prop_map(Event::Steps),
     ]
--- a/crates/cherrystand_core/tests/crash_suspects.rs
+++ b/crates/cherrystand_core/tests/crash_suspects.rs
@@ -215,11 +215,11 @@
     /// crashes agree, and nothing is refused for fewer than three.
     #[test]
     fn daemons_agree_whatever_the_order(
-        told in prop::collection::vec((0_u64..5, 0_usize..3), 0..40),
+        reports in prop::collection::vec((0_u64..5, 0_usize..3), 0..40),
     ) {
         let mut daemons: Vec<CrashSuspects> = (0..3).map(|_| CrashSuspects::default()).collect();
         let mut at = 0;
-        for (number, to) in &told {
+        for (number, to) in &reports {
             at += 150;
             daemons[*to].record_crash(&box_id(*number), REQUEST, Millis(at));
         }
@@ -228,7 +228,7 @@
             let own = daemon.to_record(&record, true, UNIX, Millis(at));
             record = record.merged_with(&own, UNIX).unwrap_or(record);
         }
-        let crashes: BTreeSet<u64> = told.iter().map(|(number, _)| *number).collect();
+        let crashes: BTreeSet<u64> = reports.iter().map(|(number, _)| *number).collect();
         for daemon in &mut daemons {
             daemon.merge_record(&record, UNIX, Millis(at));
             prop_assert_eq!(daemon.check_refused(REQUEST, Millis(at)), crashes.len() >= MAX_CRASHES);
--- a/crates/cherrystand_core/tests/crash_trials.rs
+++ b/crates/cherrystand_core/tests/crash_trials.rs
@@ -224,13 +224,13 @@
 
     /// Crashes a replica with all requests in flight on it; all daemons learn of it at once.
     fn crash_replica(&mut self, replica: usize, now: Millis) {
-        let held = &mut self.replicas[replica];
-        if held.back_at > now {
+        let crashed = &mut self.replicas[replica];
+        if crashed.back_at > now {
             return;
         }
-        let incarnation = BoxId::new(format!("i-{replica}")).with_incarnation(held.incarnation);
-        held.incarnation += 1;
-        held.back_at = now + REPAIR_TIME;
+        let incarnation = BoxId::new(format!("i-{replica}")).with_incarnation(crashed.incarnation);
+        crashed.incarnation += 1;
+        crashed.back_at = now + REPAIR_TIME;
         let (lost, rest) = std::mem::take(&mut self.flights)
             .into_iter()
             .partition::<Vec<_>, _>(|flight| flight.replica == replica);
@@ -339,11 +339,11 @@
                 Millis(1_000 * incarnation),
             );
         }
-        let (mut trials, mut told) = (0, Vec::new());
+        let (mut trials, mut late_crashes) = (0, Vec::new());
         for at in (5_000..25_000).step_by(50) {
             let now = Millis(at);
-            if told.first().is_some_and(|due| *due <= now) {
-                told.remove(0);
+            if late_crashes.first().is_some_and(|due| *due <= now) {
+                late_crashes.remove(0);
                 suspects.record_crash(&BoxId::new(format!("late-{at}")), crashing, now);
             }
             if suspects.check_refused(crashing, now)
@@ -352,7 +352,7 @@
                 trials += 1;
                 suspects.end_trial(crashing, case.may_have_run);
                 if case.may_have_run {
-                    told.push(now + Millis(1_200));
+                    late_crashes.push(now + Millis(1_200));
                 }
             }
         }
--- a/crates/cherrystand_core/tests/replica_life.rs
+++ b/crates/cherrystand_core/tests/replica_life.rs
@@ -13,7 +13,7 @@
     span: u32,
     act: fn(&mut FakeDomain),
     run: Millis,
-    whole: &'static [u32],
+    serving: &'static [u32],
     broken: &'static [u32],
 }
 
@@ -27,7 +27,7 @@
             span: 2,
             act: |_| {},
             run: Millis(10_000),
-            whole: &[0, 1],
+            serving: &[0, 1],
             broken: &[],
         },
         Case {
@@ -37,7 +37,7 @@
             span: 2,
             act: |domain| domain.kill(&box_id(0), None),
             run: Millis(120_000),
-            whole: &[0, 1],
+            serving: &[0, 1],
             broken: &[],
         },
         Case {
@@ -47,7 +47,7 @@
             span: 2,
             act: |domain| domain.kill(&box_id(1), None),
             run: Millis(60_000),
-            whole: &[1],
+            serving: &[1],
             broken: &[0],
         },
         Case {
@@ -57,7 +57,7 @@
             span: 2,
             act: |domain| domain.kill(&box_id(1), Some(Millis(20_000))),
             run: Millis(60_000),
-            whole: &[0, 1],
+            serving: &[0, 1],
             broken: &[],
         },
         Case {
@@ -70,7 +70,7 @@
                 domain.kill(&box_id(3), None);
             },
             run: Millis(400_000),
-            whole: &[0],
+            serving: &[0],
             broken: &[],
         },
         Case {
@@ -80,7 +80,7 @@
             span: 2,
             act: |domain| domain.leaving.push(box_id(0)),
             run: Millis(60_000),
-            whole: &[0, 1],
+            serving: &[0, 1],
             broken: &[],
         },
         Case {
@@ -95,7 +95,7 @@
                 }
             },
             run: Millis(120_000),
-            whole: &[0, 1],
+            serving: &[0, 1],
             broken: &[],
         },
         Case {
@@ -105,7 +105,7 @@
             span: 2,
             act: |domain| (0..8).for_each(|number| domain.kill(&box_id(number), None)),
             run: Millis(60_000),
-            whole: &[],
+            serving: &[],
             broken: &[0, 1],
         },
     ];
@@ -114,7 +114,7 @@
         let mut domain = formed(setup, quick_policy(), case.replicas, case.span);
         (case.act)(&mut domain);
         domain.run_for(case.run);
-        for slot in case.whole {
+        for slot in case.serving {
             assert!(domain.is_whole(&replica(*slot)), "{}: {slot}", case.name);
         }
         for slot in case.broken {
--- a/crates/cherrystand_core/tests/rollouts.rs
+++ b/crates/cherrystand_core/tests/rollouts.rs
@@ -52,7 +52,7 @@
         "workspace = \"w\"\n[[model]]\nname = \"g\"\nmodel = \"m\"\nversion = \"{version}\"\n\
          replicas = {replicas}\nboxes_per_replica = 2\nfloor = {floor}\n"
     );
-    WorkspaceConfig::from_toml(&text).expect("a sound configuration")
+    WorkspaceConfig::from_toml(&text).expect("a valid configuration")
 }
 
 #[test]
--- a/crates/cherrystand_core/tests/stall_evidence.rs
+++ b/crates/cherrystand_core/tests/stall_evidence.rs
@@ -111,8 +111,8 @@
         case,
     ];
     for case in cases {
-        let stalled_at = StreamEnd::is_caller_stall(Millis(case.took)).then_some(Millis(case.at));
-        let explained = StreamEnd::is_caused_by_slow_caller(stalled_at, Millis(case.interrupted));
+        let resumed_at = StreamEnd::is_caller_stall(Millis(case.took)).then_some(Millis(case.at));
+        let explained = StreamEnd::is_caused_by_slow_caller(resumed_at, Millis(case.interrupted));
         assert_eq!(explained, case.explained, "{}", case.name);
     }
 }
