--- a/crates/cherrystand_core/src/control/domain_change.rs
+++ b/crates/cherrystand_core/src/control/domain_change.rs
@@ -114,7 +114,7 @@
         usable.map(|info| info.id.clone()).collect()
     }
 
-    /// Returns for how long the box that has been silent longest is missing.
+    /// Returns the longest time that one of some boxes has been silent, in seconds.
     pub(crate) fn longest_missing_secs(&self, boxes: &[BoxId]) -> f64 {
         let ages = boxes.iter().filter_map(|id| self.input.observations.get(id));
         let longest = ages.map(|observation| self.input.now.since(observation.last_heard)).max();
@@ -276,7 +276,8 @@
         }
     }
 
-    /// Starts the loads of reserved replicas, up to `loads_at_once` boxes at a time.
+    /// Starts the loads of reserved replicas, up to `loads_at_once` boxes at a time. A replica that
+    /// needs more loads alone.
     pub(crate) fn start_loads(&mut self, loads_at_once: u32) {
         let mut running = self.loads_in(Phase::Loading);
         for replica in self.replicas() {
--- a/crates/cherrystand_core/src/control/observation.rs
+++ b/crates/cherrystand_core/src/control/observation.rs
@@ -8,8 +8,9 @@
 
 /// A box that hasn't answered for this long counts as missing.
 ///
-/// It bounds how long a replica can be taken to be complete after it lost a member. Source:
-/// docs/design/0002-replica-life.md.
+/// It bounds how long a replica can be taken to be complete after it lost a member.
+///
+/// Source: docs/design/0002-replica-life.md.
 pub const MISSING_AFTER: Millis = Millis(2_500);
 
 /// An engine's report about itself.
--- a/crates/cherrystand_core/src/site/crash_suspects.rs
+++ b/crates/cherrystand_core/src/site/crash_suspects.rs
@@ -1,8 +1,8 @@
 //! Requests that were in flight on boxes as these crashed.
 //!
 //! A request that crashes whatever runs it is retried and sent again like any other. Before daemons
-//! remembered such requests, one crashed 25 replicas within 40 s, each of which took 12 to 16 s to
-//! repair.
+//! remembered such requests, one of them crashed 25 replicas within 40 s, each of which took 12 to
+//! 16 s to repair.
 //!
 //! Source: docs/design/0018-requests-that-crash-replicas.md.
 
@@ -162,8 +162,8 @@
         refused
     }
 
-    /// Starts a trial of a refused request if one is due, and returns whether it did. Only one
-    /// daemon runs trials.
+    /// Starts a trial of a refused request if one is due, and returns whether it did. The caller
+    /// ensures that only one daemon runs trials.
     ///
     /// One request is tried at a time, the one most likely to be harmless first: the one with the
     /// fewest trials, then the fewest crash groups that no other request shares, then the most
--- a/crates/cherrystand_core/src/site/stall_evidence.rs
+++ b/crates/cherrystand_core/src/site/stall_evidence.rs
@@ -47,7 +47,7 @@
     pub longest_expected: Millis,
     /// What peers report.
     pub peers: PeerProgress,
-    /// How long ago a peer last answered such a question, if one ever did.
+    /// How long ago a peer last answered a question about progress, if one ever did.
     pub peers_age: Option<Millis>,
     /// Whether another replica made progress with a request of this node meanwhile; `None` if no
     /// other replica has one.
--- a/crates/cherrystand_core/src/site/stream_end.rs
+++ b/crates/cherrystand_core/src/site/stream_end.rs
@@ -37,7 +37,7 @@
     ];
 
     /// Returns whether an endpoint broke an answer off because its caller had stopped reading.
-    /// `stalled_at` is when the caller last resumed reading after such a pause.
+    /// `resumed_at` is when the caller last continued to read after such a pause.
     ///
     /// Endpoints close an answer that nobody reads after a few seconds, and what they sent before
     /// arrives first. Such an end says nothing about the endpoint, and another one would repeat the
--- a/crates/cherrystand_core/src/site/suspect.rs
+++ b/crates/cherrystand_core/src/site/suspect.rs
@@ -18,8 +18,8 @@
 /// How many crashes of one group count towards the limit, so that the loss of a rack alone refuses
 /// nothing.
 ///
-/// With one crash per group, a request that arrived five times a second crashed six to eight
-/// replicas before the third group got it refused.
+/// While each group counted as one crash, a request that arrived five times a second crashed six to
+/// eight replicas before it was refused after the third group.
 const MAX_CRASHES_PER_GROUP: usize = 2;
 
 /// Bounds the boxes remembered per crash group and as unrelated to the request, because peers may
--- a/crates/cherrystand_core/tests/lost_replicas.rs
+++ b/crates/cherrystand_core/tests/lost_replicas.rs
@@ -25,7 +25,8 @@
     }
 }
 
-/// Creates a view of one replica of three boxes, of which `c` is no longer listed, and a plain endpoint.
+/// Creates a view of one replica of three boxes, of which `c` is no longer listed, and a plain
+/// endpoint.
 fn view(leader: Option<(u32, MemberState)>, silent: &[&str]) -> SiteView {
     let engine = support::site_engine();
     let services = vec![
@@ -132,7 +133,8 @@
     for case in cases {
         let view = view(case.leader, case.silent);
         assert_eq!(view.is_lost(&BoxId::new(case.asked)), case.is_lost, "{}", case.name);
-        // Peers are told only of replicas that serve according to their entries but have silent members.
+        // Peers are told only of replicas that serve according to their entries but have silent
+        // members.
         let is_reported = case.is_lost && case.asked == "a" && case.leader == open;
         assert_eq!(view.lost_leaders() == [BoxId::new("a")], is_reported, "{}", case.name);
     }
