--- a/crates/cherrystand_core/src/site/capacity_planner.rs
+++ b/crates/cherrystand_core/src/site/capacity_planner.rs
@@ -81,6 +81,7 @@
 pub struct CapacityPlanner {
     /// The number of replicas that each model keeps busy, smoothed.
     busy: BTreeMap<String, f64>,
+    /// Since when load is measured without a gap.
     measured_since: Option<Millis>,
     last_sample: Millis,
     /// The best changes found, and since when they have been the best.
@@ -148,6 +149,7 @@
         (now.since(*since) >= MIN_OVERLOAD_TIME).then(|| best.clone())
     }
 
+    /// Returns the domain whose preload would most reduce the utilisation of an overloaded model.
     fn best_preload(&self, engine: &EngineSpec, domains: &[DomainCapacity]) -> Option<HomeChange> {
         self.measured_since?;
         let is_being_preloaded = |domain: &DomainCapacity| {
@@ -156,9 +158,9 @@
                 domain.boxes_by_model.get(second) < domain.boxes_by_model.get(&domain.home)
             })
         };
-        let now = self
+        let current_peak = self
             .peak_utilisation(&engine.models, domains, &[])
-            .filter(|now| *now >= OVERLOAD_UTILISATION)?;
+            .filter(|peak| *peak >= OVERLOAD_UTILISATION)?;
         if domains.iter().any(is_being_preloaded) || !self.best_changes(engine, domains).is_empty()
         {
             return None;
@@ -166,12 +168,12 @@
         let loaded: Vec<DomainCapacity> =
             domains.iter().map(|domain| domain.with_all_models(engine)).collect();
         let changes = feasible_changes(&engine.models, &loaded).into_iter();
-        let worth = changes.filter_map(|change| {
-            let then =
+        let worthwhile = changes.filter_map(|change| {
+            let new_peak =
                 self.peak_utilisation(&engine.models, &loaded, std::slice::from_ref(&change))?;
-            (then < now - MIN_PRELOAD_GAIN).then_some((then, change))
+            (new_peak < current_peak - MIN_PRELOAD_GAIN).then_some((new_peak, change))
         });
-        worth.min_by(|(one, _), (other, _)| one.total_cmp(other)).map(|(_, change)| change)
+        worthwhile.min_by(|(one, _), (other, _)| one.total_cmp(other)).map(|(_, change)| change)
     }
 
     /// Returns the number of replicas that each model keeps busy, as measured.
@@ -179,6 +181,7 @@
         &self.busy
     }
 
+    /// Adds a sample of the current load to the averages.
     fn measure(&mut self, now: Millis, engine: &EngineSpec, loads: &BTreeMap<String, ModelLoad>) {
         let idle = loads.values().all(|load| load.requests == 0.0);
         let gap = now.since(self.last_sample);
@@ -205,16 +208,16 @@
     /// Returns the changes that most reduce the utilisation of the busiest model, if the gain is
     /// worth it.
     fn best_changes(&self, engine: &EngineSpec, domains: &[DomainCapacity]) -> Vec<HomeChange> {
-        let Some(now) = self.peak_utilisation(&engine.models, domains, &[]) else {
+        let Some(current_peak) = self.peak_utilisation(&engine.models, domains, &[]) else {
             return Vec::new();
         };
-        if now < MIN_PEAK_UTILISATION {
+        if current_peak < MIN_PEAK_UTILISATION {
             return Vec::new();
         }
         let single = feasible_changes(&engine.models, domains);
         let alone: Vec<Vec<HomeChange>> =
             single.iter().map(|change| vec![change.clone()]).collect();
-        let best = self.lowest_peak(engine, domains, now, &alone);
+        let best = self.lowest_peak(engine, domains, current_peak, &alone);
         if !best.is_empty() {
             return best;
         }
@@ -225,7 +228,7 @@
             .filter(|(one, other)| one.domain != other.domain && one.home != other.home)
             .map(|(one, other)| vec![one.clone(), other.clone()])
             .collect();
-        self.lowest_peak(engine, domains, now, &pairs)
+        self.lowest_peak(engine, domains, current_peak, &pairs)
     }
 
     /// Returns the best of the given sets of changes, or none if no gain is worth it.
@@ -233,17 +236,17 @@
         &self,
         engine: &EngineSpec,
         domains: &[DomainCapacity],
-        now: f64,
+        current_peak: f64,
         all: &[Vec<HomeChange>],
     ) -> Vec<HomeChange> {
         let mut best: Option<(f64, &Vec<HomeChange>)> = None;
         for changes in all {
-            let Some(then) = self.peak_utilisation(&engine.models, domains, changes) else {
+            let Some(new_peak) = self.peak_utilisation(&engine.models, domains, changes) else {
                 continue;
             };
-            let least = best.map_or(now - MIN_GAIN, |(least, _)| least);
-            if then < least {
-                best = Some((then, changes));
+            let least = best.map_or(current_peak - MIN_GAIN, |(least, _)| least);
+            if new_peak < least {
+                best = Some((new_peak, changes));
             }
         }
         best.map(|(_, changes)| changes.clone()).unwrap_or_default()
--- a/crates/cherrystand_core/src/site/domain_draft.rs
+++ b/crates/cherrystand_core/src/site/domain_draft.rs
@@ -56,6 +56,7 @@
         }
     }
 
+    /// Returns a listed box.
     pub(crate) fn listed_box(&self, id: &BoxId) -> Option<&'a SiteBox> {
         self.input.boxes.iter().copied().find(|site_box| &site_box.id == id)
     }
@@ -138,6 +139,7 @@
         }
     }
 
+    /// Orders a box to join a replica, or first to leave the one it may still belong to.
     fn join(&mut self, site_box: &'a SiteBox, name: &str, held: &Assignment, model: &ModelSpec) {
         if let Some(holder) = self.blocking_box(site_box)
             && let Some(member) = &holder.member
@@ -154,6 +156,7 @@
         self.add_order(site_box, name, held.epoch, task);
     }
 
+    /// Orders the members of a replica to join, or its leader to open it once all have joined.
     pub(crate) fn join_or_open(&mut self, name: &str, held: &Assignment, model: &ModelSpec) {
         let members: Vec<&'a SiteBox> =
             held.boxes.iter().filter_map(|id| self.responsive_box(id)).collect();
@@ -224,11 +227,13 @@
         free.into_iter().map(|site_box| site_box.id.clone()).collect()
     }
 
+    /// Assigns boxes to a replica under a new epoch.
     fn assign(&mut self, replica: ReplicaId, boxes: Vec<BoxId>, model: &ModelSpec, why: &str) {
         let epoch = self.next.take_epoch();
         self.set_assignment(replica, epoch, boxes, model, why);
     }
 
+    /// Records the boxes and the epoch of a replica, and the reason.
     fn set_assignment(
         &mut self,
         replica: ReplicaId,
@@ -254,6 +259,7 @@
         self.changed = true;
     }
 
+    /// Removes a replica from the record, and notes the reason.
     pub(crate) fn remove(&mut self, replica: &ReplicaId, why: &str) {
         self.release_boxes(replica);
         self.changed = true;
@@ -276,8 +282,8 @@
                     && !self.next.replicas.contains_key(id)
             });
             let epochs = self.next.replicas.values().map(|held| held.epoch);
-            let site_box = epochs.into_iter().any(|epoch| epoch == member.epoch);
-            let leads = member.state == MemberState::Open && member.rank == 0 && !site_box;
+            let is_recorded = epochs.into_iter().any(|epoch| epoch == member.epoch);
+            let leads = member.state == MemberState::Open && member.rank == 0 && !is_recorded;
             let Some(id) = id.filter(|_| leads) else {
                 continue;
             };
@@ -338,6 +344,7 @@
         models.max_by(|a, b| worth(a).total_cmp(&worth(b))).cloned()
     }
 
+    /// Adds an order, unless this step already gave one to the box.
     pub(crate) fn add_order(
         &mut self,
         site_box: &SiteBox,
--- a/crates/cherrystand_core/src/site/formation.rs
+++ b/crates/cherrystand_core/src/site/formation.rs
@@ -127,12 +127,12 @@
     pub fn step(&mut self, input: FormationInput<'_>) -> FormationStep {
         self.sent_orders.retain(|_, sent| input.now.since(sent.at) < ORDER_RETRY);
         // A box that is only cut off from the store still compares fences.
-        let site_box = |id: &BoxId| {
+        let is_known = |id: &BoxId| {
             input.boxes.iter().chain(input.departed).any(|site_box| &site_box.id == id)
         };
-        self.order_counts.retain(|id, _| site_box(id));
-        self.orders_taken.retain(|id, _| site_box(id));
-        self.warmed.retain(site_box);
+        self.order_counts.retain(|id, _| is_known(id));
+        self.orders_taken.retain(|id, _| is_known(id));
+        self.warmed.retain(is_known);
         self.reset_restarted(&input);
         if self.home.as_deref() != input.home {
             self.home = input.home.map(str::to_owned);
@@ -190,7 +190,7 @@
             self.warmed.insert(order.target.clone());
             return;
         }
-        let again = match (end, &order.task) {
+        let send_again = match (end, &order.task) {
             // A later record may immediately require it again.
             (OrderEnd::Taken, MemberTask::Leave) => true,
             (OrderEnd::Taken, _) => false,
@@ -208,7 +208,7 @@
         if end == OrderEnd::Fenced {
             *self.order_counts.entry(order.target.clone()).or_default() += FENCE_SKIP;
         }
-        if again {
+        if send_again {
             self.sent_orders.remove(&order.target);
         }
     }
@@ -218,6 +218,7 @@
         self.staging.insert(target.clone(), now);
     }
 
+    /// Brings one replica of the record closer to serving.
     fn advance(&mut self, draft: &mut DomainDraft<'_>, replica: &ReplicaId) {
         let Some(held) = draft.input.record.replicas.get(replica).cloned() else {
             return;
@@ -282,6 +283,7 @@
         false
     }
 
+    /// Returns the new record and the orders, without repeated orders and excess loads.
     fn finish(&mut self, draft: DomainDraft<'_>) -> FormationStep {
         let now = draft.input.now;
         let mut step = FormationStep { reasons: draft.reasons, ..FormationStep::default() };
@@ -289,9 +291,9 @@
             step.new_record = Some(draft.next);
         }
         for (mut order, is_load) in draft.orders {
-            let site_box = self.sent_orders.get(&order.target);
+            let last_sent = self.sent_orders.get(&order.target);
             let repeated =
-                site_box.is_some_and(|sent| sent.task == order.task && sent.epoch == order.epoch);
+                last_sent.is_some_and(|sent| sent.task == order.task && sent.epoch == order.epoch);
             if repeated || (is_load && step.loads >= draft.input.loads_allowed) {
                 continue;
             }
@@ -301,9 +303,9 @@
             }
             let sent = SentOrder { task: order.task.clone(), epoch: order.epoch, at: now };
             self.sent_orders.insert(order.target.clone(), sent);
-            let previous = self.order_counts.entry(order.target.clone()).or_default();
-            order.sequence = *previous;
-            *previous += 1;
+            let count = self.order_counts.entry(order.target.clone()).or_default();
+            order.sequence = *count;
+            *count += 1;
             step.orders.push(order);
         }
         step
--- a/crates/cherrystand_core/src/site/homes.rs
+++ b/crates/cherrystand_core/src/site/homes.rs
@@ -62,12 +62,12 @@
 /// Returns the model that most of a domain's boxes hold, if any box holds one.
 fn most_held_model(engine: &EngineSpec, boxes: &[&SiteBox]) -> Option<String> {
     let count = |name: &String| {
-        let loaded = boxes.iter().filter(|is_valid| is_valid.loaded.contains(name)).count();
-        let staged = boxes.iter().filter(|is_valid| is_valid.staged.contains(name)).count();
+        let loaded = boxes.iter().filter(|site_box| site_box.loaded.contains(name)).count();
+        let staged = boxes.iter().filter(|site_box| site_box.staged.contains(name)).count();
         (loaded, staged)
     };
-    let size = engine.models.iter().map(|model| (count(&model.name), &model.name));
-    let most = size.max_by_key(|(count, _)| *count)?;
+    let held = engine.models.iter().map(|model| (count(&model.name), &model.name));
+    let most = held.max_by_key(|(count, _)| *count)?;
     (most.0 != (0, 0)).then(|| most.1.clone())
 }
 
--- a/crates/cherrystand_core/src/site/load_balancer.rs
+++ b/crates/cherrystand_core/src/site/load_balancer.rs
@@ -1,4 +1,6 @@
 //! Chooses among replicas and endpoints, by the performance predicted for their engines.
+//!
+//! The credit of a request is what it earns if it is answered in time, 1 at most.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -91,7 +93,8 @@
 pub struct LoadBalancer {
     policy: Policy,
     pub(super) targets: SlotMap<TargetKey, Target>,
-    pub(super) ids: BTreeMap<BoxId, TargetKey>,
+    /// The endpoint of each box.
+    pub(super) keys: BTreeMap<BoxId, TargetKey>,
     services: HashMap<ServiceName, ServiceTargets>,
     /// The backpressure that endpoints signalled to this node, including endpoints not listed now.
     pub(super) wishes: EndpointBackpressure<BoxId>,
@@ -109,21 +112,21 @@
         let wanted: BTreeMap<BoxId, TargetSpec> =
             specs.into_iter().map(|spec| (spec.id.clone(), spec)).collect();
         let gone: Vec<BoxId> =
-            self.ids.keys().filter(|id| !wanted.contains_key(*id)).cloned().collect();
+            self.keys.keys().filter(|id| !wanted.contains_key(*id)).cloned().collect();
         for id in gone {
-            if let Some(key) = self.ids.remove(&id) {
+            if let Some(key) = self.keys.remove(&id) {
                 self.targets.remove(key);
             }
         }
         self.update_availability(&wanted);
         for (id, spec) in wanted {
-            match self.ids.get(&id).and_then(|key| self.targets.get_mut(*key)) {
+            match self.keys.get(&id).and_then(|key| self.targets.get_mut(*key)) {
                 Some(target) => target.spec = spec,
                 None => {
                     let mut target = Target::new(spec);
                     target.is_draining = self.wishes.is_draining(&id);
                     let key = self.targets.insert(target);
-                    self.ids.insert(id, key);
+                    self.keys.insert(id, key);
                 }
             }
         }
@@ -135,7 +138,7 @@
         let evacuated = wanted.values().filter_map(|spec| Some((spec.id.clone(), spec.evacuated?)));
         self.wishes.set_evacuated(evacuated.collect());
         for (id, spec) in wanted {
-            let held = self.ids.get(id).and_then(|key| self.targets.get(*key));
+            let held = self.keys.get(id).and_then(|key| self.targets.get(*key));
             let before = held.and_then(|target| target.spec.cold);
             // A cold period that peers report is kept if this node has no report of its own.
             if spec.cold != before {
@@ -144,6 +147,7 @@
         }
     }
 
+    /// Groups the endpoints by service, model and distance.
     fn rebuild_index(&mut self) {
         self.services.clear();
         for (key, target) in &self.targets {
@@ -167,7 +171,7 @@
 
     /// Ejects the endpoint of a box for a while, like [`LoadBalancer::eject`].
     pub fn eject_box(&mut self, id: &BoxId, now: Millis) {
-        if let Some(key) = self.ids.get(id).copied() {
+        if let Some(key) = self.keys.get(id).copied() {
             self.eject(key, now);
         }
     }
@@ -267,12 +271,14 @@
         best.map(|(_, key)| key)
     }
 
+    /// Returns the cost of an endpoint by the rule of the policy.
     fn cost(&self, target: &Target, choice: &Choice<'_>) -> f64 {
         let by_count = self.policy.choice == ChoiceRule::FewestInFlight;
         let engine = choice.engine.filter(|_| !by_count);
         target.cost(choice.request.prompt, engine, choice.now)
     }
 
+    /// Returns the endpoint with the lower cost of two random ones.
     fn earlier_of_sample(
         &self,
         candidates: &Candidates,
@@ -315,6 +321,7 @@
         }
     }
 
+    /// Returns the endpoint of a random sample with the highest expected credit, and that credit.
     fn best_of_sample(
         &self,
         list: &[TargetKey],
@@ -341,6 +348,7 @@
         best
     }
 
+    /// Returns an endpoint if it may be chosen now.
     fn eligible(&self, key: TargetKey, choice: &Choice<'_>) -> Option<&Target> {
         let target = self.targets.get(key)?;
         let is_excluded = choice.excluded.contains(&target.spec.id)
@@ -380,8 +388,11 @@
         let first_event_ms = target.first_event_ms(engine, model, request.prompt);
         let latency = self.latency_models.get(&model.name).copied().unwrap_or_default();
         let goal = request.latency_goal.0 as f64;
-        let jitter = latency.probability_within(first_event_ms, goal);
-        Some(Prediction { first_event_ms, deferred: self.policy.defer_late && is_deferred(jitter) })
+        let in_time = latency.probability_within(first_event_ms, goal);
+        Some(Prediction {
+            first_event_ms,
+            deferred: self.policy.defer_late && is_deferred(in_time),
+        })
     }
 
     /// Records that a request was sent. A deferred request does not count as load until it runs,
--- a/crates/cherrystand_core/src/site/load_balancer_limits.rs
+++ b/crates/cherrystand_core/src/site/load_balancer_limits.rs
@@ -6,8 +6,7 @@
     SeededRng, SendPermit, TargetKey,
 };
 
-/// When a caller is told to retry if all endpoints are at their limits; streams end after 0.3 to 2
-/// s.
+/// When a caller is told to retry if all endpoints are at their limits; streams take 0.3 to 2 s.
 const SATURATED_RETRY_AFTER: Millis = Millis(300);
 
 /// Bounds of the time after which a caller is told to retry if all endpoints lie in evacuated
@@ -109,14 +108,14 @@
 
     /// Records that an endpoint asked this node to back off, and returns until when it will.
     pub fn record_backoff(&mut self, id: &BoxId, asked: Millis, now: Millis) -> Millis {
-        let target = self.ids.get(id).and_then(|key| self.targets.get(*key));
+        let target = self.keys.get(id).and_then(|key| self.targets.get(*key));
         let in_flight = target.map_or(0, |target| target.in_flight);
         self.wishes.record_backoff(id, asked, in_flight, now)
     }
 
     /// Records that an endpoint is draining, and returns whether that is new.
     pub fn record_draining(&mut self, id: &BoxId) -> bool {
-        if let Some(target) = self.ids.get(id).and_then(|key| self.targets.get_mut(*key)) {
+        if let Some(target) = self.keys.get(id).and_then(|key| self.targets.get_mut(*key)) {
             target.is_draining = true;
         }
         self.wishes.record_draining(id)
--- a/crates/cherrystand_core/src/site/site_view.rs
+++ b/crates/cherrystand_core/src/site/site_view.rs
@@ -86,7 +86,7 @@
                 near: &site_box.zone == zone,
                 region: regions.get(&site_box.zone).cloned(),
                 evacuated: self.evacuated.get(&site_box.zone).copied(),
-                cold: self.cold_life(site_box),
+                cold: self.cold_period(site_box),
             };
             Some((spec, site_box.address))
         });
@@ -118,6 +118,7 @@
         !serves || self.has_silent_member(member)
     }
 
+    /// Returns whether a member of a leader's replica is silent.
     fn has_silent_member(&self, leader: &Member) -> bool {
         if self.silent.is_empty() {
             return false;
@@ -149,16 +150,18 @@
     }
 
     /// Returns until when a box is cold and its request rate meanwhile, if its service limits that.
-    fn cold_life(&self, site_box: &SiteBox) -> Option<ColdPeriod> {
+    fn cold_period(&self, site_box: &SiteBox) -> Option<ColdPeriod> {
         let until = self.cold.until(&site_box.id)?;
         let service = self.table.as_ref()?.config().service(&site_box.service)?;
         Some(ColdPeriod { rate: service.cold?.rate, until })
     }
 
+    /// Returns whether a box may serve: it is not about to leave and not silent.
     fn is_usable(&self, site_box: &SiteBox) -> bool {
         !site_box.leaving && !self.silent.contains(&site_box.id)
     }
 
+    /// Counts the listed members of each replica.
     fn members_by_replica(&self) -> MembersByReplica<'_> {
         let mut replicas = MembersByReplica::new();
         for site_box in self.boxes.values() {
