--- a/crates/cherrystand_core/tests/capacity.rs
+++ b/crates/cherrystand_core/tests/capacity.rs
@@ -17,19 +17,19 @@
 const STEP: Millis = Millis(250);
 
 /// How long a domain needs to change hands.
-const CHANGES_WITHIN: Millis = Millis(3_000);
+const REASSIGNMENT_TIME: Millis = Millis(3_000);
 
 /// The most requests that a replica is given; what is beyond waits elsewhere.
-const MOST_IN_FLIGHT: f64 = 60.0;
+const MAX_IN_FLIGHT: f64 = 60.0;
 
 /// Domains of two models and the replicas that their requests keep busy, on virtual time.
 struct Deployment {
     engine: EngineSpec,
     domains: Vec<DomainCapacity>,
-    plan: CapacityPlanner,
+    planner: CapacityPlanner,
     changes: Vec<HomeChange>,
     /// A domain that changes hands, and when it serves again.
-    changing: Option<(DomainId, Millis)>,
+    reassignment: Option<(DomainId, Millis)>,
 }
 
 impl Deployment {
@@ -57,16 +57,16 @@
             second: None,
         });
         let domains = domains.collect();
-        let plan = CapacityPlanner::default();
-        Self { engine, domains, plan, changes: Vec::new(), changing: None }
+        let planner = CapacityPlanner::default();
+        Self { engine, domains, planner, changes: Vec::new(), reassignment: None }
     }
 
     fn replicas(&self, number: usize, now: Millis) -> usize {
         let model = &self.engine.models[number];
         let serves = |domain: &&DomainCapacity| {
-            let changing = self.changing.as_ref();
+            let reassignment = self.reassignment.as_ref();
             domain.home == model.name
-                && changing.is_none_or(|(id, until)| *id != domain.id || now >= *until)
+                && reassignment.is_none_or(|(id, until)| *id != domain.id || now >= *until)
         };
         let domains = self.domains.iter().filter(serves);
         domains.map(|domain| held(domain, &model.name) / model.span as usize).sum()
@@ -78,7 +78,7 @@
             let replicas = self.replicas(number, now);
             let wanted = busy[number] / replicas.max(1) as f64;
             let mut each = 0.0;
-            while self.engine.utilisation(each) < wanted && each < MOST_IN_FLIGHT {
+            while self.engine.utilisation(each) < wanted && each < MAX_IN_FLIGHT {
                 each += 0.25;
             }
             ModelLoad { replicas, requests: each * replicas as f64 }
@@ -91,8 +91,8 @@
         let mut now = from;
         while now < until {
             let loads = self.loads(busy(now), now);
-            for change in self.plan.step(now, &self.engine, &loads, &self.domains) {
-                self.changing = Some((change.domain.clone(), now + CHANGES_WITHIN));
+            for change in self.planner.step(now, &self.engine, &loads, &self.domains) {
+                self.reassignment = Some((change.domain.clone(), now + REASSIGNMENT_TIME));
                 let found = self.domains.iter_mut().find(|domain| domain.id == change.domain);
                 let domain = found.expect("a domain that is there");
                 // Its hosts keep the model that it serves from now on.
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn domains_follow_the_work_where_that_is_worth_it_and_stay_otherwise() {
+fn domains_are_reassigned_only_if_the_gain_is_worth_it() {
     struct Case {
         name: &'static str,
         /// The boxes that a replica of each model spans, those of a domain, and the domains of each.
@@ -143,7 +143,7 @@
     };
     let cases = [
         Case { name: "a burst of short requests", busy: [3.8, 21.6], after: [3, 6], ..shifted },
-        Case { name: "it swings", swing: 0.2, ..shifted },
+        Case { name: "the load swings", swing: 0.2, ..shifted },
         Case { name: "hosts hold one model only", held: false, after: [5, 4], ..shifted },
         Case { name: "a tenth of the traffic", busy: [0.4, 1.4], after: [5, 4], ..shifted },
         Case { name: "no traffic", busy: [0.0, 0.0], after: [5, 4], ..shifted },
@@ -202,19 +202,19 @@
 }
 
 #[test]
-fn the_hosts_of_one_domain_in_five_hold_another_model() {
+fn the_hosts_of_one_domain_in_five_preload_another_model() {
     struct Case {
         name: &'static str,
         homes: [usize; 2],
         /// Domains of each model whose hosts hold the other.
-        prepared: [usize; 2],
+        preloaded: [usize; 2],
     }
     let cases = [
-        Case { name: "nine domains", homes: [5, 4], prepared: [1, 0] },
-        Case { name: "few domains", homes: [4, 2], prepared: [0, 0] },
-        Case { name: "many", homes: [8, 12], prepared: [1, 2] },
-        Case { name: "none of one model", homes: [6, 0], prepared: [1, 0] },
-        Case { name: "none", homes: [0, 0], prepared: [0, 0] },
+        Case { name: "nine domains", homes: [5, 4], preloaded: [1, 0] },
+        Case { name: "few domains", homes: [4, 2], preloaded: [0, 0] },
+        Case { name: "many", homes: [8, 12], preloaded: [1, 2] },
+        Case { name: "none of one model", homes: [6, 0], preloaded: [1, 0] },
+        Case { name: "none", homes: [0, 0], preloaded: [0, 0] },
     ];
     for case in cases {
         let deployment = Deployment::new([8, 4], 19, case.homes, false);
@@ -227,21 +227,21 @@
         let of = |home: &str, second: &str| {
             seconds.iter().filter(|(id, name)| homes[*id] == home && *name == second).count()
         };
-        let prepared = [of("large", "small"), of("small", "large")];
-        assert_eq!(prepared, case.prepared, "{}", case.name);
-        assert_eq!(seconds.len(), prepared.iter().sum::<usize>(), "{}", case.name);
+        let preloaded = [of("large", "small"), of("small", "large")];
+        assert_eq!(preloaded, case.preloaded, "{}", case.name);
+        assert_eq!(seconds.len(), preloaded.iter().sum::<usize>(), "{}", case.name);
     }
 }
 
 #[test]
-fn the_split_is_mended_within_seconds_of_the_first_requests() {
+fn a_wrong_split_is_corrected_within_seconds_of_the_first_requests() {
     let mut deployment = Deployment::new([8, 4], 19, [5, 4], true);
     deployment.run(Millis(0), Millis(3_000), |_| [3.8, 13.5]);
     assert_eq!(deployment.homes(), [4, 5]);
 }
 
 #[test]
-fn a_mix_that_turns_around_is_followed_both_ways() {
+fn reassignments_follow_a_reversed_mix_and_back() {
     let mut deployment = Deployment::new([8, 4], 19, [5, 4], true);
     deployment.run(Millis(0), Millis(30_000), |_| [2.0, 16.0]);
     assert_eq!(deployment.homes(), [3, 6]);
@@ -251,15 +251,15 @@
 }
 
 #[test]
-fn what_makes_no_sense_changes_nothing() {
+fn invalid_loads_change_nothing() {
     struct Case {
         name: &'static str,
         load: ModelLoad,
     }
     let cases = [
-        Case { name: "less than nothing", load: ModelLoad { replicas: 4, requests: -50.0 } },
+        Case { name: "negative", load: ModelLoad { replicas: 4, requests: -50.0 } },
         Case { name: "not a number", load: ModelLoad { replicas: 4, requests: f64::NAN } },
-        Case { name: "without end", load: ModelLoad { replicas: 4, requests: f64::INFINITY } },
+        Case { name: "infinite", load: ModelLoad { replicas: 4, requests: f64::INFINITY } },
         Case { name: "no replica", load: ModelLoad { replicas: 0, requests: 900.0 } },
     ];
     for case in cases {
@@ -270,14 +270,15 @@
         ]);
         for step in 0..100 {
             let now = Millis(step * STEP.0);
-            let change = deployment.plan.step(now, &deployment.engine, &loads, &deployment.domains);
+            let change =
+                deployment.planner.step(now, &deployment.engine, &loads, &deployment.domains);
             assert_eq!(change, Vec::new(), "{}", case.name);
         }
     }
 }
 
 #[test]
-fn a_model_keeps_its_last_domain_and_one_that_no_domain_can_hold_gets_none() {
+fn a_model_keeps_its_last_domain_and_gets_none_that_is_too_small_for_it() {
     let mut deployment = Deployment::new([8, 40], 19, [2, 1], true);
     deployment.run(Millis(0), Millis(30_000), |_| [1.0, 30.0]);
     assert_eq!(deployment.changes, Vec::new(), "no domain of 19 holds a replica of 40");
@@ -290,7 +291,7 @@
 /// as serving for the 20 s of its loads; a second domain of the three was given away meanwhile, and
 /// 6,080 of 18,497 questions came late and 1,444 were refused or failed.
 #[test]
-fn a_domain_that_was_restarted_serves_what_its_hosts_hold_and_another_one_takes_its_place() {
+fn a_restarted_domain_serves_what_its_hosts_hold_and_another_one_replaces_it() {
     let busy = |_| [5.3, 21.8];
     let mut deployment = Deployment::new([16, 4], 37, [4, 4], true);
     deployment.run(Millis(0), Millis(10_000), busy);
@@ -308,58 +309,58 @@
 /// Story: a zone was emptied for the rest of a day; a model of large replicas was left with four of ten, half of its requests came
 /// late or not at all for 28 s, and no host of any other domain held it.
 #[test]
-fn a_domain_is_prepared_where_a_model_is_overloaded_and_nobody_else_holds_it() {
+fn a_domain_preloads_an_overloaded_model_that_no_other_domain_holds() {
     struct Case {
         name: &'static str,
         /// Of the domains of each model, how many lie in the emptied zone.
-        emptied: [usize; 2],
+        evacuated: [usize; 2],
         /// The replicas that each model's requests keep busy.
         busy: [f64; 2],
         /// Whether hosts hold a second model.
         held: bool,
         /// Whether a domain is being prepared already.
-        prepares: bool,
+        is_preloading: bool,
         /// The model that a domain is prepared for.
-        prepared: Option<&'static str>,
+        preloaded: Option<&'static str>,
     }
     let case = Case {
-        name: "a zone is emptied",
-        emptied: [3, 0],
+        name: "a zone is evacuated",
+        evacuated: [3, 0],
         busy: [4.5, 7.0],
         held: false,
-        prepares: false,
-        prepared: Some("large"),
+        is_preloading: false,
+        preloaded: Some("large"),
     };
     let cases = [
-        Case { name: "nothing is emptied", emptied: [0, 0], prepared: None, ..case },
-        Case { name: "little is asked", busy: [1.0, 2.0], prepared: None, ..case },
-        Case { name: "both are overloaded", busy: [8.0, 26.0], prepared: None, ..case },
-        Case { name: "hosts hold it already", held: true, prepared: None, ..case },
-        Case { name: "one is being prepared", prepares: true, prepared: None, ..case },
+        Case { name: "nothing is evacuated", evacuated: [0, 0], preloaded: None, ..case },
+        Case { name: "low load", busy: [1.0, 2.0], preloaded: None, ..case },
+        Case { name: "both are overloaded", busy: [8.0, 26.0], preloaded: None, ..case },
+        Case { name: "hosts already hold it", held: true, preloaded: None, ..case },
+        Case { name: "one is already preloading", is_preloading: true, preloaded: None, ..case },
         case,
     ];
     for case in cases {
         let mut deployment = Deployment::new([8, 4], 19, [5, 4], case.held);
-        for (model, count) in ["large", "small"].into_iter().zip(case.emptied) {
+        for (model, count) in ["large", "small"].into_iter().zip(case.evacuated) {
             let own = deployment.domains.iter_mut().filter(|domain| domain.home == model);
             for domain in own.take(count) {
                 (domain.boxes_by_model, domain.boxes) = (BTreeMap::new(), 0);
             }
         }
-        if case.prepares {
+        if case.is_preloading {
             let other = deployment.domains.iter_mut().find(|domain| domain.home == "small");
             other.expect("a domain").second = Some("large".to_owned());
         }
-        let (mut now, mut prepared) = (Millis(0), None);
+        let (mut now, mut preloaded) = (Millis(0), None);
         while now < Millis(4_000) {
             let loads = deployment.loads(case.busy, now);
-            let Deployment { plan, engine, domains, .. } = &mut deployment;
+            let Deployment { planner, engine, domains, .. } = &mut deployment;
             // What changes hands without a load is another test's.
-            plan.step(now, engine, &loads, domains);
-            prepared = prepared.or(plan.preload(now, engine, domains));
+            planner.step(now, engine, &loads, domains);
+            preloaded = preloaded.or(planner.preload(now, engine, domains));
             now = now + STEP;
         }
-        let model = prepared.as_ref().map(|change: &HomeChange| change.home.as_str());
-        assert_eq!(model, case.prepared, "{}: {prepared:?}", case.name);
+        let model = preloaded.as_ref().map(|change: &HomeChange| change.home.as_str());
+        assert_eq!(model, case.preloaded, "{}: {preloaded:?}", case.name);
     }
 }
--- a/crates/cherrystand_core/tests/choice.rs
+++ b/crates/cherrystand_core/tests/choice.rs
@@ -27,25 +27,25 @@
 }
 
 /// Chooses `count` times without telling the balancer of it, as nodes do that know the same.
-fn choices(
+fn choose_many(
     balancer: &LoadBalancer,
-    objective: Millis,
+    latency_goal: Millis,
     count: usize,
     now: Millis,
 ) -> BTreeMap<String, usize> {
     let service = ServiceName::new("models");
-    let ask = RequestSpec {
+    let request = RequestSpec {
         service: &service,
         model: Some("large"),
         prompt: PROMPT,
-        latency_goal: objective,
+        latency_goal,
         regions: AllowedRegions::default(),
     };
     let engine = site_engine();
     let mut seed = SeededRng::new(5);
     let mut chosen = BTreeMap::new();
     for _ in 0..count {
-        let key = balancer.choose(ask, Some(&engine), &[], now, &mut seed).expect("a replica");
+        let key = balancer.choose(request, Some(&engine), &[], now, &mut seed).expect("a replica");
         let id = balancer.id(key).expect("known").as_str().to_owned();
         *chosen.entry(id).or_default() += 1;
     }
@@ -57,19 +57,19 @@
 }
 
 #[test]
-fn nodes_that_know_the_same_gather_at_one_replica_only_by_the_rules_that_take_the_best_of_all() {
+fn nodes_with_equal_information_herd_only_under_rules_that_take_the_overall_best() {
     struct Case {
         rule: ChoiceRule,
         /// The most choices of 400 that one of 20 replicas may get.
-        most: usize,
+        max_choices: usize,
         /// The fewest that the busiest gets.
-        least: usize,
+        min_choices: usize,
     }
     let cases = [
-        Case { rule: ChoiceRule::ExpectedCredit, most: 100, least: 20 },
-        Case { rule: ChoiceRule::TwoAtRandom, most: 100, least: 20 },
-        Case { rule: ChoiceRule::Earliest, most: 400, least: 400 },
-        Case { rule: ChoiceRule::FewestInFlight, most: 400, least: 400 },
+        Case { rule: ChoiceRule::ExpectedCredit, max_choices: 100, min_choices: 20 },
+        Case { rule: ChoiceRule::TwoAtRandom, max_choices: 100, min_choices: 20 },
+        Case { rule: ChoiceRule::Earliest, max_choices: 400, min_choices: 400 },
+        Case { rule: ChoiceRule::FewestInFlight, max_choices: 400, min_choices: 400 },
     ];
     for case in cases {
         let mut balancer = LoadBalancer::new(policy(case.rule));
@@ -82,14 +82,18 @@
         };
         let loads = (0..20).map(|number| (BoxId::new(id(number)), load(number)));
         balancer.set_peer_loads(&loads.collect());
-        let chosen = choices(&balancer, Millis(300), 400, NOW);
+        let chosen = choose_many(&balancer, Millis(300), 400, NOW);
         let busiest = chosen.values().copied().max().unwrap_or_default();
-        assert!((case.least..=case.most).contains(&busiest), "{:?}: {chosen:?}", case.rule);
+        assert!(
+            (case.min_choices..=case.max_choices).contains(&busiest),
+            "{:?}: {chosen:?}",
+            case.rule
+        );
     }
 }
 
 #[test]
-fn a_far_replica_is_taken_only_for_what_the_near_one_would_lose() {
+fn a_far_replica_is_chosen_only_if_the_near_one_would_lose_credit() {
     struct Case {
         name: &'static str,
         near: EngineLoad,
@@ -120,45 +124,45 @@
             (BoxId::new("near"), case.near),
             (BoxId::new("far"), case.far),
         ]));
-        let chosen = choices(&balancer, Millis(300), 100, NOW);
+        let chosen = choose_many(&balancer, Millis(300), 100, NOW);
         let far = chosen.get("far").copied().unwrap_or_default();
         assert!(case.far_percent.contains(&far), "{}: {far}", case.name);
     }
 }
 
 #[test]
-fn what_the_published_figures_leave_out_is_learned() {
-    let mut times = LatencyModel::default();
-    assert!(times.probability_within(50.0, 160.0) > 0.9);
+fn the_latency_model_learns_the_error_of_the_published_figures() {
+    let mut model = LatencyModel::default();
+    assert!(model.probability_within(50.0, 160.0) > 0.9);
     for number in 0..400 {
         // 120 ms more than predicted, give or take 20; one in fifty meets a stall.
         let error =
             if number % 50 == 0 { 4_000.0 } else { 120.0 + f64::from(number % 5 - 2) * 10.0 };
-        times.update(50.0 + error, 50.0);
+        model.update(50.0 + error, 50.0);
     }
-    let expected = times.expected_ms(50.0);
+    let expected = model.expected_ms(50.0);
     assert!((160.0..190.0).contains(&expected), "{expected}");
-    assert!(times.probability_within(50.0, 160.0) < 0.5);
-    assert!(times.probability_within(50.0, 300.0) > 0.95);
-    assert!(times.probability_within(50.0, 300.0) > times.probability_within(90.0, 300.0));
+    assert!(model.probability_within(50.0, 160.0) < 0.5);
+    assert!(model.probability_within(50.0, 300.0) > 0.95);
+    assert!(model.probability_within(50.0, 300.0) > model.probability_within(90.0, 300.0));
 }
 
 #[test]
-fn requests_that_will_be_late_wait_behind_those_that_can_be_in_time() {
+fn late_requests_are_queued_behind_those_that_can_be_in_time() {
     struct Case {
         name: &'static str,
         load: EngineLoad,
-        objective: Millis,
+        latency_goal: Millis,
         defer_late: bool,
         deferred: bool,
     }
     let (idle, full) = (EngineLoad::default(), EngineLoad { requests: 26.0, unread: 30_000.0 });
-    let (usual, none_left) = (Millis(300), Millis(0));
+    let (usual, none) = (Millis(300), Millis(0));
     let cases = [
-        Case { name: "idle", load: idle, objective: usual, defer_late: true, deferred: false },
-        Case { name: "full", load: full, objective: usual, defer_late: true, deferred: true },
-        Case { name: "off", load: full, objective: usual, defer_late: false, deferred: false },
-        Case { name: "late", load: idle, objective: none_left, defer_late: true, deferred: true },
+        Case { name: "idle", load: idle, latency_goal: usual, defer_late: true, deferred: false },
+        Case { name: "full", load: full, latency_goal: usual, defer_late: true, deferred: true },
+        Case { name: "off", load: full, latency_goal: usual, defer_late: false, deferred: false },
+        Case { name: "late", load: idle, latency_goal: none, defer_late: true, deferred: true },
     ];
     for case in cases {
         let mut balancer =
@@ -166,24 +170,24 @@
         balancer.set_targets(vec![target("a", true)]);
         balancer.set_peer_loads(&BTreeMap::from([(BoxId::new("a"), case.load)]));
         let service = ServiceName::new("models");
-        let (model, objective) = (Some("large"), case.objective);
-        let ask = RequestSpec {
+        let (model, latency_goal) = (Some("large"), case.latency_goal);
+        let request = RequestSpec {
             service: &service,
             model,
             prompt: PROMPT,
-            latency_goal: objective,
+            latency_goal,
             regions: AllowedRegions::default(),
         };
         let engine = site_engine();
         let key =
-            balancer.choose(ask, Some(&engine), &[], NOW, &mut SeededRng::new(1)).expect("one");
-        let expected = balancer.predict(key, ask, &engine).expect("an engine");
+            balancer.choose(request, Some(&engine), &[], NOW, &mut SeededRng::new(1)).expect("one");
+        let expected = balancer.predict(key, request, &engine).expect("an engine");
         assert_eq!(expected.deferred, case.deferred, "{}", case.name);
         // It delays nobody until it runs, and counts as everybody does from then on.
         let before = balancer.load(key).requests;
         balancer.record_start(key, PROMPT, expected.deferred);
-        let waits = balancer.load(key).requests - before;
-        assert_eq!(waits, if case.deferred { 0.0 } else { 1.0 }, "{}", case.name);
+        let added = balancer.load(key).requests - before;
+        assert_eq!(added, if case.deferred { 0.0 } else { 1.0 }, "{}", case.name);
         balancer.record_first_event(key, PROMPT, expected.deferred);
         assert_eq!(balancer.load(key).requests, before + 1.0, "{}", case.name);
         balancer.record_finish(key, 0.0, false);
@@ -192,7 +196,7 @@
 }
 
 #[test]
-fn what_is_put_behind_still_goes_before_lower_ranks() {
+fn deferred_requests_still_go_before_lower_ranks() {
     struct Case {
         first: (u8, bool),
         then: (u8, bool),
--- a/crates/cherrystand_core/tests/evacuations.rs
+++ b/crates/cherrystand_core/tests/evacuations.rs
@@ -21,60 +21,60 @@
 
 /// News of zones comes by two ways that overtake each other; what counts is the store's order.
 #[test]
-fn the_latest_news_of_zones_counts_whichever_way_it_comes() {
+fn the_latest_update_of_evacuated_zones_wins_in_any_order() {
     #[derive(Clone, Copy)]
-    enum News {
+    enum Update {
         All(&'static [&'static str]),
-        Emptied(&'static str),
-        TakenBack(&'static str),
+        Evacuated(&'static str),
+        Reopened(&'static str),
     }
-    use News::{All, Emptied, TakenBack};
+    use Update::{All, Evacuated, Reopened};
     struct Case {
         name: &'static str,
-        news: &'static [(News, u64)],
+        updates: &'static [(Update, u64)],
         zones: &'static [&'static str],
     }
     let cases = [
-        Case { name: "nothing", news: &[(All(&[]), 3)], zones: &[] },
-        Case { name: "emptied", news: &[(All(&[]), 3), (Emptied("a"), 5)], zones: &["a"] },
+        Case { name: "nothing", updates: &[(All(&[]), 3)], zones: &[] },
+        Case { name: "evacuated", updates: &[(All(&[]), 3), (Evacuated("a"), 5)], zones: &["a"] },
         Case {
-            name: "taken back",
-            news: &[(All(&["a", "b"]), 3), (TakenBack("a"), 5)],
+            name: "reopened",
+            updates: &[(All(&["a", "b"]), 3), (Reopened("a"), 5)],
             zones: &["b"],
         },
         Case {
-            name: "an old word that it is emptied",
-            news: &[(All(&["a"]), 3), (TakenBack("a"), 5), (Emptied("a"), 4)],
+            name: "an outdated evacuation",
+            updates: &[(All(&["a"]), 3), (Reopened("a"), 5), (Evacuated("a"), 4)],
             zones: &[],
         },
         Case {
-            name: "an old list",
-            news: &[(All(&[]), 3), (Emptied("a"), 5), (All(&[]), 4)],
+            name: "an outdated list",
+            updates: &[(All(&[]), 3), (Evacuated("a"), 5), (All(&[]), 4)],
             zones: &["a"],
         },
         Case {
             name: "the same twice",
-            news: &[(Emptied("a"), 5), (Emptied("a"), 5)],
+            updates: &[(Evacuated("a"), 5), (Evacuated("a"), 5)],
             zones: &["a"],
         },
         Case {
-            name: "emptied again",
-            news: &[(Emptied("a"), 5), (TakenBack("a"), 6), (Emptied("a"), 7)],
+            name: "evacuated again",
+            updates: &[(Evacuated("a"), 5), (Reopened("a"), 6), (Evacuated("a"), 7)],
             zones: &["a"],
         },
-        Case { name: "taken back, never heard of", news: &[(TakenBack("a"), 5)], zones: &[] },
+        Case { name: "taken back, never observed of", updates: &[(Reopened("a"), 5)], zones: &[] },
     ];
     for case in cases {
-        let mut held = Evacuations::default();
-        for (news, revision) in case.news {
+        let mut evacuations = Evacuations::default();
+        for (updates, revision) in case.updates {
             let revision = Revision::new(*revision);
-            match news {
-                All(all) => _ = held.replace(zones(all), revision),
-                Emptied(zone) => _ = held.apply_changes(zones(&[zone]), [], revision),
-                TakenBack(zone) => _ = held.apply_changes([], zones(&[zone]), revision),
+            match updates {
+                All(all) => _ = evacuations.replace(zones(all), revision),
+                Evacuated(zone) => _ = evacuations.apply_changes(zones(&[zone]), [], revision),
+                Reopened(zone) => _ = evacuations.apply_changes([], zones(&[zone]), revision),
             }
         }
-        assert_eq!(held.zones(), &zones(case.zones), "{}", case.name);
+        assert_eq!(evacuations.zones(), &zones(case.zones), "{}", case.name);
     }
 }
 
@@ -82,85 +82,86 @@
     /// Whoever hears of the same changes, whole or one by one, with any of them late or twice, holds what the
     /// store has as of the latest.
     #[test]
-    fn daemons_agree_on_emptied_zones(
+    fn daemons_agree_on_evacuated_zones(
         changes in prop::collection::vec((0usize..3, any::<bool>()), 1..20),
-        heard in prop::collection::vec((0usize..20, any::<bool>()), 1..40),
+        observed in prop::collection::vec((0usize..20, any::<bool>()), 1..40),
     ) {
         let names = ["a", "b", "c"];
         let mut states = vec![BTreeSet::new()];
-        for (zone, is_emptied) in &changes {
+        for (zone, is_evacuated) in &changes {
             let mut next = states[states.len() - 1].clone();
-            match is_emptied {
+            match is_evacuated {
                 true => _ = next.insert(ZoneId::new(names[*zone])),
                 false => _ = next.remove(&ZoneId::new(names[*zone])),
             }
             states.push(next);
         }
-        let mut held = Evacuations::default();
+        let mut evacuations = Evacuations::default();
         let mut latest = 0;
-        held.replace(states[0].clone(), Revision::new(1));
-        for (at, is_whole) in heard {
+        evacuations.replace(states[0].clone(), Revision::new(1));
+        for (at, is_whole) in observed {
             let at = at.min(changes.len());
             let revision = Revision::new(at as u64 + 1);
             // A watch tells what follows the last answer, so that only the next change comes alone.
             if is_whole || at != latest + 1 {
-                held.replace(states[at].clone(), revision);
+                evacuations.replace(states[at].clone(), revision);
             } else {
-                let (zone, is_emptied) = changes[at - 1];
+                let (zone, is_evacuated) = changes[at - 1];
                 let zone = [ZoneId::new(names[zone])];
-                match is_emptied {
-                    true => held.apply_changes(zone, [], revision),
-                    false => held.apply_changes([], zone, revision),
+                match is_evacuated {
+                    true => evacuations.apply_changes(zone, [], revision),
+                    false => evacuations.apply_changes([], zone, revision),
                 };
             }
             latest = latest.max(at);
-            prop_assert_eq!(held.zones(), &states[latest]);
+            prop_assert_eq!(evacuations.zones(), &states[latest]);
         }
     }
 }
 
 #[test]
-fn a_box_is_cold_for_as_long_as_it_last_said() {
+fn a_box_is_cold_until_the_time_it_last_reported() {
     struct Case {
         name: &'static str,
         /// What it says is left, and when, in milliseconds.
-        told: &'static [(u64, u64)],
+        reports: &'static [(u64, u64)],
         /// Until when it is cold then, in milliseconds.
         until: Option<u64>,
         /// How many of these were news.
-        news: usize,
+        updates: usize,
     }
     let cases = [
-        Case { name: "never", told: &[(0, 0), (0, 1_000)], until: None, news: 0 },
-        Case { name: "once", told: &[(3_000, 0)], until: Some(3_000), news: 1 },
+        Case { name: "never", reports: &[(0, 0), (0, 1_000)], until: None, updates: 0 },
+        Case { name: "once", reports: &[(3_000, 0)], until: Some(3_000), updates: 1 },
         Case {
             name: "less each time",
-            told: &[(3_000, 0), (1_900, 1_200), (500, 2_400)],
+            reports: &[(3_000, 0), (1_900, 1_200), (500, 2_400)],
             until: Some(3_000),
-            news: 1,
+            updates: 1,
         },
-        Case { name: "warm in time", told: &[(3_000, 0), (0, 3_200)], until: None, news: 1 },
+        Case { name: "warm in time", reports: &[(3_000, 0), (0, 3_200)], until: None, updates: 1 },
         Case {
-            name: "longer than it said",
-            told: &[(3_000, 0), (3_000, 500)],
+            name: "longer than reported",
+            reports: &[(3_000, 0), (3_000, 500)],
             until: Some(3_500),
-            news: 2,
+            updates: 2,
         },
-        Case { name: "warm early", told: &[(9_000, 0), (0, 3_000)], until: None, news: 2 },
+        Case { name: "warm early", reports: &[(9_000, 0), (0, 3_000)], until: None, updates: 2 },
         Case {
             name: "cold again",
-            told: &[(3_000, 0), (3_000, 2_000)],
+            reports: &[(3_000, 0), (3_000, 2_000)],
             until: Some(5_000),
-            news: 2,
+            updates: 2,
         },
-        Case { name: "for ever", told: &[(u64::MAX, 0)], until: Some(600_000), news: 1 },
+        Case { name: "forever", reports: &[(u64::MAX, 0)], until: Some(600_000), updates: 1 },
     ];
     let id = BoxId::new("i-1");
     for case in cases {
         let mut cold = ColdBoxes::default();
-        let told = case.told.iter();
-        let news = told.filter(|(left, at)| cold.record(&id, Millis(*left), NOW + Millis(*at)));
-        assert_eq!(news.count(), case.news, "{}", case.name);
+        let reports = case.reports.iter();
+        let updates =
+            reports.filter(|(left, at)| cold.record(&id, Millis(*left), NOW + Millis(*at)));
+        assert_eq!(updates.count(), case.updates, "{}", case.name);
         let until = case.until.map(|until| NOW + Millis(until));
         assert_eq!(cold.until(&id), until, "{}", case.name);
         if let Some(until) = until {
@@ -186,31 +187,31 @@
     }
 }
 
-fn ask<'a>(service: &'a ServiceName, homes: AllowedRegions<'a>) -> RequestSpec<'a> {
-    RequestSpec { service, model: None, prompt: 0.0, latency_goal: Millis(100), regions: homes }
+fn request<'a>(service: &'a ServiceName, regions: AllowedRegions<'a>) -> RequestSpec<'a> {
+    RequestSpec { service, model: None, prompt: 0.0, latency_goal: Millis(100), regions }
 }
 
 /// An emptied zone's endpoint is neither chosen nor given a permit, and is as it was once it is taken back.
 #[test]
-fn no_permit_is_given_for_an_emptied_zone() {
+fn no_permit_is_given_for_an_evacuated_zone() {
     let service = ServiceName::new("app");
-    let ask = ask(&service, AllowedRegions::default());
+    let request = request(&service, AllowedRegions::default());
     let mut balancer = LoadBalancer::default();
     let since = Some(NOW - Millis(4_000));
     let choose =
-        |balancer: &LoadBalancer| balancer.choose(ask, None, &[], NOW, &mut SeededRng::new(3));
+        |balancer: &LoadBalancer| balancer.choose(request, None, &[], NOW, &mut SeededRng::new(3));
     balancer.set_targets(vec![spec(0, None), spec(1, None)]);
     let near = choose(&balancer).expect("an endpoint");
     balancer.set_targets(vec![TargetSpec { evacuated: since, ..spec(0, None) }, spec(1, None)]);
     let chosen = choose(&balancer).expect("an endpoint");
     assert_eq!(balancer.id(chosen), Some(&spec(1, None).id));
     assert!(balancer.permit(near, NOW).is_none() && balancer.permit(chosen, NOW).is_some());
-    assert_eq!(balancer.unavailable_until(ask, None, NOW), None);
-    let emptied = [0, 1].map(|number| TargetSpec { evacuated: since, ..spec(number, None) });
-    balancer.set_targets(emptied.to_vec());
+    assert_eq!(balancer.unavailable_until(request, None, NOW), None);
+    let evacuated = [0, 1].map(|number| TargetSpec { evacuated: since, ..spec(number, None) });
+    balancer.set_targets(evacuated.to_vec());
     assert_eq!(choose(&balancer), None);
     // They have been empty for 4 s, and nobody knows for how much longer.
-    assert_eq!(balancer.unavailable_until(ask, None, NOW), Some(NOW + Millis(4_000)));
+    assert_eq!(balancer.unavailable_until(request, None, NOW), Some(NOW + Millis(4_000)));
     balancer.set_targets(vec![spec(0, None), spec(1, None)]);
     assert_eq!(choose(&balancer), Some(near));
     assert!(balancer.permit(near, NOW).is_some());
@@ -228,8 +229,8 @@
     assert_eq!(limits.limit(&id), Some(rate(14.0)));
     assert!(limits.permit_wait(&id, NOW).is_some_and(|wait| wait.is_err()));
     assert!(!limits.take_permit(&id, NOW));
-    let heard = |limit| cherrystand_core::ObservedRateLimit { limit, request_sent_at: NOW };
-    limits.record_answer(&id, heard(Some(rate(3.5))), NOW);
+    let observed = |limit| cherrystand_core::ObservedRateLimit { limit, request_sent_at: NOW };
+    limits.record_answer(&id, observed(Some(rate(3.5))), NOW);
     assert_eq!(limits.limit(&id), Some(rate(3.5)));
     let own = |_: &BoxId| cherrystand_core::RateLimitOwner { address: None, share: 1.0 };
     limits.step(NOW + Millis(3_000), own);
@@ -249,7 +250,7 @@
 
 /// The view tells which endpoints lie in emptied zones, where, and which are cold by their service's word.
 #[test]
-fn the_view_names_what_is_emptied_and_what_is_cold() {
+fn the_view_lists_evacuated_and_cold_endpoints() {
     let rate = RequestRate::per_second(14.0).expect("a rate");
     let cold = Some(ColdStart { duration: Millis(3_000), rate });
     let service = |name: &str, cold| Service {
@@ -271,22 +272,22 @@
         (known.id.clone(), Arc::new(known))
     };
     let boxes = [known("a", "app", "z1"), known("b", "app", "z2"), known("c", "other", "z3")];
-    let mut lives = ColdBoxes::default();
+    let mut cold_boxes = ColdBoxes::default();
     for id in ["b", "c"] {
-        lives.record(&BoxId::new(id), Millis(2_000), NOW);
+        cold_boxes.record(&BoxId::new(id), Millis(2_000), NOW);
     }
     let view = SiteView {
         table: Some(Arc::new(RouteTable::new(config))),
         boxes: Arc::new(boxes.into_iter().collect()),
         evacuated: Arc::new(BTreeMap::from([(ZoneId::new("z1"), NOW), (ZoneId::new("z9"), NOW)])),
-        cold: Arc::new(lives),
+        cold: Arc::new(cold_boxes),
         listed: true,
         nodes: 1,
         ..SiteView::default()
     };
     let regions = BTreeMap::from([(ZoneId::new("z2"), RegionId::new("r2"))]);
     let targets = view.targets(&ZoneId::new("z1"), &regions);
-    let told: Vec<_> = targets
+    let reports: Vec<_> = targets
         .iter()
         .map(|(spec, _)| {
             let region = spec.region.as_ref().map(RegionId::as_str);
@@ -295,7 +296,7 @@
         .collect();
     let until = Some(NOW + Millis(2_000));
     assert_eq!(
-        told,
+        reports,
         [("a", Some(NOW), None, None), ("b", None, until, Some("r2")), ("c", None, None, None)]
     );
 }
@@ -303,7 +304,7 @@
 proptest! {
     /// A request that is bound to regions is sent to no other, whatever else holds of the endpoints there.
     #[test]
-    fn no_request_is_sent_out_of_its_homes(
+    fn no_request_leaves_its_allowed_regions(
         route in prop::collection::vec(0usize..3, 0..3),
         tenant in prop::collection::vec(0usize..3, 0..3),
         endpoints in prop::collection::vec((prop::option::of(0usize..3), any::<bool>(), any::<bool>()), 1..8),
@@ -313,9 +314,9 @@
         let route: Vec<RegionId> = route.iter().map(region).collect();
         let tenant: Vec<RegionId> = tenant.iter().map(region).collect();
         let mut balancer = LoadBalancer::default();
-        let specs: Vec<TargetSpec> = endpoints.iter().enumerate().map(|(number, (of, emptied, _))| {
+        let specs: Vec<TargetSpec> = endpoints.iter().enumerate().map(|(number, (of, evacuated, _))| {
             let of = of.map(|of| format!("r{of}"));
-            TargetSpec { evacuated: emptied.then_some(NOW), ..spec(number, of.as_deref()) }
+            TargetSpec { evacuated: evacuated.then_some(NOW), ..spec(number, of.as_deref()) }
         }).collect();
         balancer.set_targets(specs.clone());
         for (spec, (_, _, leaves)) in specs.iter().zip(&endpoints) {
@@ -324,13 +325,13 @@
             }
         }
         let service = ServiceName::new("app");
-        let homes = AllowedRegions { route: &route, tenant: &tenant };
+        let regions = AllowedRegions { route: &route, tenant: &tenant };
         let may_get = |spec: &TargetSpec| {
-            let is_home = |homes: &[RegionId]| homes.is_empty() || spec.region.as_ref().is_some_and(|region| homes.contains(region));
-            is_home(&route) && is_home(&tenant) && spec.evacuated.is_none()
+            let is_allowed = |regions: &[RegionId]| regions.is_empty() || spec.region.as_ref().is_some_and(|region| regions.contains(region));
+            is_allowed(&route) && is_allowed(&tenant) && spec.evacuated.is_none()
         };
         let open = specs.iter().zip(&endpoints).any(|(spec, (_, _, leaves))| may_get(spec) && !leaves);
-        let chosen = balancer.choose(ask(&service, homes), None, &[], NOW, &mut SeededRng::new(seed));
+        let chosen = balancer.choose(request(&service, regions), None, &[], NOW, &mut SeededRng::new(seed));
         let chosen = chosen.and_then(|key| balancer.id(key)).cloned();
         prop_assert_eq!(chosen.is_some(), open);
         if let Some(id) = chosen {
