--- a/crates/cherrystand_core/tests/box_incarnations.rs
+++ b/crates/cherrystand_core/tests/box_incarnations.rs
@@ -1,4 +1,4 @@
-//! Which life of a box an entry tells of.
+//! The incarnation of a box by its store entry.
 
 mod support;
 
@@ -84,7 +84,7 @@
         for (number, start) in case.others.iter().enumerate() {
             incarnations.update(&entry(&format!("o{number}"), "models", *start));
         }
-        // What another service tells is of no matter.
+        // The entries of other services don't matter.
         incarnations.update(&entry("p1", "app", UNREPORTED));
         let examined = entry("a", "models", case.examined);
         incarnations.update(&examined);
@@ -108,12 +108,12 @@
     assert_eq!((plain.name(), plain.start()), ("i-1", None));
     assert!(plain.is_same_box(&first) && !plain.is_other_incarnation_of(&first));
     assert!(!BoxId::new("i-2").with_incarnation(5).is_other_incarnation_of(&second));
-    // A name with the mark and no number after it stays a name.
+    // A name that contains the separator without a number after it stays a plain name.
     assert_eq!(BoxId::new("i@x").name(), "i@x");
 }
 
 proptest! {
-    /// Two daemons that hold the same entries decide alike, whatever each saw before.
+    /// Two daemons that hold the same entries decide alike, whatever entries each saw before.
     #[test]
     fn only_the_current_entries_decide(
         before in prop::collection::vec((0_u8..8, 0_u8..3), 0..40),
--- a/crates/cherrystand_core/tests/capacity.rs
+++ b/crates/cherrystand_core/tests/capacity.rs
@@ -1,8 +1,8 @@
-//! Which domains change hands as the work of the models changes.
+//! Reassignment of domains as the load of the models changes.
 //!
-//! What callers saw: on a deployment whose mix had moved to short questions, 5,398 of these came
-//! late and 714 were refused or failed in 18 s, while the boxes of the other model worked at 0.4 of
-//! their rate: domains were shared out by configured shares alone.
+//! Guards against a split by configured shares alone: on a deployment whose mix had moved to short
+//! questions, 5,398 of these were late and 714 refused or failed within 18 s, while the boxes of
+//! the other model worked at 0.4 of their rate.
 
 mod support;
 
@@ -16,10 +16,10 @@
 
 const STEP: Millis = Millis(250);
 
-/// How long a domain needs to change hands.
+/// How long the reassignment of a domain takes.
 const REASSIGNMENT_TIME: Millis = Millis(3_000);
 
-/// The most requests that a replica is given; what is beyond waits elsewhere.
+/// The most requests in flight at a replica; further ones wait elsewhere.
 const MAX_IN_FLIGHT: f64 = 60.0;
 
 /// Domains of two models and the replicas that their requests keep busy, on virtual time.
@@ -28,7 +28,7 @@
     domains: Vec<DomainCapacity>,
     planner: CapacityPlanner,
     changes: Vec<HomeChange>,
-    /// A domain that changes hands, and when it serves again.
+    /// A domain that is being reassigned, and when it serves again.
     reassignment: Option<(DomainId, Millis)>,
 }
 
@@ -72,7 +72,7 @@
         domains.map(|domain| held(domain, &model.name) / model.span as usize).sum()
     }
 
-    /// Returns the requests in flight at each model that keep so many replicas busy.
+    /// Returns the load of each model that keeps this many replicas busy.
     fn loads(&self, busy: [f64; 2], now: Millis) -> BTreeMap<String, ModelLoad> {
         let load = |number: usize| {
             let replicas = self.replicas(number, now);
@@ -95,7 +95,7 @@
                 self.reassignment = Some((change.domain.clone(), now + REASSIGNMENT_TIME));
                 let found = self.domains.iter_mut().find(|domain| domain.id == change.domain);
                 let domain = found.expect("a domain that is there");
-                // Its hosts keep the model that it serves from now on.
+                // Its hosts keep only the model that it now serves.
                 domain.boxes_by_model =
                     BTreeMap::from([(change.home.clone(), held(domain, &change.home))]);
                 domain.home.clone_from(&change.home);
@@ -119,18 +119,20 @@
 fn domains_are_reassigned_only_if_the_gain_is_worth_it() {
     struct Case {
         name: &'static str,
-        /// The boxes that a replica of each model spans, those of a domain, and the domains of each.
+        /// How many boxes a replica of each model spans, how many a domain has, and the domains of
+        /// each model.
         spans: [u32; 2],
         boxes: usize,
         before: [usize; 2],
         /// Whether hosts hold a second model.
         held: bool,
-        /// The replicas that each model's requests keep busy, in a swing of so much in 11 s.
+        /// How many replicas each model's requests keep busy, and the amplitude of a swing with a
+        /// period of 11 s.
         busy: [f64; 2],
         swing: f64,
         after: [usize; 2],
     }
-    // Busy replicas are worked out from requests a second, tokens and the engine's figures.
+    // The busy replicas follow from requests per second, tokens and the engine's figures.
     let shifted = Case {
         name: "the work has shifted",
         spans: [8, 4],
@@ -206,7 +208,7 @@
     struct Case {
         name: &'static str,
         homes: [usize; 2],
-        /// Domains of each model whose hosts hold the other.
+        /// Domains of each model whose hosts hold the other one.
         preloaded: [usize; 2],
     }
     let cases = [
@@ -245,7 +247,7 @@
     let mut deployment = Deployment::new([8, 4], 19, [5, 4], true);
     deployment.run(Millis(0), Millis(30_000), |_| [2.0, 16.0]);
     assert_eq!(deployment.homes(), [3, 6]);
-    // What was given away holds the other model no more; domains that never moved do.
+    // Domains that were reassigned no longer hold the other model; those that never were do.
     deployment.run(Millis(30_000), Millis(60_000), |_| [8.0, 9.0]);
     assert_eq!(deployment.homes(), [6, 3]);
 }
@@ -287,9 +289,10 @@
     assert_eq!(deployment.changes, Vec::new());
 }
 
-/// Story: a domain of 37 boxes was restarted whole while its hosts held the other model. It counted
-/// as serving for the 20 s of its loads; a second domain of the three was given away meanwhile, and
-/// 6,080 of 18,497 questions came late and 1,444 were refused or failed.
+/// Guards against counting boxes that still load as serving. A domain of 37 boxes restarted
+/// entirely while its hosts held the other model, and counted as serving for the 20 s of its loads.
+/// A second one of the model's three domains was reassigned meanwhile; 6,080 of 18,497 questions
+/// were late and 1,444 refused or failed.
 #[test]
 fn a_restarted_domain_serves_what_its_hosts_hold_and_another_one_replaces_it() {
     let busy = |_| [5.3, 21.8];
@@ -306,21 +309,22 @@
     assert_eq!(deployment.changes.len(), 2, "{:?}", deployment.changes);
 }
 
-/// Story: a zone was emptied for the rest of a day; a model of large replicas was left with four of ten, half of its requests came
-/// late or not at all for 28 s, and no host of any other domain held it.
+/// Guards against an overload that no reassignment can end. A zone was evacuated for the rest of a
+/// day, which left a model of large replicas with four of ten. Half of its requests were late or
+/// failed for 28 s, and no host of another domain held the model.
 #[test]
 fn a_domain_preloads_an_overloaded_model_that_no_other_domain_holds() {
     struct Case {
         name: &'static str,
-        /// Of the domains of each model, how many lie in the emptied zone.
+        /// How many domains of each model lie in the evacuated zone.
         evacuated: [usize; 2],
-        /// The replicas that each model's requests keep busy.
+        /// How many replicas each model's requests keep busy.
         busy: [f64; 2],
         /// Whether hosts hold a second model.
         held: bool,
-        /// Whether a domain is being prepared already.
+        /// Whether a domain is already preloading.
         is_preloading: bool,
-        /// The model that a domain is prepared for.
+        /// The model that a domain is to preload.
         preloaded: Option<&'static str>,
     }
     let case = Case {
@@ -355,7 +359,7 @@
         while now < Millis(4_000) {
             let loads = deployment.loads(case.busy, now);
             let Deployment { planner, engine, domains, .. } = &mut deployment;
-            // What changes hands without a load is another test's.
+            // Reassignments without a load are covered by the tests above.
             planner.step(now, engine, &loads, domains);
             preloaded = preloaded.or(planner.preload(now, engine, domains));
             now = now + STEP;
--- a/crates/cherrystand_core/tests/choice.rs
+++ b/crates/cherrystand_core/tests/choice.rs
@@ -1,4 +1,4 @@
-//! Which replica a request goes to, by what each rule knows.
+//! The choice of a replica by each rule of the policy.
 
 mod support;
 
@@ -26,7 +26,7 @@
     }
 }
 
-/// Chooses `count` times without telling the balancer of it, as nodes do that know the same.
+/// Chooses `count` times without recording the choices, like nodes that have the same information.
 fn choose_many(
     balancer: &LoadBalancer,
     latency_goal: Millis,
@@ -60,9 +60,9 @@
 fn nodes_with_equal_information_herd_only_under_rules_that_take_the_overall_best() {
     struct Case {
         rule: ChoiceRule,
-        /// The most choices of 400 that one of 20 replicas may get.
+        /// The most of 400 choices that any of 20 replicas may get.
         max_choices: usize,
-        /// The fewest that the busiest gets.
+        /// The fewest that the most chosen replica gets.
         min_choices: usize,
     }
     let cases = [
@@ -75,7 +75,7 @@
         let mut balancer = LoadBalancer::new(policy(case.rule));
         let id = |number: usize| format!("b{number:02}");
         balancer.set_targets((0..20).map(|number| target(&id(number), number % 3 == 0)).collect());
-        // One was idle when the others were told of last.
+        // One replica was idle at the last report.
         let load = |number: usize| match number {
             7 => EngineLoad::default(),
             _ => EngineLoad { requests: 12.0, unread: 0.0 },
@@ -98,7 +98,7 @@
         name: &'static str,
         near: EngineLoad,
         far: EngineLoad,
-        /// The share of choices that go far, in percent.
+        /// The percentage of choices that go to the far replica.
         far_percent: std::ops::RangeInclusive<usize>,
     }
     let load = |requests, unread| EngineLoad { requests, unread };
@@ -135,7 +135,7 @@
     let mut model = LatencyModel::default();
     assert!(model.probability_within(50.0, 160.0) > 0.9);
     for number in 0..400 {
-        // 120 ms more than predicted, give or take 20; one in fifty meets a stall.
+        // 120 ms more than predicted, plus or minus 20; one in fifty is a stall.
         let error =
             if number % 50 == 0 { 4_000.0 } else { 120.0 + f64::from(number % 5 - 2) * 10.0 };
         model.update(50.0 + error, 50.0);
@@ -183,7 +183,7 @@
             balancer.choose(request, Some(&engine), &[], NOW, &mut SeededRng::new(1)).expect("one");
         let expected = balancer.predict(key, request, &engine).expect("an engine");
         assert_eq!(expected.deferred, case.deferred, "{}", case.name);
-        // It delays nobody until it runs, and counts as everybody does from then on.
+        // A deferred request counts as load only once it runs.
         let before = balancer.load(key).requests;
         balancer.record_start(key, PROMPT, expected.deferred);
         let added = balancer.load(key).requests - before;
--- a/crates/cherrystand_core/tests/evacuations.rs
+++ b/crates/cherrystand_core/tests/evacuations.rs
@@ -1,5 +1,4 @@
-//! Zones that operators empty, boxes that are cold, and requests that are bound to regions, as the choice goes by
-//! them.
+//! Evacuated zones, cold boxes and regional restrictions in the choice of endpoints.
 
 mod support;
 
@@ -19,7 +18,8 @@
     names.iter().map(|name| ZoneId::new(*name)).collect()
 }
 
-/// News of zones comes by two ways that overtake each other; what counts is the store's order.
+/// Updates of evacuated zones arrive on two paths that overtake each other; the order of the store
+/// decides.
 #[test]
 fn the_latest_update_of_evacuated_zones_wins_in_any_order() {
     #[derive(Clone, Copy)]
@@ -79,8 +79,8 @@
 }
 
 proptest! {
-    /// Whoever hears of the same changes, whole or one by one, with any of them late or twice, holds what the
-    /// store has as of the latest.
+    /// Daemons that get the same changes, as whole sets or one by one, late or twice, hold the set
+    /// of the latest stored revision.
     #[test]
     fn daemons_agree_on_evacuated_zones(
         changes in prop::collection::vec((0usize..3, any::<bool>()), 1..20),
@@ -102,7 +102,8 @@
         for (at, is_whole) in observed {
             let at = at.min(changes.len());
             let revision = Revision::new(at as u64 + 1);
-            // A watch tells what follows the last answer, so that only the next change comes alone.
+            // A watch continues after the last answer, so that only the next change comes by
+            // itself.
             if is_whole || at != latest + 1 {
                 evacuations.replace(states[at].clone(), revision);
             } else {
@@ -123,11 +124,11 @@
 fn a_box_is_cold_until_the_time_it_last_reported() {
     struct Case {
         name: &'static str,
-        /// What it says is left, and when, in milliseconds.
+        /// The remaining time that it reports, and when, in milliseconds.
         reports: &'static [(u64, u64)],
-        /// Until when it is cold then, in milliseconds.
+        /// Until when it is cold afterwards, in milliseconds.
         until: Option<u64>,
-        /// How many of these were news.
+        /// How many of the reports changed anything.
         updates: usize,
     }
     let cases = [
@@ -191,7 +192,8 @@
     RequestSpec { service, model: None, prompt: 0.0, latency_goal: Millis(100), regions }
 }
 
-/// An emptied zone's endpoint is neither chosen nor given a permit, and is as it was once it is taken back.
+/// An endpoint in an evacuated zone is neither chosen nor given a permit, and is restored when the
+/// zone is reopened.
 #[test]
 fn no_permit_is_given_for_an_evacuated_zone() {
     let service = ServiceName::new("app");
@@ -210,14 +212,15 @@
     let evacuated = [0, 1].map(|number| TargetSpec { evacuated: since, ..spec(number, None) });
     balancer.set_targets(evacuated.to_vec());
     assert_eq!(choose(&balancer), None);
-    // They have been empty for 4 s, and nobody knows for how much longer.
+    // The zones were evacuated 4 s ago, and it is unknown for how much longer.
     assert_eq!(balancer.unavailable_until(request, None, NOW), Some(NOW + Millis(4_000)));
     balancer.set_targets(vec![spec(0, None), spec(1, None)]);
     assert_eq!(choose(&balancer), Some(near));
     assert!(balancer.permit(near, NOW).is_some());
 }
 
-/// A cold endpoint is limited as long as it is cold, by what it bears or what it names, whichever is less.
+/// A cold endpoint is limited while it is cold, by its cold rate or the limit it names, whichever
+/// is lower.
 #[test]
 fn a_cold_endpoint_needs_permits() {
     let rate = |per_second| RequestRate::per_second(per_second).expect("a rate");
@@ -240,7 +243,7 @@
     limits.record_answer(&id, late, NOW + Millis(3_000));
     assert_eq!(limits.limit(&id), None);
     assert!(limits.take_permit(&id, NOW + Millis(3_000)));
-    // Warm sooner than it said.
+    // It is warm earlier than it reported.
     balancer.set_targets(vec![spec(0, None)]);
     balancer.set_targets(vec![TargetSpec { cold: Some(cold), ..spec(0, None) }]);
     assert_eq!(balancer.limits().limit(&id), Some(rate(14.0)));
@@ -248,7 +251,8 @@
     assert_eq!(balancer.limits().limit(&id), None);
 }
 
-/// The view tells which endpoints lie in emptied zones, where, and which are cold by their service's word.
+/// The view marks the endpoints in evacuated zones, and those that are cold if their service limits
+/// cold endpoints.
 #[test]
 fn the_view_lists_evacuated_and_cold_endpoints() {
     let rate = RequestRate::per_second(14.0).expect("a rate");
@@ -302,7 +306,8 @@
 }
 
 proptest! {
-    /// A request that is bound to regions is sent to no other, whatever else holds of the endpoints there.
+    /// A request that is restricted to regions is sent to no other, whatever the state of the
+    /// endpoints there.
     #[test]
     fn no_request_leaves_its_allowed_regions(
         route in prop::collection::vec(0usize..3, 0..3),
