--- a/crates/cherrystand_core/tests/evacuations.rs
+++ b/crates/cherrystand_core/tests/evacuations.rs
@@ -62,7 +62,7 @@
             updates: &[(Evacuated("a"), 5), (Reopened("a"), 6), (Evacuated("a"), 7)],
             zones: &["a"],
         },
-        Case { name: "taken back, never observed of", updates: &[(Reopened("a"), 5)], zones: &[] },
+        Case { name: "reopened, never known", updates: &[(Reopened("a"), 5)], zones: &[] },
     ];
     for case in cases {
         let mut evacuations = Evacuations::default();
--- a/crates/cherrystand_core/tests/lent_repeats.rs
+++ b/crates/cherrystand_core/tests/lent_repeats.rs
@@ -10,14 +10,14 @@
 
 const STEP: Millis = Millis(5);
 const TICK: Millis = Millis(25);
-const PLAYED_FOR: Millis = Millis(40_000);
+const DURATION: Millis = Millis(40_000);
 /// Until then nodes have nothing but their requests, so that each has earned its share.
-const FAILS_FROM: Millis = Millis(15_000);
+const FAILURES_FROM: Millis = Millis(15_000);
 /// How long a request waits for the answer of the node that lends.
-const ASKED_FOR: Millis = Millis(25);
+const LOAN_TIMEOUT: Millis = Millis(25);
 
 #[derive(Clone, Copy, Debug)]
-struct Play {
+struct Scenario {
     nodes: usize,
     /// Requests a second at all nodes together.
     requests: f64,
@@ -26,13 +26,13 @@
     at_once: usize,
     then: f64,
     /// Whether another node lends every three seconds.
-    keeper_changes: bool,
+    lender_changes: bool,
 }
 
 #[derive(Debug)]
 struct Outcome {
     /// The share of the failed requests that were repeated.
-    repeated: f64,
+    retried: f64,
     /// The most that one window had beyond what its requests earn, as a part of the slack.
     worst: f64,
 }
@@ -41,62 +41,62 @@
     SocketAddr::from((Ipv4Addr::LOCALHOST, 1_000 + node as u16))
 }
 
-struct World {
-    play: Play,
+struct Simulation {
+    scenario: Scenario,
     bounds: RetryBounds,
     seed: SeededRng,
     shares: Vec<RetryShare>,
     pools: Vec<EndpointRateLimits<usize>>,
-    on_their_way: BTreeMap<Millis, Vec<(usize, usize, RateLimitMessage)>>,
-    asking: Vec<(usize, Millis)>,
+    in_transit: BTreeMap<Millis, Vec<(usize, usize, RateLimitMessage)>>,
+    waiting: Vec<(usize, Millis)>,
     requests: Vec<Millis>,
-    repeats: Vec<Millis>,
+    retries: Vec<Millis>,
     failed: usize,
 }
 
-impl World {
-    fn new(play: Play, seed: u64) -> Self {
+impl Simulation {
+    fn new(scenario: Scenario, seed: u64) -> Self {
         let window = Millis::from_secs(10);
-        let bounds = RetryBounds { ratio: 0.2, slack: play.slack, window };
+        let bounds = RetryBounds { ratio: 0.2, slack: scenario.slack, window };
         let mut pools = Vec::new();
-        pools.resize_with(play.nodes, || EndpointRateLimits::with_burst(bounds.max_loan()));
+        pools.resize_with(scenario.nodes, || EndpointRateLimits::with_burst(bounds.max_loan()));
         Self {
-            play,
+            scenario,
             bounds,
             seed: SeededRng::new(seed),
-            shares: vec![RetryShare::new(bounds); play.nodes],
+            shares: vec![RetryShare::new(bounds); scenario.nodes],
             pools,
-            on_their_way: BTreeMap::new(),
-            asking: Vec::new(),
+            in_transit: BTreeMap::new(),
+            waiting: Vec::new(),
             requests: Vec::new(),
-            repeats: Vec::new(),
+            retries: Vec::new(),
             failed: 0,
         }
     }
 
-    fn keeper(&self, now: Millis) -> usize {
-        let turn = if self.play.keeper_changes { now.0 / 3_000 } else { 0 };
-        turn as usize % self.play.nodes
+    fn lender(&self, now: Millis) -> usize {
+        let turn = if self.scenario.lender_changes { now.0 / 3_000 } else { 0 };
+        turn as usize % self.scenario.nodes
     }
 
-    fn play(mut self) -> Outcome {
+    fn scenario(mut self) -> Outcome {
         let mut now = Millis(0);
-        while now < PLAYED_FOR {
+        while now < DURATION {
             self.arrive(now);
-            for _ in 0..self.draw(self.play.requests) {
-                let node = self.seed.below(self.play.nodes);
+            for _ in 0..self.draw(self.scenario.requests) {
+                let node = self.seed.below(self.scenario.nodes);
                 self.shares[node].record_request(now);
                 self.requests.push(now);
             }
-            let fails = match now {
-                FAILS_FROM => self.play.at_once,
-                now if now > FAILS_FROM => self.draw(self.play.then),
+            let failures = match now {
+                FAILURES_FROM => self.scenario.at_once,
+                now if now > FAILURES_FROM => self.draw(self.scenario.then),
                 _ => 0,
             };
-            (0..fails).for_each(|_| self.fail(now));
+            (0..failures).for_each(|_| self.fail(now));
             if now.0.is_multiple_of(TICK.0) {
                 let busy: Vec<usize> =
-                    (0..self.play.nodes).filter(|node| !self.pools[*node].is_idle()).collect();
+                    (0..self.scenario.nodes).filter(|node| !self.pools[*node].is_idle()).collect();
                 busy.into_iter().for_each(|node| self.step(node, now));
             }
             now = now + STEP;
@@ -111,42 +111,42 @@
     }
 
     fn fail(&mut self, now: Millis) {
-        let node = self.seed.below(self.play.nodes);
+        let node = self.seed.below(self.scenario.nodes);
         self.failed += 1;
-        if self.shares[node].try_spend(now, self.play.nodes) {
-            self.repeats.push(now);
-        } else if self.bounds.is_lending(self.play.nodes) {
+        if self.shares[node].try_spend(now, self.scenario.nodes) {
+            self.retries.push(now);
+        } else if self.bounds.is_lending(self.scenario.nodes) {
             self.pools[node].set_cold_period(&0, Some(self.bounds.loan_rate(now)));
             self.pools[node].request_permit(&0, now);
-            self.asking.push((node, now));
+            self.waiting.push((node, now));
             self.step(node, now);
         }
     }
 
     fn step(&mut self, node: usize, now: Millis) {
-        let keeper = self.keeper(now);
-        let address_of = (keeper != node).then(|| address(keeper));
-        let keeper_of = |_: &usize| RateLimitOwner { address: address_of, share: 1.0 };
-        self.pools[node].reassign_owners(now, keeper_of);
-        for (to, _, news) in self.pools[node].step(now, keeper_of).messages {
+        let lender = self.lender(now);
+        let address_of = (lender != node).then(|| address(lender));
+        let owner_of = |_: &usize| RateLimitOwner { address: address_of, share: 1.0 };
+        self.pools[node].reassign_owners(now, owner_of);
+        for (to, _, news) in self.pools[node].step(now, owner_of).messages {
             let RateLimitRecipient::Node(to) = to else { continue };
-            let late = Millis(self.seed.below(2) as u64 * STEP.0);
+            let delay = Millis(self.seed.below(2) as u64 * STEP.0);
             let to = usize::from(to.port()) - 1_000;
-            self.on_their_way.entry(now + STEP + late).or_default().push((node, to, news));
+            self.in_transit.entry(now + STEP + delay).or_default().push((node, to, news));
         }
     }
 
     fn arrive(&mut self, now: Millis) {
-        for (from, to, news) in self.on_their_way.remove(&now).unwrap_or_default() {
+        for (from, to, news) in self.in_transit.remove(&now).unwrap_or_default() {
             self.pools[to].handle_message(address(from), &0, news, now);
             self.step(to, now);
         }
-        for (node, since) in std::mem::take(&mut self.asking) {
+        for (node, since) in std::mem::take(&mut self.waiting) {
             let has = self.pools[node].permit_wait(&0, now) == Some(Ok(()));
             if has && self.pools[node].take_permit(&0, now) {
-                self.repeats.push(now);
-            } else if now.since(since) < ASKED_FOR {
-                self.asking.push((node, since));
+                self.retries.push(now);
+            } else if now.since(since) < LOAN_TIMEOUT {
+                self.waiting.push((node, since));
             }
         }
     }
@@ -156,49 +156,49 @@
         let within = |all: &[Millis], last: Millis| {
             all.iter().filter(|at| **at <= last && last.since(**at) < window).count() as f64
         };
-        let over = self.repeats.iter().map(|last| {
+        let excess = self.retries.iter().map(|last| {
             let earned = self.bounds.ratio * within(&self.requests, *last);
-            (within(&self.repeats, *last) - earned) / self.bounds.slack
+            (within(&self.retries, *last) - earned) / self.bounds.slack
         });
-        let worst = over.fold(0.0, f64::max);
-        Outcome { repeated: self.repeats.len() as f64 / self.failed as f64, worst }
+        let worst = excess.fold(0.0, f64::max);
+        Outcome { retried: self.retries.len() as f64 / self.failed as f64, worst }
     }
 }
 
 /// Story: an even share of the budget was less than one repeat for each of 985 nodes, so that none was made for an endpoint of
 /// which nobody else had asked anything.
 #[test]
-fn repeats_are_there_for_those_whose_requests_fail_however_many_nodes_there_are() {
+fn nodes_whose_requests_fail_get_retries_at_any_fleet_size() {
     for nodes in [30, 100, 300, 1_000, 2_000] {
-        for keeper_changes in [false, true] {
+        for lender_changes in [false, true] {
             // A node sees 0.6 requests a second; one in a hundred fails at once, and some after that.
             let requests = 0.6 * nodes as f64;
             let slack = nodes as f64;
             let (at_once, then) = (nodes / 20, nodes as f64 / 100.0);
-            let play = Play { nodes, requests, slack, at_once, then, keeper_changes };
-            let out = World::new(play, 1).play();
-            let even = (0.2 * 6.0 + slack / nodes as f64) * 0.7;
+            let scenario = Scenario { nodes, requests, slack, at_once, then, lender_changes };
+            let outcome = Simulation::new(scenario, 1).scenario();
+            let even_split = (0.2 * 6.0 + slack / nodes as f64) * 0.7;
             println!(
-                "{nodes} nodes, changes {keeper_changes}: {out:?}; {even:.2} each by an even split"
+                "{nodes} nodes, changes {lender_changes}: {outcome:?}; {even_split:.2} each by an even_split split"
             );
-            assert!(out.repeated >= 0.9, "{play:?}: {out:?}");
-            assert!(out.worst <= 1.0, "{play:?}: {out:?}");
+            assert!(outcome.retried >= 0.9, "{scenario:?}: {outcome:?}");
+            assert!(outcome.worst <= 1.0, "{scenario:?}: {outcome:?}");
         }
     }
 }
 
 /// However many fail, the budget of all holds, also while one node after the other lends.
 #[test]
-fn the_budget_of_all_nodes_holds_though_everything_fails() {
+fn the_common_budget_holds_even_if_everything_fails() {
     for nodes in [30, 300, 1_000] {
-        for keeper_changes in [false, true] {
+        for lender_changes in [false, true] {
             let requests = 0.6 * nodes as f64;
             let slack = nodes as f64;
-            let play =
-                Play { nodes, requests, slack, at_once: nodes, then: requests, keeper_changes };
-            let out = World::new(play, 2).play();
-            println!("{nodes} nodes, changes {keeper_changes}: {out:?}");
-            assert!(out.worst <= 1.0, "{play:?}: {out:?}");
+            let scenario =
+                Scenario { nodes, requests, slack, at_once: nodes, then: requests, lender_changes };
+            let outcome = Simulation::new(scenario, 2).scenario();
+            println!("{nodes} nodes, changes {lender_changes}: {outcome:?}");
+            assert!(outcome.worst <= 1.0, "{scenario:?}: {outcome:?}");
         }
     }
 }
--- a/crates/cherrystand_core/tests/site_formation.rs
+++ b/crates/cherrystand_core/tests/site_formation.rs
@@ -15,14 +15,14 @@
 const STEP: Millis = Millis(100);
 
 /// What two nodes decide for one domain, each from what it read last.
-struct Site {
+struct Simulation {
     domain: FakeSiteDomain,
     record: DomainRecord,
     revision: u64,
     nodes: Vec<Node>,
     seed: SeededRng,
     /// The share of orders that get no answer and are carried out later, in percent.
-    late: usize,
+    delayed_percent: usize,
     /// The model that the domain is for.
     home: &'static str,
     /// The model that hosts are to hold besides.
@@ -32,29 +32,38 @@
 struct Node {
     formation: Formation,
     /// The record as this node read it last.
-    read: (u64, DomainRecord),
+    last_read: (u64, DomainRecord),
     /// The boxes listed, and listed no more, as this node read them last.
     listed: Vec<SiteBox>,
     departed: Vec<SiteBox>,
-    ended: BTreeMap<(String, Epoch), Epoch>,
-    left: BTreeMap<(BoxId, Epoch), Epoch>,
+    ended_replicas: BTreeMap<(String, Epoch), Epoch>,
+    left_epochs: BTreeMap<(BoxId, Epoch), Epoch>,
 }
 
-impl Site {
+impl Simulation {
     fn new(boxes: usize, nodes: usize, seed: u64) -> Self {
         let domain = FakeSiteDomain::new(boxes);
         let record = DomainRecord::empty(domain.domain().clone());
         let node = || Node {
             formation: Formation::default(),
-            read: (0, record.clone()),
+            last_read: (0, record.clone()),
             listed: Vec::new(),
             departed: Vec::new(),
-            ended: BTreeMap::new(),
-            left: BTreeMap::new(),
+            ended_replicas: BTreeMap::new(),
+            left_epochs: BTreeMap::new(),
         };
         let nodes = (0..nodes).map(|_| node()).collect();
         let seed = SeededRng::new(seed);
-        Self { domain, record, revision: 0, nodes, seed, late: 0, home: "large", second: None }
+        Self {
+            domain,
+            record,
+            revision: 0,
+            nodes,
+            seed,
+            delayed_percent: 0,
+            home: "large",
+            second: None,
+        }
     }
 
     /// Lets one node decide from what it knows; a node that does not read the record, or the list
@@ -63,7 +72,7 @@
         let silent = self.domain.silent();
         let node = &mut self.nodes[number];
         if reads {
-            node.read = (self.revision, self.record.clone());
+            node.last_read = (self.revision, self.record.clone());
         }
         if lists {
             node.listed = self.domain.listed();
@@ -73,47 +82,48 @@
         let departed: Vec<&SiteBox> = node.departed.iter().collect();
         let engine = site_engine();
         // Now and then some box is asked whether it is there.
-        let asked = self.seed.below(6) == 0;
-        let asked = boxes.get(self.seed.below(boxes.len().max(1))).filter(|_| asked);
-        let asked: BTreeSet<BoxId> = asked.iter().map(|known| known.id.clone()).collect();
+        let probed = self.seed.below(6) == 0;
+        let probed = boxes.get(self.seed.below(boxes.len().max(1))).filter(|_| probed);
+        let probed: BTreeSet<BoxId> = probed.iter().map(|site_box| site_box.id.clone()).collect();
         let step = node.formation.step(FormationInput {
             now: self.domain.now(),
             domain: self.domain.domain(),
             service: &ServiceName::new("captions"),
-            record: &node.read.1,
+            record: &node.last_read.1,
             engine: &engine,
             boxes: &boxes,
             departed: &departed,
             silent: &silent,
-            probed: &asked,
-            ended_replicas: &node.ended,
-            left_epochs: &node.left,
+            probed: &probed,
+            ended_replicas: &node.ended_replicas,
+            left_epochs: &node.left_epochs,
             loads_allowed: u32::MAX,
             home: Some(self.home),
             second: self.second,
             policy: Policy::default(),
         });
         for order in &step.orders {
-            let is_late = self.seed.below(100) < self.late;
+            let is_late = self.seed.below(100) < self.delayed_percent;
             let delay = is_late.then(|| Millis(2_000 + self.seed.below(10_000) as u64));
-            let fence = order.fence(Revision::new(node.read.0));
+            let fence = order.fence(Revision::new(node.last_read.0));
             let end = self.domain.order(order, fence, delay);
             node.formation.record_order_end(order, end, silent.contains(&order.target));
-            let led = boxes.iter().any(|known| {
-                let member = known.member.as_ref();
-                known.id == order.target && member.is_some_and(|member| member.rank == 0)
+            let is_leader = boxes.iter().any(|site_box| {
+                let member = site_box.member.as_ref();
+                site_box.id == order.target && member.is_some_and(|member| member.rank == 0)
             });
             if order.task != MemberTask::Leave || !matches!(end, OrderEnd::Taken | OrderEnd::Unfit)
             {
                 continue;
             }
-            if led {
-                node.ended.insert((order.replica.clone(), order.epoch), order.record_epoch);
+            if is_leader {
+                node.ended_replicas
+                    .insert((order.replica.clone(), order.epoch), order.record_epoch);
             }
-            node.left.insert((order.target.clone(), order.epoch), order.record_epoch);
+            node.left_epochs.insert((order.target.clone(), order.epoch), order.record_epoch);
         }
         if let Some(next) = step.new_record
-            && node.read.0 == self.revision
+            && node.last_read.0 == self.revision
         {
             next.check().expect("a sound record");
             self.revision += 1;
@@ -130,47 +140,47 @@
     }
 }
 
-fn leader_of(site: &Site, replica: usize) -> BoxId {
+fn leader_of(site: &Simulation, replica: usize) -> BoxId {
     let held = site.record.replicas.values().nth(replica).expect("a replica");
     held.boxes[0].clone()
 }
 
-fn number_of(site: &Site, id: &BoxId) -> usize {
+fn number_of(site: &Simulation, id: &BoxId) -> usize {
     let listed = site.domain.listed();
-    listed.iter().position(|known| &known.id == id).expect("listed")
+    listed.iter().position(|site_box| &site_box.id == id).expect("listed")
 }
 
 #[test]
-fn a_domain_forms_what_it_has_boxes_for_and_mends_losses_from_spares() {
+fn a_domain_forms_replicas_and_repairs_losses_from_spares() {
     struct Case {
         name: &'static str,
         boxes: usize,
         /// Which members of the first replica die, by rank.
-        die: &'static [usize],
+        killed: &'static [usize],
         serving_before: usize,
         serving_after: usize,
     }
     let cases = [
-        Case { name: "nothing lost", boxes: 9, die: &[], serving_before: 2, serving_after: 2 },
-        Case { name: "a member", boxes: 9, die: &[2], serving_before: 2, serving_after: 2 },
-        Case { name: "the leader", boxes: 9, die: &[0], serving_before: 2, serving_after: 2 },
+        Case { name: "nothing lost", boxes: 9, killed: &[], serving_before: 2, serving_after: 2 },
+        Case { name: "a member", boxes: 9, killed: &[2], serving_before: 2, serving_after: 2 },
+        Case { name: "the leader", boxes: 9, killed: &[0], serving_before: 2, serving_after: 2 },
         Case {
             name: "two, one spare",
             boxes: 9,
-            die: &[0, 1],
+            killed: &[0, 1],
             serving_before: 2,
             serving_after: 1,
         },
-        Case { name: "no spare", boxes: 8, die: &[3], serving_before: 2, serving_after: 1 },
-        Case { name: "too few boxes", boxes: 3, die: &[], serving_before: 0, serving_after: 0 },
+        Case { name: "no spare", boxes: 8, killed: &[3], serving_before: 2, serving_after: 1 },
+        Case { name: "too few boxes", boxes: 3, killed: &[], serving_before: 0, serving_after: 0 },
     ];
     for case in cases {
-        let mut site = Site::new(case.boxes, 1, 1);
+        let mut site = Simulation::new(case.boxes, 1, 1);
         site.run(Millis(40_000));
         assert_eq!(site.domain.serving(), case.serving_before, "{}", case.name);
         let held = site.record.replicas.values().next().map(|held| held.boxes.clone());
         let numbers: Vec<usize> = case
-            .die
+            .killed
             .iter()
             .map(|rank| number_of(&site, &held.as_ref().expect("a replica")[*rank]))
             .collect();
@@ -184,8 +194,8 @@
 }
 
 #[test]
-fn a_loss_is_mended_by_a_spare_that_holds_the_model_in_memory() {
-    let mut site = Site::new(9, 1, 1);
+fn a_loss_is_repaired_by_a_spare_that_holds_the_model_in_memory() {
+    let mut site = Simulation::new(9, 1, 1);
     site.run(Millis(40_000));
     assert_eq!(site.domain.serving(), 2);
     let number = number_of(&site, &leader_of(&site, 0));
@@ -197,8 +207,8 @@
 }
 
 #[test]
-fn members_of_a_leader_that_is_cut_off_leave_before_they_join_another() {
-    let mut site = Site::new(8, 1, 1);
+fn members_of_a_partitioned_leader_leave_before_they_join_another() {
+    let mut site = Simulation::new(8, 1, 1);
     site.run(Millis(40_000));
     let (first, second) = (leader_of(&site, 0), leader_of(&site, 1));
     // The leader serves on, unseen; the other replica's loss makes its members useful elsewhere.
@@ -216,7 +226,7 @@
 }
 
 #[test]
-fn a_replica_serves_on_while_a_member_is_cut_off_from_the_store_and_answers() {
+fn a_replica_keeps_serving_while_a_member_is_cut_off_from_the_store_only() {
     struct Case {
         name: &'static str,
         /// Which member's entry runs out, by rank.
@@ -232,7 +242,7 @@
         Case { name: "the leader", rank: 0, silent: false, serves_on: false },
     ];
     for case in cases {
-        let mut site = Site::new(8, 1, 1);
+        let mut site = Simulation::new(8, 1, 1);
         site.run(Millis(40_000));
         let before = site.record.replicas.values().next().expect("a replica").clone();
         let number = number_of(&site, &before.boxes[case.rank]);
@@ -252,8 +262,8 @@
 }
 
 #[test]
-fn a_whole_replica_that_the_record_lost_is_taken_back() {
-    let mut site = Site::new(9, 1, 1);
+fn a_serving_replica_missing_from_the_record_is_adopted() {
+    let mut site = Simulation::new(9, 1, 1);
     site.run(Millis(40_000));
     let before = site.record.clone();
     site.record.replicas.clear();
@@ -263,8 +273,8 @@
 }
 
 #[test]
-fn epochs_grow_past_those_that_boxes_tell_where_the_record_is_lost() {
-    let mut site = Site::new(9, 1, 1);
+fn epochs_exceed_those_that_boxes_report_after_the_record_is_lost() {
+    let mut site = Simulation::new(9, 1, 1);
     site.run(Millis(40_000));
     let highest = site.record.last_epoch;
     site.record = DomainRecord::empty(site.domain.domain().clone());
@@ -276,14 +286,15 @@
     assert_eq!(site.domain.faults, Vec::<String>::new());
 }
 
-fn leader_of_listed(site: &Site) -> BoxId {
+fn leader_of_listed(site: &Simulation) -> BoxId {
     let listed = site.domain.listed();
-    let leader = listed.iter().find(|known| known.member.as_ref().is_some_and(|m| m.rank == 0));
+    let leader =
+        listed.iter().find(|site_box| site_box.member.as_ref().is_some_and(|m| m.rank == 0));
     leader.expect("a leader").id.clone()
 }
 
 #[test]
-fn a_domain_changes_hands_without_a_load_where_its_hosts_hold_the_other_model() {
+fn a_domain_is_reassigned_without_a_load_if_its_hosts_hold_the_other_model() {
     struct Case {
         name: &'static str,
         second: Option<&'static str>,
@@ -305,7 +316,7 @@
         Case { name: "not held", second: None, within: Millis(40_000), serving: "small", count: 3 },
     ];
     for case in cases {
-        let mut site = Site::new(9, 1, 1);
+        let mut site = Simulation::new(9, 1, 1);
         site.second = case.second;
         site.run(Millis(60_000));
         assert_eq!(site.domain.serving(), 2, "{}", case.name);
@@ -321,8 +332,8 @@
 }
 
 #[test]
-fn a_loss_is_mended_as_soon_where_the_hosts_hold_another_model() {
-    let mut site = Site::new(9, 1, 1);
+fn a_loss_is_repaired_as_fast_if_the_hosts_hold_another_model() {
+    let mut site = Simulation::new(9, 1, 1);
     site.second = Some("small");
     site.run(Millis(60_000));
     assert_eq!(site.domain.serving(), 2);
@@ -337,7 +348,7 @@
 
 /// Plays events and checks that no box is in two replicas, and that the domain serves once failures
 /// end.
-fn play(mut site: Site, events: &[(usize, usize, u64)]) -> Result<(), TestCaseError> {
+fn check_events(mut site: Simulation, events: &[(usize, usize, u64)]) -> Result<(), TestCaseError> {
     for (kind, number, steps) in events.iter().copied() {
         match kind {
             0 if site.domain.alive() > 5 => site.domain.kill(number),
@@ -345,7 +356,7 @@
             2 => site.domain.heal(),
             3 => site.domain.add_box(),
             5 => site.domain.unhear(number),
-            CHANGES_HANDS => site.home = if site.home == "large" { "small" } else { "large" },
+            HOME_CHANGES => site.home = if site.home == "large" { "small" } else { "large" },
             _ => {}
         }
         // A node may read the record anew and yet have an old list of boxes for seconds.
@@ -360,7 +371,7 @@
     }
     prop_assert_eq!(&site.domain.faults, &Vec::<String>::new());
     // Once failures end, what has boxes serves.
-    site.late = 0;
+    site.delayed_percent = 0;
     site.domain.heal();
     site.run(Millis(60_000));
     prop_assert_eq!(&site.domain.faults, &Vec::<String>::new());
@@ -369,32 +380,32 @@
 }
 
 /// The event by which the domain is given to the other model.
-const CHANGES_HANDS: usize = 7;
+const HOME_CHANGES: usize = 7;
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 192, ..ProptestConfig::default() })]
 
     #[test]
-    fn no_box_joins_out_of_a_serving_replica_and_none_opens_unready(
+    fn no_box_leaves_a_serving_replica_to_join_another_and_none_opens_before_it_is_ready(
         seed in any::<u64>(),
-        late in 0_usize..50,
+        delayed_percent in 0_usize..50,
         events in prop::collection::vec((0_usize..7, any::<usize>(), 1_u64..60), 1..40),
     ) {
-        let mut site = Site::new(9, 2, seed);
-        site.late = late;
-        play(site, &events)?;
+        let mut site = Simulation::new(9, 2, seed);
+        site.delayed_percent = delayed_percent;
+        check_events(site, &events)?;
     }
 
     #[test]
-    fn no_box_is_in_two_replicas_while_domains_change_hands(
+    fn no_box_is_in_two_replicas_while_domains_are_reassigned(
         seed in any::<u64>(),
-        late in 0_usize..50,
+        delayed_percent in 0_usize..50,
         events in prop::collection::vec((0_usize..8, any::<usize>(), 1_u64..60), 1..40),
     ) {
-        let mut site = Site::new(9, 2, seed);
-        site.late = late;
+        let mut site = Simulation::new(9, 2, seed);
+        site.delayed_percent = delayed_percent;
         site.second = Some("small");
-        play(site, &events)?;
+        check_events(site, &events)?;
     }
 }
 
@@ -402,28 +413,37 @@
 /// was meant for its life before, tells of the same replica and epoch as before. The replica counted
 /// as whole though nothing moved in it, until it said itself that it came apart, 4 s later.
 #[test]
-fn a_member_that_starts_again_at_any_point_leaves_no_replica_torn() {
+fn a_member_that_restarts_at_any_point_leaves_no_replica_inconsistent() {
     /// A replica is formed, opened and warmed by spares within this time.
     const FORMED: u64 = 21_000;
     // What a node reads is one step old; then it ends the replica.
     let bound = Millis(3 * STEP.0);
-    for last_join_again in [false, true] {
+    for repeats_last_join in [false, true] {
         for point in (0..FORMED).step_by(300) {
             for number in 0..9 {
-                let mut site = Site::new(9, 1, 1);
+                let mut site = Simulation::new(9, 1, 1);
                 site.domain.tell_starts();
                 site.run(Millis(point));
-                site.domain.restart(number, last_join_again);
+                site.domain.restart(number, repeats_last_join);
                 site.run(Millis(1_000));
-                let at = format!("box {number} at {point}, joined again {last_join_again}");
-                assert!(site.domain.longest_torn <= bound, "{at}: {:?}", site.domain.longest_torn);
+                let context =
+                    format!("box {number} context {point}, joined again {repeats_last_join}");
+                assert!(
+                    site.domain.longest_torn <= bound,
+                    "{context}: {:?}",
+                    site.domain.longest_torn
+                );
                 site.run(Millis(45_000));
-                assert_eq!(site.domain.serving(), 2, "{at}");
-                assert_eq!(site.domain.faults, Vec::<String>::new(), "{at}");
-                let twice = site.record.replicas.values().flat_map(|held| &held.boxes);
-                let names: Vec<&str> = twice.map(BoxId::name).collect();
+                assert_eq!(site.domain.serving(), 2, "{context}");
+                assert_eq!(site.domain.faults, Vec::<String>::new(), "{context}");
+                let assigned = site.record.replicas.values().flat_map(|held| &held.boxes);
+                let names: Vec<&str> = assigned.map(BoxId::name).collect();
                 let distinct: BTreeSet<&&str> = names.iter().collect();
-                assert_eq!(distinct.len(), names.len(), "{at}: two lives of one box in the record");
+                assert_eq!(
+                    distinct.len(),
+                    names.len(),
+                    "{context}: two lives of one box in the record"
+                );
             }
         }
     }
@@ -435,18 +455,18 @@
     /// Boxes start again, die and are cut off while two nodes decide from old and new reads and orders
     /// come late: nothing joins out of a replica that serves, and once all is quiet the domain serves.
     #[test]
-    fn boxes_that_start_again_break_no_rule_and_the_domain_serves_again(
+    fn restarted_boxes_violate_no_invariant_and_the_domain_serves_again(
         seed in any::<u64>(),
-        tells in any::<bool>(),
-        late in 0_usize..30,
+        reports_starts in any::<bool>(),
+        delayed_percent in 0_usize..30,
         events in prop::collection::vec((0_u8..6, 0_usize..9, 1_u64..40), 1..14),
     ) {
-        let mut site = Site::new(9, 2, seed);
-        if tells {
+        let mut site = Simulation::new(9, 2, seed);
+        if reports_starts {
             site.domain.tell_starts();
         }
         site.run(Millis(22_000));
-        site.late = late;
+        site.delayed_percent = delayed_percent;
         for (what, number, steps) in events {
             match what {
                 0 | 1 => site.domain.restart(number, false),
@@ -463,7 +483,7 @@
                 site.domain.pass(STEP);
             }
         }
-        site.late = 0;
+        site.delayed_percent = 0;
         site.domain.heal();
         site.run(Millis(60_000));
         prop_assert_eq!(&site.domain.faults, &Vec::<String>::new());
--- a/crates/cherrystand_core/tests/site_requests.rs
+++ b/crates/cherrystand_core/tests/site_requests.rs
@@ -14,7 +14,7 @@
 use support::{site_engine, site_model};
 
 const NOW: Millis = Millis(60_000);
-const OBJECTIVE: Millis = Millis(300);
+const LATENCY_GOAL: Millis = Millis(300);
 
 fn route(host: &str, prefix: &str, service: &str) -> Route {
     Route {
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn a_request_takes_the_longest_route_that_its_key_allows() {
+fn a_request_takes_the_route_with_the_longest_prefix() {
     struct Case {
         host: &'static str,
         path: &'static str,
@@ -135,53 +135,53 @@
 
 proptest! {
     #[test]
-    fn the_repeats_of_all_nodes_stay_within_the_budget_of_all(
+    fn the_retries_of_all_nodes_stay_within_the_common_budget(
         nodes in 1_usize..30,
         steps in prop::collection::vec((0_usize..30, 0_u64..400, any::<bool>(), any::<bool>()), 1..600),
     ) {
         let bounds = RetryBounds { ratio: 0.2, slack: 136.0, window: Millis(10_000) };
         let mut shares: Vec<RetryShare> = (0..nodes).map(|_| RetryShare::new(bounds)).collect();
-        let (mut now, mut requests, mut repeats) = (NOW, Vec::new(), Vec::new());
-        for (node, gap, asks, restarts) in steps {
+        let (mut now, mut requests, mut retries) = (NOW, Vec::new(), Vec::new());
+        for (node, gap, takes_request, restarts) in steps {
             now = now + Millis(gap / 10);
             let share = &mut shares[node % nodes];
             if restarts && gap > 395 {
                 // A node that restarts forgets what it spent.
                 *share = RetryShare::new(bounds);
             }
-            if asks {
+            if takes_request {
                 share.record_request(now);
                 requests.push(now);
             }
             if share.try_spend(now, nodes) {
-                repeats.push(now);
+                retries.push(now);
             }
             let within = |list: &[Millis]| {
                 list.iter().filter(|at| now.since(**at) <= bounds.window).count() as f64
             };
             let allowed = bounds.ratio * within(&requests) + bounds.slack;
-            prop_assert!(within(&repeats) <= allowed, "{} repeats", within(&repeats));
+            prop_assert!(within(&retries) <= allowed, "{} retries", within(&retries));
         }
     }
 
     #[test]
-    fn events_come_out_whole_wherever_the_bytes_are_cut(
+    fn events_are_complete_however_the_bytes_are_split(
         events in prop::collection::vec("[a-z]{0,12}", 1..12),
-        ends in prop::bool::ANY,
+        uses_crlf in prop::bool::ANY,
         cuts in prop::collection::vec(1_usize..9, 1..80),
     ) {
-        let end = if ends { "\r\n" } else { "\n" };
+        let end = if uses_crlf { "\r\n" } else { "\n" };
         let whole = |(number, text): (usize, &String)| {
             format!("id: {number}{end}data: {text}{end}{end}").into_bytes()
         };
         let events: Vec<Vec<u8>> = events.iter().enumerate().map(whole).collect();
         let bytes = events.concat();
-        let mut cutter = EventSplitter::default();
+        let mut splitter = EventSplitter::default();
         let (mut from, mut out) = (0, Vec::new());
         for cut in cuts.iter().cycle() {
             let to = (from + cut).min(bytes.len());
-            cutter.push(&bytes[from..to]);
-            while let Some(event) = cutter.next_event() {
+            splitter.push(&bytes[from..to]);
+            while let Some(event) = splitter.next_event() {
                 out.push(event);
             }
             from = to;
@@ -193,19 +193,19 @@
         prop_assert_eq!(ids, (0..events.len() as u64).map(Some).collect::<Vec<_>>());
         let out: Vec<Vec<u8>> = out.into_iter().map(|event| event.bytes.to_vec()).collect();
         prop_assert_eq!(out, events);
-        prop_assert_eq!(cutter.buffered_bytes(), 0);
+        prop_assert_eq!(splitter.buffered_bytes(), 0);
     }
 }
 
 #[test]
-fn an_event_that_broke_off_is_held_back() {
-    let mut cutter = EventSplitter::default();
-    cutter.push(b"id: 1\ndata: a\n\nid: 2\ndata: b\n");
-    assert_eq!(cutter.next_event().and_then(|event| event.id), Some(1));
-    assert_eq!(cutter.next_event(), None);
-    assert!(cutter.buffered_bytes() > 0);
-    cutter.clear();
-    assert_eq!(cutter.buffered_bytes(), 0);
+fn an_incomplete_event_is_held_back() {
+    let mut splitter = EventSplitter::default();
+    splitter.push(b"id: 1\ndata: a\n\nid: 2\ndata: b\n");
+    assert_eq!(splitter.next_event().and_then(|event| event.id), Some(1));
+    assert_eq!(splitter.next_event(), None);
+    assert!(splitter.buffered_bytes() > 0);
+    splitter.clear();
+    assert_eq!(splitter.buffered_bytes(), 0);
 }
 
 fn target(id: &str, model: Option<&str>) -> TargetSpec {
@@ -221,26 +221,31 @@
     }
 }
 
-fn ask<'a>(service: &'a ServiceName, model: Option<&'a str>, prompt: f64) -> RequestSpec<'a> {
+fn request_spec<'a>(
+    service: &'a ServiceName,
+    model: Option<&'a str>,
+    prompt: f64,
+) -> RequestSpec<'a> {
     RequestSpec {
         service,
         model,
         prompt,
-        latency_goal: OBJECTIVE,
+        latency_goal: LATENCY_GOAL,
         regions: AllowedRegions::default(),
     }
 }
 
-fn chosen(balancer: &LoadBalancer, model: &str, not: &[BoxId], now: Millis) -> Option<String> {
+fn chosen(balancer: &LoadBalancer, model: &str, excluded: &[BoxId], now: Millis) -> Option<String> {
     let service = ServiceName::new("models");
-    let ask = ask(&service, Some(model), 1_000.0);
+    let request_spec = request_spec(&service, Some(model), 1_000.0);
     let engine = site_engine();
-    let key = balancer.choose(ask, Some(&engine), not, now, &mut SeededRng::new(1))?;
+    let key =
+        balancer.choose(request_spec, Some(&engine), excluded, now, &mut SeededRng::new(1))?;
     balancer.id(key).map(|id| id.as_str().to_owned())
 }
 
 #[test]
-fn the_replica_that_will_answer_first_is_chosen_whoever_loads_it() {
+fn the_replica_predicted_to_answer_first_is_chosen_whichever_node_loads_it() {
     let mut balancer = LoadBalancer::default();
     balancer.set_targets(vec![
         target("a", Some("large")),
@@ -259,13 +264,14 @@
 }
 
 #[test]
-fn what_is_in_flight_is_counted_until_it_ends_even_where_the_list_changes() {
+fn requests_in_flight_count_until_they_end_even_if_the_endpoints_change() {
     let mut balancer = LoadBalancer::default();
     balancer.set_targets(vec![target("a", Some("large")), target("b", Some("large"))]);
     let service = ServiceName::new("models");
-    let ask = ask(&service, Some("large"), 500.0);
-    let key =
-        balancer.choose(ask, Some(&site_engine()), &[], NOW, &mut SeededRng::new(1)).expect("one");
+    let request_spec = request_spec(&service, Some("large"), 500.0);
+    let key = balancer
+        .choose(request_spec, Some(&site_engine()), &[], NOW, &mut SeededRng::new(1))
+        .expect("one");
     balancer.record_start(key, 500.0, false);
     assert_eq!(balancer.load(key), EngineLoad { requests: 1.0, unread: 500.0 });
     balancer.record_first_event(key, 500.0, false);
@@ -284,32 +290,33 @@
 /// whenever one began at a daemon that had none, it counted as progress, peers were told of it, and
 /// each took the other's beginnings for a sign of life.
 #[test]
-fn a_request_that_begins_is_no_progress_of_its_replica() {
+fn the_start_of_a_request_is_no_progress_of_its_replica() {
     let mut balancer = LoadBalancer::default();
     balancer.set_targets(vec![target("a", Some("large"))]);
     let service = ServiceName::new("models");
-    let ask = ask(&service, Some("large"), 500.0);
-    let key =
-        balancer.choose(ask, Some(&site_engine()), &[], NOW, &mut SeededRng::new(1)).expect("one");
+    let request_spec = request_spec(&service, Some("large"), 500.0);
+    let key = balancer
+        .choose(request_spec, Some(&site_engine()), &[], NOW, &mut SeededRng::new(1))
+        .expect("one");
     balancer.record_start(key, 500.0, false);
     balancer.record_progress(key, NOW);
     balancer.record_finish(key, 0.0, false);
     balancer.record_start(key, 500.0, false);
     assert_eq!(balancer.last_progress(key), Some(NOW));
-    let told: Vec<Millis> = balancer.own_loads().map(|(_, _, progress)| progress).collect();
-    assert_eq!(told, [NOW]);
+    let reported: Vec<Millis> = balancer.own_loads().map(|(_, _, progress)| progress).collect();
+    assert_eq!(reported, [NOW]);
 }
 
 #[test]
-fn a_plain_endpoint_that_fails_some_requests_is_chosen_less() {
+fn a_plain_endpoint_that_fails_requests_is_chosen_less() {
     let mut balancer = LoadBalancer::default();
     balancer.set_targets(vec![target("a", None), target("b", None)]);
     let service = ServiceName::new("models");
-    let ask = ask(&service, None, 0.0);
-    let mut seed = SeededRng::new(3);
+    let request_spec = request_spec(&service, None, 0.0);
+    let mut rng = SeededRng::new(3);
     let mut to_a = 0;
     for _ in 0..200 {
-        let key = balancer.choose(ask, None, &[], NOW, &mut seed).expect("one");
+        let key = balancer.choose(request_spec, None, &[], NOW, &mut rng).expect("one");
         if balancer.id(key).expect("known").as_str() == "a" {
             to_a += 1;
             balancer.record_failure(key, NOW);
@@ -320,13 +327,14 @@
     assert!(to_a < 10, "{to_a}");
     // In time it is tried again.
     let later = NOW + Millis(60_000);
-    let choose = |seed: &mut SeededRng| balancer.choose(ask, None, &[], later, seed).expect("one");
-    let keys: Vec<_> = (0..50).map(|_| choose(&mut seed)).collect();
+    let choose =
+        |rng: &mut SeededRng| balancer.choose(request_spec, None, &[], later, rng).expect("one");
+    let keys: Vec<_> = (0..50).map(|_| choose(&mut rng)).collect();
     assert!(keys.iter().any(|key| balancer.id(*key).expect("known").as_str() == "a"));
 }
 
 #[test]
-fn a_silence_is_long_only_beyond_what_the_load_explains() {
+fn the_longest_expected_silence_grows_with_the_load() {
     let engine = site_engine();
     let (large, mut fast) = (site_model("large", 4, 0.5), site_model("large", 4, 0.5));
     fast.time_factor = 0.5;
@@ -340,7 +348,7 @@
 }
 
 #[test]
-fn the_first_token_is_predicted_later_the_more_waits_before_it() {
+fn the_first_token_is_predicted_later_the_more_requests_wait() {
     let engine = site_engine();
     let large = site_model("large", 4, 0.5);
     let load = |requests, unread| EngineLoad { requests, unread };
@@ -352,7 +360,7 @@
 /// Story: as owners of domains decided one after the other and heard of each other's records, nine
 /// domains were split six to three; 6,825 of 10,786 requests of the other model came late.
 #[test]
-fn domains_are_shared_out_alike_whichever_were_decided_before() {
+fn home_models_do_not_depend_on_which_domains_were_decided_before() {
     let engine = site_engine();
     let boxes: Vec<(DomainId, Vec<SiteBox>)> = (0..9)
         .map(|domain| {
@@ -372,30 +380,34 @@
     }
     let other = BTreeMap::from([(DomainId::new("d0"), engine.models[1].name.clone())]);
     let changed = home_models(&engine, &domains, &other);
-    assert_eq!(changed[&DomainId::new("d0")], engine.models[1].name, "what was decided stays");
+    assert_eq!(changed[&DomainId::new("d0")], engine.models[1].name, "an earlier decision is kept");
     let unknown = BTreeMap::from([(DomainId::new("d0"), "nobody's".to_owned())]);
-    assert_eq!(home_models(&engine, &domains, &unknown), all, "a model that is not configured");
+    assert_eq!(
+        home_models(&engine, &domains, &unknown),
+        all,
+        "a model that is excluded configured"
+    );
 }
 
 #[test]
-fn a_box_is_known_by_what_its_memory_held_until_it_starts_again() {
+fn the_loaded_models_of_a_box_are_kept_until_it_restarts() {
     struct Case {
         name: &'static str,
         earlier: &'static str,
-        told: &'static [&'static str],
+        reported: &'static [&'static str],
         known: &'static [&'static str],
     }
     let cases = [
-        Case { name: "it left its replica", earlier: "d-1", told: &[], known: &["large"] },
-        Case { name: "it joined another", earlier: "d-1", told: &["small"], known: &["small"] },
-        Case { name: "another box", earlier: "d-2", told: &[], known: &[] },
+        Case { name: "it left its replica", earlier: "d-1", reported: &[], known: &["large"] },
+        Case { name: "it joined another", earlier: "d-1", reported: &["small"], known: &["small"] },
+        Case { name: "another box", earlier: "d-2", reported: &[], known: &[] },
     ];
     for case in cases {
         let mut earlier = domain_box("d", 1, &["small"]);
         earlier.id = BoxId::new(case.earlier);
         earlier.loaded = vec!["large".to_owned()];
         let mut now = domain_box("d", 1, &["small"]);
-        now.loaded = case.told.iter().map(|name| (*name).to_owned()).collect();
+        now.loaded = case.reported.iter().map(|name| (*name).to_owned()).collect();
         now.carry_over_loaded_models(&earlier);
         assert_eq!(now.loaded, case.known, "{}", case.name);
     }
@@ -420,7 +432,7 @@
 }
 
 #[test]
-fn a_model_of_small_replicas_gets_the_boxes_that_its_work_needs() {
+fn a_model_gets_domains_by_its_work_share_whatever_its_replicas_span() {
     let mut engine = site_engine();
     let figures = [(16, 0.5), (4, 0.5)];
     for (model, (span, share)) in engine.models.iter_mut().zip(figures) {
@@ -440,7 +452,7 @@
 }
 
 #[test]
-fn nodes_that_all_just_started_do_not_spend_the_slack_of_the_others() {
+fn nodes_that_just_started_do_not_spend_the_slack_of_the_others() {
     let bounds = RetryBounds { ratio: 0.2, slack: 250.0, window: Millis(10_000) };
     let mut shares = vec![RetryShare::new(bounds); 60];
     // Each knows itself only, as after the loss of all.
@@ -458,7 +470,7 @@
 }
 
 #[test]
-fn each_domain_is_for_one_model_by_the_share_of_the_work() {
+fn each_domain_gets_a_home_model_by_the_work_shares() {
     struct Case {
         name: &'static str,
         /// The boxes of each domain and what they hold.
@@ -503,9 +515,9 @@
 }
 
 #[test]
-fn a_log_gets_so_many_lines_a_second_and_learns_how_many_were_left_out() {
-    let mut gate = LogLimiter::new(2);
+fn a_log_gets_a_limited_number_of_lines_per_second_and_the_count_of_omitted_ones() {
+    let mut limiter = LogLimiter::new(2);
     let at = |ms| NOW + Millis(ms);
-    let passed = [0, 1, 2, 3, 1_100, 1_101, 1_102].map(|ms| gate.admit(at(ms)));
-    assert_eq!(passed, [Some(0), Some(0), None, None, Some(2), Some(0), None]);
+    let admitted = [0, 1, 2, 3, 1_100, 1_101, 1_102].map(|ms| limiter.admit(at(ms)));
+    assert_eq!(admitted, [Some(0), Some(0), None, None, Some(2), Some(0), None]);
 }
