--- a/crates/cherrystand_core/tests/lent_repeats.rs
+++ b/crates/cherrystand_core/tests/lent_repeats.rs
@@ -1,4 +1,4 @@
-//! A retry budget of all nodes together, most of which one of them lends to those that ask.
+//! A retry budget shared by all nodes, most of which one node lends on request.
 
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -11,29 +11,30 @@
 const STEP: Millis = Millis(5);
 const TICK: Millis = Millis(25);
 const DURATION: Millis = Millis(40_000);
-/// Until then nodes have nothing but their requests, so that each has earned its share.
+/// Before this time nodes only take requests, so that each earns its share.
 const FAILURES_FROM: Millis = Millis(15_000);
-/// How long a request waits for the answer of the node that lends.
+/// How long a request waits for the answer of the lender.
 const LOAN_TIMEOUT: Millis = Millis(25);
 
 #[derive(Clone, Copy, Debug)]
 struct Scenario {
     nodes: usize,
-    /// Requests a second at all nodes together.
+    /// Requests per second at all nodes together.
     requests: f64,
     slack: f64,
-    /// How many requests fail at one moment, and how many a second after that.
+    /// How many requests fail at one moment, and how many per second after that.
     at_once: usize,
     then: f64,
-    /// Whether another node lends every three seconds.
+    /// Whether another node becomes the lender every three seconds.
     lender_changes: bool,
 }
 
 #[derive(Debug)]
 struct Outcome {
-    /// The share of the failed requests that were repeated.
+    /// The share of the failed requests that were retried.
     retried: f64,
-    /// The most that one window had beyond what its requests earn, as a part of the slack.
+    /// The largest number of retries in one window beyond those earned by requests, relative to the
+    /// slack.
     worst: f64,
 }
 
@@ -165,13 +166,14 @@
     }
 }
 
-/// Story: an even share of the budget was less than one repeat for each of 985 nodes, so that none was made for an endpoint of
-/// which nobody else had asked anything.
+/// Guards against an even split of the budget in a large fleet: with 985 nodes the share of each
+/// was less than one retry, so none was made for an endpoint that was used by a single node.
 #[test]
 fn nodes_whose_requests_fail_get_retries_at_any_fleet_size() {
     for nodes in [30, 100, 300, 1_000, 2_000] {
         for lender_changes in [false, true] {
-            // A node sees 0.6 requests a second; one in a hundred fails at once, and some after that.
+            // Each node gets 0.6 requests per second; one in a hundred fails at once, and some
+            // after that.
             let requests = 0.6 * nodes as f64;
             let slack = nodes as f64;
             let (at_once, then) = (nodes / 20, nodes as f64 / 100.0);
@@ -187,7 +189,7 @@
     }
 }
 
-/// However many fail, the budget of all holds, also while one node after the other lends.
+/// The common budget holds however many requests fail, even if the lender changes.
 #[test]
 fn the_common_budget_holds_even_if_everything_fails() {
     for nodes in [30, 300, 1_000] {
--- a/crates/cherrystand_core/tests/site_formation.rs
+++ b/crates/cherrystand_core/tests/site_formation.rs
@@ -1,4 +1,4 @@
-//! Replicas formed by orders to their members, under failures.
+//! Formation of replicas by orders to their members, under failures.
 
 mod support;
 
@@ -14,26 +14,26 @@
 
 const STEP: Millis = Millis(100);
 
-/// What two nodes decide for one domain, each from what it read last.
+/// A domain and the nodes that decide for it, each from what it read last.
 struct Simulation {
     domain: FakeSiteDomain,
     record: DomainRecord,
     revision: u64,
     nodes: Vec<Node>,
     seed: SeededRng,
-    /// The share of orders that get no answer and are carried out later, in percent.
+    /// The percentage of orders that get no answer and are executed later.
     delayed_percent: usize,
-    /// The model that the domain is for.
+    /// The home model of the domain.
     home: &'static str,
-    /// The model that hosts are to hold besides.
+    /// The model that hosts also preload.
     second: Option<&'static str>,
 }
 
 struct Node {
     formation: Formation,
-    /// The record as this node read it last.
+    /// The record as this node last read it.
     last_read: (u64, DomainRecord),
-    /// The boxes listed, and listed no more, as this node read them last.
+    /// The boxes that are listed, and no longer listed, as this node last read them.
     listed: Vec<SiteBox>,
     departed: Vec<SiteBox>,
     ended_replicas: BTreeMap<(String, Epoch), Epoch>,
@@ -66,8 +66,8 @@
         }
     }
 
-    /// Lets one node decide from what it knows; a node that does not read the record, or the list
-    /// of boxes, keeps an old one.
+    /// Lets one node decide from what it knows. A node that does not read the record, or the list
+    /// of boxes, keeps the old one.
     fn decide(&mut self, number: usize, reads: bool, lists: bool) {
         let silent = self.domain.silent();
         let node = &mut self.nodes[number];
@@ -81,7 +81,7 @@
         let boxes: Vec<&SiteBox> = node.listed.iter().collect();
         let departed: Vec<&SiteBox> = node.departed.iter().collect();
         let engine = site_engine();
-        // Now and then some box is asked whether it is there.
+        // Occasionally a box is being probed.
         let probed = self.seed.below(6) == 0;
         let probed = boxes.get(self.seed.below(boxes.len().max(1))).filter(|_| probed);
         let probed: BTreeSet<BoxId> = probed.iter().map(|site_box| site_box.id.clone()).collect();
@@ -155,7 +155,7 @@
     struct Case {
         name: &'static str,
         boxes: usize,
-        /// Which members of the first replica die, by rank.
+        /// The ranks of the members of the first replica that are killed.
         killed: &'static [usize],
         serving_before: usize,
         serving_after: usize,
@@ -200,7 +200,7 @@
     assert_eq!(site.domain.serving(), 2);
     let number = number_of(&site, &leader_of(&site, 0));
     site.domain.kill(number);
-    // Steps, 0.2 s to join and 0.3 s to open; a spare that loads from its host takes 1.6 s.
+    // A few steps, 0.2 s to join and 0.3 s to open; a spare that loads from its host takes 1.6 s.
     site.run(Millis(1_000));
     assert_eq!(site.domain.serving(), 2);
     assert_eq!(site.domain.faults, Vec::<String>::new());
@@ -211,7 +211,8 @@
     let mut site = Simulation::new(8, 1, 1);
     site.run(Millis(40_000));
     let (first, second) = (leader_of(&site, 0), leader_of(&site, 1));
-    // The leader serves on, unseen; the other replica's loss makes its members useful elsewhere.
+    // The leader keeps serving, unseen; the loss of the other replica makes its members useful
+    // there.
     let number = number_of(&site, &first);
     site.domain.cut(number, true);
     site.run(Millis(1_000));
@@ -229,16 +230,16 @@
 fn a_replica_keeps_serving_while_a_member_is_cut_off_from_the_store_only() {
     struct Case {
         name: &'static str,
-        /// Which member's entry runs out, by rank.
+        /// The rank of the member whose entry expires.
         rank: usize,
-        /// Whether it is found silent as well.
+        /// Whether it is also found silent.
         silent: bool,
         serves_on: bool,
     }
     let cases = [
         Case { name: "a member that answers", rank: 2, silent: false, serves_on: true },
         Case { name: "a member that is silent", rank: 2, silent: true, serves_on: false },
-        // Nothing may be sent to a leader that is listed no more.
+        // A leader that is no longer listed gets no requests.
         Case { name: "the leader", rank: 0, silent: false, serves_on: false },
     ];
     for case in cases {
@@ -298,13 +299,13 @@
     struct Case {
         name: &'static str,
         second: Option<&'static str>,
-        /// How long the domain is given, and what serves then.
+        /// How long the reassignment may take, and what serves afterwards.
         within: Millis,
         serving: &'static str,
         count: usize,
     }
     let cases = [
-        // To close, to leave, 1.6 s to join from the host and 0.3 s to open.
+        // To drain and leave, 1.6 s to join from the host and 0.3 s to open.
         Case {
             name: "held on the hosts",
             second: Some("small"),
@@ -312,7 +313,7 @@
             serving: "small",
             count: 3,
         },
-        // The boxes that serve nothing load first.
+        // Boxes that don't serve load the model first.
         Case { name: "not held", second: None, within: Millis(40_000), serving: "small", count: 3 },
     ];
     for case in cases {
@@ -340,14 +341,14 @@
     site.second = None;
     let number = number_of(&site, &leader_of(&site, 0));
     site.domain.kill(number);
-    // The spare has its model in memory.
+    // The spare has the home model in memory.
     site.run(Millis(1_000));
     assert_eq!(site.domain.serving(), 2);
     assert_eq!(site.domain.faults, Vec::<String>::new());
 }
 
-/// Plays events and checks that no box is in two replicas, and that the domain serves once failures
-/// end.
+/// Plays events, and checks that no box is in two replicas and that the domain serves once the
+/// failures end.
 fn check_events(mut site: Simulation, events: &[(usize, usize, u64)]) -> Result<(), TestCaseError> {
     for (kind, number, steps) in events.iter().copied() {
         match kind {
@@ -359,7 +360,7 @@
             HOME_CHANGES => site.home = if site.home == "large" { "small" } else { "large" },
             _ => {}
         }
-        // A node may read the record anew and yet have an old list of boxes for seconds.
+        // A node may read the new record and still use an old list of boxes for seconds.
         let old_list = (kind == 4).then_some(number % 2);
         for _ in 0..steps {
             let number = site.seed.below(2);
@@ -370,7 +371,7 @@
         }
     }
     prop_assert_eq!(&site.domain.faults, &Vec::<String>::new());
-    // Once failures end, what has boxes serves.
+    // Once the failures end, the domain serves as far as it has boxes.
     site.delayed_percent = 0;
     site.domain.heal();
     site.run(Millis(60_000));
@@ -379,7 +380,7 @@
     Ok(())
 }
 
-/// The event by which the domain is given to the other model.
+/// The event that changes the home model of the domain.
 const HOME_CHANGES: usize = 7;
 
 proptest! {
@@ -409,14 +410,15 @@
     }
 }
 
-/// Story: a box that starts again under its name within one heartbeat, and is reached by a join that
-/// was meant for its life before, tells of the same replica and epoch as before. The replica counted
-/// as whole though nothing moved in it, until it said itself that it came apart, 4 s later.
+/// Guards against a replica that counts as complete though it makes no progress. A box restarted
+/// under its name within one heartbeat, got a join that was meant for its former incarnation, and
+/// reported the same replica and epoch as before. Only after 4 s did the replica itself report that
+/// it had come apart.
 #[test]
 fn a_member_that_restarts_at_any_point_leaves_no_replica_inconsistent() {
-    /// A replica is formed, opened and warmed by spares within this time.
+    /// A replica is formed and opened, and its spares are warmed, within this time.
     const FORMED: u64 = 21_000;
-    // What a node reads is one step old; then it ends the replica.
+    // A node reads a state that is one step old, and then ends the replica.
     let bound = Millis(3 * STEP.0);
     for repeats_last_join in [false, true] {
         for point in (0..FORMED).step_by(300) {
@@ -452,8 +454,9 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(96))]
 
-    /// Boxes start again, die and are cut off while two nodes decide from old and new reads and orders
-    /// come late: nothing joins out of a replica that serves, and once all is quiet the domain serves.
+    /// Boxes restart, die and are cut off while two nodes decide from old and new data and orders
+    /// are delayed: no box leaves a serving replica to join another, and once the failures end the
+    /// domain serves.
     #[test]
     fn restarted_boxes_violate_no_invariant_and_the_domain_serves_again(
         seed in any::<u64>(),
--- a/crates/cherrystand_core/tests/site_losses.rs
+++ b/crates/cherrystand_core/tests/site_losses.rs
@@ -1,8 +1,9 @@
-//! What losses of several boxes cost a domain whose replicas span sixteen of 37, or 32 of 73.
+//! The cost of losing several boxes of a domain whose replicas span 16 of 37 boxes, or 32 of 73.
 //!
-//! Story: a domain of the large model formed one replica anew ten times in four seconds. Whatever
-//! was found silent first had it formed out of boxes of which others were dead as well; each of
-//! these was found by the order that it left unanswered, one forming after the other.
+//! Guards against forming a replica once for each lost box: a domain formed one replica ten times
+//! in four seconds. Whenever one box was found silent, the replica was formed again from boxes of
+//! which others were dead too, and each of these was only found by the order that it left
+//! unanswered.
 
 mod support;
 
@@ -16,7 +17,7 @@
 use proptest::prelude::*;
 use support::site_engine;
 
-/// How many boxes a domain has and how many of them a replica spans.
+/// The number of boxes of a domain, and how many of them a replica spans.
 #[derive(Clone, Copy, Debug)]
 struct Shape {
     boxes: usize,
@@ -28,13 +29,13 @@
 
 const STEP: Millis = Millis(25);
 
-/// How long streams are silent until the request path says that a replica stands still.
+/// How long streams are silent before the request path reports a stalled replica.
 const STALL_DETECTION: Millis = Millis(250);
 
-/// How long a question to a box that is dead lasts.
+/// How long a probe of a dead box takes.
 const PROBE: Millis = Millis(200);
 
-/// How long an order finds no connection.
+/// How long an order tries to connect.
 const CONNECT: Millis = Millis(125);
 
 /// A domain, and the node that decides for it with what it has found out so far.
@@ -48,9 +49,9 @@
     ended_replicas: BTreeMap<(String, Epoch), Epoch>,
     left_epochs: BTreeMap<(BoxId, Epoch), Epoch>,
     known_dead: BTreeSet<BoxId>,
-    /// Boxes that are asked, and until when.
+    /// Boxes that are being probed, and until when.
     probed: BTreeMap<BoxId, Millis>,
-    /// Since when each replica has stood still.
+    /// Since when each replica has been stalled.
     stalled_since: BTreeMap<BoxId, Millis>,
     probes_first: bool,
     formations: usize,
@@ -93,7 +94,7 @@
         }
     }
 
-    /// Has the members of replicas that have stood still for long enough asked, and spares.
+    /// Starts probes of the members of replicas that have stalled for long enough, and of spares.
     fn probe_stalled_replicas(&mut self) {
         let now = self.domain.now();
         let held: Vec<Vec<BoxId>> =
@@ -182,8 +183,8 @@
         }
     }
 
-    /// Kills boxes, each `apart` after the one before, and returns how often replicas were formed
-    /// and how long it took until as many serve as the boxes left allow.
+    /// Kills boxes at the given interval. Returns how often replicas were formed, and how long it
+    /// took until as many serve as the remaining boxes allow.
     fn kill_boxes(&mut self, numbers: &[usize], interval: Millis) -> (usize, Millis) {
         let serving_after = (self.shape.boxes - numbers.len()) / self.shape.span as usize;
         let start = self.domain.now();
@@ -220,7 +221,8 @@
     struct Case {
         losses: usize,
         interval: Millis,
-        /// The mean formings and time to serve again, at the most.
+        /// The largest mean number of formations, and of milliseconds until the replicas serve
+        /// again.
         max_means: (f64, f64),
     }
     let cases = [
@@ -259,9 +261,9 @@
     }
 }
 
-/// Story: on a deployment with replicas of 32 of a domain's 73 boxes one lost box stops 31 others.
-/// What a loss may cost is one member's join from memory and the answers of the others to theirs,
-/// never a load of all.
+/// Guards against expensive repairs of wide replicas: with replicas of 32 of a domain's 73 boxes,
+/// one lost box stops 31 others. A loss may cost one member's join from memory and the others'
+/// rejoin, never a load by all.
 #[test]
 fn a_loss_in_a_replica_of_32_boxes_costs_one_join_and_no_load() {
     struct Case {
@@ -300,8 +302,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 12, ..ProptestConfig::default() })]
 
-    /// Whatever is lost, what the boxes left allow serves again, each loss costs one forming of each
-    /// replica that it strikes at the most, and what must never happen does not.
+    /// Whatever is lost, the domain serves again as far as its boxes allow, and each loss costs at
+    /// most one formation of each replica that it affects. No invariant is violated.
     #[test]
     fn a_domain_serves_again_after_any_losses(
         seed in any::<u64>(),
--- a/crates/cherrystand_core/tests/site_requests.rs
+++ b/crates/cherrystand_core/tests/site_requests.rs
@@ -1,4 +1,4 @@
-//! Routes, retries, streams and choices where the store holds one configuration.
+//! Routes, retries, streams and the choice of endpoints for a site with a single configuration.
 
 mod support;
 
@@ -146,7 +146,7 @@
             now = now + Millis(gap / 10);
             let share = &mut shares[node % nodes];
             if restarts && gap > 395 {
-                // A node that restarts forgets what it spent.
+                // A node that restarts loses its count.
                 *share = RetryShare::new(bounds);
             }
             if takes_request {
@@ -281,14 +281,14 @@
     balancer.record_finish(key, 0.0, false);
     assert_eq!(balancer.load(key), EngineLoad::default());
     balancer.set_targets(Vec::new());
-    // What ends after its endpoint has left the list is without effect.
+    // The end of a request whose endpoint was removed has no effect.
     balancer.record_finish(key, 0.0, false);
     assert_eq!(chosen(&balancer, "large", &[], NOW), None);
 }
 
-/// Story: a replica whose member had died took requests for 3.7 s. Each daemon had few requests there;
-/// whenever one began at a daemon that had none, it counted as progress, peers were told of it, and
-/// each took the other's beginnings for a sign of life.
+/// Guards against starts of requests hiding a stall. A replica whose member had died took requests
+/// for 3.7 s: each daemon had few requests there, and whenever one started at a daemon that had
+/// none, it counted as progress. The daemons reported it to each other as a sign of life.
 #[test]
 fn the_start_of_a_request_is_no_progress_of_its_replica() {
     let mut balancer = LoadBalancer::default();
@@ -325,7 +325,7 @@
         }
     }
     assert!(to_a < 10, "{to_a}");
-    // In time it is tried again.
+    // After some time the endpoint is tried again.
     let later = NOW + Millis(60_000);
     let choose =
         |rng: &mut SeededRng| balancer.choose(request_spec, None, &[], later, rng).expect("one");
@@ -357,8 +357,9 @@
     assert!(times.windows(2).all(|pair| pair[0] < pair[1]), "{times:?}");
 }
 
-/// Story: as owners of domains decided one after the other and heard of each other's records, nine
-/// domains were split six to three; 6,825 of 10,786 requests of the other model came late.
+/// Guards against an uneven split. When the owners of domains decided one after the other and
+/// learned of each other's records meanwhile, nine domains were split six to three; 6,825 of 10,786
+/// requests of the other model were late.
 #[test]
 fn home_models_do_not_depend_on_which_domains_were_decided_before() {
     let engine = site_engine();
@@ -372,7 +373,7 @@
     let domains: BTreeMap<DomainId, Vec<&SiteBox>> =
         boxes.iter().map(|(id, boxes)| (id.clone(), boxes.iter().collect())).collect();
     let all = home_models(&engine, &domains, &BTreeMap::new());
-    // Each subset of the domains was decided already.
+    // Any subset of the domains may have been decided already.
     for decided in 0_u32..1 << domains.len() {
         let known = all.iter().enumerate().filter(|(number, _)| decided >> number & 1 == 1);
         let known = known.map(|(_, (id, home))| (id.clone(), home.clone())).collect();
@@ -455,12 +456,12 @@
 fn nodes_that_just_started_do_not_spend_the_slack_of_the_others() {
     let bounds = RetryBounds { ratio: 0.2, slack: 250.0, window: Millis(10_000) };
     let mut shares = vec![RetryShare::new(bounds); 60];
-    // Each knows itself only, as after the loss of all.
+    // Each node knows only itself, as after all nodes were lost.
     let spent: usize = shares.iter_mut().map(|share| spend_all(share, Millis(500), 1)).sum();
     assert_eq!(spent, 0);
     let spent: usize = shares.iter_mut().map(|share| spend_all(share, Millis(1_500), 60)).sum();
     assert!(spent > 60, "{spent} of the slack once the others are known");
-    // Those that are cut off count the others still.
+    // Nodes that are cut off still count the others.
     let spent: usize = shares.iter_mut().map(|share| spend_all(share, Millis(2_000), 1)).sum();
     assert_eq!(spent, 0);
 }
@@ -473,7 +474,7 @@
 fn each_domain_gets_a_home_model_by_the_work_shares() {
     struct Case {
         name: &'static str,
-        /// The boxes of each domain and what they hold.
+        /// The boxes of each domain and the models that they hold.
         domains: &'static [(usize, &'static [&'static str])],
         homes: &'static [&'static str],
     }
