--- a/crates/cherrystand_core/tests/evacuations.rs
+++ b/crates/cherrystand_core/tests/evacuations.rs
@@ -66,9 +66,9 @@
     ];
     for case in cases {
         let mut evacuations = Evacuations::default();
-        for (updates, revision) in case.updates {
+        for (update, revision) in case.updates {
             let revision = Revision::new(*revision);
-            match updates {
+            match update {
                 All(all) => _ = evacuations.replace(zones(all), revision),
                 Evacuated(zone) => _ = evacuations.apply_changes(zones(&[zone]), [], revision),
                 Reopened(zone) => _ = evacuations.apply_changes([], zones(&[zone]), revision),
@@ -291,7 +291,7 @@
     };
     let regions = BTreeMap::from([(ZoneId::new("z2"), RegionId::new("r2"))]);
     let targets = view.targets(&ZoneId::new("z1"), &regions);
-    let reports: Vec<_> = targets
+    let listed: Vec<_> = targets
         .iter()
         .map(|(spec, _)| {
             let region = spec.region.as_ref().map(RegionId::as_str);
@@ -300,7 +300,7 @@
         .collect();
     let until = Some(NOW + Millis(2_000));
     assert_eq!(
-        reports,
+        listed,
         [("a", Some(NOW), None, None), ("b", None, until, Some("r2")), ("c", None, None, None)]
     );
 }
--- a/crates/cherrystand_core/tests/lent_repeats.rs
+++ b/crates/cherrystand_core/tests/lent_retries.rs
@@ -80,7 +80,7 @@
         turn as usize % self.scenario.nodes
     }
 
-    fn scenario(mut self) -> Outcome {
+    fn run(mut self) -> Outcome {
         let mut now = Millis(0);
         while now < DURATION {
             self.arrive(now);
@@ -178,10 +178,10 @@
             let slack = nodes as f64;
             let (at_once, then) = (nodes / 20, nodes as f64 / 100.0);
             let scenario = Scenario { nodes, requests, slack, at_once, then, lender_changes };
-            let outcome = Simulation::new(scenario, 1).scenario();
+            let outcome = Simulation::new(scenario, 1).run();
             let even_split = (0.2 * 6.0 + slack / nodes as f64) * 0.7;
             println!(
-                "{nodes} nodes, changes {lender_changes}: {outcome:?}; {even_split:.2} each by an even_split split"
+                "{nodes} nodes, lender changes {lender_changes}: {outcome:?}; {even_split:.2} each by an even split"
             );
             assert!(outcome.retried >= 0.9, "{scenario:?}: {outcome:?}");
             assert!(outcome.worst <= 1.0, "{scenario:?}: {outcome:?}");
@@ -198,8 +198,8 @@
             let slack = nodes as f64;
             let scenario =
                 Scenario { nodes, requests, slack, at_once: nodes, then: requests, lender_changes };
-            let outcome = Simulation::new(scenario, 2).scenario();
-            println!("{nodes} nodes, changes {lender_changes}: {outcome:?}");
+            let outcome = Simulation::new(scenario, 2).run();
+            println!("{nodes} nodes, lender changes {lender_changes}: {outcome:?}");
             assert!(outcome.worst <= 1.0, "{scenario:?}: {outcome:?}");
         }
     }
--- a/crates/cherrystand_core/tests/site_formation.rs
+++ b/crates/cherrystand_core/tests/site_formation.rs
@@ -428,8 +428,7 @@
                 site.run(Millis(point));
                 site.domain.restart(number, repeats_last_join);
                 site.run(Millis(1_000));
-                let context =
-                    format!("box {number} context {point}, joined again {repeats_last_join}");
+                let context = format!("box {number} at {point}, joined again {repeats_last_join}");
                 assert!(
                     site.domain.longest_torn <= bound,
                     "{context}: {:?}",
@@ -444,7 +443,7 @@
                 assert_eq!(
                     distinct.len(),
                     names.len(),
-                    "{context}: two lives of one box in the record"
+                    "{context}: two incarnations of one box in the record"
                 );
             }
         }
--- a/crates/cherrystand_core/tests/site_losses.rs
+++ b/crates/cherrystand_core/tests/site_losses.rs
@@ -121,13 +121,13 @@
     fn step(&mut self) {
         self.probe_stalled_replicas();
         let now = self.domain.now();
-        let ended_replicas: Vec<BoxId> = self
+        let finished: Vec<BoxId> = self
             .probed
             .iter()
             .filter(|(_, until)| **until <= now)
             .map(|(id, _)| id.clone())
             .collect();
-        for id in ended_replicas {
+        for id in finished {
             self.probed.remove(&id);
             if self.is_dead(&id) {
                 self.known_dead.insert(id);
@@ -291,7 +291,7 @@
         let longest = runs.iter().map(|(_, took)| *took).max().unwrap_or_default();
         let mean = runs.iter().map(|(_, took)| took.0).sum::<u64>() / SEEDS;
         println!(
-            "{} of 73 losses {} ms interval: {mean} ms on the mean, {} at the longest, {formations} formations at the max_means",
+            "{} of 73 lost {} ms apart: {mean} ms on average, {} at most, at most {formations} formations",
             case.losses, case.interval.0, longest.0
         );
         assert!(longest <= case.within, "{} lost {}: {longest:?}", case.losses, case.interval.0);
@@ -310,8 +310,8 @@
         losses in 1_usize..9,
         interval in 0_u64..600,
     ) {
-        let kill_boxes = random_boxes(DOMAIN_OF_37, losses, seed);
-        let (formations, _) = Simulation::serving(DOMAIN_OF_37, true).kill_boxes(&kill_boxes, Millis(interval));
+        let numbers = random_boxes(DOMAIN_OF_37, losses, seed);
+        let (formations, _) = Simulation::serving(DOMAIN_OF_37, true).kill_boxes(&numbers, Millis(interval));
         prop_assert!(formations <= losses + 1, "{formations} formations for {losses} lost boxes");
     }
 }
--- a/crates/cherrystand_core/tests/site_requests.rs
+++ b/crates/cherrystand_core/tests/site_requests.rs
@@ -383,11 +383,7 @@
     let changed = home_models(&engine, &domains, &other);
     assert_eq!(changed[&DomainId::new("d0")], engine.models[1].name, "an earlier decision is kept");
     let unknown = BTreeMap::from([(DomainId::new("d0"), "nobody's".to_owned())]);
-    assert_eq!(
-        home_models(&engine, &domains, &unknown),
-        all,
-        "a model that is excluded configured"
-    );
+    assert_eq!(home_models(&engine, &domains, &unknown), all, "a model that is not configured");
 }
 
 #[test]
