--- a/crates/cherrystand_core/benches/node_costs.rs
+++ b/crates/cherrystand_core/benches/node_costs.rs
@@ -220,15 +220,15 @@
     let boxes: BTreeMap<BoxId, Arc<SiteBox>> =
         boxes.map(|known| (known.id.clone(), Arc::new(known))).collect();
     let view = SiteView {
-        table: Some(Arc::new(RouteTable::new(config))),
+        routes: Some(Arc::new(RouteTable::new(config))),
         boxes: Arc::new(boxes.clone()),
         silent: BTreeSet::new(),
         assigned: Arc::default(),
         suspects: Arc::default(),
         evacuated: Arc::default(),
         cold: Arc::default(),
-        listed: true,
-        nodes: size.nodes,
+        boxes_listed: true,
+        live_nodes: size.nodes,
     };
     report("all boxes published", || {
         black_box(boxes.clone());
--- a/crates/cherrystand_core/benches/routing.rs
+++ b/crates/cherrystand_core/benches/routing.rs
@@ -90,7 +90,7 @@
         near: number.is_multiple_of(3),
         slots: 34,
         region: None,
-        evacuated: None,
+        evacuated_since: None,
         cold: None,
     };
     balancer.set_targets((0..replicas).map(target).collect());
@@ -110,7 +110,7 @@
     let ask = RequestSpec {
         service: &service,
         model: Some("m"),
-        prompt: 700.0,
+        prompt_tokens: 700.0,
         latency_goal: objective,
         regions: AllowedRegions::default(),
     };
--- a/crates/cherrystand_core/src/site/allowed_regions.rs
+++ b/crates/cherrystand_core/src/site/allowed_regions.rs
@@ -16,7 +16,7 @@
 impl AllowedRegions<'_> {
     /// Returns whether an endpoint in a region may get the request. An endpoint of unknown region
     /// may not, if the request is restricted at all.
-    pub fn allow(&self, region: Option<&RegionId>) -> bool {
+    pub fn allows(&self, region: Option<&RegionId>) -> bool {
         let is_allowed = |allowed: &[RegionId]| {
             allowed.is_empty() || region.is_some_and(|region| allowed.contains(region))
         };
--- a/crates/cherrystand_core/src/site/load_balancer.rs
+++ b/crates/cherrystand_core/src/site/load_balancer.rs
@@ -48,7 +48,7 @@
     /// The model, if it asks for one.
     pub model: Option<&'a str>,
     /// The tokens of its prompt.
-    pub prompt: f64,
+    pub prompt_tokens: f64,
     /// The time within which its answer, or its first event, is in time.
     pub latency_goal: Millis,
     /// The regions in which it may be answered.
@@ -97,7 +97,7 @@
     pub(super) keys: BTreeMap<BoxId, TargetKey>,
     services: HashMap<ServiceName, ServiceTargets>,
     /// The backpressure that endpoints signalled to this node, including endpoints not listed now.
-    pub(super) wishes: EndpointBackpressure<BoxId>,
+    pub(super) backpressure: EndpointBackpressure<BoxId>,
     latency_models: HashMap<String, LatencyModel>,
 }
 
@@ -124,7 +124,7 @@
                 Some(target) => target.spec = spec,
                 None => {
                     let mut target = Target::new(spec);
-                    target.is_draining = self.wishes.is_draining(&id);
+                    target.is_draining = self.backpressure.is_draining(&id);
                     let key = self.targets.insert(target);
                     self.keys.insert(id, key);
                 }
@@ -135,14 +135,15 @@
 
     /// Updates which endpoints lie in evacuated zones, and which are cold.
     fn update_availability(&mut self, wanted: &BTreeMap<BoxId, TargetSpec>) {
-        let evacuated = wanted.values().filter_map(|spec| Some((spec.id.clone(), spec.evacuated?)));
-        self.wishes.set_evacuated(evacuated.collect());
+        let evacuated =
+            wanted.values().filter_map(|spec| Some((spec.id.clone(), spec.evacuated_since?)));
+        self.backpressure.set_evacuated(evacuated.collect());
         for (id, spec) in wanted {
             let held = self.keys.get(id).and_then(|key| self.targets.get(*key));
             let before = held.and_then(|target| target.spec.cold);
             // A cold period that peers report is kept if this node has no report of its own.
             if spec.cold != before {
-                self.wishes.limits.set_cold_period(id, spec.cold);
+                self.backpressure.limits.set_cold_period(id, spec.cold);
             }
         }
     }
@@ -186,7 +187,7 @@
     /// without the endpoints in evacuated zones.
     pub fn model_loads(&self) -> ModelLoads {
         let mut loads = ModelLoads::new();
-        for target in self.targets.values().filter(|target| target.spec.evacuated.is_none()) {
+        for target in self.targets.values().filter(|target| target.spec.evacuated_since.is_none()) {
             let Some(model) = &target.spec.model else { continue };
             let of_service = loads.entry(target.spec.service.clone()).or_default();
             let load = of_service.entry(model.clone()).or_default();
@@ -254,7 +255,7 @@
         for key in candidates.near.iter().chain(&candidates.far) {
             let target = self.targets.get(*key)?;
             let state = self.backpressure_state(target, choice.now);
-            let is_allowed = choice.request.regions.allow(target.spec.region.as_ref());
+            let is_allowed = choice.request.regions.allows(target.spec.region.as_ref());
             if choice.excluded.contains(&target.spec.id) || state.is_closed() || !is_allowed {
                 continue;
             }
@@ -275,7 +276,7 @@
     fn cost(&self, target: &Target, choice: &Choice<'_>) -> f64 {
         let by_count = self.policy.choice == ChoiceRule::FewestInFlight;
         let engine = choice.engine.filter(|_| !by_count);
-        target.cost(choice.request.prompt, engine, choice.now)
+        target.cost(choice.request.prompt_tokens, engine, choice.now)
     }
 
     /// Returns the endpoint with the lower cost of two random ones.
@@ -353,7 +354,7 @@
         let target = self.targets.get(key)?;
         let is_excluded = choice.excluded.contains(&target.spec.id)
             || target.is_ejected(choice.now)
-            || !choice.request.regions.allow(target.spec.region.as_ref());
+            || !choice.request.regions.allows(target.spec.region.as_ref());
         let is_open = || self.backpressure_state(target, choice.now) == BackpressureState::Open;
         (!is_excluded && is_open()).then_some(target)
     }
@@ -364,7 +365,7 @@
         let Some((engine, model)) = choice.engine else {
             return 0.0;
         };
-        let first_event_ms = target.first_event_ms(engine, model, choice.request.prompt);
+        let first_event_ms = target.first_event_ms(engine, model, choice.request.prompt_tokens);
         let goal = choice.request.latency_goal.0 as f64;
         let in_time = choice.latency.probability_within(first_event_ms, goal);
         let time = choice.latency.expected_ms(first_event_ms) / goal.max(1.0);
@@ -372,7 +373,7 @@
     }
 
     /// Returns the box of an endpoint.
-    pub fn id(&self, key: TargetKey) -> Option<&BoxId> {
+    pub fn box_id(&self, key: TargetKey) -> Option<&BoxId> {
         self.targets.get(key).map(|target| &target.spec.id)
     }
 
@@ -385,7 +386,7 @@
     ) -> Option<Prediction> {
         let target = self.targets.get(key)?;
         let model = engine.model(request.model?)?;
-        let first_event_ms = target.first_event_ms(engine, model, request.prompt);
+        let first_event_ms = target.first_event_ms(engine, model, request.prompt_tokens);
         let latency = self.latency_models.get(&model.name).copied().unwrap_or_default();
         let goal = request.latency_goal.0 as f64;
         let in_time = latency.probability_within(first_event_ms, goal);
--- a/crates/cherrystand_core/src/site/load_balancer_limits.rs
+++ b/crates/cherrystand_core/src/site/load_balancer_limits.rs
@@ -21,13 +21,13 @@
 
 impl LoadBalancer {
     /// Returns the rate limits that endpoints have for all nodes together.
-    pub fn limits(&self) -> &EndpointRateLimits<BoxId> {
-        &self.wishes.limits
+    pub fn rate_limits(&self) -> &EndpointRateLimits<BoxId> {
+        &self.backpressure.limits
     }
 
     /// Returns the rate limits for updating.
-    pub fn limits_mut(&mut self) -> &mut EndpointRateLimits<BoxId> {
-        &mut self.wishes.limits
+    pub fn rate_limits_mut(&mut self) -> &mut EndpointRateLimits<BoxId> {
+        &mut self.backpressure.limits
     }
 
     /// Requests permits of rate-limited endpoints for a request, and returns these endpoints.
@@ -43,7 +43,7 @@
         rng: &mut SeededRng,
     ) -> Vec<BoxId> {
         // Fast path: usually no endpoint has a rate limit.
-        if self.wishes.limits.is_empty() {
+        if self.backpressure.limits.is_empty() {
             return Vec::new();
         }
         let Some(candidates) = self.candidates(request, engine) else { return Vec::new() };
@@ -58,20 +58,20 @@
             let state = self.backpressure_state(target, now);
             let is_wanted = matches!(state, BackpressureState::RateLimited(_))
                 && !target.is_ejected(now)
-                && request.regions.allow(target.spec.region.as_ref());
+                && request.regions.allows(target.spec.region.as_ref());
             is_wanted.then(|| target.spec.id.clone())
         });
         let wanted: Vec<BoxId> = selected.take(MAX_PERMIT_REQUESTS).collect();
-        wanted.iter().for_each(|id| self.wishes.limits.request_permit(id, now));
+        wanted.iter().for_each(|id| self.backpressure.limits.request_permit(id, now));
         wanted
     }
 
     /// Returns the backpressure state of an endpoint.
     pub(super) fn backpressure_state(&self, target: &Target, now: Millis) -> BackpressureState {
-        match (target.is_draining, target.spec.evacuated) {
+        match (target.is_draining, target.spec.evacuated_since) {
             (true, _) => BackpressureState::Draining,
             (false, Some(since)) => BackpressureState::Evacuated(since),
-            (false, None) => self.wishes.active_state(&target.spec.id, target.in_flight, now),
+            (false, None) => self.backpressure.active_state(&target.spec.id, target.in_flight, now),
         }
     }
 
@@ -87,7 +87,7 @@
         let mut first: Option<Millis> = None;
         for key in candidates.near.iter().chain(&candidates.far) {
             let target = self.targets.get(*key)?;
-            if !request.regions.allow(target.spec.region.as_ref()) {
+            if !request.regions.allows(target.spec.region.as_ref()) {
                 continue;
             }
             let until = match self.backpressure_state(target, now) {
@@ -110,7 +110,7 @@
     pub fn record_backoff(&mut self, id: &BoxId, asked: Millis, now: Millis) -> Millis {
         let target = self.keys.get(id).and_then(|key| self.targets.get(*key));
         let in_flight = target.map_or(0, |target| target.in_flight);
-        self.wishes.record_backoff(id, asked, in_flight, now)
+        self.backpressure.record_backoff(id, asked, in_flight, now)
     }
 
     /// Records that an endpoint is draining, and returns whether that is new.
@@ -118,27 +118,27 @@
         if let Some(target) = self.keys.get(id).and_then(|key| self.targets.get_mut(*key)) {
             target.is_draining = true;
         }
-        self.wishes.record_draining(id)
+        self.backpressure.record_draining(id)
     }
 
     /// Returns whether an endpoint announced that it drains.
     pub fn is_draining(&self, id: &BoxId) -> bool {
-        self.wishes.is_draining(id)
+        self.backpressure.is_draining(id)
     }
 
     /// Returns a permit to send one request to an endpoint, or `None` if it takes none.
-    pub fn permit(&mut self, key: TargetKey, now: Millis) -> Option<SendPermit> {
+    pub fn acquire_permit(&mut self, key: TargetKey, now: Millis) -> Option<SendPermit> {
         let target = self.targets.get(key)?;
-        self.wishes.acquire_permit(&target.spec.id, target.in_flight, now)
+        self.backpressure.acquire_permit(&target.spec.id, target.in_flight, now)
     }
 
     /// Records that an endpoint began to answer the first request after its backoff.
     pub fn record_answer_after_backoff(&mut self, id: &BoxId, now: Millis) {
-        self.wishes.record_answer(id, now);
+        self.backpressure.record_answer(id, now);
     }
 
     /// Records that the first request after an endpoint's backoff has ended.
     pub fn record_end_after_backoff(&mut self, id: &BoxId) {
-        self.wishes.record_end(id);
+        self.backpressure.record_end(id);
     }
 }
--- a/crates/cherrystand_core/src/site/site_view.rs
+++ b/crates/cherrystand_core/src/site/site_view.rs
@@ -19,7 +19,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct SiteView {
     /// The active configuration; `None` before the first one is known.
-    pub table: Option<Arc<RouteTable>>,
+    pub routes: Option<Arc<RouteTable>>,
     /// The listed boxes.
     pub boxes: Arc<BTreeMap<BoxId, Arc<SiteBox>>>,
     /// Boxes that are listed but don't respond.
@@ -33,9 +33,9 @@
     /// Until when boxes are cold.
     pub cold: Arc<ColdBoxes>,
     /// Whether the boxes were listed at least once.
-    pub listed: bool,
+    pub boxes_listed: bool,
     /// How many nodes are alive, including this one.
-    pub nodes: usize,
+    pub live_nodes: usize,
 }
 
 /// How many members of one replica are listed, and how many of these are unusable.
@@ -53,8 +53,8 @@
 
 impl SiteView {
     /// Returns whether a configuration and the boxes are known.
-    pub fn is_known(&self) -> bool {
-        self.listed && self.table.is_some()
+    pub fn is_complete(&self) -> bool {
+        self.boxes_listed && self.routes.is_some()
     }
 
     /// Lists the endpoints in service, as seen by a daemon in `zone`, and their addresses.
@@ -65,7 +65,7 @@
         zone: &ZoneId,
         regions: &BTreeMap<ZoneId, RegionId>,
     ) -> Vec<(TargetSpec, SocketAddr)> {
-        let Some(table) = &self.table else {
+        let Some(table) = &self.routes else {
             return Vec::new();
         };
         let members = self.members_by_replica();
@@ -85,7 +85,7 @@
                 model: model.map(|(model, _)| model),
                 near: &site_box.zone == zone,
                 region: regions.get(&site_box.zone).cloned(),
-                evacuated: self.evacuated.get(&site_box.zone).copied(),
+                evacuated_since: self.evacuated.get(&site_box.zone).copied(),
                 cold: self.cold_period(site_box),
             };
             Some((spec, site_box.address))
@@ -107,7 +107,7 @@
         if self.silent.contains(leader) {
             return true;
         }
-        let config = self.table.as_ref().map(|table| table.config());
+        let config = self.routes.as_ref().map(|table| table.config());
         if config.is_none_or(|config| config.engine(&site_box.service).is_none()) {
             return false;
         }
@@ -152,7 +152,7 @@
     /// Returns until when a box is cold and its request rate meanwhile, if its service limits that.
     fn cold_period(&self, site_box: &SiteBox) -> Option<ColdPeriod> {
         let until = self.cold.until(&site_box.id)?;
-        let service = self.table.as_ref()?.config().service(&site_box.service)?;
+        let service = self.routes.as_ref()?.config().service(&site_box.service)?;
         Some(ColdPeriod { rate: service.cold?.rate, until })
     }
 
@@ -180,7 +180,7 @@
             return None;
         }
         let model = leader.loaded.first()?;
-        let table = self.table.as_ref()?;
+        let table = self.routes.as_ref()?;
         let span = table.config().engine(&leader.service)?.model(model)?.span;
         let counts = members.get(&(member.replica.as_str(), member.epoch))?;
         let present = counts.count + self.running_unlisted_members(member);
--- a/crates/cherrystand_core/src/site/target.rs
+++ b/crates/cherrystand_core/src/site/target.rs
@@ -43,7 +43,7 @@
     /// Its region, if known.
     pub region: Option<RegionId>,
     /// Since when operators have evacuated its availability zone, if they have.
-    pub evacuated: Option<Millis>,
+    pub evacuated_since: Option<Millis>,
     /// Until when it is cold, and its request rate meanwhile, if it is.
     pub cold: Option<ColdPeriod>,
 }
--- a/crates/cherrystand_core/tests/choice.rs
+++ b/crates/cherrystand_core/tests/choice.rs
@@ -21,7 +21,7 @@
         near,
         slots: 26,
         region: None,
-        evacuated: None,
+        evacuated_since: None,
         cold: None,
     }
 }
@@ -37,7 +37,7 @@
     let request = RequestSpec {
         service: &service,
         model: Some("large"),
-        prompt: PROMPT,
+        prompt_tokens: PROMPT,
         latency_goal,
         regions: AllowedRegions::default(),
     };
@@ -46,7 +46,7 @@
     let mut chosen = BTreeMap::new();
     for _ in 0..count {
         let key = balancer.choose(request, Some(&engine), &[], now, &mut seed).expect("a replica");
-        let id = balancer.id(key).expect("known").as_str().to_owned();
+        let id = balancer.box_id(key).expect("known").as_str().to_owned();
         *chosen.entry(id).or_default() += 1;
     }
     chosen
@@ -174,7 +174,7 @@
         let request = RequestSpec {
             service: &service,
             model,
-            prompt: PROMPT,
+            prompt_tokens: PROMPT,
             latency_goal,
             regions: AllowedRegions::default(),
         };
--- a/crates/cherrystand_core/tests/endpoint_backpressure.rs
+++ b/crates/cherrystand_core/tests/endpoint_backpressure.rs
@@ -230,7 +230,7 @@
         near: number == 0,
         slots: 6,
         region: None,
-        evacuated: None,
+        evacuated_since: None,
         cold: None,
     };
     for case in cases {
@@ -250,12 +250,12 @@
         let ask = RequestSpec {
             service: &service,
             model: None,
-            prompt: 0.0,
+            prompt_tokens: 0.0,
             latency_goal: Millis(100),
             regions: AllowedRegions::default(),
         };
         let key = balancer.choose(ask, None, &[], NOW, &mut SeededRng::new(3));
-        let id = key.and_then(|key| balancer.id(key)).cloned();
+        let id = key.and_then(|key| balancer.box_id(key)).cloned();
         let chosen = case.chosen.map(|number| spec(number).id);
         assert_eq!(id, chosen, "{}", case.name);
         let all_rest = case.all_rest.map(|secs| NOW + Millis::from_secs(secs));
--- a/crates/cherrystand_core/tests/evacuations.rs
+++ b/crates/cherrystand_core/tests/evacuations.rs
@@ -183,13 +183,13 @@
         near: number == 0,
         slots: 6,
         region: region.map(RegionId::new),
-        evacuated: None,
+        evacuated_since: None,
         cold: None,
     }
 }
 
 fn request<'a>(service: &'a ServiceName, regions: AllowedRegions<'a>) -> RequestSpec<'a> {
-    RequestSpec { service, model: None, prompt: 0.0, latency_goal: Millis(100), regions }
+    RequestSpec { service, model: None, prompt_tokens: 0.0, latency_goal: Millis(100), regions }
 }
 
 /// An endpoint in an evacuated zone is neither chosen nor given a permit, and is restored when the
@@ -204,19 +204,24 @@
         |balancer: &LoadBalancer| balancer.choose(request, None, &[], NOW, &mut SeededRng::new(3));
     balancer.set_targets(vec![spec(0, None), spec(1, None)]);
     let near = choose(&balancer).expect("an endpoint");
-    balancer.set_targets(vec![TargetSpec { evacuated: since, ..spec(0, None) }, spec(1, None)]);
+    balancer
+        .set_targets(vec![TargetSpec { evacuated_since: since, ..spec(0, None) }, spec(1, None)]);
     let chosen = choose(&balancer).expect("an endpoint");
-    assert_eq!(balancer.id(chosen), Some(&spec(1, None).id));
-    assert!(balancer.permit(near, NOW).is_none() && balancer.permit(chosen, NOW).is_some());
+    assert_eq!(balancer.box_id(chosen), Some(&spec(1, None).id));
+    assert!(
+        balancer.acquire_permit(near, NOW).is_none()
+            && balancer.acquire_permit(chosen, NOW).is_some()
+    );
     assert_eq!(balancer.unavailable_until(request, None, NOW), None);
-    let evacuated = [0, 1].map(|number| TargetSpec { evacuated: since, ..spec(number, None) });
+    let evacuated =
+        [0, 1].map(|number| TargetSpec { evacuated_since: since, ..spec(number, None) });
     balancer.set_targets(evacuated.to_vec());
     assert_eq!(choose(&balancer), None);
     // The zones were evacuated 4 s ago, and it is unknown for how much longer.
     assert_eq!(balancer.unavailable_until(request, None, NOW), Some(NOW + Millis(4_000)));
     balancer.set_targets(vec![spec(0, None), spec(1, None)]);
     assert_eq!(choose(&balancer), Some(near));
-    assert!(balancer.permit(near, NOW).is_some());
+    assert!(balancer.acquire_permit(near, NOW).is_some());
 }
 
 /// A cold endpoint is limited while it is cold, by its cold rate or the limit it names, whichever
@@ -228,7 +233,7 @@
     let mut balancer = LoadBalancer::default();
     balancer.set_targets(vec![TargetSpec { cold: Some(cold), ..spec(0, None) }]);
     let id = spec(0, None).id;
-    let limits = balancer.limits_mut();
+    let limits = balancer.rate_limits_mut();
     assert_eq!(limits.limit(&id), Some(rate(14.0)));
     assert!(limits.permit_wait(&id, NOW).is_some_and(|wait| wait.is_err()));
     assert!(!limits.take_permit(&id, NOW));
@@ -246,9 +251,9 @@
     // It is warm earlier than it reported.
     balancer.set_targets(vec![spec(0, None)]);
     balancer.set_targets(vec![TargetSpec { cold: Some(cold), ..spec(0, None) }]);
-    assert_eq!(balancer.limits().limit(&id), Some(rate(14.0)));
+    assert_eq!(balancer.rate_limits().limit(&id), Some(rate(14.0)));
     balancer.set_targets(vec![spec(0, None)]);
-    assert_eq!(balancer.limits().limit(&id), None);
+    assert_eq!(balancer.rate_limits().limit(&id), None);
 }
 
 /// The view marks the endpoints in evacuated zones, and those that are cold if their service limits
@@ -281,12 +286,12 @@
         cold_boxes.record(&BoxId::new(id), Millis(2_000), NOW);
     }
     let view = SiteView {
-        table: Some(Arc::new(RouteTable::new(config))),
+        routes: Some(Arc::new(RouteTable::new(config))),
         boxes: Arc::new(boxes.into_iter().collect()),
         evacuated: Arc::new(BTreeMap::from([(ZoneId::new("z1"), NOW), (ZoneId::new("z9"), NOW)])),
         cold: Arc::new(cold_boxes),
-        listed: true,
-        nodes: 1,
+        boxes_listed: true,
+        live_nodes: 1,
         ..SiteView::default()
     };
     let regions = BTreeMap::from([(ZoneId::new("z2"), RegionId::new("r2"))]);
@@ -295,7 +300,7 @@
         .iter()
         .map(|(spec, _)| {
             let region = spec.region.as_ref().map(RegionId::as_str);
-            (spec.id.as_str(), spec.evacuated, spec.cold.map(|cold| cold.until), region)
+            (spec.id.as_str(), spec.evacuated_since, spec.cold.map(|cold| cold.until), region)
         })
         .collect();
     let until = Some(NOW + Millis(2_000));
@@ -321,7 +326,7 @@
         let mut balancer = LoadBalancer::default();
         let specs: Vec<TargetSpec> = endpoints.iter().enumerate().map(|(number, (of, evacuated, _))| {
             let of = of.map(|of| format!("r{of}"));
-            TargetSpec { evacuated: evacuated.then_some(NOW), ..spec(number, of.as_deref()) }
+            TargetSpec { evacuated_since: evacuated.then_some(NOW), ..spec(number, of.as_deref()) }
         }).collect();
         balancer.set_targets(specs.clone());
         for (spec, (_, _, leaves)) in specs.iter().zip(&endpoints) {
@@ -333,11 +338,11 @@
         let regions = AllowedRegions { route: &route, tenant: &tenant };
         let may_get = |spec: &TargetSpec| {
             let is_allowed = |regions: &[RegionId]| regions.is_empty() || spec.region.as_ref().is_some_and(|region| regions.contains(region));
-            is_allowed(&route) && is_allowed(&tenant) && spec.evacuated.is_none()
+            is_allowed(&route) && is_allowed(&tenant) && spec.evacuated_since.is_none()
         };
         let open = specs.iter().zip(&endpoints).any(|(spec, (_, _, leaves))| may_get(spec) && !leaves);
         let chosen = balancer.choose(request(&service, regions), None, &[], NOW, &mut SeededRng::new(seed));
-        let chosen = chosen.and_then(|key| balancer.id(key)).cloned();
+        let chosen = chosen.and_then(|key| balancer.box_id(key)).cloned();
         prop_assert_eq!(chosen.is_some(), open);
         if let Some(id) = chosen {
             let spec = specs.iter().find(|spec| spec.id == id);
--- a/crates/cherrystand_core/tests/lost_replicas.rs
+++ b/crates/cherrystand_core/tests/lost_replicas.rs
@@ -60,15 +60,15 @@
     }
     let ids = |ids: &[&str]| ids.iter().map(|id| BoxId::new(*id)).collect::<Vec<_>>();
     SiteView {
-        table: Some(Arc::new(RouteTable::new(config))),
+        routes: Some(Arc::new(RouteTable::new(config))),
         boxes: Arc::new(boxes),
         silent: ids(silent).into_iter().collect(),
         assigned: Arc::new([(("r".to_owned(), EPOCH), ids(&["a", "b", "c"]))].into()),
         suspects: Arc::default(),
         evacuated: Arc::default(),
         cold: Arc::default(),
-        listed: true,
-        nodes: 2,
+        boxes_listed: true,
+        live_nodes: 2,
     }
 }
 
--- a/crates/cherrystand_core/tests/site_requests.rs
+++ b/crates/cherrystand_core/tests/site_requests.rs
@@ -216,7 +216,7 @@
         near: true,
         slots: 26,
         region: None,
-        evacuated: None,
+        evacuated_since: None,
         cold: None,
     }
 }
@@ -229,7 +229,7 @@
     RequestSpec {
         service,
         model,
-        prompt,
+        prompt_tokens: prompt,
         latency_goal: LATENCY_GOAL,
         regions: AllowedRegions::default(),
     }
@@ -241,7 +241,7 @@
     let engine = site_engine();
     let key =
         balancer.choose(request_spec, Some(&engine), excluded, now, &mut SeededRng::new(1))?;
-    balancer.id(key).map(|id| id.as_str().to_owned())
+    balancer.box_id(key).map(|id| id.as_str().to_owned())
 }
 
 #[test]
@@ -317,7 +317,7 @@
     let mut to_a = 0;
     for _ in 0..200 {
         let key = balancer.choose(request_spec, None, &[], NOW, &mut rng).expect("one");
-        if balancer.id(key).expect("known").as_str() == "a" {
+        if balancer.box_id(key).expect("known").as_str() == "a" {
             to_a += 1;
             balancer.record_failure(key, NOW);
         } else {
@@ -330,7 +330,7 @@
     let choose =
         |rng: &mut SeededRng| balancer.choose(request_spec, None, &[], later, rng).expect("one");
     let keys: Vec<_> = (0..50).map(|_| choose(&mut rng)).collect();
-    assert!(keys.iter().any(|key| balancer.id(*key).expect("known").as_str() == "a"));
+    assert!(keys.iter().any(|key| balancer.box_id(*key).expect("known").as_str() == "a"));
 }
 
 #[test]
--- a/crates/cherrystandd/src/site/active_attempt.rs
+++ b/crates/cherrystandd/src/site/active_attempt.rs
@@ -216,7 +216,7 @@
             balancer.record_end_after_backoff(&self.target);
         }
         if self.permit.take().is_some() {
-            balancer.limits_mut().return_permit(&self.target);
+            balancer.rate_limits_mut().return_permit(&self.target);
         }
         self.frontend.crashes.attempt_ended(&self.target, &self.req);
     }
--- a/crates/cherrystandd/src/site/control.rs
+++ b/crates/cherrystandd/src/site/control.rs
@@ -226,7 +226,7 @@
             let view = self.cx.view_now();
             let has_expired = self.state.borrow_mut().remove_expired(self.now());
             // A node's share of the retries depends on the number of nodes.
-            if has_expired || self.cx.site.borrow().nodes != view.alive().count() {
+            if has_expired || self.cx.site.borrow().live_nodes != view.alive().count() {
                 self.publish();
             }
             probe_unlisted(&self);
--- a/crates/cherrystandd/src/site/endpoint_signals.rs
+++ b/crates/cherrystandd/src/site/endpoint_signals.rs
@@ -82,7 +82,7 @@
         };
         let heard = ObservedRateLimit { limit, request_sent_at: attempt.started_at };
         let mut balancer = self.balancer.borrow_mut();
-        let is_new = balancer.limits_mut().record_answer(&attempt.target, heard, self.now());
+        let is_new = balancer.rate_limits_mut().record_answer(&attempt.target, heard, self.now());
         self.signal_log.limit(&attempt.target, limit, is_new);
         if is_new {
             self.loads.limits_due.notify_one();
@@ -100,10 +100,13 @@
         let cold_left = facts.cold_left.filter(|_| is_answer_to(req, facts));
         let Some(left) = cold_left.filter(|left| *left > Millis(0)) else { return };
         let view = self.view.borrow();
-        let service = view.table.as_ref().and_then(|table| table.config().service(&req.service));
+        let service = view.routes.as_ref().and_then(|table| table.config().service(&req.service));
         let Some(cold) = service.and_then(|service| service.cold) else { return };
         let cold_life = ColdPeriodUpdate { rate: cold.rate, left }.to_period(self.now());
-        self.balancer.borrow_mut().limits_mut().set_cold_period(&attempt.target, Some(cold_life));
+        self.balancer
+            .borrow_mut()
+            .rate_limits_mut()
+            .set_cold_period(&attempt.target, Some(cold_life));
         self.loads.limits_due.notify_one();
     }
 
@@ -121,7 +124,7 @@
             let answered = self.loads.permits.notified();
             let may_come = {
                 let balancer = self.balancer.borrow();
-                let limits = balancer.limits();
+                let limits = balancer.rate_limits();
                 endpoints
                     .iter()
                     .all(|id| limits.permit_wait(id, self.now()).is_some_and(|wait| wait.is_err()))
@@ -134,11 +137,11 @@
     }
 
     fn request_permits(&self, req: &SiteRequest) -> Vec<BoxId> {
-        if self.balancer.borrow().limits().is_empty() {
+        if self.balancer.borrow().rate_limits().is_empty() {
             return Vec::new();
         }
         let view = self.refresh_view();
-        let Some(table) = view.table.as_ref() else { return Vec::new() };
+        let Some(table) = view.routes.as_ref() else { return Vec::new() };
         let engine = table.config().engine(&req.service);
         let spec = req.spec(engine, req.route.latency_goal);
         let mut seed = self.seed.get();
@@ -152,7 +155,7 @@
     /// request is in backoff or at its limit.
     pub(crate) fn unavailable_until(&self, req: &SiteRequest) -> Option<Millis> {
         let view = self.view.borrow();
-        let engine = view.table.as_ref()?.config().engine(&req.service);
+        let engine = view.routes.as_ref()?.config().engine(&req.service);
         let spec = req.spec(engine, req.route.latency_goal);
         self.balancer.borrow().unavailable_until(spec, engine, self.now())
     }
--- a/crates/cherrystandd/src/site/frontend.rs
+++ b/crates/cherrystandd/src/site/frontend.rs
@@ -98,7 +98,7 @@
         loads: Rc<LoadExchange>,
         crashes: Rc<CrashWatch>,
     ) -> Self {
-        balancer.borrow_mut().limits_mut().set_last_request_number(clock::unix_millis());
+        balancer.borrow_mut().rate_limits_mut().set_last_request_number(clock::unix_millis());
         Self {
             balancer,
             pool: EndpointPool::default(),
@@ -167,8 +167,8 @@
     pub(crate) async fn view_once_known(&self) -> Arc<SiteView> {
         let left = STARTUP_GRACE.since(self.now());
         let mut site = self.cx.site.clone();
-        if left > Millis(0) && !site.borrow().is_known() {
-            let known = site.wait_for(|view| view.is_known());
+        if left > Millis(0) && !site.borrow().is_complete() {
+            let known = site.wait_for(|view| view.is_complete());
             // If it stays unknown, the request is answered with what the daemon knows.
             let _ = tokio::time::timeout(Duration::from_millis(left.0), known).await;
         }
@@ -189,8 +189,8 @@
     /// Returns how many idle connections this node keeps to each box of a service.
     pub(crate) fn max_idle_connections(&self, service: &ServiceName) -> usize {
         let view = self.view.borrow();
-        let known = view.table.as_ref().and_then(|table| table.config().service(service));
-        max_idle_connections(known.and_then(|service| service.connections), view.nodes)
+        let known = view.routes.as_ref().and_then(|table| table.config().service(service));
+        max_idle_connections(known.and_then(|service| service.connections), view.live_nodes)
     }
 
     /// Returns whether a box has announced that it is leaving.
@@ -208,7 +208,7 @@
         purpose: AttemptPurpose,
     ) -> Option<Rc<ActiveAttempt>> {
         let view = self.refresh_view();
-        let engine = view.table.as_ref()?.config().engine(&req.service);
+        let engine = view.routes.as_ref()?.config().engine(&req.service);
         let latency_goal = match purpose {
             AttemptPurpose::FirstAnswer => req.latency_goal_left(self.now()),
             AttemptPurpose::Resume => req.route.latency_goal,
@@ -228,7 +228,7 @@
         };
         self.seed.set(seed);
         let key = key.or_else(|| balancer.choose(spec, engine, &[], self.now(), &mut seed))?;
-        let target = balancer.id(key)?.clone();
+        let target = balancer.box_id(key)?.clone();
         let prediction = engine.and_then(|engine| balancer.predict(key, spec, engine));
         let prediction = prediction.map(|prediction| match purpose {
             AttemptPurpose::FirstAnswer => prediction,
@@ -237,7 +237,7 @@
         drop(balancer);
         let rank = req.route.priority;
         let priority = prediction.map(|prediction| engine_priority(rank, prediction.deferred));
-        let permit = self.balancer.borrow_mut().permit(key, self.now())?;
+        let permit = self.balancer.borrow_mut().acquire_permit(key, self.now())?;
         let attempt = ActiveAttempt::start(
             permit,
             self.clone(),
@@ -307,7 +307,7 @@
 
     fn max_silence(&self, req: &SiteRequest, load: EngineLoad) -> Millis {
         let view = self.view.borrow();
-        let engine = view.table.as_ref().and_then(|table| table.config().engine(&req.service));
+        let engine = view.routes.as_ref().and_then(|table| table.config().engine(&req.service));
         let model = req.facts.model.as_deref();
         let predicted = engine.and_then(|engine| {
             let model = engine.model(model?)?;
@@ -373,13 +373,13 @@
 
     /// Waits for a borrowed retry if this node has none left and another one may lend it.
     pub(crate) async fn await_borrowed_retry(&self, req: &SiteRequest) {
-        let nodes = self.view.borrow().nodes;
+        let nodes = self.view.borrow().live_nodes;
         self.retries.await_borrowed(&req.service, nodes).await;
     }
 
     /// Spends a retry of this node's share on a request and returns whether there was one.
     pub(crate) fn spend_retry(&self, req: &SiteRequest, end: AttemptEnd) -> bool {
-        let nodes = self.view.borrow().nodes;
+        let nodes = self.view.borrow().live_nodes;
         self.retries.spend(&req.service, nodes, end)
     }
 
@@ -396,7 +396,7 @@
 
     /// Returns whether a retry is left for a request, without spending it.
     pub(crate) fn has_retry(&self, req: &SiteRequest) -> bool {
-        self.retries.has_left(&req.service, self.view.borrow().nodes)
+        self.retries.has_left(&req.service, self.view.borrow().live_nodes)
     }
 
     /// Counts how a stream ended.
--- a/crates/cherrystandd/src/site/limit_exchange.rs
+++ b/crates/cherrystandd/src/site/limit_exchange.rs
@@ -51,9 +51,9 @@
 
     fn limit_activity(&self) -> LimitActivity {
         let (balancer, lent_retries) = (self.balancer.borrow(), self.loads.lent_retries.borrow());
-        match balancer.limits().is_idle() && lent_retries.is_idle() {
+        match balancer.rate_limits().is_idle() && lent_retries.is_idle() {
             false => LimitActivity::Active,
-            true if balancer.limits().is_empty() && lent_retries.is_empty() => {
+            true if balancer.rate_limits().is_empty() && lent_retries.is_empty() => {
                 LimitActivity::Unused
             }
             true => LimitActivity::Idle,
@@ -65,7 +65,7 @@
         let members_changed =
             !last_view.as_ref().is_some_and(|last_view| same_members(last_view, &view));
         *last_view = Some(view.clone());
-        let step = self.step(self.balancer.borrow_mut().limits_mut(), members_changed, &view);
+        let step = self.step(self.balancer.borrow_mut().rate_limits_mut(), members_changed, &view);
         self.send_step(step, LoadNews::Limit, &view).await;
         let step = self.step(&mut self.loads.lent_retries.borrow_mut(), members_changed, &view);
         self.send_step(step, LoadNews::Repeats, &view).await;
--- a/crates/cherrystandd/src/site/load_exchange.rs
+++ b/crates/cherrystandd/src/site/load_exchange.rs
@@ -237,7 +237,7 @@
             LoadNews::Served(requests) => self.crashes.peer_reported_served(&requests),
             LoadNews::Leaves(id) => self.cx.hint(Hint::Leaves(id)),
             LoadNews::Limit(id, news) => {
-                self.balancer.borrow_mut().limits_mut().handle_message(sender, &id, news, now);
+                self.balancer.borrow_mut().rate_limits_mut().handle_message(sender, &id, news, now);
                 self.loads.limits_due.notify_one();
             }
             LoadNews::Repeats(service, news) => {
--- a/crates/cherrystandd/src/site/pages.rs
+++ b/crates/cherrystandd/src/site/pages.rs
@@ -25,7 +25,7 @@
 pub(super) fn readiness(cx: &DutyContext, req: &Request<Incoming>) -> Response<CallerBody> {
     let view = cx.site.borrow();
     let running = cx.stop_phase() == StopPhase::Running;
-    let ready = running && view.table.is_some() && view.listed;
+    let ready = running && view.routes.is_some() && view.boxes_listed;
     let status = match req.uri().path() {
         Driver::READY_PATH if ready => StatusCode::OK,
         Driver::READY_PATH => StatusCode::SERVICE_UNAVAILABLE,
@@ -44,7 +44,7 @@
     });
     let cold = view.cold.iter().filter_map(|(id, until)| {
         let site_box = view.boxes.get(id)?;
-        let table = view.table.as_ref()?;
+        let table = view.routes.as_ref()?;
         let cold = table.config().service(&site_box.service)?.cold?;
         let left = until.since(now).as_secs_f64();
         let (zone, rate) = (site_box.zone.as_str(), cold.rate.as_f64());
--- a/crates/cherrystandd/src/site/request.rs
+++ b/crates/cherrystandd/src/site/request.rs
@@ -83,7 +83,7 @@
         RequestSpec {
             service: &self.service,
             model,
-            prompt: self.prompt_tokens(),
+            prompt_tokens: self.prompt_tokens(),
             latency_goal,
             regions,
         }
--- a/crates/cherrystandd/src/site/request_handler.rs
+++ b/crates/cherrystandd/src/site/request_handler.rs
@@ -112,7 +112,7 @@
 ) -> Result<Response<CallerBody>, RefusedRequest> {
     let arrived = frontend.now();
     let view = frontend.view_once_known().await;
-    let table = view.table.as_ref().ok_or(StatusCode::SERVICE_UNAVAILABLE)?;
+    let table = view.routes.as_ref().ok_or(StatusCode::SERVICE_UNAVAILABLE)?;
     let (head, body) = req.into_parts();
     if head_size(&head) > table.config().limits.header_bytes {
         return Err(StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE.into());
--- a/crates/cherrystandd/src/site/site_state.rs
+++ b/crates/cherrystandd/src/site/site_state.rs
@@ -482,7 +482,7 @@
     /// which the view includes the assigned boxes.
     pub(crate) fn view(&self, nodes: usize, serve_unlisted: bool) -> SiteView {
         SiteView {
-            table: self.table.clone(),
+            routes: self.table.clone(),
             boxes: self.boxes.clone(),
             silent: self.silent_boxes(),
             assigned: match serve_unlisted {
@@ -492,8 +492,8 @@
             suspects: self.suspects.get().1,
             evacuated: self.evacuations.since(),
             cold: self.cold.clone(),
-            listed: self.has_listing,
-            nodes,
+            boxes_listed: self.has_listing,
+            live_nodes: nodes,
         }
     }
 }
