--- a/crates/cherrystand_core/src/site/attempt_ledger.rs
+++ b/crates/cherrystand_core/src/site/attempt_ledger.rs
@@ -10,7 +10,7 @@
 /// What a caller is told about a request that no endpoint answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FinalFailure {
-    /// No endpoint executed it or still may: the caller can safely retry.
+    /// No endpoint executed it, and none will: the caller can safely retry.
     NotRun,
     /// An endpoint may have executed it, and did not answer in time.
     TimedOut,
--- a/crates/cherrystand_core/src/site/capacity_planner.rs
+++ b/crates/cherrystand_core/src/site/capacity_planner.rs
@@ -75,8 +75,8 @@
 
 /// Follows the load of the models of one service and reassigns domains.
 ///
-/// It keeps only its own measurements: a daemon that takes over the planning starts to measure
-/// anew.
+/// It keeps only its own measurements: a daemon that takes over the planning starts to measure from
+/// scratch.
 #[derive(Clone, Debug, Default)]
 pub struct CapacityPlanner {
     /// The number of replicas that each model keeps busy, smoothed.
@@ -115,7 +115,7 @@
         }
         let changes = self.best_changes(engine, domains);
         let since = match &self.pending_changes {
-            Some((held, since)) if *held == changes => *since,
+            Some((pending, since)) if *pending == changes => *since,
             _ => now,
         };
         if changes.is_empty() || now.since(since) < MIN_BETTER_TIME {
@@ -141,7 +141,7 @@
     ) -> Option<HomeChange> {
         let best = self.best_preload(engine, domains);
         let since = match (&self.preload_candidate, &best) {
-            (Some((held, since)), Some(best)) if held == best => *since,
+            (Some((pending, since)), Some(best)) if pending == best => *since,
             _ => now,
         };
         self.preload_candidate = best.map(|best| (best, since));
@@ -200,8 +200,8 @@
             else {
                 continue;
             };
-            let held = self.busy.entry(model.name.clone()).or_insert(busy);
-            *held += weight * (busy - *held);
+            let average = self.busy.entry(model.name.clone()).or_insert(busy);
+            *average += weight * (busy - *average);
         }
     }
 
@@ -312,8 +312,8 @@
 fn feasible_changes(models: &[ModelSpec], domains: &[DomainCapacity]) -> Vec<HomeChange> {
     let changes = domains.iter().flat_map(|domain| {
         let others = models.iter().filter(|model| model.name != domain.home);
-        let held = others.filter(|model| replicas_without_load(domain, model) > 0);
-        held.map(|model| HomeChange { domain: domain.id.clone(), home: model.name.clone() })
+        let feasible = others.filter(|model| replicas_without_load(domain, model) > 0);
+        feasible.map(|model| HomeChange { domain: domain.id.clone(), home: model.name.clone() })
     });
     changes.collect()
 }
--- a/crates/cherrystand_core/src/site/domain_draft.rs
+++ b/crates/cherrystand_core/src/site/domain_draft.rs
@@ -98,20 +98,20 @@
     /// A serving replica keeps serving while its leader is listed and no member was found silent.
     /// The entry of a member may expire although it works on, and a member that is gone is noticed
     /// because the streams stall.
-    pub(crate) fn replica_status(&self, name: &str, held: &Assignment) -> ReplicaStatus {
-        let Some(leader) = held.boxes.first().and_then(|id| self.responsive_box(id)) else {
+    pub(crate) fn replica_status(&self, name: &str, assignment: &Assignment) -> ReplicaStatus {
+        let Some(leader) = assignment.boxes.first().and_then(|id| self.responsive_box(id)) else {
             return ReplicaStatus::Broken("its leader is lost");
         };
-        let state = leader.member.as_ref().filter(|_| leader.is_member_of(name, held.epoch));
+        let state = leader.member.as_ref().filter(|_| leader.is_member_of(name, assignment.epoch));
         let state = state.map(|member| member.state);
         if state == Some(MemberState::Broken) {
             return ReplicaStatus::Broken("its leader says that it came apart");
         }
         let serves = matches!(state, Some(MemberState::Open | MemberState::Closing));
         let mut leaves = false;
-        for id in &held.boxes {
+        for id in &assignment.boxes {
             match self.responsive_box(id) {
-                Some(member) if serves && !member.is_member_of(name, held.epoch) => {
+                Some(member) if serves && !member.is_member_of(name, assignment.epoch) => {
                     return ReplicaStatus::Broken("a member belongs to it no more");
                 }
                 Some(member) => leaves |= member.leaving,
@@ -131,16 +131,22 @@
     }
 
     /// Orders the leader of a broken replica to leave, so that it stops serving.
-    pub(crate) fn stop_leader(&mut self, name: &str, held: &Assignment) {
-        if let Some(leader) = self.leader_of(name, held.epoch)
+    pub(crate) fn stop_leader(&mut self, name: &str, assignment: &Assignment) {
+        if let Some(leader) = self.leader_of(name, assignment.epoch)
             && self.may_serve(leader)
         {
-            self.add_order(leader, name, held.epoch, MemberTask::Leave);
+            self.add_order(leader, name, assignment.epoch, MemberTask::Leave);
         }
     }
 
     /// Orders a box to join a replica, or first to leave the one it may still belong to.
-    fn join(&mut self, site_box: &'a SiteBox, name: &str, held: &Assignment, model: &ModelSpec) {
+    fn join(
+        &mut self,
+        site_box: &'a SiteBox,
+        name: &str,
+        assignment: &Assignment,
+        model: &ModelSpec,
+    ) {
         if let Some(holder) = self.blocking_box(site_box)
             && let Some(member) = &holder.member
         {
@@ -151,25 +157,25 @@
             let (replica, epoch) = (replica_name(self.input.domain, &former.replica), former.epoch);
             return self.add_order(site_box, &replica, epoch, MemberTask::Leave);
         }
-        let members = held.boxes.clone();
+        let members = assignment.boxes.clone();
         let task = MemberTask::Join { model: model.name.clone(), members };
-        self.add_order(site_box, name, held.epoch, task);
+        self.add_order(site_box, name, assignment.epoch, task);
     }
 
     /// Orders the members of a replica to join, or its leader to open it once all have joined.
-    pub(crate) fn join_or_open(&mut self, name: &str, held: &Assignment, model: &ModelSpec) {
+    pub(crate) fn join_or_open(&mut self, name: &str, assignment: &Assignment, model: &ModelSpec) {
         let members: Vec<&'a SiteBox> =
-            held.boxes.iter().filter_map(|id| self.responsive_box(id)).collect();
+            assignment.boxes.iter().filter_map(|id| self.responsive_box(id)).collect();
         let is_ready = |member: &&SiteBox| {
             let state = member.member.as_ref().map(|member| member.state);
-            member.is_member_of(name, held.epoch) && state == Some(MemberState::Ready)
+            member.is_member_of(name, assignment.epoch) && state == Some(MemberState::Ready)
         };
         if members.iter().all(is_ready) {
-            return self.add_order(members[0], name, held.epoch, MemberTask::Open);
+            return self.add_order(members[0], name, assignment.epoch, MemberTask::Open);
         }
         for member in members {
-            if !member.is_member_of(name, held.epoch) {
-                self.join(member, name, held, model);
+            if !member.is_member_of(name, assignment.epoch) {
+                self.join(member, name, assignment, model);
             }
         }
     }
@@ -178,7 +184,7 @@
     pub(crate) fn repair(
         &mut self,
         replica: &ReplicaId,
-        held: &Assignment,
+        assignment: &Assignment,
         model: &ModelSpec,
         why: &str,
     ) {
@@ -189,7 +195,7 @@
             self.responsive_box(id)
                 .is_some_and(|site_box| !site_box.leaving && self.is_assignable(site_box))
         };
-        let kept: Vec<BoxId> = held.boxes.iter().filter(usable).cloned().collect();
+        let kept: Vec<BoxId> = assignment.boxes.iter().filter(usable).cloned().collect();
         let missing = (model.span as usize).saturating_sub(kept.len());
         let free = self.formable_boxes(&model.name);
         if kept.is_empty() || free.len() < missing {
@@ -281,7 +287,7 @@
                 replica_name(self.input.domain, id) == member.replica
                     && !self.next.replicas.contains_key(id)
             });
-            let epochs = self.next.replicas.values().map(|held| held.epoch);
+            let epochs = self.next.replicas.values().map(|assignment| assignment.epoch);
             let is_recorded = epochs.into_iter().any(|epoch| epoch == member.epoch);
             let leads = member.state == MemberState::Open && member.rank == 0 && !is_recorded;
             let Some(id) = id.filter(|_| leads) else {
--- a/crates/cherrystand_core/src/site/domain_former_assignments.rs
+++ b/crates/cherrystand_core/src/site/domain_former_assignments.rs
@@ -106,14 +106,14 @@
 
     /// Removes a replica from the record and keeps its boxes' assignments as former ones.
     pub(crate) fn release_boxes(&mut self, replica: &ReplicaId) {
-        let Some(held) = self.next.replicas.remove(replica) else {
+        let Some(released) = self.next.replicas.remove(replica) else {
             return;
         };
         let mut former = std::mem::take(&mut self.next.former);
         let closed_at = self.next.take_epoch();
-        for id in held.boxes {
+        for id in released.boxes {
             let assignment =
-                FormerAssignment { replica: replica.clone(), epoch: held.epoch, closed_at };
+                FormerAssignment { replica: replica.clone(), epoch: released.epoch, closed_at };
             former.entry(BoxId::new(id.name())).or_default().push(assignment);
         }
         former.retain(|id, former_assignments| {
--- a/crates/cherrystand_core/src/site/domain_spares.rs
+++ b/crates/cherrystand_core/src/site/domain_spares.rs
@@ -72,9 +72,9 @@
     /// Returns whether the record has replicas and all of them serve.
     fn all_replicas_serve(&self) -> bool {
         let replicas = &self.input.record.replicas;
-        let serves = |(id, held): (&ReplicaId, &Assignment)| {
+        let serves = |(id, assignment): (&ReplicaId, &Assignment)| {
             let name = replica_name(self.input.domain, id);
-            matches!(self.replica_status(&name, held), ReplicaStatus::Serving)
+            matches!(self.replica_status(&name, assignment), ReplicaStatus::Serving)
         };
         !replicas.is_empty() && replicas.iter().all(serves)
     }
--- a/crates/cherrystand_core/src/site/engine_priority.rs
+++ b/crates/cherrystand_core/src/site/engine_priority.rs
@@ -3,8 +3,9 @@
 /// The least urgent priority that engines know; 0 is the most urgent.
 const LOWEST_PRIORITY: u8 = 9;
 
-/// The lowest route rank with a priority of its own; routes of larger ranks share it.
-const MAX_RANK: u8 = LOWEST_PRIORITY / 2;
+/// The rank from which on all routes share one priority; smaller ranks have priorities of their
+/// own.
+const SHARED_RANK: u8 = LOWEST_PRIORITY / 2;
 
 /// Below this chance of a first event in time, a request is queued behind those that can still make
 /// it.
@@ -21,7 +22,8 @@
 
 /// Returns the priority of a request at its engine, 0 being the most urgent of ten.
 ///
-/// The route's rank comes first: a deferred request still goes before all requests of lower ranks.
+/// The route's rank comes first: a deferred request still goes before all requests of routes that
+/// rank behind its own.
 pub fn engine_priority(rank: u8, deferred: bool) -> u8 {
-    rank.min(MAX_RANK) * 2 + u8::from(deferred)
+    rank.min(SHARED_RANK) * 2 + u8::from(deferred)
 }
--- a/crates/cherrystand_core/src/site/evacuations.rs
+++ b/crates/cherrystand_core/src/site/evacuations.rs
@@ -15,9 +15,9 @@
 
 /// Keeps the zones whose replicas get no requests, as stored.
 ///
-/// The whole set belongs to a revision, and only a later revision replaces it. Daemons therefore
-/// agree although they learn of it in different ways and orders, and outdated messages cannot
-/// evacuate a zone again that was reopened.
+/// The set belongs to a revision, and is only replaced by the set of a later revision. Daemons
+/// therefore agree although they learn of changes in different ways and orders, and an outdated
+/// message cannot evacuate a reopened zone again.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Evacuations {
     zones: BTreeSet<ZoneId>,
--- a/crates/cherrystand_core/src/site/formation.rs
+++ b/crates/cherrystand_core/src/site/formation.rs
@@ -220,28 +220,28 @@
 
     /// Brings one replica of the record closer to serving.
     fn advance(&mut self, draft: &mut DomainDraft<'_>, replica: &ReplicaId) {
-        let Some(held) = draft.input.record.replicas.get(replica).cloned() else {
+        let Some(assignment) = draft.input.record.replicas.get(replica).cloned() else {
             return;
         };
         let name = replica_name(draft.input.domain, replica);
         let Some(model) = draft.input.engine.model(&replica.group.name).cloned() else {
-            draft.stop_leader(&name, &held);
+            draft.stop_leader(&name, &assignment);
             return draft.remove(replica, "its model is not configured");
         };
         if draft.input.home.is_some_and(|home| home != model.name) {
-            return self.give_up_for_home(draft, replica, &name, &held);
+            return self.give_up_for_home(draft, replica, &name, &assignment);
         }
-        match draft.replica_status(&name, &held) {
+        match draft.replica_status(&name, &assignment) {
             ReplicaStatus::Serving => {}
-            ReplicaStatus::Joining => draft.join_or_open(&name, &held, &model),
+            ReplicaStatus::Joining => draft.join_or_open(&name, &assignment, &model),
             ReplicaStatus::Leaving => {
-                if self.drain(draft, &name, &held) {
-                    draft.repair(replica, &held, &model, "a member leaves");
+                if self.drain(draft, &name, &assignment) {
+                    draft.repair(replica, &assignment, &model, "a member leaves");
                 }
             }
             ReplicaStatus::Broken(reason) => {
-                draft.stop_leader(&name, &held);
-                draft.repair(replica, &held, &model, reason);
+                draft.stop_leader(&name, &assignment);
+                draft.repair(replica, &assignment, &model, reason);
             }
         }
     }
@@ -252,31 +252,37 @@
         draft: &mut DomainDraft<'_>,
         replica: &ReplicaId,
         name: &str,
-        held: &Assignment,
+        assignment: &Assignment,
     ) {
-        match draft.replica_status(name, held) {
-            ReplicaStatus::Serving | ReplicaStatus::Leaving if !self.drain(draft, name, held) => {
+        match draft.replica_status(name, assignment) {
+            ReplicaStatus::Serving | ReplicaStatus::Leaving
+                if !self.drain(draft, name, assignment) =>
+            {
                 return;
             }
-            ReplicaStatus::Broken(_) => draft.stop_leader(name, held),
+            ReplicaStatus::Broken(_) => draft.stop_leader(name, assignment),
             _ => {}
         }
         draft.remove(replica, HOME_CHANGED);
     }
 
     /// Drains a replica that is to stop serving, and returns whether it has.
-    fn drain(&mut self, draft: &mut DomainDraft<'_>, name: &str, held: &Assignment) -> bool {
-        let Some(leader) = draft.leader_of(name, held.epoch) else {
+    fn drain(&mut self, draft: &mut DomainDraft<'_>, name: &str, assignment: &Assignment) -> bool {
+        let Some(leader) = draft.leader_of(name, assignment.epoch) else {
             return true;
         };
         let state = leader.member.as_ref().map(|member| member.state);
-        let began =
-            *self.closing_since.entry((name.to_owned(), held.epoch)).or_insert(draft.input.now);
+        let began = *self
+            .closing_since
+            .entry((name.to_owned(), assignment.epoch))
+            .or_insert(draft.input.now);
         match state {
-            Some(MemberState::Open) => draft.add_order(leader, name, held.epoch, MemberTask::Close),
+            Some(MemberState::Open) => {
+                draft.add_order(leader, name, assignment.epoch, MemberTask::Close)
+            }
             Some(MemberState::Closing) if draft.input.now.since(began) < DRAIN_TIMEOUT => {}
             Some(MemberState::Closing) => {
-                draft.add_order(leader, name, held.epoch, MemberTask::Leave);
+                draft.add_order(leader, name, assignment.epoch, MemberTask::Leave);
             }
             _ => return true,
         }
--- a/crates/cherrystand_core/src/site/homes.rs
+++ b/crates/cherrystand_core/src/site/homes.rs
@@ -66,8 +66,8 @@
         let staged = boxes.iter().filter(|site_box| site_box.staged.contains(name)).count();
         (loaded, staged)
     };
-    let held = engine.models.iter().map(|model| (count(&model.name), &model.name));
-    let most = held.max_by_key(|(count, _)| *count)?;
+    let counts = engine.models.iter().map(|model| (count(&model.name), &model.name));
+    let most = counts.max_by_key(|(count, _)| *count)?;
     (most.0 != (0, 0)).then(|| most.1.clone())
 }
 
--- a/crates/cherrystand_core/src/site/load_balancer.rs
+++ b/crates/cherrystand_core/src/site/load_balancer.rs
@@ -28,8 +28,8 @@
 /// How many draws are made to find those, since some endpoints may be unusable.
 const MAX_DRAWS: usize = 4;
 
-/// The cost in credit of an expected latency of one whole latency goal, even if the request is in
-/// time: the next requests at a busier replica wait longer.
+/// The cost, in credit, of an expected latency as long as the latency goal, even if the request is
+/// in time: the next requests at a busier replica wait longer.
 ///
 /// At 30 requests in flight, one more delays the next 30 by about 1 ms each, which near their goal
 /// is 0.01 to 0.08 of a request's credit. This cost is equally steep where replicas begin to fill
@@ -139,8 +139,8 @@
             wanted.values().filter_map(|spec| Some((spec.id.clone(), spec.evacuated_since?)));
         self.backpressure.set_evacuated(evacuated.collect());
         for (id, spec) in wanted {
-            let held = self.keys.get(id).and_then(|key| self.targets.get(*key));
-            let before = held.and_then(|target| target.spec.cold);
+            let current = self.keys.get(id).and_then(|key| self.targets.get(*key));
+            let before = current.and_then(|target| target.spec.cold);
             // A cold period that peers report is kept if this node has no report of its own.
             if spec.cold != before {
                 self.backpressure.limits.set_cold_period(id, spec.cold);
--- a/crates/cherrystand_core/src/site/model_location.rs
+++ b/crates/cherrystand_core/src/site/model_location.rs
@@ -15,7 +15,7 @@
 
 /// Returns from where a box would load a model.
 pub(crate) fn model_location(site_box: &SiteBox, model: &str) -> ModelLocation {
-    let holds = |models: &[String]| models.iter().any(|held| held == model);
+    let holds = |models: &[String]| models.iter().any(|name| name == model);
     if holds(&site_box.loaded) {
         ModelLocation::Memory
     } else if holds(&site_box.staged) {
--- a/crates/cherrystand_core/src/site/retry_share.rs
+++ b/crates/cherrystand_core/src/site/retry_share.rs
@@ -16,7 +16,7 @@
 /// The fraction of the slack that is split evenly even then.
 const EVEN_FRACTION: f64 = 0.5;
 
-/// The fraction of the slack that may be lent at once, and again over one window.
+/// The fraction of the slack that may be lent at once, and the same again over one window.
 ///
 /// A node that becomes the lender doesn't know what was lent before. With this value, three lenders
 /// may follow each other within one window and stay within the allocated budget.
--- a/crates/cherrystand_core/tests/capacity.rs
+++ b/crates/cherrystand_core/tests/capacity.rs
@@ -33,7 +33,7 @@
 }
 
 impl Deployment {
-    fn new(spans: [u32; 2], boxes: usize, homes: [usize; 2], held: bool) -> Self {
+    fn new(spans: [u32; 2], boxes: usize, homes: [usize; 2], all_hold_both: bool) -> Self {
         let mut engine = site_engine();
         engine.slots = 34;
         engine.per_request_ms = 0.24;
@@ -46,8 +46,8 @@
             .map(|(number, name)| (DomainId::new(format!("d{number:02}")), name.to_owned()))
             .collect();
         let holds = |home: &str| {
-            let held = names.iter().filter(|name| held || **name == home);
-            held.map(|name| ((*name).to_owned(), boxes)).collect()
+            let models = names.iter().filter(|name| all_hold_both || **name == home);
+            models.map(|name| ((*name).to_owned(), boxes)).collect()
         };
         let domains = homes.iter().map(|(id, home)| DomainCapacity {
             id: id.clone(),
@@ -69,7 +69,7 @@
                 && reassignment.is_none_or(|(id, until)| *id != domain.id || now >= *until)
         };
         let domains = self.domains.iter().filter(serves);
-        domains.map(|domain| held(domain, &model.name) / model.span as usize).sum()
+        domains.map(|domain| boxes_holding(domain, &model.name) / model.span as usize).sum()
     }
 
     /// Returns the load of each model that keeps this many replicas busy.
@@ -97,7 +97,7 @@
                 let domain = found.expect("a domain that is there");
                 // Its hosts keep only the model that it now serves.
                 domain.boxes_by_model =
-                    BTreeMap::from([(change.home.clone(), held(domain, &change.home))]);
+                    BTreeMap::from([(change.home.clone(), boxes_holding(domain, &change.home))]);
                 domain.home.clone_from(&change.home);
                 self.changes.push(change);
             }
@@ -111,7 +111,7 @@
     }
 }
 
-fn held(domain: &DomainCapacity, model: &str) -> usize {
+fn boxes_holding(domain: &DomainCapacity, model: &str) -> usize {
     domain.boxes_by_model.get(model).copied().unwrap_or_default()
 }
 
@@ -125,7 +125,7 @@
         boxes: usize,
         before: [usize; 2],
         /// Whether hosts hold a second model.
-        held: bool,
+        all_hold_both: bool,
         /// How many replicas each model's requests keep busy, and the amplitude of a swing with a
         /// period of 11 s.
         busy: [f64; 2],
@@ -138,7 +138,7 @@
         spans: [8, 4],
         boxes: 19,
         before: [5, 4],
-        held: true,
+        all_hold_both: true,
         busy: [3.8, 13.5],
         swing: 0.0,
         after: [4, 5],
@@ -146,7 +146,7 @@
     let cases = [
         Case { name: "a burst of short requests", busy: [3.8, 21.6], after: [3, 6], ..shifted },
         Case { name: "the load swings", swing: 0.2, ..shifted },
-        Case { name: "hosts hold one model only", held: false, after: [5, 4], ..shifted },
+        Case { name: "hosts hold one model only", all_hold_both: false, after: [5, 4], ..shifted },
         Case { name: "a tenth of the traffic", busy: [0.4, 1.4], after: [5, 4], ..shifted },
         Case { name: "no traffic", busy: [0.0, 0.0], after: [5, 4], ..shifted },
         Case { name: "both models near their limit", busy: [9.8, 15.0], after: [5, 4], ..shifted },
@@ -191,7 +191,8 @@
         shifted,
     ];
     for case in cases {
-        let mut deployment = Deployment::new(case.spans, case.boxes, case.before, case.held);
+        let mut deployment =
+            Deployment::new(case.spans, case.boxes, case.before, case.all_hold_both);
         let busy = |now: Millis| {
             let turn = now.0 as f64 / 11_000.0 * std::f64::consts::TAU;
             case.busy.map(|busy| busy * (1.0 + case.swing * turn.sin()))
@@ -321,7 +322,7 @@
         /// How many replicas each model's requests keep busy.
         busy: [f64; 2],
         /// Whether hosts hold a second model.
-        held: bool,
+        all_hold_both: bool,
         /// Whether a domain is already preloading.
         is_preloading: bool,
         /// The model that a domain is to preload.
@@ -331,7 +332,7 @@
         name: "a zone is evacuated",
         evacuated: [3, 0],
         busy: [4.5, 7.0],
-        held: false,
+        all_hold_both: false,
         is_preloading: false,
         preloaded: Some("large"),
     };
@@ -339,12 +340,12 @@
         Case { name: "nothing is evacuated", evacuated: [0, 0], preloaded: None, ..case },
         Case { name: "low load", busy: [1.0, 2.0], preloaded: None, ..case },
         Case { name: "both are overloaded", busy: [8.0, 26.0], preloaded: None, ..case },
-        Case { name: "hosts already hold it", held: true, preloaded: None, ..case },
+        Case { name: "hosts already hold it", all_hold_both: true, preloaded: None, ..case },
         Case { name: "one is already preloading", is_preloading: true, preloaded: None, ..case },
         case,
     ];
     for case in cases {
-        let mut deployment = Deployment::new([8, 4], 19, [5, 4], case.held);
+        let mut deployment = Deployment::new([8, 4], 19, [5, 4], case.all_hold_both);
         for (model, count) in ["large", "small"].into_iter().zip(case.evacuated) {
             let own = deployment.domains.iter_mut().filter(|domain| domain.home == model);
             for domain in own.take(count) {
--- a/crates/cherrystand_core/tests/site_formation.rs
+++ b/crates/cherrystand_core/tests/site_formation.rs
@@ -141,8 +141,8 @@
 }
 
 fn leader_of(site: &Simulation, replica: usize) -> BoxId {
-    let held = site.record.replicas.values().nth(replica).expect("a replica");
-    held.boxes[0].clone()
+    let assignment = site.record.replicas.values().nth(replica).expect("a replica");
+    assignment.boxes[0].clone()
 }
 
 fn number_of(site: &Simulation, id: &BoxId) -> usize {
@@ -178,11 +178,12 @@
         let mut site = Simulation::new(case.boxes, 1, 1);
         site.run(Millis(40_000));
         assert_eq!(site.domain.serving(), case.serving_before, "{}", case.name);
-        let held = site.record.replicas.values().next().map(|held| held.boxes.clone());
+        let members =
+            site.record.replicas.values().next().map(|assignment| assignment.boxes.clone());
         let numbers: Vec<usize> = case
             .killed
             .iter()
-            .map(|rank| number_of(&site, &held.as_ref().expect("a replica")[*rank]))
+            .map(|rank| number_of(&site, &members.as_ref().expect("a replica")[*rank]))
             .collect();
         for number in numbers {
             site.domain.kill(number);
@@ -253,7 +254,7 @@
             site.domain.unhear(number);
         }
         site.run(Millis(10_000));
-        let kept = site.record.replicas.values().any(|held| held == &before);
+        let kept = site.record.replicas.values().any(|assignment| assignment == &before);
         assert_eq!(kept, case.serves_on, "{}", case.name);
         assert_eq!(site.domain.serving(), if case.serves_on { 2 } else { 1 }, "{}", case.name);
         site.domain.heal();
@@ -307,14 +308,20 @@
     let cases = [
         // To drain and leave, 1.6 s to join from the host and 0.3 s to open.
         Case {
-            name: "held on the hosts",
+            name: "on the hosts",
             second: Some("small"),
             within: Millis(4_000),
             serving: "small",
             count: 3,
         },
         // Boxes that don't serve load the model first.
-        Case { name: "not held", second: None, within: Millis(40_000), serving: "small", count: 3 },
+        Case {
+            name: "not on the hosts",
+            second: None,
+            within: Millis(40_000),
+            serving: "small",
+            count: 3,
+        },
     ];
     for case in cases {
         let mut site = Simulation::new(9, 1, 1);
@@ -437,7 +444,8 @@
                 site.run(Millis(45_000));
                 assert_eq!(site.domain.serving(), 2, "{context}");
                 assert_eq!(site.domain.faults, Vec::<String>::new(), "{context}");
-                let assigned = site.record.replicas.values().flat_map(|held| &held.boxes);
+                let assigned =
+                    site.record.replicas.values().flat_map(|assignment| &assignment.boxes);
                 let names: Vec<&str> = assigned.map(BoxId::name).collect();
                 let distinct: BTreeSet<&&str> = names.iter().collect();
                 assert_eq!(
--- a/crates/cherrystand_core/tests/site_losses.rs
+++ b/crates/cherrystand_core/tests/site_losses.rs
@@ -97,9 +97,9 @@
     /// Starts probes of the members of replicas that have stalled for long enough, and of spares.
     fn probe_stalled_replicas(&mut self) {
         let now = self.domain.now();
-        let held: Vec<Vec<BoxId>> =
-            self.record.replicas.values().map(|held| held.boxes.clone()).collect();
-        for boxes in held {
+        let replicas: Vec<Vec<BoxId>> =
+            self.record.replicas.values().map(|assignment| assignment.boxes.clone()).collect();
+        for boxes in replicas {
             let leader = boxes[0].clone();
             if !boxes.iter().any(|id| self.is_dead(id)) {
                 self.stalled_since.remove(&leader);
@@ -207,7 +207,7 @@
 }
 
 fn epochs(record: &DomainRecord) -> BTreeSet<Epoch> {
-    record.replicas.values().map(|held| held.epoch).collect()
+    record.replicas.values().map(|assignment| assignment.epoch).collect()
 }
 
 fn random_boxes(shape: Shape, count: usize, seed: u64) -> Vec<usize> {
--- a/crates/cherrystand_core/tests/site_requests.rs
+++ b/crates/cherrystand_core/tests/site_requests.rs
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn a_request_takes_the_route_with_the_longest_prefix() {
+fn a_request_takes_the_route_with_the_longest_prefix_if_its_key_is_valid() {
     struct Case {
         host: &'static str,
         path: &'static str,
