--- a/crates/cherrystand_core/tests/backoff_simulation.rs
+++ b/crates/cherrystand_core/tests/backoff_simulation.rs
@@ -1,28 +1,30 @@
-//! How endpoints that rest come back, and what is told of rests to other daemons, compared.
+//! Compares how daemons can resume sending to endpoints after a backoff, and whether backoffs
+//! should be shared between daemons.
 
 use cherrystand_core::{BackpressureState, EndpointBackpressure, Millis, SeededRng};
 
 const NODES: usize = 9;
 const REPLICAS: usize = 4;
-/// How many requests a replica works on or lets wait; beyond them it turns away and asks for rest.
+/// How many requests a replica processes or queues; beyond that it refuses requests and asks for a
+/// backoff.
 const REPLICA_CAPACITY: usize = 34;
 const BACKOFF: Millis = Millis(1_000);
 const ANSWER_TIME: Millis = Millis(800);
 const STEP: Millis = Millis(5);
 const DURATION: Millis = Millis(60_000);
 
-/// What daemons do about rests.
+/// What daemons do about backoffs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Algorithm {
-    /// They pass over the replica that refused, and nothing more.
+    /// They only retry the request elsewhere.
     Ignore,
-    /// They follow the wish, and send all they have when it ends.
+    /// They honour the backoff, and send all they have when it ends.
     ResumeAtOnce,
-    /// They follow the wish and come back by one request first.
+    /// They honour the backoff and resume with one request.
     ResumeGradually,
-    /// The same, and each wish binds all daemons.
+    /// The same, with each backoff applied by all daemons.
     SharedBackoff,
-    /// As the third, and each daemon keeps to what a replica bore: what is in force.
+    /// Like `ResumeGradually`, with a concurrency limit after the backoff: the algorithm in use.
     LimitedConcurrency,
 }
 
@@ -30,9 +32,9 @@
 struct Results {
     came: usize,
     served: usize,
-    /// Requests that replicas turned away.
+    /// Requests that replicas refused.
     turned_away: usize,
-    /// Requests that reached a replica within a rest that their daemon knew of.
+    /// Requests that reached a replica during a backoff that their daemon knew of.
     during_backoff: usize,
 }
 
@@ -40,7 +42,8 @@
     algorithm: Algorithm,
     seed: SeededRng,
     nodes: Vec<EndpointBackpressure<usize>>,
-    /// The node, the replica and the end of each request under way, and whether it was sent after a rest.
+    /// The node, the replica and the end of each request in flight, and whether it was sent after a
+    /// backoff.
     in_flight: Vec<(usize, usize, Millis, bool)>,
     out: Results,
 }
@@ -58,7 +61,7 @@
         }
     }
 
-    /// Plays requests that come `percent` of what all replicas can answer.
+    /// Simulates requests at `percent` of what all replicas can answer.
     fn run(mut self, percent: u64) -> Results {
         let a_second = (REPLICAS * REPLICA_CAPACITY) as u64 * 1_000 / ANSWER_TIME.0 * percent / 100;
         let (mut now, mut owed) = (Millis(0), 0);
@@ -90,7 +93,8 @@
         }
     }
 
-    /// Returns how many requests a daemon has at a replica, as far as its way goes by that.
+    /// Returns how many requests a daemon has at a replica, if its algorithm takes that into
+    /// account.
     fn own_in_flight(&self, node: usize, replica: usize) -> u32 {
         let own_in_flight =
             self.in_flight.iter().filter(|(by, at, _, _)| (*by, *at) == (node, replica));
@@ -106,7 +110,8 @@
         self.nodes[node].state(&replica, counted, now)
     }
 
-    /// Sends a request to up to two replicas, each that with the least of this daemon's requests.
+    /// Sends a request to up to two replicas, each time the one with the fewest requests of this
+    /// daemon.
     fn send(&mut self, node: usize, now: Millis) {
         let mut tried = Vec::new();
         while tried.len() < 2 {
@@ -145,7 +150,7 @@
         let mut best: Option<(u32, usize)> = None;
         for replica in (0..REPLICAS).map(|number| (number + first) % REPLICAS) {
             if self.algorithm == Algorithm::ResumeAtOnce {
-                // What comes back opens at once.
+                // The replica counts as open again at once.
                 (0..4).for_each(|_| self.nodes[node].record_answer(&replica, now));
             }
             let state = self.state(node, replica, now);
@@ -164,8 +169,9 @@
     }
 }
 
-/// Each way at nine tenths, as much and one and a half times what the replicas can answer. The wish binds the
-/// daemon that it was told to: as a ban for all it takes capacity away that the replica would have given.
+/// Compares the algorithms at nine tenths, once and one and a half times the replicas' capacity. A
+/// backoff applies only to the daemon that received it: shared with all daemons it would waste
+/// capacity of the replica.
 #[test]
 fn honouring_backoffs_costs_few_answers_and_avoids_refusals() {
     let ways = [
@@ -185,7 +191,7 @@
         for followed in [&at_once, &one_first, &binds_all, &limited] {
             assert_eq!(followed.during_backoff, 0, "{percent}%: {followed:?}");
         }
-        // Nearly all that the replicas can answer, and a tenth of what they turned away.
+        // Nearly all that the replicas can answer, and a tenth of the refusals.
         let can = (REPLICAS * REPLICA_CAPACITY) as u64 * DURATION.0 / ANSWER_TIME.0
             * percent.min(100)
             / 100;
--- a/crates/cherrystand_core/tests/endpoint_backpressure.rs
+++ b/crates/cherrystand_core/tests/endpoint_backpressure.rs
@@ -1,4 +1,4 @@
-//! What endpoints ask of this node, and which requests may be sent to them.
+//! Backpressure of endpoints, and which requests may be sent to them.
 
 use cherrystand_core::{
     AllowedRegions, BackpressureState, BoxId, EndpointBackpressure, LoadBalancer, MAX_BACKOFF,
@@ -16,7 +16,7 @@
 fn overlapping_backoffs_end_with_the_last() {
     struct Case {
         name: &'static str,
-        /// What is asked for, and when.
+        /// When a backoff is requested, and for how long.
         requested: &'static [(u64, Millis)],
         until: Millis,
     }
@@ -79,7 +79,7 @@
             .acquire_permit(&next_incarnation, 0, NOW)
             .is_some_and(|permit| !permit.is_after_backoff())
     );
-    // What leaves has left for good, however long ago it said so.
+    // Draining is final, however long ago it was announced.
     for later in [0, 10_000, 100_000_000] {
         assert!(
             backpressure.acquire_permit(&another, 0, NOW + Millis(later)).is_none(),
@@ -88,8 +88,8 @@
     }
 }
 
-/// Nine daemons with all their callers came back to a replica in the millisecond in which its rest
-/// ended; it asked for the next one at once.
+/// Guards against a thundering herd: nine daemons sent all their callers to a replica in the
+/// millisecond in which its backoff ended, and it asked for the next one at once.
 #[test]
 fn recovery_starts_with_one_request_and_doubles_with_each_answer() {
     let id = first_incarnation();
@@ -114,33 +114,36 @@
         backpressure.record_answer(&id, over);
     }
     assert_eq!(opened, [1, 2, 4, 8]);
-    // Half a minute later nothing of it counts any more.
+    // Half a minute after the backoff, nothing of it applies any more.
     let later = over + Millis(30_000);
     assert!(
         backpressure
             .acquire_permit(&id, 100, later)
             .is_some_and(|permit| !permit.is_after_backoff())
     );
-    // What it refuses opens nothing, and the last resort may still try it.
+    // A refusal does not widen the window, and as a last resort the endpoint may still be sent a
+    // request.
     let mut backpressure = after_backoff();
     let first = backpressure.acquire_permit(&id, 0, over);
     assert_eq!(backpressure.state(&id, 0, over), BackpressureState::Recovering);
     assert!(first.is_some() && backpressure.acquire_permit(&id, 0, over).is_some());
-    // One that nobody asked anything is open some seconds later.
+    // An endpoint that has not been sent anything is open again some seconds later.
     assert_eq!(backpressure.state(&id, 0, over + Millis(10_000)), BackpressureState::Open);
 }
 
-/// Daemons that sent on as much as before after each rest got 5,300 of 10,200 answers a minute from replicas that
-/// were asked for half as much again as they can answer: each rest was followed by the next.
+/// Guards against backoffs that follow each other without end: daemons that sent as much as before
+/// after each backoff got 5,300 of 10,200 answers a minute from replicas that were asked for half
+/// as much again as they can answer.
 #[test]
 fn concurrency_is_limited_after_a_backoff() {
     struct Case {
         name: &'static str,
-        /// What was under way as it asked for rest, the request that it turned away among it.
+        /// The requests in flight when it asked for a backoff, including the one that it turned
+        /// away.
         in_flight: u32,
-        /// How many answers began since.
+        /// How many answers have begun since.
         answers: usize,
-        /// How many may be under way then.
+        /// The resulting concurrency limit.
         limit: u32,
     }
     let cases = [
@@ -158,7 +161,7 @@
     for case in cases {
         let (id, mut backpressure) = (first_incarnation(), EndpointBackpressure::default());
         backpressure.record_backoff(&id, Millis(1_000), case.in_flight, NOW);
-        // Others that were on their way are turned away as well, and say nothing more of it.
+        // Other requests in flight are turned away as well, which tells nothing more.
         backpressure.record_backoff(&id, Millis(900), 2, NOW + Millis(50));
         (0..case.answers).for_each(|_| backpressure.record_answer(&id, over));
         let is_closed = |in_flight| backpressure.state(&id, in_flight, over).is_closed();
@@ -168,7 +171,7 @@
     }
 }
 
-/// What one endpoint does and is asked, in any order.
+/// Events of one endpoint, in any order.
 #[derive(Clone, Copy, Debug)]
 enum Event {
     Asks(u64),
@@ -212,17 +215,17 @@
     }
 }
 
-/// The choice passes over what rests also where nothing else is left, and when its entry has gone and come
-/// back meanwhile.
+/// The load balancer skips an endpoint that backs off even if no other is left, and also after its
+/// entry has disappeared and returned meanwhile.
 #[test]
 fn load_balancer_skips_endpoints_that_back_off_or_drain() {
     struct Case {
         name: &'static str,
-        /// Seconds of rest of each endpoint; nothing where it asked for none.
+        /// The backoff of each endpoint in seconds, if it has one.
         backoffs: [Option<u64>; 2],
         draining: [bool; 2],
         chosen: Option<usize>,
-        /// When the first rest ends, where all rest.
+        /// The end of the first backoff, if all endpoints are unavailable.
         unavailable_until: Option<u64>,
     }
     let case = Case {
@@ -279,7 +282,7 @@
                 balancer.record_draining(&spec(number).id);
             }
         }
-        // Their entries go and come back.
+        // The entries disappear and return.
         balancer.set_targets(Vec::new());
         balancer.set_targets(vec![spec(0), spec(1)]);
         let ask = RequestSpec {
--- a/crates/cherrystand_core/tests/endpoint_rate_limits.rs
+++ b/crates/cherrystand_core/tests/endpoint_rate_limits.rs
@@ -1,4 +1,4 @@
-//! What endpoints say of the requests that they take, and what holds of it.
+//! Rate limits that endpoints name, as one node learns and applies them.
 
 use std::net::{Ipv4Addr, SocketAddr};
 
@@ -11,7 +11,7 @@
 
 const NOW: Millis = Millis(50_000);
 
-/// This node keeps the account.
+/// This node owns the rate limit.
 const OWN: RateLimitOwner = RateLimitOwner { address: None, share: 1.0 };
 
 fn rate(per_second: f64) -> RequestRate {
@@ -26,7 +26,8 @@
 fn limit_follows_answers() {
     struct Case {
         name: &'static str,
-        /// What answers name, when they come and when their requests were sent, in milliseconds.
+        /// The limits named by answers, with the times in milliseconds at which the answers arrive
+        /// and their requests were sent.
         answers: &'static [(Option<f64>, u64, u64)],
         limit: Option<f64>,
     }
@@ -97,7 +98,8 @@
     }
 }
 
-/// A life that ended names nothing, and what is known of others by peers holds as if heard by this node.
+/// A new incarnation has no limit yet, and a limit reported by a peer applies as if this node had
+/// received it.
 #[test]
 fn limits_are_learned_from_peers() {
     let (first, second) =
@@ -108,12 +110,12 @@
     assert_eq!((limits.limit(&first), limits.limit(&second)), (Some(rate(3.5)), None));
     assert_eq!(limits.permit_wait(&second, NOW), None);
     assert!(limits.take_permit(&second, NOW) && !limits.take_permit(&first, NOW));
-    // An older word that there is none ends nothing, a newer one does.
+    // An older report that there is no limit does not lift it, a newer one does.
     limits.handle_message(peer(1), &first, told(None, Millis(5_000)), NOW + Millis(500));
     assert_eq!(limits.limit(&first), Some(rate(3.5)));
     limits.handle_message(peer(1), &first, told(None, Millis(0)), NOW + Millis(1_500));
     assert_eq!(limits.limit(&first), None);
-    // Who has yet to hear it and asks is told.
+    // A node that asks for permits and does not know that the limit was lifted is told.
     let report = RateLimitReport { limit: Some(rate(3.5)), age: Millis(3_000), cold: None };
     let ask = RateLimitMessage::Ask { report, number: 1, want: 1, lasts: Millis(10) };
     limits.handle_message(peer(2), &first, ask, NOW + Millis(2_000));
@@ -125,7 +127,8 @@
     assert!(out.iter().any(is_answer), "{out:?}");
 }
 
-/// A word that a replica takes nothing cannot keep it out for good: it is asked now and then, and answers.
+/// A limit of zero must not keep a replica out for good: it is sent a request now and then, so that
+/// it can name another limit.
 #[test]
 fn endpoint_with_zero_limit_is_still_probed() {
     let mut limits = EndpointRateLimits::default();
@@ -143,13 +146,13 @@
             sent.push(now);
         }
     }
-    // One in four seconds, once a second of it is owed.
+    // One in four seconds, after an initial debt of one second.
     assert!((9..=11).contains(&sent.len()), "{sent:?}");
     let close = sent.windows(2).filter(|pair| pair[1].since(pair[0]) < Millis(3_000));
     assert_eq!(close.count(), 0, "{sent:?}");
 }
 
-/// Rest, leaving and limits of one endpoint: the strictest holds.
+/// Backoff, draining and rate limit of one endpoint: the strictest applies.
 #[test]
 fn strictest_backpressure_applies() {
     #[derive(Clone, Copy)]
@@ -264,7 +267,8 @@
         node == owner || kept.address == Some(peer(owner as u16))
     };
     assert!(owners.iter().enumerate().all(at_it), "{owners:?}");
-    // One that is lost, or stops, is it no more; of a part that is out of sight the others leave its part.
+    // A daemon that is dead, suspected or stopping is not the owner. Daemons that are out of sight
+    // keep their share.
     for (gone, share) in [((true, Dead), 0.75), ((true, Suspect), 0.75), ((false, Alive), 1.0)] {
         let mut states = [(true, Alive); 4];
         states[owner] = gone;
@@ -275,13 +279,13 @@
     }
 }
 
-/// What reaches a keeper's account and an asker, in any order, late, doubled or never.
+/// Messages that reach the owner and a requester in any order, delayed, duplicated or lost.
 #[derive(Clone, Copy, Debug)]
 enum Event {
     Want(usize),
     Take(usize),
     Step(usize),
-    /// Has one of the messages on their way arrive; it stays there to come once more.
+    /// Delivers one of the messages in transit, which stays there and can be delivered again.
     Arrive(usize),
     Lose(usize),
     Pass(u64),
@@ -301,7 +305,8 @@
 }
 
 proptest! {
-    /// Whatever becomes of the messages, no span sees more requests than the limit and what is at hand at once.
+    /// Whatever happens to the messages, no period sees more requests than the limit and one burst
+    /// allow.
     #[test]
     fn limit_holds_in_any_order_of_messages(events in proptest::collection::vec(event(), 1..400)) {
         let mut nodes = [0, 1, 2].map(|_| EndpointRateLimits::default());
@@ -331,7 +336,7 @@
                 Event::Arrive(_) | Event::Lose(_) => {}
                 Event::Pass(span) => now = now + Millis(span),
             }
-            // A second of it is owed.
+            // The ledger starts with a debt of one second.
             let allowed = 3.5 * now.since(NOW + Millis(1_000)).as_secs_f64() + 2.0;
             prop_assert!(f64::from(sent) <= allowed, "{sent} of {allowed}");
         }
--- a/crates/cherrystand_core/tests/era_tracker.rs
+++ b/crates/cherrystand_core/tests/era_tracker.rs
@@ -1,4 +1,4 @@
-//! Eras of a store that comes back from copies, and the order of what it tells.
+//! Eras of a store that is restored from backups, and the order of its revisions.
 
 use cherrystand_core::{
     BoxId, Epoch, Era, EraTracker, MemberOrder, MemberTask, ReportedEra, Revision, Tombstones,
@@ -45,7 +45,8 @@
     }
 }
 
-/// Story: after a drill orders had smaller fences than boxes had seen, and were refused.
+/// Guards against orders that are refused after a restore because their fences are lower than those
+/// that the boxes have seen.
 #[test]
 fn revisions_and_fences_grow_with_the_era() {
     let order = |before| MemberOrder {
--- a/crates/cherrystand_core/tests/fan_out.rs
+++ b/crates/cherrystand_core/tests/fan_out.rs
@@ -1,11 +1,11 @@
-//! How what is for all daemons gets to them.
+//! Distribution of messages to all daemons.
 
 use std::collections::BTreeMap;
 
 use cherrystand_core::{SeededRng, fan_out};
 
-/// Plays one telling; returns the most that one daemon sent, how many messages there were, and how many daemons heard it,
-/// where so many messages in a hundred are lost.
+/// Simulates the distribution of one message with `lost` percent of the messages lost. Returns the
+/// most messages that one daemon sent, the number of messages, and the number of daemons reached.
 fn simulate(others: usize, lost: usize, seed: u64) -> (usize, usize, usize) {
     let others: Vec<usize> = (0..others).collect();
     let mut seed = SeededRng::new(seed);
@@ -27,7 +27,8 @@
     (most, sent, heard.len())
 }
 
-/// Story: a daemon with 0.12 of a core told 984 others one by one that a replica had left, for each event of hundreds.
+/// Guards against a sender that is overloaded: a daemon with 0.12 of a core told each of 984 others
+/// directly that a replica had left, for each event of hundreds.
 #[test]
 fn messages_per_daemon_grow_with_the_square_root_of_the_fleet() {
     for others in [0, 1, 8, 29, 64, 65, 99, 299, 984, 1_999] {
@@ -45,7 +46,7 @@
     for others in [99, 984] {
         let heard: usize = (0..200).map(|seed| simulate(others, 5, seed).2).sum();
         let share = heard as f64 / (200 * others) as f64;
-        // Told one by one, 0.95 would hear it.
+        // Sent directly to each, it would reach 0.95 of them.
         assert!(share > 0.985, "{others}: {share}");
     }
 }
--- a/crates/cherrystand_core/tests/liveness_probe.rs
+++ b/crates/cherrystand_core/tests/liveness_probe.rs
@@ -1,16 +1,16 @@
-//! Who may take another for dead.
+//! When a daemon may declare a box silent.
 //!
-//! Story: daemons whose links were full of configurations took 83 to 247 boxes for dead that were
-//! well, and gave serving replicas up. A question that ran out of time was all that a verdict took;
-//! nothing asked whether anybody else's answer had arrived meanwhile.
+//! Guards against false verdicts: daemons whose links were full of configurations declared 83 to
+//! 247 healthy boxes dead, and gave up replicas that were serving. A probe that timed out was
+//! enough for a verdict; nothing checked whether any other answer had arrived meanwhile.
 
 use cherrystand_core::{CallHistory, LivenessProbe, Millis, ProbeReason, ProbeVerdict};
 use proptest::prelude::*;
 
-/// One call to somebody else: when it began, and when its answer came.
+/// A call to somebody else: when it began, and when its answer arrived.
 type Call = (u64, Option<u64>);
 
-/// Returns what a daemon knows of its calls at a time.
+/// Returns a daemon's call history at a given time.
 fn history_at(calls: &[Call], now: u64) -> CallHistory {
     let mut book = CallHistory::default();
     for (began, answered) in calls.iter().filter(|(began, _)| *began <= now) {
@@ -22,9 +22,9 @@
     book
 }
 
-/// Plays the questions to a box until it answers or a verdict is given, and returns the verdict and
-/// when it was given; `answers` says when the box answers a question that begins at a time, and
-/// `late` by how much each of the daemon's timers is too late.
+/// Simulates the probes of a box until it answers or a verdict is reached, and returns the verdict
+/// and its time. `answers` returns when the box answers a probe that begins at a given time, and
+/// `late` is the delay of each of the daemon's timers.
 fn probe(
     calls: &[Call],
     late: u64,
@@ -132,15 +132,15 @@
 }
 
 proptest! {
-    /// Where every answer takes as long as the link holds it up, a box that is well is never taken
+    /// If every answer takes as long as the link delays it, a healthy box is never declared silent.
     #[test]
     fn box_that_answers_like_others_is_never_declared_silent(
         held_up in prop::collection::vec(0u64..1_500, 1..40),
         own in 0u64..30,
         slower in 0u64..100,
     ) {
-        // Each call that begins finds the link held up until some moment; calls that follow wait as
-        // long at the least, as a queue serves one after the other.
+        // The link delays each call that begins until some moment; calls that follow wait at least
+        // as long, since a queue serves one after the other.
         let mut free_at = 1_000;
         let mut calls: Vec<Call> = Vec::new();
         for (number, hold) in held_up.iter().enumerate() {
@@ -148,7 +148,7 @@
             free_at = free_at.max(began + hold);
             calls.push((began, Some(free_at + own)));
         }
-        // The box's answer comes soon after that of the first call that begins with the question.
+        // The box's answer arrives soon after that of the first call that begins with the probe.
         let answers = |begun: u64| {
             let with = calls.iter().find(|(began, _)| *began >= begun);
             with.map_or(Some(begun), |(_, answered)| answered.map(|at| at + slower))
@@ -158,11 +158,11 @@
     }
 }
 
-/// Story: 41 of 225 boxes were cut off from the store for ten seconds and refused questions and orders
-/// meanwhile. Each was asked once its entry had run out, and the refusal was taken for its death
-/// though nothing else spoke against it. On that day it made no difference to callers (two plays),
-/// since connections to leaders among them failed as well; where only the store is cut off it
-/// would end replicas that serve.
+/// Guards against false verdicts on refusals: 41 of 225 boxes were cut off from the store for ten
+/// seconds and refused probes and orders meanwhile. Each was probed once its entry had expired, and
+/// the refusal was taken for its death although nothing else suggested it. In two runs callers did
+/// not notice, since connections to leaders among these boxes failed as well, but where only the
+/// store is cut off it would end serving replicas.
 #[test]
 fn refused_connection_proves_silence_only_with_other_evidence() {
     struct Case {
--- a/crates/cherrystand_core/tests/nodes.rs
+++ b/crates/cherrystand_core/tests/nodes.rs
@@ -1,4 +1,4 @@
-//! Membership, records passed on, evidence and freshness.
+//! Membership, copies of records, evidence and freshness.
 
 mod support;
 
@@ -170,14 +170,15 @@
     }
 }
 
-/// Records and freshness of several daemons that exchange them in any order and connection.
+/// Records and freshness of several daemons that exchange them in any order and with any
+/// connectivity.
 struct Daemons {
     now: Millis,
     records: Vec<Documents>,
     fresh: Vec<Freshness>,
     members: Vec<Membership>,
     written: Revision,
-    /// A change that was written but of which its operator has yet to be told.
+    /// A change that has been written but not yet confirmed to its operator.
     pending: Option<(usize, Revision)>,
     told: Vec<(Millis, Revision)>,
 }
@@ -204,7 +205,7 @@
         self.members[number].set_config(config);
     }
 
-    /// A daemon reads the platform.
+    /// A daemon reads the platform's records.
     fn read(&mut self, number: usize) {
         let revision = self.written;
         self.take(number, Document { key: key(), revision, body: Arc::from("") });
@@ -220,7 +221,7 @@
         }
     }
 
-    /// The operator is told once the daemon knows that a majority holds the change.
+    /// The operator gets the confirmation once the daemon knows that a majority holds the change.
     fn tell(&mut self) {
         let Some((number, revision)) = self.pending else {
             return;
@@ -232,7 +233,7 @@
         }
     }
 
-    /// One daemon asks another for news, as the daemon's duty does.
+    /// One daemon asks another one for updates.
     fn exchange(&mut self, asks: usize, answers: usize) {
         self.members[answers].tick(self.now);
         let roster = self.members[asks].roster(self.now);
@@ -264,7 +265,7 @@
     Arc::from("workspace")
 }
 
-/// What happens among daemons.
+/// The events that may happen to the daemons.
 #[derive(Clone, Debug)]
 enum Event {
     Read(usize),
@@ -282,7 +283,7 @@
     ]
 }
 
-/// How long after its acceptance a change may still be missing somewhere.
+/// The longest time after the confirmation of a change during which a daemon may still lack it.
 const IN_FORCE_WITHIN: Millis = Millis(17_000);
 
 proptest! {
--- a/crates/cherrystand_core/tests/outcomes.rs
+++ b/crates/cherrystand_core/tests/outcomes.rs
@@ -1,4 +1,4 @@
-//! What each way of ending says, and when a request is tried again.
+//! What each end of an attempt says about the request, and when a request is retried.
 
 use cherrystand_core::{
     AttemptEnd, FailedAttempt, MAX_ATTEMPTS, Millis, NoRetry, Outcome, RefusalReason, RetryBudget,
--- a/crates/cherrystand_core/tests/propagation_budget.rs
+++ b/crates/cherrystand_core/tests/propagation_budget.rs
@@ -1,9 +1,11 @@
-//! How old what daemons know may get, by the times along its way.
+//! The largest age of a daemon's knowledge that follows from the timeouts along the path of a
+//! change.
 
 use cherrystand_core::{Millis, PropagationBudget, PropagationFault};
 
-/// Story: endpoints got requests for 2.0 to 2.4 s after their word that they leave, where 2 s are allowed: a watch of
-/// 1 s and a call of 1 s, then a pause, and what is passed on for 1.8 s and waited for 0.5 s, were each chosen alone.
+/// Guards against timeouts that add up to more than the bound: endpoints were sent requests for 2.0
+/// to 2.4 s after they announced their shutdown, where 2 s are allowed. A watch of 1 s and a call
+/// of 1 s, then a pause, a source age of 1.8 s and a wait of 0.5 s had each been chosen separately.
 #[test]
 fn worst_case_delays_stay_within_the_bound() {
     for bound in [2_000, 3_000, 4_000, 5_000, 17_000].map(Millis) {
@@ -18,7 +20,8 @@
     }
 }
 
-/// A store that is well, and quiet, neither makes its reader look old nor has its questions asked twice.
+/// A healthy but quiet store must neither make its reader look stale nor cause its watches to be
+/// repeated.
 #[test]
 fn quiet_store_is_watched_once_and_its_reader_stays_fresh() {
     for bound in [2_000, 5_000, 17_000].map(Millis) {
--- a/crates/cherrystand_core/tests/rate_limit_simulation.rs
+++ b/crates/cherrystand_core/tests/rate_limit_simulation.rs
@@ -1,5 +1,5 @@
-//! Ways to keep the limit of one endpoint over many nodes, compared, and what becomes of it as nodes and messages
-//! are lost.
+//! Simulates algorithms that keep the rate limit of one endpoint over many nodes, with lost nodes
+//! and messages.
 
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -12,46 +12,47 @@
 const STEP: Millis = Millis(5);
 const TICK: Millis = Millis(25);
 const DURATION: Millis = Millis(60_000);
-/// Until all nodes know the limit, and what a new account owes.
+/// The time until all nodes know the limit and a new ledger has paid its debt.
 const WARM_UP: Millis = Millis(4_000);
-/// How long a message takes.
+/// The latency of a message.
 const MESSAGE_LATENCY: Millis = Millis(5);
-/// How long a request waits for the answer of the keeper.
+/// How long a caller's request waits for a permit.
 const PERMIT_WAIT: Millis = Millis(25);
-/// From then until then the keeper is lost in plays that lose it; others take its place after so long.
+/// The period during which the owner is down in scenarios that lose it; others replace it once its
+/// failure is detected.
 const OWNER_DOWN: (Millis, Millis) = (Millis(20_000), Millis(30_000));
 const FAILURE_DETECTED_AFTER: Millis = Millis(2_000);
 
-/// What nodes do to keep the limit.
+/// How the nodes keep the limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Algorithm {
-    /// Each keeps the limit by itself.
+    /// Each node applies the whole limit by itself.
     IndependentLimits,
-    /// Each keeps its even part of it, beginning with nothing.
+    /// Each node applies an equal share of it, starting with nothing.
     EqualShares,
-    /// One keeps the account and gives permits out: what is in force.
+    /// One owner keeps the ledger and grants permits: the algorithm in use.
     SingleOwner,
 }
 
-/// Where requests come.
+/// Which nodes the requests arrive at.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Demand {
-    /// As many at each node.
+    /// All nodes alike.
     Even,
-    /// Nine tenths at a tenth of the nodes, or one.
+    /// Nine tenths of the requests at a tenth of the nodes, or at one.
     Skewed,
-    /// All at a third of the nodes, another third every eight seconds.
+    /// All requests at a third of the nodes, which changes every eight seconds.
     Shifting,
 }
 
-/// How nodes learn that the endpoint is cold from the beginning on.
+/// How nodes learn that the endpoint is cold from the beginning.
 #[derive(Clone, Copy, Debug)]
 struct Cold {
-    /// Each node learns it within this time, one sooner and another later.
+    /// The longest time in which a node learns it from the store.
     known_within: Millis,
-    /// How many nodes in a hundred never learn it by the store.
+    /// How many percent of the nodes never learn it from the store.
     never_percent: usize,
-    /// Whether what the keeper tells all others arrives.
+    /// Whether the owner's announcements arrive.
     owner_announces: bool,
 }
 
@@ -60,14 +61,14 @@
     algorithm: Algorithm,
     nodes: usize,
     limit: f64,
-    /// Requests a second at all nodes together.
+    /// The requests per second at all nodes together.
     request_rate: f64,
     demand: Demand,
-    /// How many messages in a hundred are lost, and as many doubled.
+    /// How many percent of the messages are lost, and as many duplicated.
     lost: usize,
-    /// Whether the keeper is lost for a while.
+    /// Whether the owner is down for a while.
     loses_owner: bool,
-    /// Where the limit is what a cold endpoint bears, how nodes learn that it is cold.
+    /// If the limit is that of a cold endpoint, how nodes learn that it is cold.
     cold: Option<Cold>,
 }
 
@@ -92,12 +93,12 @@
     scenario: Scenario,
     seed: SeededRng,
     nodes: Vec<EndpointRateLimits<usize>>,
-    /// Permits of the ways without a keeper.
+    /// The token buckets of the algorithms without an owner.
     buckets: Vec<f64>,
-    /// By when it arrives: whom it is from and for.
+    /// The messages in transit by the time of their arrival, with sender and receiver.
     in_transit: BTreeMap<Millis, Vec<(usize, usize, RateLimitMessage)>>,
     sent: Vec<Millis>,
-    /// Requests that wait for the answer of the keeper, and since when.
+    /// The requests that wait for a permit, with the time since when.
     waiting_requests: Vec<(usize, Millis)>,
     messages: usize,
 }
@@ -135,7 +136,7 @@
         self.scenario.loses_owner && node == 0 && now >= from && now < until
     }
 
-    /// Draws when each node learns that the endpoint is cold; nothing where it never does.
+    /// Draws when each node learns that the endpoint is cold; `None` if it never does.
     fn learn_times(&mut self) -> Vec<Option<Millis>> {
         let Some(cold) = self.scenario.cold else { return Vec::new() };
         let draw = |_| match self.seed.below(100) < cold.never_percent {
@@ -168,7 +169,7 @@
         while now < DURATION {
             self.learn(&learn_times, now);
             if now == OWNER_DOWN.1 && self.scenario.loses_owner {
-                // It comes back as a process that knows of nothing but the limit.
+                // It returns as a new process that knows only the limit.
                 self.nodes[0] = EndpointRateLimits::default();
                 self.nodes[0].set_last_request_number(now.0);
                 self.nodes[0].record_answer(
@@ -239,7 +240,7 @@
                     let others = (0..self.scenario.nodes).filter(|other| *other != node);
                     others.for_each(|other| self.send(node, other, message, now));
                 }
-                // All know the limit here.
+                // All nodes know the limit in this simulation.
                 RateLimitRecipient::All => {}
             }
         }
@@ -262,7 +263,7 @@
     }
 
     fn requests(&mut self, now: Millis) {
-        // At most one each step, by chance.
+        // At most one request per step, at random.
         let chance = self.scenario.request_rate * STEP.as_secs_f64();
         let times = chance.ceil() as usize;
         for _ in 0..times {
@@ -338,7 +339,7 @@
     Results { worst, used, messages }
 }
 
-/// The most that the limit allows in 4 s, and two.
+/// The largest number of requests that the limit allows in 4 s, plus two.
 fn max_allowed(scenario: &Scenario) -> usize {
     (4.0 * scenario.limit + 2.0) as usize
 }
@@ -354,8 +355,9 @@
     cold: None,
 };
 
-/// Replicas that take 3.5 requests a second from all nodes together got 35 and 40 in 4 s: whatever each node does by
-/// itself gives as many as there are nodes, or throws most of it away where callers come to few.
+/// Guards against replicas that take 3.5 requests a second from all nodes together and got 35 and
+/// 40 in 4 s: a limit that each node keeps by itself is exceeded by the number of nodes, and equal
+/// shares waste most of the limit if callers arrive at few nodes.
 #[test]
 fn single_owner_keeps_the_limit_at_any_number_of_nodes() {
     for nodes in [3, 9, 60, 300] {
@@ -386,7 +388,7 @@
     }
 }
 
-/// Permits that are lost on their way are fewer, and none counts twice.
+/// Lost permits reduce the throughput, and no permit counts twice.
 #[test]
 fn lost_and_duplicated_messages_grant_nothing_more() {
     for lost in [5, 20] {
@@ -399,7 +401,8 @@
     }
 }
 
-/// Another node keeps the account once it notices, and begins by owing a second.
+/// Another node becomes the owner once the failure is detected, and starts with a debt of one
+/// second.
 #[test]
 fn limit_is_kept_when_the_owner_is_lost() {
     for demand in [Demand::Even, Demand::Skewed] {
@@ -412,15 +415,16 @@
     }
 }
 
-/// A zone's replicas came back cold and got twice what they bear: the bound holds over all nodes from the first
-/// moment on, while some have yet to learn it and others never do.
+/// Guards against a zone's replicas that restarted cold and got twice what they can take: the limit
+/// applies over all nodes from the first moment on, while some have yet to learn of it and others
+/// never do.
 #[test]
 fn cold_limit_is_kept_while_nodes_learn_of_it() {
     let cold = Cold { known_within: Millis(500), never_percent: 0, owner_announces: false };
     for nodes in [3, 9, 69, 300, 1_000] {
         for never_percent in [0, 5] {
             let faults = [(0, false), (5, false), (0, true)];
-            // The largest is played without faults: it takes as long as all others.
+            // The largest scenario runs without faults, as it takes as long as all others.
             let faults = if nodes < 1_000 { &faults[..] } else { &faults[..1] };
             for (lost, loses_owner) in faults.iter().copied() {
                 let cold = Some(Cold { never_percent, ..cold });
@@ -428,7 +432,7 @@
                 let scenario =
                     Scenario { nodes, limit, request_rate, lost, loses_owner, cold, ..SCENARIO };
                 let kept = simulate(scenario);
-                // The rule of the platform is half as much again and five.
+                // The platform's rule allows half as much again and five.
                 assert!(kept.worst as f64 <= 1.5 * limit + 5.0, "{scenario:?}: {kept:?}");
                 assert!(kept.used >= 0.6, "{scenario:?}: {kept:?}");
             }
@@ -436,7 +440,7 @@
     }
 }
 
-/// Half of the nodes hear neither the store nor a reader of it: the one that keeps the account tells them.
+/// Half of the nodes reach neither the store nor a reader of it, so the owner tells them.
 #[test]
 fn nodes_without_store_learn_of_a_cold_endpoint_from_the_owner() {
     let cold = Cold { known_within: Millis(500), never_percent: 50, owner_announces: true };
--- a/crates/cherrystand_core/tests/reader_list.rs
+++ b/crates/cherrystand_core/tests/reader_list.rs
@@ -1,4 +1,4 @@
-//! The note in the store of who reads it.
+//! The list of readers that is published in the store.
 
 mod support;
 
@@ -40,7 +40,7 @@
     struct Look {
         name: &'static str,
         at: u64,
-        /// How many daemons there are.
+        /// The number of daemons.
         daemons: usize,
         own: usize,
         due: bool,
--- a/crates/cherrystand_core/tests/readers.rs
+++ b/crates/cherrystand_core/tests/readers.rs
@@ -1,4 +1,4 @@
-//! Who reads the store, where the others read, and the changes that are passed on.
+//! Which daemons read the store, where the others read, and the changes that are passed on.
 
 mod support;
 
@@ -13,14 +13,14 @@
 };
 use support::heartbeat;
 
-/// Describes daemons for the choice of readers.
+/// Creates heartbeats for the selection of readers.
 fn zone_beat(number: usize, zone: &str, decides: bool, serving: bool) -> Heartbeat {
     let changes = Some(SocketAddr::from(([127, 0, 0, 1], 1_000 + number as u16)));
     Heartbeat { decides, serving, changes, ..heartbeat(number, zone) }
 }
 
-/// Story: readers with links of 20 Mbit/s passed configurations on to twenty peers and were busy for
-/// seconds, while two daemons of each zone had links of 200.
+/// Guards against readers with slow links: readers with links of 20 Mbit/s passed configurations on
+/// to twenty peers and were busy for seconds, while two daemons of each zone had links of 200.
 #[test]
 fn daemons_with_the_fastest_links_are_readers_and_relays() {
     let links = [20, 200, 20, 0, 200, 20];
@@ -35,7 +35,7 @@
     let mut alive: Vec<&Heartbeat> = beats.iter().collect();
     assert_eq!(links_of(readers_of(&zone, &alive)), [200; READERS_PER_ZONE]);
     assert_eq!(links_of(relays_of(&zone, &alive)), [200; RELAYS_PER_ZONE]);
-    // Where they are gone, the next ones do it; a link that is not known comes last.
+    // When they are gone, the next ones take over; an unknown bandwidth ranks last.
     alive.retain(|beat| beat.link_mbps < 200);
     assert_eq!(links_of(readers_of(&zone, &alive)), [20, 20]);
 }
@@ -44,9 +44,9 @@
 fn one_daemon_per_zone_reads_the_store() {
     struct Case {
         name: &'static str,
-        /// Each daemon's zone, and whether it reaches the store and takes requests.
+        /// The zone of each daemon, whether it reaches the store and whether it takes requests.
         daemons: &'static [(&'static str, bool, bool)],
-        /// How many read the store, with nothing failing.
+        /// How many daemons read the store if nothing fails.
         readers: usize,
     }
     let cases = [
@@ -152,7 +152,7 @@
 fn daemon_decides_once_the_store_has_been_fresh_for_a_while() {
     struct Case {
         name: &'static str,
-        /// When the store told something, and when it did not answer.
+        /// When the store's state was read, and when the store did not answer.
         told: &'static [u64],
         missed: &'static [u64],
         decides: bool,
@@ -181,8 +181,8 @@
     }
 }
 
-/// Story: at 295 daemons something changes all the time; five readers made 3,392 calls to the store
-/// in 44 s, and 58 daemons of a zone asked their reader 930 times a second.
+/// Guards against too many calls: at 295 daemons something changes all the time; five readers made
+/// 3,392 calls to the store in 44 s, and 58 daemons of a zone sent their reader 930 polls a second.
 #[test]
 fn watch_and_poll_intervals_grow_with_the_daemons() {
     struct Case {
@@ -215,7 +215,8 @@
     }
 }
 
-/// Story: daemons that had stood still for 2 s took that for an outage of the store and kept boxes that had left.
+/// Guards against false outages: daemons that had been paused for 2 s took that for an outage of
+/// the store and retained boxes that had left.
 #[test]
 fn entries_missing_after_an_outage_are_retained() {
     /// What happened, and when.
@@ -224,9 +225,9 @@
         Answered(u64),
         AnsweredPeer(u64),
         Failed(u64),
-        /// The daemon stood still up to a time.
+        /// The daemon was paused until the given time.
         Paused(u64),
-        /// A peer says that the store answered it all the while.
+        /// A peer reports that the store answered it all the time.
         WasNone,
     }
     struct Case {
@@ -234,7 +235,7 @@
         events: &'static [Event],
         at: u64,
         keeps: bool,
-        /// For how long a peer is asked whether the store answered it.
+        /// The length of the outage that peers are asked about.
         doubts: Option<u64>,
     }
     use Event::{Answered, AnsweredPeer, Failed, Paused, WasNone};
@@ -338,7 +339,7 @@
     }
 }
 
-/// Returns whom each daemon of a zone reads from; nobody where it reads the store.
+/// Returns the peer that each daemon of a zone reads from; `None` if it reads the store.
 fn sources(alive: &[&Heartbeat]) -> BTreeMap<String, Option<String>> {
     let name = |beat: &Heartbeat| beat.node.as_str().to_owned();
     let of = |own: &Heartbeat| match SourceSelector::default().choose(own, alive, Millis(0)) {
@@ -348,8 +349,9 @@
     alive.iter().map(|own| (name(own), of(own))).collect()
 }
 
-/// Story: a reader answered each change to all of its zone: 1.06 MB/s at 300 daemons and 9.6 at 985, as the square of the
-/// fleet, where a small daemon's link carries 2.5.
+/// Guards against traffic that grows with the square of the fleet: a reader that sent each change
+/// to all of its zone sent 1.06 MB/s at 300 daemons and 9.6 at 985, while a small daemon's link
+/// carries 2.5.
 #[test]
 fn polls_per_daemon_grow_with_the_square_root_of_the_zone() {
     for per_zone in [10, 30, 100, 200, 400] {
@@ -366,7 +368,7 @@
         println!("{per_zone} daemons: {most} read from one, {} are read from", followers.len());
         assert!(most <= bound, "{per_zone}: {most}");
         assert_eq!(sources.values().filter(|source| source.is_none()).count(), 1, "{per_zone}");
-        // The store, its reader, a branch: nobody is further away.
+        // No daemon is further from the store than reader, branch, daemon.
         for own in sources.keys() {
             let mut at = own;
             let mut steps = 0;
@@ -378,7 +380,8 @@
     }
 }
 
-/// A daemon that comes or goes moves those that read from it and few others: each that moves reads everything anew.
+/// A daemon that joins or leaves should move only those that read from it and few others, since
+/// each that moves reads the whole state again.
 #[test]
 fn few_daemons_change_their_source_when_one_leaves() {
     let beats: Vec<Heartbeat> = (0..200).map(|number| zone_beat(number, "a", true, true)).collect();
@@ -393,14 +396,16 @@
         let after = sources(&left);
         let read_from_it = before.values().flatten().filter(|source| **source == own).count();
         let moved = after.iter().filter(|(name, source)| before[*name] != **source).count();
-        // Where a reader or a branch goes, the next daemon in rank takes its place, and some of the others'.
+        // If a reader or a branch leaves, the next daemon in rank takes its place, and some of the
+        // others move.
         let has_duty = branches.contains(&beat) || readers.contains(&beat);
         let bound = if has_duty { read_from_it + 3 * 15 } else { 0 };
         assert!(moved <= bound, "{number}: {moved} moved, {read_from_it} read from it");
     }
 }
 
-/// Where its branches fail a daemon reads from the readers, and the store is read by those that are left alone.
+/// A daemon whose branches fail reads from the readers; the store is read by those left without a
+/// source.
 #[test]
 fn daemons_fall_back_to_readers_when_branches_fail() {
     let beats: Vec<Heartbeat> = (0..100).map(|number| zone_beat(number, "a", true, true)).collect();
--- a/crates/cherrystand_core/tests/relays.rs
+++ b/crates/cherrystand_core/tests/relays.rs
@@ -1,4 +1,4 @@
-//! How news travels between zones by relays, and what it costs while daemons fail.
+//! How gossip travels between zones through relays, and what it costs while daemons fail.
 
 mod support;
 
@@ -14,25 +14,25 @@
 /// The time between two exchanges of one daemon.
 const ROUND: Millis = Millis(250);
 
-/// What fails of the daemons, by their number.
+/// The fault of a daemon.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Fault {
-    /// It neither asks nor answers.
+    /// It neither sends nor answers requests.
     Dead,
-    /// Its questions get through and those of others do not reach it.
+    /// Its own requests get through, but those of others do not reach it.
     Deaf,
 }
 
-/// Daemons that exchange heartbeats on virtual time.
+/// Daemons that exchange heartbeats in virtual time.
 struct Fleet {
     now: Millis,
     members: Vec<Membership>,
     faults: Vec<Option<Fault>>,
     seed: SeededRng,
-    /// Exchanges with a peer of another zone.
+    /// The number of exchanges with a peer of another zone.
     far: usize,
     round: usize,
-    /// Whether each asks anyone at random instead, to compare with.
+    /// Whether each daemon gossips with random peers instead, for comparison.
     random: bool,
 }
 
@@ -50,7 +50,7 @@
             round: 0,
             random: false,
         };
-        // Each learns of all others at the start, as from the seeds.
+        // At the start each daemon knows all others, as from its seed peers.
         for own in 0..size {
             for other in 0..size {
                 let heard = fleet.members[other].own().clone();
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Counts the pairs of sound daemons of which one does not think that the other is alive.
+    /// Counts the pairs of healthy daemons of which one does not consider the other alive.
     fn misjudged(&self) -> usize {
         let sound: Vec<usize> =
             (0..self.members.len()).filter(|number| self.faults[*number].is_none()).collect();
@@ -132,7 +132,7 @@
         name: &'static str,
         size: usize,
         zones: usize,
-        /// Which relays fail, by their place among all, and how.
+        /// Which relays fail, by their index among all, and how.
         fail: &'static [(usize, Fault)],
     }
     let all_six = &[
@@ -166,7 +166,7 @@
         for (place, fault) in case.fail {
             fleet.faults[relays[*place]] = Some(*fault);
         }
-        // Others take their place once they are suspected, and news is late until then.
+        // Others take their place once they are suspected, and gossip is late until then.
         fleet.run(24);
         assert_eq!(fleet.misjudged(), 0, "{}: after", case.name);
         fleet.run(40);
@@ -179,7 +179,7 @@
     struct Case {
         size: usize,
         zones: usize,
-        /// How many times fewer exchanges go to another zone.
+        /// The factor by which exchanges with other zones are fewer.
         fewer: usize,
     }
     let cases = [
@@ -238,22 +238,22 @@
     let mut book = PeerLoads::default();
     book.record_node(NodeId::new("near"), own_zone.clone(), vec![load("b1", 2, 10)], now);
     assert_eq!(requests(&book), 2.0);
-    // A peer of another zone counts by itself until its zone's sum is known.
+    // A peer of another zone counts separately until its zone's total is known.
     book.record_node(NodeId::new("far"), ZoneId::new("z1"), vec![load("b1", 3, 10)], now);
     assert_eq!(requests(&book), 5.0);
     book.record_zone(told("z1", Millis(100), vec![load("b1", 7, 10)]), &own_zone, now);
     assert_eq!(requests(&book), 9.0);
-    // An older sum that comes by another way changes nothing, nor does one of the own zone.
+    // Neither an older total that arrives on another path nor one of the own zone changes anything.
     book.record_zone(told("z1", Millis(300), vec![load("b1", 50, 10)]), &own_zone, now);
     book.record_zone(told("z0", Millis(0), vec![load("b1", 50, 10)]), &own_zone, now);
     assert_eq!(requests(&book), 9.0);
-    // The sums are handed over once, until something changes.
+    // The totals are returned once, until something changes.
     assert_eq!(book.changed_totals(), Some(book.totals()));
     assert_eq!(book.changed_totals(), None);
     let sum = book.zone_total(&own_zone, &[load("b1", 1, 400), load("b2", 4, 5)], now);
     assert_eq!(sum.loads, vec![load_sum("b1", 3, 300, 10), load_sum("b2", 4, 400, 5)]);
     assert_eq!(book.other_zone_totals(now)[0].age, Millis(100));
-    // What is old counts no more: the zone's sum first, then what its peer told alone.
+    // Expired loads no longer count: first the zone's total, then what its peer reported alone.
     book.remove_expired(4, now + Millis(1_600));
     assert_eq!(requests(&book), 5.0);
     book.remove_expired(1, now + Millis(1_600));
--- a/crates/cherrystand_core/tests/routing.rs
+++ b/crates/cherrystand_core/tests/routing.rs
@@ -1,4 +1,4 @@
-//! The choice of endpoints, room, limits and queues.
+//! Endpoint selection, admission control, limits and queues.
 
 use cherrystand_core::{
     Admission, AdmissionLimits, AttemptEnd, CircuitBreaker, Class, ConcurrencyLimit, EndpointKey,
--- a/crates/cherrystand_core/tests/shutdown_plan.rs
+++ b/crates/cherrystand_core/tests/shutdown_plan.rs
@@ -1,4 +1,4 @@
-//! How a stopping daemon shares out its time.
+//! How a daemon divides its grace period when it shuts down.
 
 use cherrystand_core::{Millis, ShutdownPlan};
 
@@ -13,7 +13,7 @@
         Case { grace: 8_000, linger: 2_500, drain: 4_800 },
         Case { grace: 30_000, linger: 2_500, drain: 26_800 },
         Case { grace: 3_000, linger: 2_500, drain: 125 },
-        // Where there is no time for both, it takes requests to the end.
+        // If there is not enough time for both, it accepts requests to the end.
         Case { grace: 2_000, linger: 1_750, drain: 0 },
         Case { grace: 0, linger: 0, drain: 0 },
     ];
