--- a/crates/cherrystandd/src/claim_writer.rs
+++ b/crates/cherrystandd/src/claim_writer.rs
@@ -11,10 +11,10 @@
 use crate::clock;
 
 /// How long one batch is tried; a claim must be used within twice this time.
-const GIVE_UP_AFTER: Duration = Duration::from_millis(CLAIM_USE_TIMEOUT.0 / 2);
+const WRITE_TIMEOUT: Duration = Duration::from_millis(CLAIM_USE_TIMEOUT.0 / 2);
 
 /// How long the writer pauses before it tries again.
-const RETRY_PAUSE: Duration = Duration::from_millis(20);
+const RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Writes claims into one record of a key-value service, keeping a copy of it.
 ///
@@ -49,7 +49,7 @@
         requests: &[ClaimRequest],
         id: &WriteId,
     ) -> Option<Vec<ClaimResponse>> {
-        let until = Instant::now() + GIVE_UP_AFTER;
+        let until = Instant::now() + WRITE_TIMEOUT;
         let mut pending: Option<(ClaimRecord, Vec<ClaimResponse>)> = None;
         while Instant::now() < until {
             let (next, answers) = pending
@@ -68,7 +68,7 @@
                 }
                 Err(_) => pending = Some((next, answers)),
             }
-            tokio::time::sleep(RETRY_PAUSE).await;
+            tokio::time::sleep(RETRY_INTERVAL).await;
         }
         None
     }
--- a/crates/cherrystandd/src/clock.rs
+++ b/crates/cherrystandd/src/clock.rs
@@ -7,7 +7,7 @@
 
 /// The longest stretch of a wait until a time: timers stand still while the machine is suspended, so
 /// that a wait which a suspension outlasts ends by this much too late at the most.
-pub(crate) const LONGEST_STRETCH: Duration = Duration::from_millis(200);
+pub(crate) const MAX_SLEEP: Duration = Duration::from_millis(200);
 
 /// Tells the time since the daemon's start, which goes on while the daemon is paused and while its
 /// machine is suspended.
@@ -34,12 +34,16 @@
             if left.is_zero() {
                 return;
             }
-            tokio::time::sleep(left.min(LONGEST_STRETCH)).await;
+            tokio::time::sleep(left.min(MAX_SLEEP)).await;
         }
     }
 
     /// Waits for something until a time of this clock at the longest; nothing where it does not come.
-    pub(crate) async fn by<T>(&self, at: Millis, awaited: impl Future<Output = T>) -> Option<T> {
+    pub(crate) async fn timeout_at<T>(
+        &self,
+        at: Millis,
+        awaited: impl Future<Output = T>,
+    ) -> Option<T> {
         tokio::select! {
             // What is there by then counts.
             biased;
--- a/crates/cherrystandd/src/counted.rs
+++ b/crates/cherrystandd/src/counting_client.rs
@@ -12,23 +12,23 @@
 
 /// Counts each call by the duty that makes it and by what became of it.
 #[derive(Clone)]
-pub(crate) struct Counted<K> {
+pub(crate) struct CountingClient<K> {
     inner: K,
     metrics: Arc<Metrics>,
     duty: &'static str,
 }
 
-impl Counted<PlatformClient> {
+impl CountingClient<PlatformClient> {
     /// Creates a client of the platform that the settings name.
     pub(crate) fn new(cx: &DutyContext, duty: &'static str) -> Self {
         let inner = PlatformClient::new(cx.settings.platform.address);
-        Self::over(inner, cx, duty)
+        Self::wrap(inner, cx, duty)
     }
 }
 
-impl<K> Counted<K> {
+impl<K> CountingClient<K> {
     /// Counts the calls of a client for a duty.
-    pub(crate) fn over(inner: K, cx: &DutyContext, duty: &'static str) -> Self {
+    pub(crate) fn wrap(inner: K, cx: &DutyContext, duty: &'static str) -> Self {
         Self { inner, metrics: cx.metrics.clone(), duty }
     }
 
@@ -43,7 +43,7 @@
     }
 }
 
-impl<K: KeyValue> KeyValue for Counted<K> {
+impl<K: KeyValue> KeyValue for CountingClient<K> {
     async fn get(&self, key: &str) -> Result<Option<Document>, PlatformError> {
         self.count(self.inner.get(key).await)
     }
@@ -83,7 +83,7 @@
     }
 }
 
-impl<K: BoxList> BoxList for Counted<K> {
+impl<K: BoxList> BoxList for CountingClient<K> {
     async fn inventory(&self) -> Result<Inventory, PlatformError> {
         self.count(self.inner.inventory().await)
     }
--- a/crates/cherrystandd/src/duties/claim_keeper.rs
+++ b/crates/cherrystandd/src/duties/claim_keeper.rs
@@ -7,16 +7,16 @@
 use cherrystand_platform::PlatformClient;
 
 use crate::claim_writer::ClaimWriter;
-use crate::claims::ClaimCall;
-use crate::counted::Counted;
-use crate::kernel::{Duty, Serves};
-use crate::{DutyContext, DutyError, StopPhase, keys, writer};
+use crate::claims::ClaimMessage;
+use crate::counting_client::CountingClient;
+use crate::kernel::{Duty, DutyScope};
+use crate::{DutyContext, DutyError, StopPhase, keys, write_ids};
 
 /// How long calls gather before they are written together.
 const GATHER: Duration = Duration::from_millis(15);
 
 inventory::submit! {
-    Duty { name: "claims", serves: Serves::Workspaces, run }
+    Duty { name: "claims", scope: DutyScope::Workspaces, run }
 }
 
 fn run(cx: DutyContext) -> Result<(), DutyError> {
@@ -24,11 +24,11 @@
 }
 
 async fn keep(cx: &DutyContext) {
-    let mut shards: BTreeMap<u64, async_channel::Sender<ClaimCall>> = BTreeMap::new();
+    let mut shards: BTreeMap<u64, async_channel::Sender<ClaimMessage>> = BTreeMap::new();
     loop {
         let call = tokio::select! {
-            call = cx.claim_calls.recv() => call,
-            () = cx.stopping(StopPhase::Stopped) => return,
+            call = cx.claim_messages.recv() => call,
+            () = cx.wait_for_stop(StopPhase::Stopped) => return,
         };
         let Ok(call) = call else {
             return;
@@ -49,9 +49,9 @@
     }
 }
 
-fn start_shard(cx: &DutyContext, shard: u64) -> async_channel::Sender<ClaimCall> {
-    let (tx, rx) = async_channel::bounded(crate::duty_context::RING_SLOTS);
-    let service = Counted::new(cx, "claims");
+fn start_shard(cx: &DutyContext, shard: u64) -> async_channel::Sender<ClaimMessage> {
+    let (tx, rx) = async_channel::bounded(crate::duty_context::CHANNEL_CAPACITY);
+    let service = CountingClient::new(cx, "claims");
     let writer = ClaimWriter::new(service, keys::claims(shard));
     let keeper = ShardKeeper { cx: cx.clone(), writer };
     tokio::task::spawn_local(keeper.run(rx));
@@ -61,11 +61,11 @@
 /// Gathers the calls of one shard into batches.
 struct ShardKeeper {
     cx: DutyContext,
-    writer: ClaimWriter<Counted<PlatformClient>>,
+    writer: ClaimWriter<CountingClient<PlatformClient>>,
 }
 
 impl ShardKeeper {
-    async fn run(mut self, calls: async_channel::Receiver<ClaimCall>) {
+    async fn run(mut self, calls: async_channel::Receiver<ClaimMessage>) {
         while let Ok(first) = calls.recv().await {
             tokio::time::sleep(GATHER).await;
             let mut batch = vec![first];
@@ -74,7 +74,7 @@
             }
             let requests: Vec<ClaimRequest> =
                 batch.iter().map(|call| call.request.clone()).collect();
-            let id = writer::next_write(&self.cx.view_now());
+            let id = write_ids::next_write_id(&self.cx.current_view());
             // Where the batch is not known to stand, dropping the channels tells the askers.
             if let Some(answers) = self.writer.write(&requests, &id).await {
                 self.answer(batch, answers);
@@ -82,7 +82,7 @@
         }
     }
 
-    fn answer(&self, batch: Vec<ClaimCall>, answers: Vec<ClaimResponse>) {
+    fn answer(&self, batch: Vec<ClaimMessage>, answers: Vec<ClaimResponse>) {
         for (call, answer) in batch.into_iter().zip(answers) {
             let label = match answer {
                 ClaimResponse::Granted => "granted",
--- a/crates/cherrystandd/src/duties/controller.rs
+++ b/crates/cherrystandd/src/duties/controller.rs
@@ -13,11 +13,11 @@
 };
 use cherrystand_platform::{EngineClient, KeyValue, Lease, PlatformClient, PlatformError, Swap};
 
-use crate::counted::Counted;
+use crate::counting_client::CountingClient;
 use crate::duties::prober::{Prober, boxes_to_ask};
-use crate::kernel::{Duty, Serves};
+use crate::kernel::{Duty, DutyScope};
 use crate::state::{StateEvent, View};
-use crate::{DutyContext, DutyError, StopPhase, clock, keys, writer};
+use crate::{DutyContext, DutyError, StopPhase, clock, keys, write_ids};
 
 /// How many daemons ask the boxes of one domain.
 const OBSERVERS: usize = 2;
@@ -38,7 +38,7 @@
 const LOOK_FIRST: Millis = Millis(1_500);
 
 inventory::submit! {
-    Duty { name: "controller", serves: Serves::Workspaces, run }
+    Duty { name: "controller", scope: DutyScope::Workspaces, run }
 }
 
 fn run(cx: DutyContext) -> Result<(), DutyError> {
@@ -46,7 +46,7 @@
         let mut duty = DomainDuty::new(cx.clone());
         tokio::select! {
             () = duty.run() => {}
-            () = cx.stopping(StopPhase::Stopped) => {}
+            () = cx.wait_for_stop(StopPhase::Stopped) => {}
         }
     })
 }
@@ -54,7 +54,7 @@
 struct DomainDuty {
     cx: DutyContext,
     prober: Prober,
-    platform: Counted<PlatformClient>,
+    platform: CountingClient<PlatformClient>,
     engines: EngineClient,
     domains: BTreeMap<DomainId, Watched>,
     ready_since: ReadySince,
@@ -73,7 +73,7 @@
     fn new(cx: DutyContext) -> Self {
         Self {
             prober: Prober::new(cx.clone()),
-            platform: Counted::new(&cx, "controller"),
+            platform: CountingClient::new(&cx, "controller"),
             engines: EngineClient::default(),
             domains: BTreeMap::new(),
             ready_since: ReadySince::default(),
@@ -87,14 +87,14 @@
         step.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
             step.tick().await;
-            let view = self.cx.view_now();
+            let view = self.cx.current_view();
             let observed = observed_domains(&view);
             self.ask_boxes(&view, &observed);
             self.tell_evidence(&view, &observed);
             let decided: Vec<DomainId> =
                 observed.into_iter().filter(|(_, rank)| *rank == 0).map(|(id, _)| id).collect();
             self.give_up_domains(&decided).await;
-            self.ready_since.observe(&view.formed(), self.cx.clock.now());
+            self.ready_since.observe(&view.formed_replicas(), self.cx.clock.now());
             for domain in decided {
                 self.decide(&view, domain).await;
             }
@@ -139,7 +139,7 @@
         let evidence: Vec<_> =
             records.flat_map(|record| self.prober.evidence(&record, now)).collect();
         if !evidence.is_empty() {
-            self.cx.tell_state(StateEvent::Evidence(evidence));
+            self.cx.send_to_state(StateEvent::Evidence(evidence));
         }
     }
 
@@ -150,7 +150,7 @@
         let now = self.cx.clock.now();
         let (revision, record) = record_of(view, &domain);
         let seen = self.prober.seen();
-        let formed = view.formed();
+        let formed = view.formed_replicas();
         let service = ServingState { formed: &formed, ready_since: &self.ready_since, now };
         let workspaces = view.workspaces.values();
         let desired: Vec<_> =
@@ -211,7 +211,7 @@
         expected: Revision,
         mut next: DomainRecord,
     ) {
-        next.writes.push(writer::next_write(view));
+        next.writes.push(write_ids::next_write_id(view));
         let explanations: Vec<_> = next.explanations.iter().rev().take(4).cloned().collect();
         let body = match serde_json::to_string(&next) {
             Ok(body) => body,
@@ -229,7 +229,7 @@
                     );
                 }
                 let record = Document { key: key.into(), revision, body: body.into() };
-                self.cx.tell_state(StateEvent::Records(vec![record]));
+                self.cx.send_to_state(StateEvent::Records(vec![record]));
             }
             Ok(Swap::Conflict(_)) | Err(PlatformError::NoAnswer(_)) => self.read_back(&key).await,
             Err(err) => log::warn!("a domain's record was not written: {err}"),
@@ -241,7 +241,7 @@
     async fn read_back(&self, key: &str) {
         let read = self.platform.get(key).await;
         match read {
-            Ok(Some(record)) => self.cx.tell_state(StateEvent::Records(vec![record])),
+            Ok(Some(record)) => self.cx.send_to_state(StateEvent::Records(vec![record])),
             Ok(None) => {}
             Err(err) => log::warn!("a domain's record could not be read back: {err}"),
         }
--- a/crates/cherrystandd/src/duties/gossip.rs
+++ b/crates/cherrystandd/src/duties/gossip.rs
@@ -7,7 +7,7 @@
 use cherrystand_peer::{PeerDialer, PeerError, Question, Reply};
 use tokio::sync::oneshot;
 
-use crate::kernel::{Duty, Serves};
+use crate::kernel::{Duty, DutyScope};
 use crate::state::{StateEvent, View};
 use crate::{DutyContext, DutyError, StopPhase, clock};
 
@@ -19,7 +19,7 @@
 const ROUNDS_TO_REUNITE: usize = 8;
 
 inventory::submit! {
-    Duty { name: "gossip", serves: Serves::All, run }
+    Duty { name: "gossip", scope: DutyScope::All, run }
 }
 
 fn run(cx: DutyContext) -> Result<(), DutyError> {
@@ -31,7 +31,7 @@
     let mut round = seed.below(ROUNDS_TO_REUNITE);
     while cx.stop_phase() < StopPhase::Stopped {
         round += 1;
-        let view = cx.view_now();
+        let view = cx.current_view();
         dialer.keep_only(&known_addresses(&cx, &view));
         if let Some(peer) = pick_peer(&cx, &view, own, round, &mut seed)
             && let Err(err) = exchange(&cx, &mut dialer, peer)
@@ -70,7 +70,7 @@
 
 fn exchange(cx: &DutyContext, dialer: &mut PeerDialer, peer: SocketAddr) -> Result<(), PeerError> {
     let asked = cx.clock.now();
-    let Some(greeting) = ask_state(cx, StateEvent::GreetingWanted) else {
+    let Some(greeting) = ask_state(cx, StateEvent::GetGreeting) else {
         return Ok(());
     };
     let mut question = Some(Question::News(greeting));
@@ -78,10 +78,10 @@
         let reply = ask_peer(cx, dialer, peer, &next)?;
         question = match reply {
             Reply::News(news) => {
-                ask_state(cx, |next| StateEvent::NewsCame { news, asked, next }).flatten()
+                ask_state(cx, |next| StateEvent::PeerNews { news, asked, next }).flatten()
             }
             Reply::Compared { newer, wanted } => {
-                ask_state(cx, |hand_over| StateEvent::Compared { newer, wanted, hand_over })
+                ask_state(cx, |to_send| StateEvent::PeerComparison { newer, wanted, to_send })
                     .flatten()
             }
             Reply::Taken => None,
@@ -107,6 +107,6 @@
     event: impl FnOnce(oneshot::Sender<T>) -> StateEvent,
 ) -> Option<T> {
     let (tx, rx) = oneshot::channel();
-    cx.tell_state(event(tx));
+    cx.send_to_state(event(tx));
     rx.blocking_recv().ok()
 }
--- a/crates/cherrystandd/src/duties/operator_api.rs
+++ b/crates/cherrystandd/src/duties/operator_api.rs
@@ -6,12 +6,12 @@
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 
-use crate::kernel::{Duty, Serves};
+use crate::kernel::{Duty, DutyScope};
 use crate::operator::{Operators, handle};
 use crate::{DutyContext, DutyError, StopPhase};
 
 inventory::submit! {
-    Duty { name: "operator-api", serves: Serves::Workspaces, run }
+    Duty { name: "operator-api", scope: DutyScope::Workspaces, run }
 }
 
 fn run(cx: DutyContext) -> Result<(), DutyError> {
@@ -28,7 +28,7 @@
     let serving = serve_http(listener, move |req| handle(operators.clone(), req), stopped);
     tokio::select! {
         () = serving => {}
-        () = cx.stopping(StopPhase::Stopped) => {}
+        () = cx.wait_for_stop(StopPhase::Stopped) => {}
     }
     Ok(())
 }
--- a/crates/cherrystandd/src/duties/peer_answers.rs
+++ b/crates/cherrystandd/src/duties/peer_answers.rs
@@ -3,12 +3,12 @@
 use cherrystand_peer::{PeerListener, Question, Reply};
 use tokio::sync::oneshot;
 
-use crate::kernel::{Duty, Serves};
+use crate::kernel::{Duty, DutyScope};
 use crate::state::StateEvent;
 use crate::{DutyContext, DutyError, StopPhase};
 
 inventory::submit! {
-    Duty { name: "peer-answers", serves: Serves::All, run }
+    Duty { name: "peer-answers", scope: DutyScope::All, run }
 }
 
 fn run(cx: DutyContext) -> Result<(), DutyError> {
@@ -39,7 +39,7 @@
 
 fn answer(cx: &DutyContext, question: Question) -> Reply {
     let (tx, rx) = oneshot::channel();
-    cx.tell_state(StateEvent::Asked(question, tx));
+    cx.send_to_state(StateEvent::PeerQuestion(question, tx));
     // Where the state duty is gone, the peer is told nothing new.
     rx.blocking_recv().unwrap_or(Reply::Taken)
 }
--- a/crates/cherrystandd/src/duties/platform_watch.rs
+++ b/crates/cherrystandd/src/duties/platform_watch.rs
@@ -8,8 +8,8 @@
 use cherrystand_core::{FRESH_FOR, Millis, Revision, rank_by_hash};
 use cherrystand_platform::{BoxList, KeyValue, PlatformClient, PlatformError};
 
-use crate::counted::Counted;
-use crate::kernel::{Duty, Serves};
+use crate::counting_client::CountingClient;
+use crate::kernel::{Duty, DutyScope};
 use crate::keys;
 use crate::state::{StateEvent, View};
 use crate::{DutyContext, DutyError, StopPhase};
@@ -36,22 +36,23 @@
 const READ_WHEN_OLDER: Millis = Millis(FRESH_FOR.0 / 2);
 
 inventory::submit! {
-    Duty { name: "platform-watch", serves: Serves::Workspaces, run }
+    Duty { name: "platform-watch", scope: DutyScope::Workspaces, run }
 }
 
 fn run(cx: DutyContext) -> Result<(), DutyError> {
     cx.run_local(async {
         tokio::select! {
             () = watch(&cx) => {}
-            () = cx.stopping(StopPhase::Stopped) => {}
+            () = cx.wait_for_stop(StopPhase::Stopped) => {}
         }
     })
 }
 
 async fn watch(cx: &DutyContext) {
-    let mut watcher = Watcher { cx, client: Counted::new(cx, "watch"), known: None, listed: None };
+    let mut watcher =
+        Watcher { cx, client: CountingClient::new(cx, "watch"), known: None, listed: None };
     loop {
-        if !should_read(&cx.view_now()) {
+        if !should_read(&cx.current_view()) {
             tokio::time::sleep(IDLE_FOR).await;
             continue;
         }
@@ -76,7 +77,7 @@
 
 struct Watcher<'a> {
     cx: &'a DutyContext,
-    client: Counted<PlatformClient>,
+    client: CountingClient<PlatformClient>,
     /// The revision up to which all records are known.
     known: Option<Revision>,
     /// When the box list was last read.
@@ -91,8 +92,8 @@
             Some(known) => self.client.watch(keys::SHARED, known, WATCH_FOR).await?,
         };
         self.known = Some(changes.revision);
-        self.cx.tell_state(StateEvent::Records(changes.records));
-        self.cx.tell_state(StateEvent::PlatformRead { asked });
+        self.cx.send_to_state(StateEvent::Records(changes.records));
+        self.cx.send_to_state(StateEvent::PlatformRead { asked });
         self.read_list().await
     }
 
@@ -102,7 +103,7 @@
             return Ok(());
         }
         let inventory = self.client.inventory().await?;
-        self.cx.tell_state(StateEvent::Listed(inventory));
+        self.cx.send_to_state(StateEvent::Inventory(inventory));
         self.listed = Some(now);
         Ok(())
     }
--- a/crates/cherrystandd/src/duties/relay.rs
+++ b/crates/cherrystandd/src/duties/relay.rs
@@ -7,7 +7,7 @@
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 
-use crate::kernel::{Duty, Serves};
+use crate::kernel::{Duty, DutyScope};
 use crate::relay::{NoteQuestion, Relay, handle};
 use crate::{DutyContext, DutyError, StopPhase};
 
@@ -15,7 +15,7 @@
 const FLUSH: Duration = Duration::from_millis(200);
 
 inventory::submit! {
-    Duty { name: "relay", serves: Serves::Workspaces, run }
+    Duty { name: "relay", scope: DutyScope::Workspaces, run }
 }
 
 fn run(cx: DutyContext) -> Result<(), DutyError> {
@@ -31,14 +31,14 @@
     let (stop, stopped) = watch::channel(false);
     let serving = serve_http(listener, move |req| handle(relay.clone(), req), stopped);
     let stopping = async {
-        cx.stopping(StopPhase::Draining).await;
+        cx.wait_for_stop(StopPhase::Draining).await;
         log::info!("draining: not ready any more, finishing what is in flight");
         tokio::time::sleep(Duration::from_millis(cx.settings.stop.linger_ms)).await;
         stop.send_replace(true);
     };
     tokio::select! {
         _ = async { tokio::join!(serving, stopping) } => {}
-        () = cx.stopping(StopPhase::Stopped) => return Ok(()),
+        () = cx.wait_for_stop(StopPhase::Stopped) => return Ok(()),
     }
     tokio::time::sleep(FLUSH).await;
     cx.stop.send_replace(StopPhase::Stopped);
--- a/crates/cherrystandd/src/duties/state_keeper.rs
+++ b/crates/cherrystandd/src/duties/state_keeper.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use crate::kernel::{Duty, Serves};
+use crate::kernel::{Duty, DutyScope};
 use crate::state::NodeState;
 use crate::state::StateEvent;
 use crate::{DutyContext, DutyError, StopPhase};
@@ -15,7 +15,7 @@
 const EVENTS_PER_VIEW: usize = 64;
 
 inventory::submit! {
-    Duty { name: "state", serves: Serves::All, run }
+    Duty { name: "state", scope: DutyScope::All, run }
 }
 
 fn run(cx: DutyContext) -> Result<(), DutyError> {
@@ -27,7 +27,7 @@
 }
 
 async fn keep(cx: &DutyContext) {
-    let own = cx.view_now().own.clone();
+    let own = cx.current_view().own.clone();
     let mut state = NodeState::new(own, cx.config_versions.clone(), cx.clock.now());
     let mut tick = tokio::time::interval(TICK);
     tick.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
@@ -38,7 +38,7 @@
                 Err(_) => return,
             },
             _ = tick.tick() => beat(cx, &mut state),
-            () = cx.stopping(StopPhase::Stopped) => return,
+            () = cx.wait_for_stop(StopPhase::Stopped) => return,
         }
         if state.take_changed() {
             publish(cx, &state);
@@ -48,10 +48,10 @@
 
 fn take_several(cx: &DutyContext, state: &mut NodeState, first: StateEvent) {
     let now = cx.clock.now();
-    state.take(first, now);
+    state.apply(first, now);
     for _ in 1..EVENTS_PER_VIEW {
         match cx.state_events.try_recv() {
-            Ok(event) => state.take(event, now),
+            Ok(event) => state.apply(event, now),
             Err(_) => return,
         }
     }
@@ -59,7 +59,7 @@
 
 fn beat(cx: &DutyContext, state: &mut NodeState) {
     if cx.stop_phase() >= StopPhase::Draining {
-        state.take(StateEvent::Draining, cx.clock.now());
+        state.apply(StateEvent::Draining, cx.clock.now());
     }
     if state.tick(cx.clock.now()) {
         cx.metrics.pauses.inc();
@@ -79,5 +79,5 @@
     cx.metrics.serving_replicas.set(replicas as i64);
     let age = view.platform_age.map_or(-1.0, |age| age.as_secs_f64());
     cx.metrics.platform_age.set(age as i64);
-    cx.publish.send_replace(Arc::new(view));
+    cx.publish_view.send_replace(Arc::new(view));
 }
--- a/crates/cherrystandd/src/duty_context.rs
+++ b/crates/cherrystandd/src/duty_context.rs
@@ -5,16 +5,16 @@
 use cherrystand_core::{ModelLoads, SiteView, SuspectRecord};
 use tokio::sync::watch;
 
-use crate::claims::ClaimCall;
+use crate::claims::ClaimMessage;
 use crate::config_versions::ConfigVersions;
-use crate::news_heard::NewsHeard;
 use crate::relay::NoteQuestion;
 use crate::site::Hint;
 use crate::state::{StateEvent, View};
+use crate::store_freshness::StoreFreshness;
 use crate::{Clock, Metrics, Settings};
 
 /// How many events a ring between duties holds.
-pub(crate) const RING_SLOTS: usize = 1_024;
+pub(crate) const CHANNEL_CAPACITY: usize = 1_024;
 
 /// Says how far the daemon is with stopping.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -79,9 +79,9 @@
     /// The other end of that ring; only the state duty reads it.
     pub(crate) state_events: async_channel::Receiver<StateEvent>,
     /// The ring towards the duty that claims calls.
-    pub(crate) claims: async_channel::Sender<ClaimCall>,
+    pub(crate) claims: async_channel::Sender<ClaimMessage>,
     /// The other end of that ring; only the claims duty reads it.
-    pub(crate) claim_calls: async_channel::Receiver<ClaimCall>,
+    pub(crate) claim_messages: async_channel::Receiver<ClaimMessage>,
     /// The ring by which operators ask the relay about requests.
     pub(crate) notes: async_channel::Sender<NoteQuestion>,
     /// The other end of that ring; only the relay reads it.
@@ -89,13 +89,13 @@
     /// What the daemon knows, as last published.
     pub(crate) view: watch::Receiver<Arc<View>>,
     /// Where the state duty publishes it.
-    pub(crate) publish: Arc<watch::Sender<Arc<View>>>,
+    pub(crate) publish_view: Arc<watch::Sender<Arc<View>>>,
     /// What is known of the site, as last published.
     pub(crate) site: watch::Receiver<Arc<SiteView>>,
     /// Where the duty that reads the site publishes it.
     pub(crate) publish_site: Arc<watch::Sender<Arc<SiteView>>>,
     /// As of when that is.
-    pub(crate) news_heard: Arc<NewsHeard>,
+    pub(crate) store_freshness: Arc<StoreFreshness>,
     /// What all daemons have in flight by model, as the request path last published it.
     pub(crate) model_loads: watch::Receiver<Arc<ModelLoads>>,
     /// Where the request path publishes it.
@@ -117,16 +117,16 @@
 impl DutyContext {
     /// Creates the context of a daemon that starts now.
     pub fn new(settings: Settings, metrics: Metrics) -> Self {
-        let (state, state_events) = async_channel::bounded(RING_SLOTS);
-        let (claims, claim_calls) = async_channel::bounded(RING_SLOTS);
-        let (notes, note_questions) = async_channel::bounded(RING_SLOTS);
+        let (state, state_events) = async_channel::bounded(CHANNEL_CAPACITY);
+        let (claims, claim_messages) = async_channel::bounded(CHANNEL_CAPACITY);
+        let (notes, note_questions) = async_channel::bounded(CHANNEL_CAPACITY);
         let clock = Clock::start();
-        let first = View::at_start(&settings, clock.now());
-        let (publish, view) = watch::channel(Arc::new(first));
+        let initial = View::initial(&settings, clock.now());
+        let (publish_view, view) = watch::channel(Arc::new(initial));
         let (publish_site, site) = watch::channel(Arc::default());
         let (publish_model_loads, model_loads) = watch::channel(Arc::default());
         let (publish_suspects, suspects) = watch::channel(Arc::default());
-        let (hints, hint_events) = async_channel::bounded(RING_SLOTS);
+        let (hints, hint_events) = async_channel::bounded(CHANNEL_CAPACITY);
         let (stop, _) = watch::channel(StopPhase::Running);
         let metrics = Arc::new(metrics);
         Self {
@@ -137,14 +137,14 @@
             state,
             state_events,
             claims,
-            claim_calls,
+            claim_messages,
             notes,
             note_questions,
             view,
-            publish: Arc::new(publish),
+            publish_view: Arc::new(publish_view),
             site,
             publish_site: Arc::new(publish_site),
-            news_heard: Arc::default(),
+            store_freshness: Arc::default(),
             model_loads,
             publish_model_loads: Arc::new(publish_model_loads),
             suspects,
@@ -172,21 +172,21 @@
     }
 
     /// Waits until stopping has come to `phase`.
-    pub(crate) async fn stopping(&self, phase: StopPhase) {
+    pub(crate) async fn wait_for_stop(&self, phase: StopPhase) {
         let mut stop = self.stop.subscribe();
         // The sender lives in this very context.
         let _ = stop.wait_for(|now| *now >= phase).await;
     }
 
     /// Returns the view as last published.
-    pub(crate) fn view_now(&self) -> Arc<View> {
+    pub(crate) fn current_view(&self) -> Arc<View> {
         self.view.borrow().clone()
     }
 
     /// Hands an event to the state duty, giving it up where the ring is full.
     ///
     /// Every event is told again later: records by comparison, evidence by the next probe.
-    pub(crate) fn tell_state(&self, event: StateEvent) {
+    pub(crate) fn send_to_state(&self, event: StateEvent) {
         if self.state.try_send(event).is_err() {
             self.metrics.ring_full.with_label_values(&["state"]).inc();
         }
--- a/crates/cherrystandd/src/kernel.rs
+++ b/crates/cherrystandd/src/kernel.rs
@@ -11,7 +11,7 @@
 
 /// Says in which kind of deployment a duty runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Serves {
+pub enum DutyScope {
     /// In every one.
     All,
     /// Where operators state workspaces through the daemon.
@@ -20,8 +20,8 @@
     Routes,
 }
 
-impl Serves {
-    fn fits(self, cx: &DutyContext) -> bool {
+impl DutyScope {
+    fn includes(self, cx: &DutyContext) -> bool {
         match self {
             Self::All => true,
             Self::Workspaces => cx.settings.site.is_none(),
@@ -35,7 +35,7 @@
     /// The duty's name, which its thread carries.
     pub name: &'static str,
     /// Where it runs.
-    pub serves: Serves,
+    pub scope: DutyScope,
     /// Runs the duty until its context says that it is time to stop.
     pub run: fn(DutyContext) -> Result<(), DutyError>,
 }
@@ -56,7 +56,7 @@
     /// Returns a [`DutyError`] where a thread cannot be started.
     pub fn start(cx: &DutyContext) -> Result<Self, DutyError> {
         let mut threads = Vec::new();
-        for duty in inventory::iter::<Duty>.into_iter().filter(|duty| duty.serves.fits(cx)) {
+        for duty in inventory::iter::<Duty>.into_iter().filter(|duty| duty.scope.includes(cx)) {
             threads.push((duty.name, start_thread(duty, cx.clone())?));
         }
         Ok(Self { stop: cx.stop.clone(), threads })
@@ -83,8 +83,8 @@
     cx: DutyContext,
 ) -> Result<JoinHandle<Result<(), DutyError>>, DutyError> {
     let run = move || {
-        let on_end = StopOnEnd { stop: cx.stop.clone(), clean: false };
-        run_duty(duty, cx, on_end)
+        let on_failure = StopOnFailure { stop: cx.stop.clone(), succeeded: false };
+        run_duty(duty, cx, on_failure)
     };
     std::thread::Builder::new()
         .name(duty.name.to_owned())
@@ -92,24 +92,24 @@
         .map_err(|source| DutyError::Thread { duty: duty.name, source })
 }
 
-fn run_duty(duty: &Duty, cx: DutyContext, mut on_end: StopOnEnd) -> Result<(), DutyError> {
+fn run_duty(duty: &Duty, cx: DutyContext, mut on_failure: StopOnFailure) -> Result<(), DutyError> {
     let outcome = (duty.run)(cx);
     match &outcome {
-        Ok(()) => on_end.clean = true,
+        Ok(()) => on_failure.succeeded = true,
         Err(err) => log::error!(duty = duty.name; "duty failed: {err}"),
     }
     outcome
 }
 
 /// Stops the daemon when a duty ends otherwise than it should, by panic included.
-struct StopOnEnd {
+struct StopOnFailure {
     stop: Arc<watch::Sender<StopPhase>>,
-    clean: bool,
+    succeeded: bool,
 }
 
-impl Drop for StopOnEnd {
+impl Drop for StopOnFailure {
     fn drop(&mut self) {
-        if !self.clean {
+        if !self.succeeded {
             self.stop.send_replace(StopPhase::Stopped);
         }
     }
--- a/crates/cherrystandd/src/keys.rs
+++ b/crates/cherrystandd/src/keys.rs
@@ -18,7 +18,7 @@
 pub(crate) const INVENTORY: &str = "platform/inventory";
 
 /// Below this stand the copies that daemons pass on where routes are configured.
-pub(crate) const PASSED_ON: &str = "site/";
+pub(crate) const SITE_RECORDS: &str = "site/";
 
 /// Names the copy of the operators' configuration.
 pub(crate) const SITE_CONFIG: &str = "site/config";
--- a/crates/cherrystandd/src/metrics.rs
+++ b/crates/cherrystandd/src/metrics.rs
@@ -83,7 +83,7 @@
     pub ring_full: IntCounterVec,
     /// Bytes of requests and answers that are held whole, as they are counted.
     pub bytes_held: Arc<AtomicUsize>,
-    held_now: IntGauge,
+    bytes_held_gauge: IntGauge,
     /// Availability zones that operators have emptied, as this daemon knows it.
     pub zones_evacuated: IntGauge,
     /// How often the platform's store has come back from a copy.
@@ -100,104 +100,105 @@
     /// Returns an error where two metrics have one name.
     pub fn new() -> Result<Self, prometheus::Error> {
         let registry = Registry::new();
-        let make = Maker { registry: &registry };
+        let factory = MetricFactory { registry: &registry };
         let metrics = Self {
-            requests: make.counters("requests_total", "Requests taken.", &["class"])?,
-            answers: make.counters("answers_total", "Answers given.", &["outcome", "status"])?,
-            refusals: make.counters("refusals_total", "Requests refused.", &["reason"])?,
-            attempts: make.counters("attempts_total", "Attempts at endpoints.", &["end"])?,
-            endpoint_refusals: make.counters(
+            requests: factory.counters("requests_total", "Requests taken.", &["class"])?,
+            answers: factory.counters("answers_total", "Answers given.", &["outcome", "status"])?,
+            refusals: factory.counters("refusals_total", "Requests refused.", &["reason"])?,
+            attempts: factory.counters("attempts_total", "Attempts at endpoints.", &["end"])?,
+            endpoint_refusals: factory.counters(
                 "endpoint_refusals_total",
                 "Requests that endpoints turned away.",
                 &["rest"],
             )?,
-            endpoints_leaving: make.counter(
+            endpoints_leaving: factory.counter(
                 "endpoints_leaving_total",
                 "Endpoints that said in their answers that they leave.",
             )?,
-            limits_named: make.counters(
+            limits_named: factory.counters(
                 "endpoint_limits_named_total",
                 "Answers in which endpoints named how many requests they take.",
                 &["limit"],
             )?,
-            retries: make.counters("retries_total", "Attempts tried again.", &["after"])?,
-            retries_withheld: make.counters(
+            retries: factory.counters("retries_total", "Attempts tried again.", &["after"])?,
+            retries_withheld: factory.counters(
                 "retries_withheld_total",
                 "Failed attempts not tried again.",
                 &["reason"],
             )?,
-            stream_ends: make.counters("stream_ends_total", "Ends of streams.", &["end"])?,
-            answers_ended_with_box: make.counter(
+            stream_ends: factory.counters("stream_ends_total", "Ends of streams.", &["end"])?,
+            answers_ended_with_box: factory.counter(
                 "answers_ended_with_box_total",
                 "Answers that ended with the boxes that were making them.",
             )?,
-            requests_refused_for_ends: make.gauge(
+            requests_refused_for_ends: factory.gauge(
                 "requests_refused_for_ends",
                 "Requests refused since each replica ended that ran them.",
             )?,
-            in_flight: make.gauge("requests_in_flight", "Requests in flight.")?,
-            first_byte: make.histogram("first_byte_seconds", "Time to the first byte.")?,
-            claims: make.counters("claims_total", "Claims on calls.", &["answer"])?,
-            platform_calls: make.counters(
+            in_flight: factory.gauge("requests_in_flight", "Requests in flight.")?,
+            first_byte: factory.histogram("first_byte_seconds", "Time to the first byte.")?,
+            claims: factory.counters("claims_total", "Claims on calls.", &["answer"])?,
+            platform_calls: factory.counters(
                 "platform_calls_total",
                 "Calls to the platform.",
                 &["duty", "result"],
             )?,
-            peer_bytes: make.counters(
+            peer_bytes: factory.counters(
                 "peer_bytes_total",
                 "Bytes to and from peers.",
                 &["way", "kind"],
             )?,
-            peer_failures: make.counter("peer_failures_total", "Exchanges that failed.")?,
-            probes: make.counters("probes_total", "Probes of engines.", &["result"])?,
-            orders: make.counters("orders_total", "Orders to engines.", &["result"])?,
-            box_call_time: make.histograms(
+            peer_failures: factory.counter("peer_failures_total", "Exchanges that failed.")?,
+            probes: factory.counters("probes_total", "Probes of engines.", &["result"])?,
+            orders: factory.counters("orders_total", "Orders to engines.", &["result"])?,
+            box_call_time: factory.histograms(
                 "box_call_seconds",
                 "Time until a box answered or was waited for in vain.",
                 &["call", "result"],
             )?,
-            silence_verdicts: make.counters(
+            silence_verdicts: factory.counters(
                 "silence_verdicts_total",
                 "Verdicts on boxes that did not answer.",
                 &["verdict"],
             )?,
-            news_age: make.histograms(
+            news_age: factory.histograms(
                 "news_age_seconds",
                 "Age of what a peer passed on when it arrived.",
                 &["kind"],
             )?,
-            news_age_at_send: make.histogram(
+            news_age_at_send: factory.histogram(
                 "news_age_at_send_seconds",
                 "Age of what is known of the store as a request is sent.",
             )?,
-            versions_refused: make.counters(
+            versions_refused: factory.counters(
                 "versions_refused_total",
                 "Configurations of peers that were refused.",
                 &["reason"],
             )?,
-            values_refused: make.counters(
+            values_refused: factory.counters(
                 "values_refused_total",
                 "Values of the platform's store that could not be used.",
                 &["kind"],
             )?,
-            serving_replicas: make.gauge("serving_replicas", "Replicas that can be chosen.")?,
-            generation: make.gauges("generation", "Accepted generation.", &["workspace"])?,
-            platform_age: make.gauge("platform_age_seconds", "Age of the platform's news.")?,
-            pauses: make.counter("pauses_total", "Pauses of this process.")?,
-            ring_full: make.counters("ring_full_total", "Events given up.", &["ring"])?,
+            serving_replicas: factory.gauge("serving_replicas", "Replicas that can be chosen.")?,
+            generation: factory.gauges("generation", "Accepted generation.", &["workspace"])?,
+            platform_age: factory.gauge("platform_age_seconds", "Age of the platform's news.")?,
+            pauses: factory.counter("pauses_total", "Pauses of this process.")?,
+            ring_full: factory.counters("ring_full_total", "Events given up.", &["ring"])?,
             bytes_held: Arc::default(),
-            held_now: make.gauge("bytes_held", "Bytes of bodies that are held whole.")?,
-            zones_evacuated: make
+            bytes_held_gauge: factory
+                .gauge("bytes_held", "Bytes of bodies that are held whole.")?,
+            zones_evacuated: factory
                 .gauge("zones_evacuated", "Availability zones that operators have emptied.")?,
-            store_era: make.gauge("store_era", "Returns of the store from a copy.")?,
-            endpoints_cold: make.gauge("endpoints_cold", "Endpoints that are cold.")?,
+            store_era: factory.gauge("store_era", "Returns of the store from a copy.")?,
+            endpoints_cold: factory.gauge("endpoints_cold", "Endpoints that are cold.")?,
             registry,
         };
-        metrics.show_every_reason();
+        metrics.init_label_values();
         Ok(metrics)
     }
 
-    fn show_every_reason(&self) {
+    fn init_label_values(&self) {
         for reason in UnpackError::ALL {
             self.versions_refused.with_label_values(&[reason]);
         }
@@ -229,7 +230,7 @@
     }
 
     /// Counts an answer.
-    pub fn answered(&self, outcome: Outcome, status: u16) {
+    pub fn record_answer(&self, outcome: Outcome, status: u16) {
         let status = status.to_string();
         self.answers.with_label_values(&[outcome.as_str(), &status]).inc();
     }
@@ -240,18 +241,18 @@
     ///
     /// Returns an error where a metric cannot be written.
     pub fn render(&self) -> Result<Vec<u8>, prometheus::Error> {
-        self.held_now.set(self.bytes_held.load(Ordering::Relaxed) as i64);
+        self.bytes_held_gauge.set(self.bytes_held.load(Ordering::Relaxed) as i64);
         let mut buf = Vec::new();
         TextEncoder::new().encode(&self.registry.gather(), &mut buf)?;
         Ok(buf)
     }
 }
 
-struct Maker<'a> {
+struct MetricFactory<'a> {
     registry: &'a Registry,
 }
 
-impl Maker<'_> {
+impl MetricFactory<'_> {
     fn opts(name: &str, help: &str) -> Opts {
         Opts::new(name, help).namespace("cherrystand")
     }
@@ -266,15 +267,15 @@
         help: &str,
         labels: &[&str],
     ) -> Result<IntCounterVec, prometheus::Error> {
-        let made = IntCounterVec::new(Self::opts(name, help), labels)?;
-        self.registry.register(Box::new(made.clone()))?;
-        Ok(made)
+        let metric = IntCounterVec::new(Self::opts(name, help), labels)?;
+        self.registry.register(Box::new(metric.clone()))?;
+        Ok(metric)
     }
 
     fn counter(&self, name: &str, help: &str) -> Result<IntCounter, prometheus::Error> {
-        let made = IntCounter::with_opts(Self::opts(name, help))?;
-        self.registry.register(Box::new(made.clone()))?;
-        Ok(made)
+        let metric = IntCounter::with_opts(Self::opts(name, help))?;
+        self.registry.register(Box::new(metric.clone()))?;
+        Ok(metric)
     }
 
     fn gauges(
@@ -283,15 +284,15 @@
         help: &str,
         labels: &[&str],
     ) -> Result<IntGaugeVec, prometheus::Error> {
-        let made = IntGaugeVec::new(Self::opts(name, help), labels)?;
-        self.registry.register(Box::new(made.clone()))?;
-        Ok(made)
+        let metric = IntGaugeVec::new(Self::opts(name, help), labels)?;
+        self.registry.register(Box::new(metric.clone()))?;
+        Ok(metric)
     }
 
     fn gauge(&self, name: &str, help: &str) -> Result<IntGauge, prometheus::Error> {
-        let made = IntGauge::with_opts(Self::opts(name, help))?;
-        self.registry.register(Box::new(made.clone()))?;
-        Ok(made)
+        let metric = IntGauge::with_opts(Self::opts(name, help))?;
+        self.registry.register(Box::new(metric.clone()))?;
+        Ok(metric)
     }
 
     fn histograms(
@@ -300,14 +301,14 @@
         help: &str,
         labels: &[&str],
     ) -> Result<HistogramVec, prometheus::Error> {
-        let made = HistogramVec::new(Self::time_opts(name, help), labels)?;
-        self.registry.register(Box::new(made.clone()))?;
-        Ok(made)
+        let metric = HistogramVec::new(Self::time_opts(name, help), labels)?;
+        self.registry.register(Box::new(metric.clone()))?;
+        Ok(metric)
     }
 
     fn histogram(&self, name: &str, help: &str) -> Result<Histogram, prometheus::Error> {
-        let made = Histogram::with_opts(Self::time_opts(name, help))?;
-        self.registry.register(Box::new(made.clone()))?;
-        Ok(made)
+        let metric = Histogram::with_opts(Self::time_opts(name, help))?;
+        self.registry.register(Box::new(metric.clone()))?;
+        Ok(metric)
     }
 }
--- a/crates/cherrystandd/src/operator/api.rs
+++ b/crates/cherrystandd/src/operator/api.rs
@@ -12,12 +12,12 @@
 use serde_json::{Value, json};
 use tokio::sync::oneshot;
 
-use crate::counted::Counted;
+use crate::counting_client::CountingClient;
 use crate::operator::status::explain_replica;
 use crate::operator::{OperatorError, WorkspaceChange, status_of};
 use crate::relay::{NoteQuestion, RelayBody, plain_text};
 use crate::state::{StateEvent, View};
-use crate::{DutyContext, writer};
+use crate::{DutyContext, write_ids};
 
 /// The largest configuration, in bytes; two of them have to fit into one record.
 const LARGEST_CONFIG: usize = 256 << 10;
@@ -31,13 +31,13 @@
 /// Serves operators on one thread.
 pub(crate) struct Operators {
     cx: DutyContext,
-    platform: Counted<PlatformClient>,
+    platform: CountingClient<PlatformClient>,
 }
 
 impl Operators {
     /// Creates the interface.
     pub(crate) fn new(cx: DutyContext) -> Self {
-        let platform = Counted::new(&cx, "operators");
+        let platform = CountingClient::new(&cx, "operators");
         Self { cx, platform }
     }
 
@@ -48,28 +48,28 @@
         let text = String::from_utf8(body.to_bytes().to_vec())
             .map_err(|_| OperatorError::BadRequest("the configuration is not UTF-8 text"))?;
         let config = WorkspaceConfig::from_toml(&text)?;
-        let view = self.cx.view_now();
-        let held = view.formed().boxes();
+        let view = self.cx.current_view();
+        let held = view.formed_replicas().boxes();
         let changes = self.change(&view, &held);
         let written = changes.plan(config).await?;
-        self.cx.tell_state(StateEvent::Records(vec![written.record]));
+        self.cx.send_to_state(StateEvent::Records(vec![written.record]));
         Ok(plan_for_people(&written.told))
     }
 
     async fn confirm(&self, req: &Request<Incoming>, id: &str) -> Result<Value, OperatorError> {
         let operator = req.headers().get(OPERATOR_HEADER).and_then(|name| name.to_str().ok());
         let operator = operator.unwrap_or("unnamed");
-        let view = self.cx.view_now();
+        let view = self.cx.current_view();
         if !view.may_accept {
-            let (heard, all) = view.heard;
+            let (heard, all) = view.heard_of_expected;
             return Err(OperatorError::TooFewDaemons { heard, all });
         }
-        let held = view.formed().boxes();
+        let held = view.formed_replicas().boxes();
         let changes = self.change(&view, &held);
         let written = changes.confirm(&PlanId::new(id), operator).await?;
         let accepted = written.told;
         let record = written.record;
-        self.cx.tell_state(StateEvent::Records(vec![record.clone()]));
+        self.cx.send_to_state(StateEvent::Records(vec![record.clone()]));
         self.until_majority_holds(&record).await?;
         log::info!(
             generation = accepted.generation.0, plan = id, operator = operator;
@@ -82,8 +82,8 @@
         &'a self,
         view: &'a View,
         held: &'a BoxesByReplica,
-    ) -> WorkspaceChange<'a, Counted<PlatformClient>> {
-        let write = writer::next_write(view);
+    ) -> WorkspaceChange<'a, CountingClient<PlatformClient>> {
+        let write = write_ids::next_write_id(view);
         WorkspaceChange { service: &self.platform, write, fleet: &view.fleet, held }
     }
 
@@ -105,14 +105,14 @@
     }
 
     fn plans(&self) -> Value {
-        let view = self.cx.view_now();
+        let view = self.cx.current_view();
         let records = view.workspaces.values().map(|held| &held.record);
         let pending = records.flat_map(|record| record.plans.iter().map(plan_for_people));
         json!(pending.collect::<Vec<_>>())
     }
 
     fn history(&self) -> Value {
-        let view = self.cx.view_now();
+        let view = self.cx.current_view();
         let records = view.workspaces.values().map(|held| &held.record);
         let past = records.flat_map(|record| {
             let workspace = &record.config.workspace;
@@ -123,7 +123,7 @@
     }
 
     fn config(&self, workspace: &str) -> Result<Value, OperatorError> {
-        let view = self.cx.view_now();
+        let view = self.cx.current_view();
         let mut records = view.workspaces.values().map(|held| &held.record);
         let found = records.find(|record| record.config.workspace.as_str() == workspace);
         let found = found.ok_or_else(|| unknown("workspace", workspace))?;
@@ -132,7 +132,7 @@
 
     async fn explain(&self, name: &str) -> Result<Value, OperatorError> {
         if let Ok(replica) = ReplicaId::try_from(name.to_owned())
-            && let Some(told) = explain_replica(&self.cx.view_now(), &replica)
+            && let Some(told) = explain_replica(&self.cx.current_view(), &replica)
         {
             return Ok(told);
         }
@@ -177,7 +177,7 @@
         (&Method::POST, "drain") => Ok(operators.drain()),
         (&Method::GET, "plans") => Ok(operators.plans()),
         (&Method::GET, "history") => Ok(operators.history()),
-        (&Method::GET, "status") => Ok(status_of(&operators.cx.view_now())),
+        (&Method::GET, "status") => Ok(status_of(&operators.cx.current_view())),
         (&Method::GET, "config") => operators.config(name),
         (&Method::GET, "explain") => operators.explain(name).await,
         _ => Err(unknown("call", &path)),
--- a/crates/cherrystandd/src/operator/status.rs
+++ b/crates/cherrystandd/src/operator/status.rs
@@ -18,7 +18,7 @@
 }
 
 fn node(view: &View) -> Value {
-    let (heard, expected) = view.heard;
+    let (heard, expected) = view.heard_of_expected;
     json!({
         "node": view.own.node,
         "zone": view.own.zone,
@@ -82,7 +82,7 @@
 }
 
 fn boxes(view: &View) -> Vec<Value> {
-    let formed = view.formed();
+    let formed = view.formed_replicas();
     let holder =
         |id: &cherrystand_core::BoxId| formed.replica_with_box(id).map(ToString::to_string);
     let one = |info: &cherrystand_core::BoxInfo| {
--- a/crates/cherrystandd/src/relay/admitted.rs
+++ b/crates/cherrystandd/src/relay/admitted.rs
@@ -44,8 +44,8 @@
         self.relay.note_end(call, outcome, refusal);
         if let Some(key) = call.key.filter(|_| self.claimed) {
             match outcome {
-                Outcome::NotRun => claims::give_up(&self.relay.cx, key),
-                other => claims::settle(&self.relay.cx, key, other),
+                Outcome::NotRun => claims::release(&self.relay.cx, key),
+                other => claims::complete(&self.relay.cx, key, other),
             }
         }
     }
--- a/crates/cherrystandd/src/relay/attempt.rs
+++ b/crates/cherrystandd/src/relay/attempt.rs
@@ -163,7 +163,8 @@
         req,
         CONNECT_WITHIN,
     );
-    let answer = relay.cx.clock.by(call.deadline, send).await.ok_or(AttemptEnd::TimedOut)?;
+    let answer =
+        relay.cx.clock.timeout_at(call.deadline, send).await.ok_or(AttemptEnd::TimedOut)?;
     let answer = answer.map_err(|err| end_of(&err))?;
     if answer.headers().contains_key(NOT_RUN_HEADER) {
         in_flight.record_backoff(AskedRest::read(answer.headers()));
@@ -174,7 +175,7 @@
     }
     in_flight.begins();
     let held = hold_back(answer);
-    relay.cx.clock.by(call.deadline, held).await.ok_or(AttemptEnd::TimedOut)?
+    relay.cx.clock.timeout_at(call.deadline, held).await.ok_or(AttemptEnd::TimedOut)?
 }
 
 fn request_for(call: &Call, target: &Target, remaining: Millis) -> Request<Full<Bytes>> {
--- a/crates/cherrystandd/src/relay/core.rs
+++ b/crates/cherrystandd/src/relay/core.rs
@@ -239,7 +239,7 @@
             let spec = EndpointSpec {
                 near: target.near,
                 initial_limit: START_LIMIT,
-                max_limit: target.most,
+                max_limit: target.max_limit,
             };
             let key = router.add_endpoint(group.key, spec);
             let (address, replica) = id_of(target);
--- a/crates/cherrystandd/src/relay/flow.rs
+++ b/crates/cherrystandd/src/relay/flow.rs
@@ -55,7 +55,7 @@
     let reason = failure.refusal.reason.as_str();
     relay.cx.metrics.refusals.with_label_values(&[reason]).inc();
     let made = answer::failure(failure, id);
-    relay.cx.metrics.answered(failure.outcome, made.status().as_u16());
+    relay.cx.metrics.record_answer(failure.outcome, made.status().as_u16());
     made
 }
 
@@ -119,7 +119,7 @@
 /// Claims a keyed call, within the caller's deadline.
 async fn claim(relay: &Relay, call: &Call, key: IdempotencyKey) -> Result<(), Failure> {
     let remaining = Duration::from_millis(call.deadline.since(relay.now()).0);
-    let answer = tokio::time::timeout(remaining, claims::take(&relay.cx, key)).await;
+    let answer = tokio::time::timeout(remaining, claims::acquire(&relay.cx, key)).await;
     match answer.ok().flatten() {
         Some(ClaimResponse::Granted) => Ok(()),
         Some(ClaimResponse::AlreadyClaimed(claim)) => Err(Failure::claimed(&claim)),
@@ -235,6 +235,6 @@
     };
     let mut made = Response::from_parts(head, body);
     answer::label(&mut made, Outcome::Ran, &call.id);
-    relay.cx.metrics.answered(Outcome::Ran, made.status().as_u16());
+    relay.cx.metrics.record_answer(Outcome::Ran, made.status().as_u16());
     made
 }
--- a/crates/cherrystandd/src/relay/relay_state.rs
+++ b/crates/cherrystandd/src/relay/relay_state.rs
@@ -38,7 +38,7 @@
 impl Relay {
     /// Creates a relay that knows no group yet.
     pub(crate) fn new(cx: DutyContext) -> Self {
-        let room = cx.settings.limits.room();
+        let room = cx.settings.limits.admission_limits();
         Self {
             core: RefCell::new(RelayCore::new(room, clock::unix_millis())),
             pool: EndpointPool::default(),
@@ -74,13 +74,13 @@
     fn make_id(&self) -> String {
         let number = self.made.get();
         self.made.set(number + 1);
-        let own = &self.cx.view_now().own;
+        let own = &self.cx.current_view().own;
         format!("{}-{:x}-{number:x}", own.node, own.incarnation.0)
     }
 
     /// Returns the newest view, waiting a moment for one where the last one is old.
     pub(crate) async fn fresh_view(&self) -> Option<Arc<View>> {
-        let is_fresh = |view: &View| self.now().since(view.made) <= VIEW_LIFE;
+        let is_fresh = |view: &View| self.now().since(view.made_at) <= VIEW_LIFE;
         let mut view = self.cx.view.clone();
         let known = view.borrow().clone();
         if is_fresh(&known) {
--- a/crates/cherrystandd/src/relay/status_pages.rs
+++ b/crates/cherrystandd/src/relay/status_pages.rs
@@ -11,8 +11,8 @@
 
 /// Tells whether the node takes requests.
 pub(crate) fn readiness(relay: &Relay) -> Response<RelayBody> {
-    let view = relay.cx.view_now();
-    let fresh = relay.now().since(view.made) <= VIEW_LIFE;
+    let view = relay.cx.current_view();
+    let fresh = relay.now().since(view.made_at) <= VIEW_LIFE;
     if relay.cx.stop_phase() > StopPhase::Running {
         return plain_text(StatusCode::SERVICE_UNAVAILABLE, "stopping\n");
     }
@@ -33,7 +33,7 @@
 
 /// Lists the models that can be asked for.
 pub(crate) fn models(relay: &Relay) -> Response<RelayBody> {
-    let view = relay.cx.view_now();
+    let view = relay.cx.current_view();
     relay.core.borrow_mut().follow(&view.routes, relay.now());
     let core = relay.core.borrow();
     let models = core.groups().filter_map(|group| match &group.kind {
--- a/crates/cherrystandd/src/settings.rs
+++ b/crates/cherrystandd/src/settings.rs
@@ -11,13 +11,13 @@
 use serde::Deserialize;
 
 /// The bytes of bodies that a daemon holds at once where its memory is not known.
-const HELD_UNLESS_KNOWN: usize = 32 << 20;
+const DEFAULT_HELD_BYTES: usize = 32 << 20;
 
 /// The part of its memory for them: as much goes for what it knows, and for what connections buffer.
-const HELD_PART: usize = 4;
+const HELD_MEMORY_DIVISOR: usize = 4;
 
 /// The widest link that a box can have, in Mbit/s.
-const MOST_LINK_MBPS: f64 = 1_000_000.0;
+const MAX_LINK_MBPS: f64 = 1_000_000.0;
 
 /// Holds everything that one daemon is told at its start.
 ///
@@ -87,10 +87,10 @@
     /// The window that slides over both, in seconds.
     pub retry_window_s: u64,
     /// Within what time nothing more is sent to an endpoint that leaves, in milliseconds.
-    #[serde(default = "usual_news_ms")]
+    #[serde(default = "default_propagation_ms")]
     pub drain_ms: u64,
     /// Within what time a configuration is in force everywhere, in milliseconds.
-    #[serde(default = "usual_news_ms")]
+    #[serde(default = "default_propagation_ms")]
     pub config_apply_ms: u64,
     /// Within what time nothing more is sent to an availability zone that operators empty, in milliseconds; left out
     /// where none is emptied.
@@ -101,17 +101,17 @@
     pub regions: BTreeMap<ZoneId, RegionId>,
 }
 
-fn usual_news_ms() -> u64 {
+fn default_propagation_ms() -> u64 {
     PropagationBudget::DEFAULT_BOUND.0
 }
 
 impl SiteSettings {
     /// Returns how the time is split that a change may take to all daemons: all changes go the same way, and the one
     /// that is due first decides.
-    pub fn news_budget(&self) -> PropagationBudget {
-        let least = self.drain_ms.min(self.config_apply_ms);
+    pub fn propagation_budget(&self) -> PropagationBudget {
+        let smallest = self.drain_ms.min(self.config_apply_ms);
         PropagationBudget::new(Millis(
-            self.evacuate_ms.map_or(least, |evacuate| evacuate.min(least)),
+            self.evacuate_ms.map_or(smallest, |evacuate| evacuate.min(smallest)),
         ))
     }
 
@@ -169,11 +169,11 @@
 
 impl Default for Limits {
     fn default() -> Self {
-        let room = AdmissionLimits::default();
+        let admission = AdmissionLimits::default();
         Self {
-            requests: room.total,
-            consent_requests: room.reserved_for_consent,
-            batch_percent: room.batch_percent,
+            requests: admission.total,
+            consent_requests: admission.reserved_for_consent,
+            batch_percent: admission.batch_percent,
             body_bytes: 8 << 20,
             link_mbps: 0.0,
             memory_mb: 0,
@@ -185,15 +185,15 @@
 
 impl Limits {
     /// Returns how many bytes of bodies the daemon holds at once, at the most.
-    pub fn held_bytes(&self) -> usize {
+    pub fn max_held_bytes(&self) -> usize {
         match self.memory_mb {
-            0 => HELD_UNLESS_KNOWN,
-            memory => (memory << 20) / HELD_PART,
+            0 => DEFAULT_HELD_BYTES,
+            memory => (memory << 20) / HELD_MEMORY_DIVISOR,
         }
     }
 
     /// Returns the room for requests.
-    pub fn room(&self) -> AdmissionLimits {
+    pub fn admission_limits(&self) -> AdmissionLimits {
         AdmissionLimits {
             total: self.requests,
             reserved_for_consent: self.consent_requests,
@@ -278,7 +278,7 @@
     },
     /// A setting is at fault.
     #[error("{file}: {source}")]
-    Fault {
+    Invalid {
         /// The file.
         file: String,
         /// The fault.
@@ -304,7 +304,7 @@
             let file = file.clone();
             LoadSettingsError::Unreadable { file, source }
         })?;
-        Self::from_toml(&text).map_err(|source| LoadSettingsError::Fault { file, source })
+        Self::from_toml(&text).map_err(|source| LoadSettingsError::Invalid { file, source })
     }
 
     /// Reads and checks settings from TOML.
@@ -319,8 +319,8 @@
     }
 
     fn check(&self) -> Result<(), SettingsError> {
-        check_word("node", self.node.as_str())?;
-        check_word("zone", self.zone.as_str())?;
+        check_name("node", self.node.as_str())?;
+        check_name("zone", self.zone.as_str())?;
         self.check_addresses()?;
         self.check_limits()?;
         self.check_repair()?;
@@ -332,8 +332,8 @@
     fn check_addresses(&self) -> Result<(), SettingsError> {
         let listen = &self.listen;
         let all = [listen.callers, listen.operators, listen.peers];
-        let twice = all[0] == all[1] || all[0] == all[2] || all[1] == all[2];
-        if twice && all.iter().all(|address| address.port() != 0) {
+        let has_duplicate = all[0] == all[1] || all[0] == all[2] || all[1] == all[2];
+        if has_duplicate && all.iter().all(|address| address.port() != 0) {
             return Err(SettingsError::new(
                 SettingsErrorKind::Conflict,
                 "operators",
@@ -347,7 +347,7 @@
     fn check_policy(&self) -> Result<(), SettingsError> {
         let cost = self.policy.far_cost;
         if !(0.0..=1.0).contains(&cost) {
-            return Err(impossible("far_cost", cost, "0 to 1"));
+            return Err(invalid_value("far_cost", cost, "0 to 1"));
         }
         Ok(())
     }
@@ -355,7 +355,7 @@
     fn check_testing(&self, is_test_build: bool) -> Result<(), SettingsError> {
         let suspended = self.testing.suspended_ms;
         if suspended > 0 && !is_test_build {
-            return Err(impossible("suspended_ms", suspended, "0, but for a build for tests"));
+            return Err(invalid_value("suspended_ms", suspended, "0, but for a build for tests"));
         }
         Ok(())
     }
@@ -366,14 +366,14 @@
         };
         let ratio = site.retry_ratio;
         if !(0.0..=1.0).contains(&ratio) {
-            return Err(impossible("retry_ratio", ratio, "0 to 1"));
+            return Err(invalid_value("retry_ratio", ratio, "0 to 1"));
         }
         let slack = site.retry_slack;
         if !slack.is_finite() || slack < 0.0 {
-            return Err(impossible("retry_slack", slack, "a number, 0 or more"));
+            return Err(invalid_value("retry_slack", slack, "a number, 0 or more"));
         }
         if site.retry_window_s == 0 {
-            return Err(impossible("retry_window_s", 0, "a whole number, 1 or more"));
+            return Err(invalid_value("retry_window_s", 0, "a whole number, 1 or more"));
         }
         let bounds = [
             ("drain_ms", Some(site.drain_ms)),
@@ -382,7 +382,7 @@
         ];
         for (key, bound) in bounds {
             if bound.is_some_and(|bound| bound < PropagationBudget::MIN_BOUND.0) {
-                return Err(impossible(key, bound.unwrap_or_default(), "2000 or more"));
+                return Err(invalid_value(key, bound.unwrap_or_default(), "2000 or more"));
             }
         }
         if site.grace_ms <= self.stop.linger_ms {
@@ -399,7 +399,7 @@
     fn check_limits(&self) -> Result<(), SettingsError> {
         let limits = &self.limits;
         if limits.requests == 0 {
-            return Err(impossible("requests", 0, "a whole number, 1 or more"));
+            return Err(invalid_value("requests", 0, "a whole number, 1 or more"));
         }
         if limits.consent_requests >= limits.requests {
             return Err(SettingsError::new(
@@ -409,14 +409,14 @@
                 "less than `requests`",
             ));
         }
-        if !(0.0..=MOST_LINK_MBPS).contains(&limits.link_mbps) {
-            return Err(impossible("link_mbps", limits.link_mbps, "0 to 1000000"));
+        if !(0.0..=MAX_LINK_MBPS).contains(&limits.link_mbps) {
+            return Err(invalid_value("link_mbps", limits.link_mbps, "0 to 1000000"));
         }
         if limits.batch_percent > 100 {
-            return Err(impossible("batch_percent", limits.batch_percent, "0 to 100"));
+            return Err(invalid_value("batch_percent", limits.batch_percent, "0 to 100"));
         }
         if limits.body_bytes == 0 {
-            return Err(impossible("body_bytes", 0, "a whole number, 1 or more"));
+            return Err(invalid_value("body_bytes", 0, "a whole number, 1 or more"));
         }
         Ok(())
     }
@@ -424,10 +424,10 @@
     fn check_repair(&self) -> Result<(), SettingsError> {
         let repair = &self.repair;
         if repair.loads_at_once == 0 {
-            return Err(impossible("loads_at_once", 0, "a whole number, 1 or more"));
+            return Err(invalid_value("loads_at_once", 0, "a whole number, 1 or more"));
         }
         if !(0.0..=1.0).contains(&repair.restart_share) {
-            return Err(impossible("restart_share", repair.restart_share, "0 to 1"));
+            return Err(invalid_value("restart_share", repair.restart_share, "0 to 1"));
         }
         let seconds = [
             ("load_seconds", repair.load_seconds),
@@ -436,24 +436,24 @@
         ];
         for (key, value) in seconds {
             if !value.is_finite() || value <= 0.0 {
-                return Err(impossible(key, value, "a number above 0"));
+                return Err(invalid_value(key, value, "a number above 0"));
             }
         }
         if !(100..=1_000).contains(&repair.probe_ms) {
-            return Err(impossible("probe_ms", repair.probe_ms, "100 to 1000"));
+            return Err(invalid_value("probe_ms", repair.probe_ms, "100 to 1000"));
         }
         Ok(())
     }
 }
 
-fn impossible(key: &str, value: impl std::fmt::Display, allowed: &str) -> SettingsError {
+fn invalid_value(key: &str, value: impl std::fmt::Display, allowed: &str) -> SettingsError {
     SettingsError::new(SettingsErrorKind::InvalidValue, key, value, allowed)
 }
 
-fn check_word(key: &str, word: &str) -> Result<(), SettingsError> {
-    let plain = |c: char| c.is_ascii_alphanumeric() || c == '-' || c == '_';
-    if !word.is_empty() && word.chars().all(plain) {
+fn check_name(key: &str, name: &str) -> Result<(), SettingsError> {
+    let is_allowed = |c: char| c.is_ascii_alphanumeric() || c == '-' || c == '_';
+    if !name.is_empty() && name.chars().all(is_allowed) {
         return Ok(());
     }
-    Err(impossible(key, word, "letters, digits, `-` and `_`, at least one"))
+    Err(invalid_value(key, name, "letters, digits, `-` and `_`, at least one"))
 }
--- a/crates/cherrystandd/src/site/box_calls.rs
+++ b/crates/cherrystandd/src/site/box_calls.rs
@@ -154,7 +154,7 @@
 
     /// Returns whether this node decides for the domain of a box, or the box has no domain.
     fn decides_for(&self, site_box: &SiteBox) -> bool {
-        let view = self.cx.view_now();
+        let view = self.cx.current_view();
         let domain = site_box.domain.as_ref();
         domain.is_none_or(|domain| owns_domain(&view, &readers_in(&view), domain))
     }
--- a/crates/cherrystandd/src/site/control.rs
+++ b/crates/cherrystandd/src/site/control.rs
@@ -15,8 +15,8 @@
 use tokio::net::TcpListener;
 use tokio::sync::{Notify, watch};
 
-use crate::counted::Counted;
-use crate::kernel::{Duty, Serves};
+use crate::counting_client::CountingClient;
+use crate::kernel::{Duty, DutyScope};
 use crate::settings::SiteSettings;
 use crate::site::box_calls::{handle_hints, probe_unlisted};
 use crate::site::change_sharing::serve_changes;
@@ -43,7 +43,7 @@
 const PASS_ON_INTERVAL: Millis = Millis(1_000);
 
 inventory::submit! {
-    Duty { name: "site-control", serves: Serves::Routes, run }
+    Duty { name: "site-control", scope: DutyScope::Routes, run }
 }
 
 fn run(cx: DutyContext) -> Result<(), DutyError> {
@@ -65,7 +65,7 @@
         tokio::task::spawn_local(write_suspects(control.clone()));
         tokio::select! {
             () = control.clone().run_steps() => {}
-            () = cx.stopping(StopPhase::Stopped) => {}
+            () = cx.wait_for_stop(StopPhase::Stopped) => {}
         }
         Ok(())
     })?
@@ -75,7 +75,7 @@
 pub(crate) struct Control {
     pub(super) cx: DutyContext,
     /// The store.
-    pub(crate) store: Counted<<Driver as SiteDriver>::Store>,
+    pub(crate) store: CountingClient<<Driver as SiteDriver>::Store>,
     /// The state of the site.
     pub(crate) state: RefCell<SiteState>,
     /// The batches of changes last packed for peers.
@@ -116,7 +116,7 @@
     fn new(cx: DutyContext) -> Self {
         let store = Driver::store(cx.settings.platform.address);
         Self {
-            store: Counted::over(store, &cx, "site"),
+            store: CountingClient::wrap(store, &cx, "site"),
             state: RefCell::default(),
             packed_batches: RefCell::default(),
             pool: HttpPool::default(),
@@ -128,7 +128,12 @@
             recent_loads: RefCell::default(),
             last_probed: RefCell::default(),
             probing: RefCell::default(),
-            budget: cx.settings.site.as_ref().map(SiteSettings::news_budget).unwrap_or_default(),
+            budget: cx
+                .settings
+                .site
+                .as_ref()
+                .map(SiteSettings::propagation_budget)
+                .unwrap_or_default(),
             store_reach: Cell::default(),
             announced_decides: Cell::new(true),
             passed_on_at: Cell::default(),
@@ -174,7 +179,7 @@
     /// `has_changes`, publishes the new state and wakes the duty.
     pub(crate) fn record_update(&self, source: &ChangeSource, age: Millis, has_changes: bool) {
         let at = self.now() - age;
-        self.cx.news_heard.told(at, source);
+        self.cx.store_freshness.record_update(at, source);
         self.update_reach(|reach| reach.record_update(at));
         if has_changes {
             self.publish_and_wake();
@@ -223,7 +228,7 @@
             if woken {
                 tokio::time::sleep(COALESCE_DELAY).await;
             }
-            let view = self.cx.view_now();
+            let view = self.cx.current_view();
             let has_expired = self.state.borrow_mut().remove_expired(self.now());
             // A node's share of the retries depends on the number of nodes.
             if has_expired || self.cx.site.borrow().live_nodes != view.alive().count() {
@@ -246,7 +251,7 @@
         let now = self.now();
         let mut state = self.state.borrow_mut();
         let mut is_new = false;
-        for document in &view.passed_on {
+        for document in &view.site_records {
             is_new |= match &*document.key {
                 keys::SITE_CONFIG => state.apply_config(document),
                 keys::EVACUATED_ZONES => state.apply_evacuation_document(document, now),
@@ -258,7 +263,7 @@
         if due || newest != self.passed_on_revisions.get() {
             self.passed_on_at.set(now);
             self.passed_on_revisions.set(newest);
-            self.cx.tell_state(StateEvent::Records(state.operator_documents()));
+            self.cx.send_to_state(StateEvent::Records(state.operator_documents()));
         }
         drop(state);
         if is_new {
@@ -271,7 +276,7 @@
     fn announce_decides(&self) {
         let decides = !self.is_store_unreachable();
         if self.announced_decides.replace(decides) != decides {
-            self.cx.tell_state(StateEvent::Decides(decides));
+            self.cx.send_to_state(StateEvent::MayDecide(decides));
         }
     }
 
--- a/crates/cherrystandd/src/site/frontend.rs
+++ b/crates/cherrystandd/src/site/frontend.rs
@@ -103,7 +103,7 @@
             balancer,
             pool: EndpointPool::default(),
             held_bytes: HeldBytes::new(
-                cx.settings.limits.held_bytes(),
+                cx.settings.limits.max_held_bytes(),
                 cx.metrics.bytes_held.clone(),
             ),
             view: RefCell::default(),
@@ -130,7 +130,7 @@
         at: Millis,
         awaited: impl Future<Output = T>,
     ) -> Option<T> {
-        self.cx.clock.by(at, awaited).await
+        self.cx.clock.timeout_at(at, awaited).await
     }
 
     /// Takes over the newest view of the site.
@@ -255,7 +255,7 @@
     /// Records the age of this node's store data when it sends a request, and logs it if it is old:
     /// for as long, an endpoint that is leaving still gets requests.
     pub(super) fn observe_store_age(&self, target: &BoxId, req: &SiteRequest) {
-        let age = self.cx.news_heard.age(self.now());
+        let age = self.cx.store_freshness.age(self.now());
         self.cx.metrics.news_age_at_send.observe(age.as_secs_f64());
         if age < STALE_STORE_AGE {
             return;
@@ -263,7 +263,7 @@
         let Some(left_out) = self.stale_log.borrow_mut().admit(self.now()) else { return };
         log::info!(
             target_box = target.as_str(), request = req.facts.id.as_deref(), age_ms = age.0,
-            told_by = self.cx.news_heard.teller().to_string(), left_out = left_out;
+            told_by = self.cx.store_freshness.source().to_string(), left_out = left_out;
             "a request is sent by old news of the store"
         );
     }
--- a/crates/cherrystandd/src/site/frontend_duty.rs
+++ b/crates/cherrystandd/src/site/frontend_duty.rs
@@ -10,7 +10,7 @@
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 
-use crate::kernel::{Duty, Serves};
+use crate::kernel::{Duty, DutyScope};
 use crate::site::crash_watch::CrashWatch;
 use crate::site::frontend::Frontend;
 use crate::site::load_exchange::{LoadExchange, exchange_loads};
@@ -19,7 +19,7 @@
 use crate::{DutyContext, DutyError, StopPhase};
 
 inventory::submit! {
-    Duty { name: "site-front", serves: Serves::Routes, run }
+    Duty { name: "site-front", scope: DutyScope::Routes, run }
 }
 
 fn run(cx: DutyContext) -> Result<(), DutyError> {
@@ -48,18 +48,18 @@
     serve_pages(operators, cx.clone(), pages::operator_pages, stopped.clone());
     let serving = serve_http(callers, move |req| handle(frontend.clone(), req), stopped);
     let stopping = async {
-        cx.stopping(StopPhase::Draining).await;
+        cx.wait_for_stop(StopPhase::Draining).await;
         log::info!("draining: not ready any more, finishing what is in flight");
         let plan = ShutdownPlan::new(Millis(site.grace_ms), Millis(cx.settings.stop.linger_ms));
         tokio::time::sleep(Duration::from_millis(plan.linger.0)).await;
         stop.send_replace(true);
         tokio::time::sleep(Duration::from_millis(plan.drain.0)).await;
     };
-    let finished = async { tokio::join!(serving, cx.stopping(StopPhase::Draining)) };
+    let finished = async { tokio::join!(serving, cx.wait_for_stop(StopPhase::Draining)) };
     tokio::select! {
         _ = finished => {}
         () = stopping => {}
-        () = cx.stopping(StopPhase::Stopped) => {}
+        () = cx.wait_for_stop(StopPhase::Stopped) => {}
     }
     cx.stop.send_replace(StopPhase::Stopped);
     Ok(())
--- a/crates/cherrystandd/src/site/limit_exchange.rs
+++ b/crates/cherrystandd/src/site/limit_exchange.rs
@@ -42,8 +42,12 @@
             // Waking early only makes the same step happen sooner.
             match self.limit_activity() {
                 LimitActivity::Unused => due.await,
-                LimitActivity::Idle => _ = clock.by(clock.now() + IDLE_STEP_INTERVAL, due).await,
-                LimitActivity::Active => _ = clock.by(clock.now() + STEP_INTERVAL, due).await,
+                LimitActivity::Idle => {
+                    _ = clock.timeout_at(clock.now() + IDLE_STEP_INTERVAL, due).await
+                }
+                LimitActivity::Active => {
+                    _ = clock.timeout_at(clock.now() + STEP_INTERVAL, due).await
+                }
             }
             self.step_limits(&mut last_view).await;
         }
@@ -61,7 +65,7 @@
     }
 
     async fn step_limits(&self, last_view: &mut Option<Arc<View>>) {
-        let view = self.cx.view_now();
+        let view = self.cx.current_view();
         let members_changed =
             !last_view.as_ref().is_some_and(|last_view| same_members(last_view, &view));
         *last_view = Some(view.clone());
--- a/crates/cherrystandd/src/site/load_exchange.rs
+++ b/crates/cherrystandd/src/site/load_exchange.rs
@@ -276,7 +276,7 @@
         let mut due = clock.now() + SEND_INTERVAL;
         loop {
             let woken = self.loads.urgent.notified();
-            let _ = clock.by(due, woken).await;
+            let _ = clock.timeout_at(due, woken).await;
             self.send_urgent().await;
             if clock.now() < due {
                 continue;
@@ -304,7 +304,7 @@
         let stopped = std::mem::take(&mut *self.loads.stopped.borrow_mut());
         let queries = std::mem::take(&mut *self.loads.progress_queries.borrow_mut());
         let to_broadcast = std::mem::take(&mut *self.loads.to_broadcast.borrow_mut());
-        let view = self.cx.view_now();
+        let view = self.cx.current_view();
         let alive: Vec<&Heartbeat> = view.alive().collect();
         let others = alive.iter().filter(|beat| beat.node != view.own.node);
         let all: Vec<SocketAddr> = others.clone().map(|beat| beat.address).collect();
@@ -331,7 +331,7 @@
     /// zone in turn, and between relays as the total of the zone.
     async fn send_loads(&self, loads: Vec<EndpointLoad>, next_peer: &mut usize) {
         let now = self.cx.clock.now();
-        let view = self.cx.view_now();
+        let view = self.cx.current_view();
         let alive: Vec<&Heartbeat> = view.alive().collect();
         let (from, zone) = (view.own.node.clone(), view.own.zone.clone());
         let others: Vec<&Heartbeat> =
--- a/crates/cherrystandd/src/site/peer_selector.rs
+++ b/crates/cherrystandd/src/site/peer_selector.rs
@@ -35,7 +35,7 @@
 
     /// Calls `f` with this node's heartbeat and the heartbeats of all nodes that are alive.
     fn with_alive<T>(&self, f: impl FnOnce(&Heartbeat, &[&Heartbeat]) -> T) -> T {
-        let view = self.cx.view_now();
+        let view = self.cx.current_view();
         let alive: Vec<&Heartbeat> = view.alive().collect();
         f(&view.own, &alive)
     }
@@ -92,7 +92,7 @@
     }
 
     fn pick_peer(&self, from_all_zones: bool) -> Option<(NodeId, SocketAddr)> {
-        let view = self.cx.view_now();
+        let view = self.cx.current_view();
         let others = view.alive().filter(|beat| beat.node != view.own.node);
         let others: Vec<&Heartbeat> = others.filter(|beat| beat.changes.is_some()).collect();
         let in_zone = others.iter().copied().filter(|beat| beat.zone == view.own.zone);
--- a/crates/cherrystandd/src/site/reader_list.rs
+++ b/crates/cherrystandd/src/site/reader_list.rs
@@ -31,7 +31,7 @@
     let mut publisher = ReaderListPublisher::default();
     loop {
         tokio::time::sleep(CHECK_INTERVAL).await;
-        let view = control.cx.view_now();
+        let view = control.cx.current_view();
         let alive: Vec<&Heartbeat> = view.alive().collect();
         let total_listed = alive.len() as u64 * control.state.borrow().box_count() as u64;
         if total_listed < control.cx.settings.policy.note_readers_from {
--- a/crates/cherrystandd/src/site/retry_shares.rs
+++ b/crates/cherrystandd/src/site/retry_shares.rs
@@ -71,7 +71,7 @@
             let may_come = || self.loads.lent_retries.borrow().may_get_permit(service);
             if self.has_left(service, nodes)
                 || !may_come()
-                || self.cx.clock.by(until, answered).await.is_none()
+                || self.cx.clock.timeout_at(until, answered).await.is_none()
             {
                 return;
             }
--- a/crates/cherrystandd/src/site/trials.rs
+++ b/crates/cherrystandd/src/site/trials.rs
@@ -84,7 +84,7 @@
 
     /// Returns whether this node is the one that runs trials, among all live nodes.
     fn runs_trials(&self) -> bool {
-        let view = self.cx.view_now();
+        let view = self.cx.current_view();
         owner_of(TRIAL_DUTY, view.alive()) == Some(&view.own.node)
     }
 
--- a/crates/cherrystandd/src/state/event.rs
+++ b/crates/cherrystandd/src/state/event.rs
@@ -9,11 +9,11 @@
 #[derive(Debug)]
 pub(crate) enum StateEvent {
     /// A peer asks; the reply goes back through the channel.
-    Asked(Question, oneshot::Sender<Reply>),
+    PeerQuestion(Question, oneshot::Sender<Reply>),
     /// The gossip duty wants to ask a peer for news.
-    GreetingWanted(oneshot::Sender<Greeting>),
+    GetGreeting(oneshot::Sender<Greeting>),
     /// A peer sent its news; what to ask it next goes back through the channel.
-    NewsCame {
+    PeerNews {
         /// The news.
         news: News,
         /// When the peer was asked.
@@ -22,13 +22,13 @@
         next: oneshot::Sender<Option<Question>>,
     },
     /// A peer compared records; what to hand it goes back through the channel.
-    Compared {
+    PeerComparison {
         /// The peer's newer records.
         newer: Vec<Carried>,
         /// The records that the peer wants, and what it holds of them.
         wanted: Vec<Version>,
         /// Where the records to hand over go.
-        hand_over: oneshot::Sender<Option<Question>>,
+        to_send: oneshot::Sender<Option<Question>>,
     },
     /// Records were read from the platform or written to it.
     Records(Vec<Document>),
@@ -38,11 +38,11 @@
         asked: Millis,
     },
     /// The platform's list was read.
-    Listed(Inventory),
+    Inventory(Inventory),
     /// Replicas were looked at.
     Evidence(Vec<ReplicaEvidence>),
     /// Whether the platform answers this daemon, so that it may decide for domains.
-    Decides(bool),
+    MayDecide(bool),
     /// The daemon begins to stop.
     Draining,
 }
--- a/crates/cherrystandd/src/state/mod.rs
+++ b/crates/cherrystandd/src/state/mod.rs
@@ -7,5 +7,5 @@
 
 pub(crate) use event::StateEvent;
 pub(crate) use node_state::NodeState;
-pub(crate) use routes::{RouteGroup, RouteKind, RouteTarget, routes_of};
-pub(crate) use view::{Held, View};
+pub(crate) use routes::{RouteGroup, RouteKind, RouteTarget, build_routes};
+pub(crate) use view::{Versioned, View};
--- a/crates/cherrystandd/src/state/node_state.rs
+++ b/crates/cherrystandd/src/state/node_state.rs
@@ -13,7 +13,7 @@
 
 use crate::config_versions::ConfigVersions;
 use crate::keys;
-use crate::state::{Held, StateEvent, View, routes_of};
+use crate::state::{StateEvent, Versioned, View, build_routes};
 
 /// How many bytes of records go into one message between daemons.
 const RECORD_BYTES_PER_MESSAGE: usize = 1 << 20;
@@ -25,11 +25,11 @@
     evidence: EvidenceTable,
     freshness: Freshness,
     fleet: Arc<Fleet>,
-    workspaces: BTreeMap<Arc<str>, Arc<Held<WorkspaceRecord>>>,
-    domains: BTreeMap<Arc<str>, Arc<Held<DomainRecord>>>,
+    workspaces: BTreeMap<Arc<str>, Arc<Versioned<WorkspaceRecord>>>,
+    domains: BTreeMap<Arc<str>, Arc<Versioned<DomainRecord>>>,
     config_versions: ConfigVersions,
     /// Whether the whole configuration is asked for, since what changed in it did not fit.
-    ask_whole: bool,
+    request_full_config: bool,
     /// Whether anything changed that others are to see at once, and not by the next tick.
     changed: bool,
 }
@@ -47,7 +47,7 @@
             workspaces: BTreeMap::new(),
             domains: BTreeMap::new(),
             config_versions,
-            ask_whole: false,
+            request_full_config: false,
             changed: true,
         }
     }
@@ -62,40 +62,40 @@
     }
 
     /// Takes in an event, answering through its channel where it has one.
-    pub(crate) fn take(&mut self, event: StateEvent, now: Millis) {
+    pub(crate) fn apply(&mut self, event: StateEvent, now: Millis) {
         match event {
-            StateEvent::Asked(question, reply) => {
+            StateEvent::PeerQuestion(question, reply) => {
                 // Whoever asked may have given up meanwhile.
                 let _ = reply.send(self.answer(question, now));
             }
-            StateEvent::GreetingWanted(reply) => {
+            StateEvent::GetGreeting(reply) => {
                 let _ = reply.send(self.greeting(now));
             }
-            StateEvent::NewsCame { news, asked, next } => {
-                let differs = self.hear(news, asked, now);
-                let question = differs.then(|| Question::Compare(self.versions_held()));
+            StateEvent::PeerNews { news, asked, next } => {
+                let differs = self.apply_news(news, asked, now);
+                let question = differs.then(|| Question::Compare(self.held_versions()));
                 let _ = next.send(question);
             }
-            StateEvent::Compared { newer, wanted, hand_over } => {
-                self.take_carried(newer);
+            StateEvent::PeerComparison { newer, wanted, to_send } => {
+                self.apply_carried(newer);
                 let found = wanted.iter().filter_map(|(key, _)| self.documents.get(key)).cloned();
-                let records = self.carry(fit_message(found), &wanted);
+                let records = self.pack_records(limit_to_message(found), &wanted);
                 let question = (!records.is_empty()).then_some(Question::Take(records));
-                let _ = hand_over.send(question);
+                let _ = to_send.send(question);
             }
-            StateEvent::Records(records) => self.take_records(records),
+            StateEvent::Records(records) => self.apply_records(records),
             StateEvent::PlatformRead { asked } => {
                 self.changed = true;
                 self.freshness.record_platform_read(now, now.since(asked));
             }
-            StateEvent::Listed(inventory) => self.take_list(&inventory),
+            StateEvent::Inventory(inventory) => self.record_inventory(&inventory),
             StateEvent::Evidence(all) => {
                 self.changed = true;
                 for evidence in &all {
                     self.evidence.merge(evidence, now);
                 }
             }
-            StateEvent::Decides(decides) => {
+            StateEvent::MayDecide(decides) => {
                 self.changed = true;
                 self.membership.set_decides(decides);
             }
@@ -117,21 +117,27 @@
     /// Returns all that is known as one value.
     pub(crate) fn view(&self, now: Millis) -> View {
         let own = self.membership.own().clone();
-        let routes =
-            routes_of(&own.zone, &self.workspaces, &self.domains, &self.fleet, &self.evidence, now);
+        let routes = build_routes(
+            &own.zone,
+            &self.workspaces,
+            &self.domains,
+            &self.fleet,
+            &self.evidence,
+            now,
+        );
         let members = self.membership.all(now).into_iter();
         View {
-            made: now,
+            made_at: now,
             serve_by: self.freshness.serve_by(now),
             may_accept: self.freshness.may_accept(now),
-            heard: self.freshness.heard_of_expected(now),
+            heard_of_expected: self.freshness.heard_of_expected(now),
             majority_holds: self.freshness.is_majority(self.membership.agreeing()),
             platform_age: self.freshness.platform_age(now),
             members: members.map(|(beat, standing)| (beat.clone(), standing)).collect(),
             workspaces: self.workspaces.clone(),
             domains: self.domains.clone(),
             fleet: self.fleet.clone(),
-            passed_on: self.documents.with_prefix(keys::PASSED_ON).cloned().collect(),
+            site_records: self.documents.with_prefix(keys::SITE_RECORDS).cloned().collect(),
             routes: Arc::new(routes),
             own,
         }
@@ -144,12 +150,14 @@
                 Reply::News(self.news(greeting.roster, now))
             }
             Question::Compare(theirs) => Reply::Compared {
-                newer: self
-                    .carry(fit_message(self.documents.newer_than(&theirs).into_iter()), &theirs),
-                wanted: self.wanted(&theirs),
+                newer: self.pack_records(
+                    limit_to_message(self.documents.newer_than(&theirs).into_iter()),
+                    &theirs,
+                ),
+                wanted: self.wanted_versions(&theirs),
             },
             Question::Take(records) => {
-                self.take_carried(records);
+                self.apply_carried(records);
                 Reply::Taken
             }
         }
@@ -177,46 +185,46 @@
     /// Takes in a peer's news, and tells whether its records differ.
     ///
     /// Whatever it says the age of something is, the time since it was asked comes on top.
-    fn hear(&mut self, news: News, asked: Millis, now: Millis) -> bool {
-        let on_the_way = now.since(asked);
-        self.changed |= self.membership.merge_digest(news.members, on_the_way, now);
+    fn apply_news(&mut self, news: News, asked: Millis, now: Millis) -> bool {
+        let elapsed = now.since(asked);
+        self.changed |= self.membership.merge_digest(news.members, elapsed, now);
         for (node, heard) in self.membership.agreement_times() {
             self.freshness.record_agreement(node, heard);
         }
         self.changed |= !news.evidence.is_empty();
         for evidence in &news.evidence {
-            let age = evidence.age + on_the_way;
+            let age = evidence.age + elapsed;
             self.evidence.merge(&ReplicaEvidence { age, ..evidence.clone() }, now);
         }
         let differs = news.fingerprint != self.documents.fingerprint();
         if let Some(age) = news.platform_age.filter(|_| !differs) {
             // Only records that are the same here are as fresh as the peer says.
             self.changed = true;
-            self.freshness.record_platform_read(now, age + on_the_way);
+            self.freshness.record_platform_read(now, age + elapsed);
         }
         differs
     }
 
     /// Returns the versions held, without that of the configuration where the whole is to come.
-    fn versions_held(&self) -> Vec<Version> {
+    fn held_versions(&self) -> Vec<Version> {
         let mut versions = self.documents.versions();
-        versions.retain(|(key, _)| !(self.ask_whole && &**key == keys::SITE_CONFIG));
+        versions.retain(|(key, _)| !(self.request_full_config && &**key == keys::SITE_CONFIG));
         versions
     }
 
     /// Returns the versions held of what a peer that holds `theirs` has newer copies of.
-    fn wanted(&self, theirs: &[Version]) -> Vec<Version> {
+    fn wanted_versions(&self, theirs: &[Version]) -> Vec<Version> {
         let mut wanted = self.documents.older_than(theirs);
-        let whole = |key: &str| self.ask_whole && key == keys::SITE_CONFIG;
+        let wants_full = |key: &str| self.request_full_config && key == keys::SITE_CONFIG;
         wanted
             .iter_mut()
-            .filter(|(key, _)| whole(key))
+            .filter(|(key, _)| wants_full(key))
             .for_each(|(_, held)| *held = Revision::NONE);
         wanted
     }
 
     /// Makes records ready for a peer that holds the versions `theirs`.
-    fn carry(&self, records: Vec<Document>, theirs: &[Version]) -> Vec<Carried> {
+    fn pack_records(&self, records: Vec<Document>, theirs: &[Version]) -> Vec<Carried> {
         let held = |key: &str| theirs.iter().find(|(held, _)| &**held == key);
         let carry = |record: Document| {
             let theirs = held(&record.key).map(|(_, revision)| *revision).unwrap_or_default();
@@ -233,53 +241,53 @@
     }
 
     /// Takes in what a peer sent; what does not fit is asked for whole the next time.
-    fn take_carried(&mut self, records: Vec<Carried>) {
+    fn apply_carried(&mut self, records: Vec<Carried>) {
         for carried in records {
             match carried {
-                Carried::Whole(record) => self.take_record(record),
+                Carried::Whole(record) => self.apply_record(record),
                 Carried::Packed { key, body } => {
                     let is_newer = self.documents.revision(&key) < body.revision;
                     if !is_newer {
                         continue;
                     }
                     let unpacked = self.config_versions.unpack(&key, &body);
-                    self.ask_whole = unpacked.is_err();
+                    self.request_full_config = unpacked.is_err();
                     if let Ok(record) = unpacked {
-                        self.take_record(record);
+                        self.apply_record(record);
                     }
                 }
             }
         }
     }
 
-    fn take_records(&mut self, records: Vec<Document>) {
+    fn apply_records(&mut self, records: Vec<Document>) {
         for record in records {
-            self.take_record(record);
+            self.apply_record(record);
         }
     }
 
-    fn take_record(&mut self, document: Document) {
+    fn apply_record(&mut self, document: Document) {
         let key = document.key.clone();
         if !self.documents.insert_if_newer(document.clone()) {
             return;
         }
         self.changed = true;
         if key.starts_with(keys::WORKSPACES) {
-            read_record(&document, &mut self.workspaces);
+            parse_record(&document, &mut self.workspaces);
             let config = self.documents.fingerprint_of_prefix(keys::WORKSPACES);
             self.membership.set_config(config);
         } else if key.starts_with(keys::DOMAINS) {
-            read_record(&document, &mut self.domains);
+            parse_record(&document, &mut self.domains);
         } else if &*key == keys::INVENTORY {
             match serde_json::from_str::<Inventory>(&document.body) {
-                Ok(inventory) => self.apply_list(inventory),
+                Ok(inventory) => self.apply_inventory(inventory),
                 Err(err) => log::error!(key = &*key; "the box list is malformed: {err}"),
             }
         }
     }
 
     /// Turns the platform's list into a record like the others, so that peers carry it on.
-    fn take_list(&mut self, inventory: &Inventory) {
+    fn record_inventory(&mut self, inventory: &Inventory) {
         let version = Revision::new(inventory.version);
         if version <= self.documents.revision(keys::INVENTORY) {
             return;
@@ -287,41 +295,41 @@
         let Ok(body) = serde_json::to_string(inventory) else {
             return;
         };
-        self.take_record(Document {
+        self.apply_record(Document {
             key: Arc::from(keys::INVENTORY),
             revision: version,
             body: Arc::from(body),
         });
     }
 
-    fn apply_list(&mut self, inventory: Inventory) {
+    fn apply_inventory(&mut self, inventory: Inventory) {
         self.freshness.set_expected(inventory.nodes);
         self.fleet = Arc::new(Fleet::new(inventory.boxes));
     }
 }
 
-fn read_record<T: DeserializeOwned>(
+fn parse_record<T: DeserializeOwned>(
     document: &Document,
-    records: &mut BTreeMap<Arc<str>, Arc<Held<T>>>,
+    records: &mut BTreeMap<Arc<str>, Arc<Versioned<T>>>,
 ) {
     match serde_json::from_str(&document.body) {
         Ok(record) => {
-            let held = Held { revision: document.revision, record };
+            let held = Versioned { revision: document.revision, record };
             records.insert(document.key.clone(), Arc::new(held));
         }
         Err(err) => log::error!(key = &*document.key; "a record is malformed: {err}"),
     }
 }
 
-fn fit_message(records: impl Iterator<Item = Document>) -> Vec<Document> {
+fn limit_to_message(records: impl Iterator<Item = Document>) -> Vec<Document> {
     let mut bytes = 0;
-    let mut fitting = Vec::new();
+    let mut records_to_send = Vec::new();
     for record in records {
         bytes += record.body.len();
-        fitting.push(record);
+        records_to_send.push(record);
         if bytes >= RECORD_BYTES_PER_MESSAGE {
             break;
         }
     }
-    fitting
+    records_to_send
 }
--- a/crates/cherrystandd/src/state/routes.rs
+++ b/crates/cherrystandd/src/state/routes.rs
@@ -9,10 +9,10 @@
     WorkspaceRecord, ZoneId,
 };
 
-use crate::state::Held;
+use crate::state::Versioned;
 
 /// How many requests one node sends to a model replica at once at the most.
-const REPLICA_MOST: u32 = 256;
+const MAX_REPLICA_REQUESTS: u32 = 256;
 
 /// Describes a group that requests can go to.
 #[derive(Clone, Debug, PartialEq)]
@@ -56,35 +56,35 @@
     /// What the endpoint reports to have in flight.
     pub load: Option<u32>,
     /// How many requests this node sends it at once at the most.
-    pub most: u32,
+    pub max_limit: u32,
 }
 
 /// Works out where requests can go now.
 ///
 /// A replica is among the targets only while its record says that it is ready and fresh evidence
 /// says that every member acknowledged the very epoch of the record.
-pub(crate) fn routes_of(
+pub(crate) fn build_routes(
     own_zone: &ZoneId,
-    workspaces: &BTreeMap<Arc<str>, Arc<Held<WorkspaceRecord>>>,
-    domains: &BTreeMap<Arc<str>, Arc<Held<DomainRecord>>>,
+    workspaces: &BTreeMap<Arc<str>, Arc<Versioned<WorkspaceRecord>>>,
+    domains: &BTreeMap<Arc<str>, Arc<Versioned<DomainRecord>>>,
     fleet: &Fleet,
     evidence: &EvidenceTable,
     now: Millis,
 ) -> Vec<RouteGroup> {
-    let scene = Scene { own_zone, domains, fleet, evidence, now };
+    let builder = RouteBuilder { own_zone, domains, fleet, evidence, now };
     let records = workspaces.values().map(|held| &held.record);
-    records.flat_map(|record| scene.groups(record)).collect()
+    records.flat_map(|record| builder.groups(record)).collect()
 }
 
-struct Scene<'a> {
+struct RouteBuilder<'a> {
     own_zone: &'a ZoneId,
-    domains: &'a BTreeMap<Arc<str>, Arc<Held<DomainRecord>>>,
+    domains: &'a BTreeMap<Arc<str>, Arc<Versioned<DomainRecord>>>,
     fleet: &'a Fleet,
     evidence: &'a EvidenceTable,
     now: Millis,
 }
 
-impl Scene<'_> {
+impl RouteBuilder<'_> {
     fn groups(&self, workspace: &WorkspaceRecord) -> Vec<RouteGroup> {
         let config = &workspace.config;
         let models = config.models.iter().map(|group| RouteGroup {
@@ -108,7 +108,7 @@
                     near: &endpoint.zone == self.own_zone,
                     replica: None,
                     load: None,
-                    most: group.concurrency,
+                    max_limit: group.concurrency,
                 })
                 .collect(),
         });
@@ -134,7 +134,7 @@
                     near: &leader.zone == self.own_zone,
                     replica: Some((replica.clone(), held.epoch)),
                     load: Some(whole?),
-                    most: REPLICA_MOST,
+                    max_limit: MAX_REPLICA_REQUESTS,
                 })
             })
             .collect()
--- a/crates/cherrystandd/src/state/view.rs
+++ b/crates/cherrystandd/src/state/view.rs
@@ -13,7 +13,7 @@
 
 /// Holds a record and the revision at which it was read.
 #[derive(Clone, Debug)]
-pub(crate) struct Held<T> {
+pub(crate) struct Versioned<T> {
     /// The revision.
     pub revision: Revision,
     /// The record.
@@ -24,7 +24,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct View {
     /// When the view was made, on the daemon's clock.
-    pub made: Millis,
+    pub made_at: Millis,
     /// The daemon's own heartbeat.
     pub own: Heartbeat,
     /// By what right the daemon serves.
@@ -32,7 +32,7 @@
     /// Whether the daemon may try to have a change accepted.
     pub may_accept: bool,
     /// How many daemons were heard from lately, and how many there should be.
-    pub heard: (usize, usize),
+    pub heard_of_expected: (usize, usize),
     /// Whether a majority of the daemons holds the configurations that this one holds.
     pub majority_holds: bool,
     /// How long ago the platform was last read by anyone heard from.
@@ -40,39 +40,39 @@
     /// The daemons known, this one first.
     pub members: Vec<(Heartbeat, Liveness)>,
     /// The workspaces' records, by key.
-    pub workspaces: BTreeMap<Arc<str>, Arc<Held<WorkspaceRecord>>>,
+    pub workspaces: BTreeMap<Arc<str>, Arc<Versioned<WorkspaceRecord>>>,
     /// The domains' records, by key.
-    pub domains: BTreeMap<Arc<str>, Arc<Held<DomainRecord>>>,
+    pub domains: BTreeMap<Arc<str>, Arc<Versioned<DomainRecord>>>,
     /// The listed boxes.
     pub fleet: Arc<Fleet>,
     /// The copies passed on where routes are configured.
-    pub passed_on: Vec<Document>,
+    pub site_records: Vec<Document>,
     /// Where requests can go.
     pub routes: Arc<Vec<RouteGroup>>,
 }
 
 impl View {
     /// Returns what a daemon knows at its start: itself.
-    pub(crate) fn at_start(settings: &Settings, now: Millis) -> Self {
+    pub(crate) fn initial(settings: &Settings, now: Millis) -> Self {
         Self {
-            made: now,
-            own: own_heartbeat(settings),
+            made_at: now,
+            own: initial_heartbeat(settings),
             serve_by: ServeBy::NotYet,
             may_accept: false,
-            heard: (1, 1),
+            heard_of_expected: (1, 1),
             majority_holds: false,
             platform_age: None,
             members: Vec::new(),
             workspaces: BTreeMap::new(),
             domains: BTreeMap::new(),
             fleet: Arc::default(),
-            passed_on: Vec::new(),
+            site_records: Vec::new(),
             routes: Arc::default(),
         }
     }
 
     /// Returns the assignments of all domains.
-    pub(crate) fn formed(&self) -> FormedReplicas {
+    pub(crate) fn formed_replicas(&self) -> FormedReplicas {
         FormedReplicas::new(self.domains.values().map(|held| &held.record))
     }
 
@@ -86,7 +86,7 @@
 /// Returns the first heartbeat of a daemon that starts now.
 ///
 /// Its life is numbered by the clock, which is all that a box without a disk has to number by.
-pub(crate) fn own_heartbeat(settings: &Settings) -> Heartbeat {
+pub(crate) fn initial_heartbeat(settings: &Settings) -> Heartbeat {
     Heartbeat {
         node: settings.node.clone(),
         incarnation: Incarnation(clock::unix_millis()),
--- a/crates/cherrystandd/src/news_heard.rs
+++ b/crates/cherrystandd/src/store_freshness.rs
@@ -12,20 +12,20 @@
 /// It is told with each answer, also with one that says nothing new, so that the age grows as soon as none
 /// comes; a view is published only where something changed.
 #[derive(Debug, Default)]
-pub(crate) struct NewsHeard {
+pub(crate) struct StoreFreshness {
     /// In milliseconds on the daemon's clock; 0 before anything is known.
     as_of: AtomicU64,
-    teller: Mutex<ChangeSource>,
+    source: Mutex<ChangeSource>,
 }
 
-impl NewsHeard {
+impl StoreFreshness {
     /// Notes that everything is known as of a time, and who told it.
-    pub(crate) fn told(&self, as_of: Millis, teller: &ChangeSource) {
+    pub(crate) fn record_update(&self, as_of: Millis, source: &ChangeSource) {
         self.as_of.store(as_of.0, Ordering::Relaxed);
-        // A teller is whole before it is noted; one who panicked left nothing half done.
-        let mut held = self.teller.lock().unwrap_or_else(PoisonError::into_inner);
-        if *held != *teller {
-            *held = teller.clone();
+        // A source is whole before it is noted; one who panicked left nothing half done.
+        let mut held = self.source.lock().unwrap_or_else(PoisonError::into_inner);
+        if *held != *source {
+            *held = source.clone();
         }
     }
 
@@ -35,7 +35,7 @@
     }
 
     /// Returns who told it.
-    pub(crate) fn teller(&self) -> ChangeSource {
-        self.teller.lock().unwrap_or_else(PoisonError::into_inner).clone()
+    pub(crate) fn source(&self) -> ChangeSource {
+        self.source.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 }
--- a/crates/cherrystandd/src/writer.rs
+++ b/crates/cherrystandd/src/write_ids.rs
@@ -9,7 +9,7 @@
 static SEQUENCE: AtomicU64 = AtomicU64::new(0);
 
 /// Returns an identity that no other write has.
-pub(crate) fn next_write(view: &View) -> WriteId {
+pub(crate) fn next_write_id(view: &View) -> WriteId {
     WriteId {
         node: view.own.node.clone(),
         incarnation: view.own.incarnation,
