--- a/crates/cherrystandd/src/site/box_calls.rs
+++ b/crates/cherrystandd/src/site/box_calls.rs
@@ -136,16 +136,16 @@
         self.cx.metrics.silence_verdicts.with_label_values(&[verdict.as_str()]).inc();
         let now = self.now();
         let calls = self.call_book.borrow();
-        let state = calls.stats(now);
+        let stats = calls.stats(now);
         let text = match verdict {
             ProbeVerdict::Silent => "a box is taken for silent",
             ProbeVerdict::AskAgain => "a box did not answer and is probed again",
             ProbeVerdict::Undecided => "a box did not answer, but nor did any witness: undecided",
         };
         log::info!(
-            target_box = id.as_str(), waited_ms = now.since(sent_at).0, open = state.open,
-            unanswered = state.unanswered, answered = state.answered,
-            slowest_ms = state.slowest.0,
+            target_box = id.as_str(), waited_ms = now.since(sent_at).0, open = stats.open,
+            unanswered = stats.unanswered, answered = stats.answered,
+            slowest_ms = stats.slowest.0,
             quickest_since_ms =
                 calls.fastest_answer_between(sent_at, now).map_or(-1, |took| took.0 as i64);
             "{text}"
@@ -161,11 +161,11 @@
 
     /// Returns whether a box may be probed, which it may not if it has just been probed for the
     /// same reason, and records the probe.
-    fn may_probe(&self, id: &BoxId, doubt: ProbeReason) -> bool {
+    fn may_probe(&self, id: &BoxId, reason: ProbeReason) -> bool {
         let now = self.now();
         let mut last_probed = self.last_probed.borrow_mut();
         last_probed.retain(|_, at| now.since(*at) < PROBE_INTERVAL);
-        let key = (id.clone(), doubt);
+        let key = (id.clone(), reason);
         if last_probed.contains_key(&key) {
             return false;
         }
@@ -174,23 +174,23 @@
     }
 
     /// Probes a box that may be gone, repeatedly if this daemon may be delayed itself.
-    async fn probe(self: &Rc<Self>, site_box: SiteBox, doubt: ProbeReason) {
-        if !self.may_probe(&site_box.id, doubt) {
+    async fn probe(self: &Rc<Self>, site_box: SiteBox, reason: ProbeReason) {
+        if !self.may_probe(&site_box.id, reason) {
             return;
         }
         self.probing.borrow_mut().insert(site_box.id.clone());
-        self.probe_until_known(&site_box, doubt).await;
+        self.probe_until_known(&site_box, reason).await;
         self.probing.borrow_mut().remove(&site_box.id);
         // Steps that waited for the outcome continue.
         self.wake.notify_one();
     }
 
-    async fn probe_until_known(self: &Rc<Self>, site_box: &SiteBox, doubt: ProbeReason) {
-        let mut check = LivenessProbe::default();
+    async fn probe_until_known(self: &Rc<Self>, site_box: &SiteBox, reason: ProbeReason) {
+        let mut probe = LivenessProbe::default();
         loop {
             let sent_at = self.now();
             self.probe_witnesses(site_box);
-            let timeout = Duration::from_millis(check.timeout().0);
+            let timeout = Duration::from_millis(probe.timeout().0);
             let answer = self
                 .timed_call("report", site_box.address, Driver::report_call(&site_box.id), timeout)
                 .await;
@@ -202,9 +202,9 @@
                     return self.state.borrow_mut().record_answer(&site_box.id, true, self.now());
                 }
                 Err(CallError::Send(SendError::Connect { .. })) => {
-                    LivenessProbe::verdict_on_refusal(doubt)
+                    LivenessProbe::verdict_on_refusal(reason)
                 }
-                Err(_) => check.record_timeout(sent_at, self.now(), &self.call_book.borrow()),
+                Err(_) => probe.record_timeout(sent_at, self.now(), &self.call_book.borrow()),
             };
             self.count_probe("silent");
             self.log_verdict(&site_box.id, sent_at, verdict);
@@ -221,7 +221,7 @@
 
     /// Calls peers, or other boxes if there are no peers. An answer shows that this daemon isn't
     /// delayed itself. Does nothing if witnesses were called just before.
-    fn probe_witnesses(self: &Rc<Self>, doubted: &SiteBox) {
+    fn probe_witnesses(self: &Rc<Self>, suspect: &SiteBox) {
         let now = self.now();
         if self.witness_probed_at.get().is_some_and(|at| now.since(at) <= WITNESS_LEAD_TIME) {
             return;
@@ -237,7 +237,7 @@
                     });
                 }
                 None => {
-                    let Some(other) = self.state.borrow().pick_witness(doubted) else { return };
+                    let Some(other) = self.state.borrow().pick_witness(suspect) else { return };
                     tokio::task::spawn_local(async move {
                         let report = Driver::report_call(&other.id);
                         let timeout = Duration::from_millis(LivenessProbe::default().timeout().0);
@@ -267,7 +267,7 @@
     while let Ok(hint) = control.cx.hint_events.recv().await {
         let id = match hint {
             Hint::Stalled(id) | Hint::Unreachable(id) => id,
-            Hint::Leaves(id) => {
+            Hint::Leaving(id) => {
                 control.box_leaving(&id);
                 continue;
             }
@@ -298,9 +298,9 @@
     probe_each(control, unlisted, ProbeReason::NotListed);
 }
 
-fn probe_each(control: &Rc<Control>, boxes: Vec<SiteBox>, doubt: ProbeReason) {
+fn probe_each(control: &Rc<Control>, boxes: Vec<SiteBox>, reason: ProbeReason) {
     for site_box in boxes {
         let control = control.clone();
-        tokio::task::spawn_local(async move { control.probe(site_box, doubt).await });
+        tokio::task::spawn_local(async move { control.probe(site_box, reason).await });
     }
 }
--- a/crates/cherrystandd/src/site/endpoint_signals.rs
+++ b/crates/cherrystandd/src/site/endpoint_signals.rs
@@ -45,13 +45,13 @@
         let mut balancer = self.balancer.borrow_mut();
         if facts.leaving && balancer.record_draining(&attempt.target) {
             self.signal_log.leaving(&attempt.target);
-            self.cx.hint(Hint::Leaves(attempt.target.clone()));
+            self.cx.hint(Hint::Leaving(attempt.target.clone()));
             self.loads.broadcast(LoadNews::Leaves(attempt.target.clone()));
         }
         if facts.not_run {
             let until = match facts.asked_rest {
-                AskedRest::For(rest) => {
-                    Some(balancer.record_backoff(&attempt.target, rest, self.now()))
+                AskedRest::For(backoff) => {
+                    Some(balancer.record_backoff(&attempt.target, backoff, self.now()))
                 }
                 _ => None,
             };
@@ -102,11 +102,11 @@
         let view = self.view.borrow();
         let service = view.routes.as_ref().and_then(|table| table.config().service(&req.service));
         let Some(cold) = service.and_then(|service| service.cold) else { return };
-        let cold_life = ColdPeriodUpdate { rate: cold.rate, left }.to_period(self.now());
+        let cold_period = ColdPeriodUpdate { rate: cold.rate, left }.to_period(self.now());
         self.balancer
             .borrow_mut()
             .rate_limits_mut()
-            .set_cold_period(&attempt.target, Some(cold_life));
+            .set_cold_period(&attempt.target, Some(cold_period));
         self.loads.limits_due.notify_one();
     }
 
@@ -122,7 +122,7 @@
         let max_wait = Millis(req.route.latency_goal.0 / PERMIT_WAIT_DIVISOR).min(MAX_PERMIT_WAIT);
         loop {
             let answered = self.loads.permits.notified();
-            let may_come = {
+            let may_be_granted = {
                 let balancer = self.balancer.borrow();
                 let limits = balancer.rate_limits();
                 endpoints
@@ -130,7 +130,7 @@
                     .all(|id| limits.permit_wait(id, self.now()).is_some_and(|wait| wait.is_err()))
                     && endpoints.iter().any(|id| limits.may_get_permit(id))
             };
-            if !may_come || self.timeout_at(now + max_wait, answered).await.is_none() {
+            if !may_be_granted || self.timeout_at(now + max_wait, answered).await.is_none() {
                 return;
             }
         }
@@ -144,10 +144,10 @@
         let Some(table) = view.routes.as_ref() else { return Vec::new() };
         let engine = table.config().engine(&req.service);
         let spec = req.spec(engine, req.route.latency_goal);
-        let mut seed = self.seed.get();
+        let mut rng = self.rng.get();
         let mut balancer = self.balancer.borrow_mut();
-        let endpoints = balancer.request_permits(spec, engine, self.now(), &mut seed);
-        self.seed.set(seed);
+        let endpoints = balancer.request_permits(spec, engine, self.now(), &mut rng);
+        self.rng.set(rng);
         endpoints
     }
 
@@ -164,9 +164,9 @@
     /// unavailable: the end of the first backoff plus a random part of [`RETRY_AFTER_SPREAD`],
     /// because all other refused callers come back as well.
     pub(crate) fn retry_after(&self, unavailable_until: Millis) -> Millis {
-        let mut seed = self.seed.get();
-        let spread = seed.below(RETRY_AFTER_SPREAD.0 as usize) as u64;
-        self.seed.set(seed);
+        let mut rng = self.rng.get();
+        let spread = rng.below(RETRY_AFTER_SPREAD.0 as usize) as u64;
+        self.rng.set(rng);
         unavailable_until.since(self.now()) + Millis(spread)
     }
 }
--- a/crates/cherrystandd/src/site/frontend.rs
+++ b/crates/cherrystandd/src/site/frontend.rs
@@ -77,7 +77,7 @@
     pub(crate) held_bytes: HeldBytes,
     pub(super) view: RefCell<Arc<SiteView>>,
     addresses: RefCell<BTreeMap<BoxId, SocketAddr>>,
-    pub(super) seed: Cell<SeededRng>,
+    pub(super) rng: Cell<SeededRng>,
     /// This node's share of the retries.
     pub(crate) retries: RetryShares,
     /// Logs failed requests.
@@ -113,7 +113,7 @@
             signal_log: SignalLog::new(cx.clock, cx.metrics.clone()),
             stale_log: RefCell::new(LogLimiter::new(STALE_LOGS_PER_SECOND)),
             crashes,
-            seed: Cell::new(SeededRng::new(clock::unix_millis())),
+            rng: Cell::new(SeededRng::new(clock::unix_millis())),
             loads,
             cx,
         }
@@ -214,20 +214,20 @@
             AttemptPurpose::Resume => req.route.latency_goal,
         };
         let spec = req.spec(engine, latency_goal);
-        let mut seed = self.seed.get();
+        let mut rng = self.rng.get();
         self.loads.update_balancer(&mut self.balancer.borrow_mut());
         let mut excluded = self.crashes.boxes_to_avoid(req);
         let balancer = self.balancer.borrow();
         let key = match excluded.is_empty() {
-            true => balancer.choose(spec, engine, tried, self.now(), &mut seed),
+            true => balancer.choose(spec, engine, tried, self.now(), &mut rng),
             false => {
                 excluded.extend_from_slice(tried);
-                let key = balancer.choose(spec, engine, &excluded, self.now(), &mut seed);
-                key.or_else(|| balancer.choose(spec, engine, tried, self.now(), &mut seed))
+                let key = balancer.choose(spec, engine, &excluded, self.now(), &mut rng);
+                key.or_else(|| balancer.choose(spec, engine, tried, self.now(), &mut rng))
             }
         };
-        self.seed.set(seed);
-        let key = key.or_else(|| balancer.choose(spec, engine, &[], self.now(), &mut seed))?;
+        self.rng.set(rng);
+        let key = key.or_else(|| balancer.choose(spec, engine, &[], self.now(), &mut rng))?;
         let target = balancer.box_id(key)?.clone();
         let prediction = engine.and_then(|engine| balancer.predict(key, spec, engine));
         let prediction = prediction.map(|prediction| match purpose {
--- a/crates/cherrystandd/src/site/hint.rs
+++ b/crates/cherrystandd/src/site/hint.rs
@@ -10,5 +10,5 @@
     /// A box refuses connections, or connecting to it times out.
     Unreachable(BoxId),
     /// A box has announced in an answer that it is leaving.
-    Leaves(BoxId),
+    Leaving(BoxId),
 }
--- a/crates/cherrystandd/src/site/limit_exchange.rs
+++ b/crates/cherrystandd/src/site/limit_exchange.rs
@@ -83,30 +83,30 @@
         view: &View,
     ) -> RateLimitStep<K> {
         let now = self.cx.clock.now();
-        let keeper_of = |id: &K| rate_limit_owner_of(id, &view.own.node, &view.members);
+        let owner_of = |id: &K| rate_limit_owner_of(id, &view.own.node, &view.members);
         if members_changed {
-            limits.reassign_owners(now, keeper_of);
+            limits.reassign_owners(now, owner_of);
         }
-        limits.step(now, keeper_of)
+        limits.step(now, owner_of)
     }
 
     async fn send_step<K>(
         &self,
         step: RateLimitStep<K>,
-        news_of: impl Fn(K, RateLimitMessage) -> LoadNews,
+        message_of: impl Fn(K, RateLimitMessage) -> LoadNews,
         view: &View,
     ) {
         if step.has_permits {
             self.loads.permits.notify_waiters();
         }
-        for (to, id, news) in step.messages {
-            let news = news_of(id, news);
+        for (to, id, message) in step.messages {
+            let message = message_of(id, message);
             match to {
-                RateLimitRecipient::Node(address) => self.send(&news, &[address]).await,
+                RateLimitRecipient::Node(address) => self.send(&message, &[address]).await,
                 RateLimitRecipient::All => {
                     let others = view.alive().filter(|beat| beat.node != view.own.node);
                     let others: Vec<SocketAddr> = others.map(|beat| beat.address).collect();
-                    self.broadcast(news, &others).await;
+                    self.broadcast(message, &others).await;
                 }
             }
         }
--- a/crates/cherrystandd/src/site/load_exchange.rs
+++ b/crates/cherrystandd/src/site/load_exchange.rs
@@ -235,7 +235,7 @@
                 }
             }
             LoadNews::Served(requests) => self.crashes.peer_reported_served(&requests),
-            LoadNews::Leaves(id) => self.cx.hint(Hint::Leaves(id)),
+            LoadNews::Leaves(id) => self.cx.hint(Hint::Leaving(id)),
             LoadNews::Limit(id, news) => {
                 self.balancer.borrow_mut().rate_limits_mut().handle_message(sender, &id, news, now);
                 self.loads.limits_due.notify_one();
--- a/crates/cherrystandd/src/site/retry_shares.rs
+++ b/crates/cherrystandd/src/site/retry_shares.rs
@@ -68,9 +68,9 @@
         let until = self.cx.clock.now() + BORROW_TIMEOUT;
         loop {
             let answered = self.loads.permits.notified();
-            let may_come = || self.loads.lent_retries.borrow().may_get_permit(service);
+            let may_be_granted = || self.loads.lent_retries.borrow().may_get_permit(service);
             if self.has_left(service, nodes)
-                || !may_come()
+                || !may_be_granted()
                 || self.cx.clock.timeout_at(until, answered).await.is_none()
             {
                 return;
