--- a/crates/cherrystandd/src/site/limit_exchange.rs
+++ b/crates/cherrystandd/src/site/limit_exchange.rs
@@ -113,7 +113,7 @@
     }
 }
 
-/// Returns whether two views have the same nodes that may keep ledgers.
+/// Returns whether two views have the same nodes that may own ledgers.
 fn same_members(one: &Arc<View>, other: &Arc<View>) -> bool {
     let members = |view: &Arc<View>| {
         let members = view.members.iter();
