--- a/crates/cherrystandd/src/duties/claim_keeper.rs
+++ b/crates/cherrystandd/src/duties/claim_batcher.rs
@@ -13,17 +13,17 @@
 use crate::{DutyContext, DutyError, StopPhase, keys, write_ids};
 
 /// How long calls gather before they are written together.
-const GATHER: Duration = Duration::from_millis(15);
+const BATCH_DELAY: Duration = Duration::from_millis(15);
 
 inventory::submit! {
     Duty { name: "claims", scope: DutyScope::Workspaces, run }
 }
 
 fn run(cx: DutyContext) -> Result<(), DutyError> {
-    cx.run_local(keep(&cx))
+    cx.run_local(dispatch_calls(&cx))
 }
 
-async fn keep(cx: &DutyContext) {
+async fn dispatch_calls(cx: &DutyContext) {
     let mut shards: BTreeMap<u64, async_channel::Sender<ClaimMessage>> = BTreeMap::new();
     loop {
         let call = tokio::select! {
@@ -53,21 +53,21 @@
     let (tx, rx) = async_channel::bounded(crate::duty_context::CHANNEL_CAPACITY);
     let service = CountingClient::new(cx, "claims");
     let writer = ClaimWriter::new(service, keys::claims(shard));
-    let keeper = ShardKeeper { cx: cx.clone(), writer };
-    tokio::task::spawn_local(keeper.run(rx));
+    let shard_writer = ShardWriter { cx: cx.clone(), writer };
+    tokio::task::spawn_local(shard_writer.run(rx));
     tx
 }
 
 /// Gathers the calls of one shard into batches.
-struct ShardKeeper {
+struct ShardWriter {
     cx: DutyContext,
     writer: ClaimWriter<CountingClient<PlatformClient>>,
 }
 
-impl ShardKeeper {
+impl ShardWriter {
     async fn run(mut self, calls: async_channel::Receiver<ClaimMessage>) {
         while let Ok(first) = calls.recv().await {
-            tokio::time::sleep(GATHER).await;
+            tokio::time::sleep(BATCH_DELAY).await;
             let mut batch = vec![first];
             while let Ok(call) = calls.try_recv() {
                 batch.push(call);
--- a/crates/cherrystandd/src/duties/controller.rs
+++ b/crates/cherrystandd/src/duties/controller.rs
@@ -14,28 +14,28 @@
 use cherrystand_platform::{EngineClient, KeyValue, Lease, PlatformClient, PlatformError, Swap};
 
 use crate::counting_client::CountingClient;
-use crate::duties::prober::{Prober, boxes_to_ask};
+use crate::duties::prober::{Prober, boxes_to_probe};
 use crate::kernel::{Duty, DutyScope};
 use crate::state::{StateEvent, View};
 use crate::{DutyContext, DutyError, StopPhase, clock, keys, write_ids};
 
 /// How many daemons ask the boxes of one domain.
-const OBSERVERS: usize = 2;
+const OBSERVERS_PER_DOMAIN: usize = 2;
 
 /// The time between two steps.
-const STEP: Duration = Duration::from_millis(250);
+const STEP_INTERVAL: Duration = Duration::from_millis(250);
 
 /// How long a lease on a domain lasts.
-const LEASE_LIFE: Duration = Duration::from_secs(10);
+const LEASE_TTL: Duration = Duration::from_secs(10);
 
 /// How long before its end a lease is renewed.
-const LEASE_RENEW: Millis = Millis(5_000);
+const LEASE_RENEWAL_LEAD: Millis = Millis(5_000);
 
 /// How long a daemon that was refused a lease waits before it asks again.
-const LEASE_PAUSE: Millis = Millis(2_000);
+const LEASE_RETRY_DELAY: Millis = Millis(2_000);
 
 /// How long a controller that just began waits, so that it has asked every box.
-const LOOK_FIRST: Millis = Millis(1_500);
+const INITIAL_OBSERVATION_TIME: Millis = Millis(1_500);
 
 inventory::submit! {
     Duty { name: "controller", scope: DutyScope::Workspaces, run }
@@ -56,17 +56,17 @@
     prober: Prober,
     platform: CountingClient<PlatformClient>,
     engines: EngineClient,
-    domains: BTreeMap<DomainId, Watched>,
+    domains: BTreeMap<DomainId, ControlledDomain>,
     ready_since: ReadySince,
-    asked: Option<Millis>,
+    last_probe: Option<Millis>,
 }
 
 /// What the duty remembers of a domain that it watches over.
-struct Watched {
+struct ControlledDomain {
     controller: Controller,
-    since: Millis,
+    started_at: Millis,
     leased_until: Option<Millis>,
-    ask_lease_at: Millis,
+    next_lease_call: Millis,
 }
 
 impl DomainDuty {
@@ -77,37 +77,37 @@
             engines: EngineClient::default(),
             domains: BTreeMap::new(),
             ready_since: ReadySince::default(),
-            asked: None,
+            last_probe: None,
             cx,
         }
     }
 
     async fn run(&mut self) {
-        let mut step = tokio::time::interval(STEP);
-        step.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
+        let mut interval = tokio::time::interval(STEP_INTERVAL);
+        interval.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
-            step.tick().await;
+            interval.tick().await;
             let view = self.cx.current_view();
             let observed = observed_domains(&view);
-            self.ask_boxes(&view, &observed);
-            self.tell_evidence(&view, &observed);
-            let decided: Vec<DomainId> =
+            self.probe_boxes(&view, &observed);
+            self.publish_evidence(&view, &observed);
+            let controlled: Vec<DomainId> =
                 observed.into_iter().filter(|(_, rank)| *rank == 0).map(|(id, _)| id).collect();
-            self.give_up_domains(&decided).await;
+            self.release_domains(&controlled).await;
             self.ready_since.observe(&view.formed_replicas(), self.cx.clock.now());
-            for domain in decided {
-                self.decide(&view, domain).await;
+            for domain in controlled {
+                self.control_domain(&view, domain).await;
             }
         }
     }
 
     /// Lets go of domains that another daemon decides for from now on.
-    async fn give_up_domains(&mut self, decided: &[DomainId]) {
-        let given_up: Vec<DomainId> =
-            self.domains.keys().filter(|id| !decided.contains(id)).cloned().collect();
-        for domain in given_up {
-            let watched = self.domains.remove(&domain);
-            if watched.is_some_and(|watched| watched.leased_until.is_some()) {
+    async fn release_domains(&mut self, controlled: &[DomainId]) {
+        let released: Vec<DomainId> =
+            self.domains.keys().filter(|id| !controlled.contains(id)).cloned().collect();
+        for domain in released {
+            let domain_state = self.domains.remove(&domain);
+            if domain_state.is_some_and(|domain_state| domain_state.leased_until.is_some()) {
                 let holder = self.cx.settings.node.as_str();
                 let name = lease_name(&domain);
                 // Should this fail, the lease ends by itself.
@@ -116,24 +116,25 @@
         }
     }
 
-    fn ask_boxes(&mut self, view: &View, observed: &[(DomainId, usize)]) {
+    fn probe_boxes(&mut self, view: &View, observed: &[(DomainId, usize)]) {
         let now = self.cx.clock.now();
         let interval = Millis(self.cx.settings.repair.probe_ms);
-        if self.asked.is_some_and(|asked| now.since(asked) < interval) {
+        if self.last_probe.is_some_and(|last| now.since(last) < interval) {
             return;
         }
-        self.asked = Some(now);
+        self.last_probe = Some(now);
         let records = observed.iter().map(|(domain, _)| record_of(view, domain).1);
-        let boxes: Vec<_> = records.flat_map(|record| boxes_to_ask(&view.fleet, &record)).collect();
+        let boxes: Vec<_> =
+            records.flat_map(|record| boxes_to_probe(&view.fleet, &record)).collect();
         self.prober.keep_only(&boxes);
         for id in boxes {
             if let Some(info) = view.fleet.get(&id) {
-                self.prober.ask(id, info.address);
+                self.prober.probe(id, info.address);
             }
         }
     }
 
-    fn tell_evidence(&self, view: &View, observed: &[(DomainId, usize)]) {
+    fn publish_evidence(&self, view: &View, observed: &[(DomainId, usize)]) {
         let now = self.cx.clock.now();
         let records = observed.iter().map(|(domain, _)| record_of(view, domain).1);
         let evidence: Vec<_> =
@@ -143,30 +144,30 @@
         }
     }
 
-    async fn decide(&mut self, view: &View, domain: DomainId) {
-        if !self.holds_lease(&domain).await {
+    async fn control_domain(&mut self, view: &View, domain: DomainId) {
+        if !self.ensure_lease(&domain).await {
             return;
         }
         let now = self.cx.clock.now();
         let (revision, record) = record_of(view, &domain);
-        let seen = self.prober.seen();
+        let observations = self.prober.observations();
         let formed = view.formed_replicas();
         let service = ServingState { formed: &formed, ready_since: &self.ready_since, now };
         let workspaces = view.workspaces.values();
         let desired: Vec<_> =
             workspaces.flat_map(|held| desired_in_domain(&held.record, &domain, service)).collect();
-        let situation = ControllerInput {
+        let input = ControllerInput {
             record: &record,
             desired: &desired,
             fleet: &view.fleet,
-            observations: &seen,
+            observations: &observations,
             now,
             unix_secs: clock::unix_secs(),
         };
-        let Some(watched) = self.domains.get_mut(&domain) else {
+        let Some(domain_state) = self.domains.get_mut(&domain) else {
             return;
         };
-        let step = watched.controller.step(situation);
+        let step = domain_state.controller.step(input);
         if let Some(fault) = step.fault {
             log::error!(domain = domain.as_str(); "nothing is written: {fault}");
         }
@@ -179,28 +180,29 @@
     }
 
     /// Takes or renews the lease on a domain, and tells whether this daemon should decide now.
-    async fn holds_lease(&mut self, domain: &DomainId) -> bool {
+    async fn ensure_lease(&mut self, domain: &DomainId) -> bool {
         let now = self.cx.clock.now();
         let policy = self.cx.settings.repair.policy();
-        let watched = self.domains.entry(domain.clone()).or_insert_with(|| Watched {
+        let domain_state = self.domains.entry(domain.clone()).or_insert_with(|| ControlledDomain {
             controller: Controller::new(policy),
-            since: now,
+            started_at: now,
             leased_until: None,
-            ask_lease_at: now,
+            next_lease_call: now,
         });
-        if now >= watched.ask_lease_at {
+        if now >= domain_state.next_lease_call {
             let holder = self.cx.settings.node.as_str();
             let name = lease_name(domain);
-            let lease = self.platform.lease(&name, holder, LEASE_LIFE).await;
-            let until = now + Millis(LEASE_LIFE.as_millis() as u64);
-            (watched.leased_until, watched.ask_lease_at) = match lease {
-                Ok(Lease::Held) => (Some(until), until - LEASE_RENEW),
-                Ok(Lease::HeldByOther) => (None, now + LEASE_PAUSE),
-                Err(_) => (watched.leased_until, now + LEASE_PAUSE),
+            let lease = self.platform.lease(&name, holder, LEASE_TTL).await;
+            let until = now + Millis(LEASE_TTL.as_millis() as u64);
+            (domain_state.leased_until, domain_state.next_lease_call) = match lease {
+                Ok(Lease::Held) => (Some(until), until - LEASE_RENEWAL_LEAD),
+                Ok(Lease::HeldByOther) => (None, now + LEASE_RETRY_DELAY),
+                Err(_) => (domain_state.leased_until, now + LEASE_RETRY_DELAY),
             };
         }
-        let still_leased = |until: Millis| until > self.cx.clock.now();
-        watched.leased_until.is_some_and(still_leased) && now.since(watched.since) >= LOOK_FIRST
+        let is_valid = |until: Millis| until > self.cx.clock.now();
+        domain_state.leased_until.is_some_and(is_valid)
+            && now.since(domain_state.started_at) >= INITIAL_OBSERVATION_TIME
     }
 
     /// Writes a record; whatever comes of it, the next step decides from what then stands.
@@ -235,7 +237,7 @@
             Err(err) => log::warn!("a domain's record was not written: {err}"),
         }
         // The published view has to hold the new record before the next step decides.
-        tokio::time::sleep(STEP).await;
+        tokio::time::sleep(STEP_INTERVAL).await;
     }
 
     async fn read_back(&self, key: &str) {
@@ -273,8 +275,8 @@
     domains.extend(view.domains.values().map(|held| held.record.domain.clone()));
     let alive: Vec<_> = view.alive().cloned().collect();
     let rank_of = |domain: &DomainId| {
-        let order = rank_by_hash(domain.as_str(), &alive);
-        order.iter().take(OBSERVERS).position(|beat| beat.node == view.own.node)
+        let ranking = rank_by_hash(domain.as_str(), &alive);
+        ranking.iter().take(OBSERVERS_PER_DOMAIN).position(|beat| beat.node == view.own.node)
     };
     domains.into_iter().filter_map(|id| Some((id.clone(), rank_of(&id)?))).collect()
 }
--- a/crates/cherrystandd/src/duties/gossip.rs
+++ b/crates/cherrystandd/src/duties/gossip.rs
@@ -12,11 +12,11 @@
 use crate::{DutyContext, DutyError, StopPhase, clock};
 
 /// The time between two exchanges.
-const ROUND: Duration = Duration::from_millis(250);
+const ROUND_INTERVAL: Duration = Duration::from_millis(250);
 
 /// In one round of this many a seed or a dead daemon is tried, so that parted sides find each
 /// other again.
-const ROUNDS_TO_REUNITE: usize = 8;
+const RECONNECT_ROUNDS: usize = 8;
 
 inventory::submit! {
     Duty { name: "gossip", scope: DutyScope::All, run }
@@ -24,22 +24,22 @@
 
 fn run(cx: DutyContext) -> Result<(), DutyError> {
     let own = cx.settings.listen.peers;
-    let name = hash_bytes(cx.settings.node.as_str().as_bytes());
-    let mut seed = SeededRng::new(name ^ clock::unix_millis());
+    let node_hash = hash_bytes(cx.settings.node.as_str().as_bytes());
+    let mut rng = SeededRng::new(node_hash ^ clock::unix_millis());
     let mut dialer = PeerDialer::default();
     // Not all start with the same one.
-    let mut round = seed.below(ROUNDS_TO_REUNITE);
+    let mut round = rng.below(RECONNECT_ROUNDS);
     while cx.stop_phase() < StopPhase::Stopped {
         round += 1;
         let view = cx.current_view();
         dialer.keep_only(&known_addresses(&cx, &view));
-        if let Some(peer) = pick_peer(&cx, &view, own, round, &mut seed)
+        if let Some(peer) = pick_peer(&cx, &view, own, round, &mut rng)
             && let Err(err) = exchange(&cx, &mut dialer, peer)
         {
             cx.metrics.peer_failures.inc();
             log::debug!("no exchange with {peer}: {err}");
         }
-        std::thread::sleep(ROUND);
+        std::thread::sleep(ROUND_INTERVAL);
     }
     Ok(())
 }
@@ -54,34 +54,36 @@
     view: &View,
     own: SocketAddr,
     round: usize,
-    seed: &mut SeededRng,
+    rng: &mut SeededRng,
 ) -> Option<SocketAddr> {
     let known: Vec<(&Heartbeat, Liveness)> =
-        view.members.iter().map(|(beat, standing)| (beat, *standing)).collect();
-    let chosen = choose_gossip_peer(&view.own, &known, round, seed).map(|beat| beat.address);
-    if chosen.is_some() && !round.is_multiple_of(ROUNDS_TO_REUNITE) {
+        view.members.iter().map(|(beat, liveness)| (beat, *liveness)).collect();
+    let chosen = choose_gossip_peer(&view.own, &known, round, rng).map(|beat| beat.address);
+    if chosen.is_some() && !round.is_multiple_of(RECONNECT_ROUNDS) {
         return chosen;
     }
-    let mut lost = known_addresses(cx, view);
-    lost.retain(|address| *address != own && view.alive().all(|beat| beat.address != *address));
-    let pick = seed.below(lost.len());
-    lost.get(pick).copied().or(chosen)
+    let mut unreachable = known_addresses(cx, view);
+    unreachable
+        .retain(|address| *address != own && view.alive().all(|beat| beat.address != *address));
+    let index = rng.below(unreachable.len());
+    unreachable.get(index).copied().or(chosen)
 }
 
 fn exchange(cx: &DutyContext, dialer: &mut PeerDialer, peer: SocketAddr) -> Result<(), PeerError> {
-    let asked = cx.clock.now();
-    let Some(greeting) = ask_state(cx, StateEvent::GetGreeting) else {
+    let asked_at = cx.clock.now();
+    let Some(greeting) = query_state(cx, StateEvent::GetGreeting) else {
         return Ok(());
     };
     let mut question = Some(Question::News(greeting));
     while let Some(next) = question {
-        let reply = ask_peer(cx, dialer, peer, &next)?;
+        let reply = call_peer(cx, dialer, peer, &next)?;
         question = match reply {
             Reply::News(news) => {
-                ask_state(cx, |next| StateEvent::PeerNews { news, asked, next }).flatten()
+                query_state(cx, |next| StateEvent::PeerNews { news, asked: asked_at, next })
+                    .flatten()
             }
             Reply::Compared { newer, wanted } => {
-                ask_state(cx, |to_send| StateEvent::PeerComparison { newer, wanted, to_send })
+                query_state(cx, |to_send| StateEvent::PeerComparison { newer, wanted, to_send })
                     .flatten()
             }
             Reply::Taken => None,
@@ -90,7 +92,7 @@
     Ok(())
 }
 
-fn ask_peer(
+fn call_peer(
     cx: &DutyContext,
     dialer: &mut PeerDialer,
     peer: SocketAddr,
@@ -102,7 +104,7 @@
     Ok(reply)
 }
 
-fn ask_state<T>(
+fn query_state<T>(
     cx: &DutyContext,
     event: impl FnOnce(oneshot::Sender<T>) -> StateEvent,
 ) -> Option<T> {
--- a/crates/cherrystandd/src/duties/mod.rs
+++ b/crates/cherrystandd/src/duties/mod.rs
@@ -1,6 +1,6 @@
 //! The daemon's duties, each on a thread of its own.
 
-mod claim_keeper;
+mod claim_batcher;
 mod controller;
 mod gossip;
 mod operator_api;
@@ -8,4 +8,4 @@
 mod platform_watch;
 mod prober;
 mod relay;
-mod state_keeper;
+mod state_publisher;
--- a/crates/cherrystandd/src/duties/operator_api.rs
+++ b/crates/cherrystandd/src/duties/operator_api.rs
@@ -7,7 +7,7 @@
 use tokio::sync::watch;
 
 use crate::kernel::{Duty, DutyScope};
-use crate::operator::{Operators, handle};
+use crate::operator::{OperatorApi, handle};
 use crate::{DutyContext, DutyError, StopPhase};
 
 inventory::submit! {
@@ -22,8 +22,8 @@
     let address = cx.settings.listen.operators;
     let listener =
         TcpListener::bind(address).await.map_err(|source| DutyError::Listen { address, source })?;
-    let operators = Rc::new(Operators::new(cx.clone()));
-    // Operators' calls are short; at the end they are cut rather than waited for.
+    let operators = Rc::new(OperatorApi::new(cx.clone()));
+    // OperatorApi' calls are short; at the end they are cut rather than waited for.
     let (_stop, stopped) = watch::channel(false);
     let serving = serve_http(listener, move |req| handle(operators.clone(), req), stopped);
     tokio::select! {
--- a/crates/cherrystandd/src/duties/platform_watch.rs
+++ b/crates/cherrystandd/src/duties/platform_watch.rs
@@ -18,22 +18,22 @@
 const WATCHERS_PER_ZONE: usize = 2;
 
 /// How long one watch waits for a change.
-const WATCH_FOR: Duration = Duration::from_millis(2_000);
+const WATCH_TIMEOUT: Duration = Duration::from_millis(2_000);
 
 /// How long a daemon that does not watch waits before it looks again whether it should.
-const IDLE_FOR: Duration = Duration::from_millis(500);
+const IDLE_INTERVAL: Duration = Duration::from_millis(500);
 
 /// The least time between two calls of a watcher; changes that come faster arrive together.
-const LEAST_BETWEEN: Duration = Duration::from_millis(100);
+const MIN_READ_INTERVAL: Duration = Duration::from_millis(100);
 
 /// How old the box list may grow before a watcher reads it again.
-const LIST_LIFE: Millis = Millis(1_800);
+const MAX_LIST_AGE: Millis = Millis(1_800);
 
 /// How long a watcher pauses after the platform failed it.
-const FAILURE_PAUSE: Duration = Duration::from_millis(500);
+const FAILURE_RETRY_DELAY: Duration = Duration::from_millis(500);
 
 /// A daemon that does not watch reads for itself once the news is this old.
-const READ_WHEN_OLDER: Millis = Millis(FRESH_FOR.0 / 2);
+const MAX_DATA_AGE: Millis = Millis(FRESH_FOR.0 / 2);
 
 inventory::submit! {
     Duty { name: "platform-watch", scope: DutyScope::Workspaces, run }
@@ -49,62 +49,66 @@
 }
 
 async fn watch(cx: &DutyContext) {
-    let mut watcher =
-        Watcher { cx, client: CountingClient::new(cx, "watch"), known: None, listed: None };
+    let mut watcher = Watcher {
+        cx,
+        client: CountingClient::new(cx, "watch"),
+        known_revision: None,
+        list_read_at: None,
+    };
     loop {
         if !should_read(&cx.current_view()) {
-            tokio::time::sleep(IDLE_FOR).await;
+            tokio::time::sleep(IDLE_INTERVAL).await;
             continue;
         }
         if let Err(err) = watcher.read_once().await {
             log::warn!("the platform could not be read: {err}");
             // A service that was set up anew counts its revisions from the start.
-            watcher.known = None;
-            tokio::time::sleep(FAILURE_PAUSE).await;
+            watcher.known_revision = None;
+            tokio::time::sleep(FAILURE_RETRY_DELAY).await;
         }
-        tokio::time::sleep(LEAST_BETWEEN).await;
+        tokio::time::sleep(MIN_READ_INTERVAL).await;
     }
 }
 
 fn should_read(view: &View) -> bool {
     let zone = &view.own.zone;
-    let neighbours = view.alive().filter(|beat| &beat.zone == zone);
-    let watchers = rank_by_hash("platform-watch", neighbours);
-    let chosen = watchers.iter().take(WATCHERS_PER_ZONE).any(|beat| beat.node == view.own.node);
-    let stale = view.platform_age.is_none_or(|age| age > READ_WHEN_OLDER);
-    chosen || stale
+    let same_zone = view.alive().filter(|beat| &beat.zone == zone);
+    let watchers = rank_by_hash("platform-watch", same_zone);
+    let is_watcher = watchers.iter().take(WATCHERS_PER_ZONE).any(|beat| beat.node == view.own.node);
+    let is_stale = view.platform_age.is_none_or(|age| age > MAX_DATA_AGE);
+    is_watcher || is_stale
 }
 
 struct Watcher<'a> {
     cx: &'a DutyContext,
     client: CountingClient<PlatformClient>,
     /// The revision up to which all records are known.
-    known: Option<Revision>,
+    known_revision: Option<Revision>,
     /// When the box list was last read.
-    listed: Option<Millis>,
+    list_read_at: Option<Millis>,
 }
 
 impl Watcher<'_> {
     async fn read_once(&mut self) -> Result<(), PlatformError> {
-        let asked = self.cx.clock.now();
-        let changes = match self.known {
+        let asked_at = self.cx.clock.now();
+        let changes = match self.known_revision {
             None => self.client.list(keys::SHARED).await?,
-            Some(known) => self.client.watch(keys::SHARED, known, WATCH_FOR).await?,
+            Some(known) => self.client.watch(keys::SHARED, known, WATCH_TIMEOUT).await?,
         };
-        self.known = Some(changes.revision);
+        self.known_revision = Some(changes.revision);
         self.cx.send_to_state(StateEvent::Records(changes.records));
-        self.cx.send_to_state(StateEvent::PlatformRead { asked });
+        self.cx.send_to_state(StateEvent::PlatformRead { asked: asked_at });
         self.read_list().await
     }
 
     async fn read_list(&mut self) -> Result<(), PlatformError> {
         let now = self.cx.clock.now();
-        if self.listed.is_some_and(|listed| now.since(listed) < LIST_LIFE) {
+        if self.list_read_at.is_some_and(|read_at| now.since(read_at) < MAX_LIST_AGE) {
             return Ok(());
         }
         let inventory = self.client.inventory().await?;
         self.cx.send_to_state(StateEvent::Inventory(inventory));
-        self.listed = Some(now);
+        self.list_read_at = Some(now);
         Ok(())
     }
 }
--- a/crates/cherrystandd/src/duties/prober.rs
+++ b/crates/cherrystandd/src/duties/prober.rs
@@ -17,44 +17,44 @@
 pub(crate) struct Prober {
     cx: DutyContext,
     client: EngineClient,
-    seen: Rc<RefCell<Observations>>,
+    observations: Rc<RefCell<Observations>>,
 }
 
 impl Prober {
     /// Creates a prober that has seen nothing yet.
     pub(crate) fn new(cx: DutyContext) -> Self {
-        Self { cx, client: EngineClient::default(), seen: Rc::default() }
+        Self { cx, client: EngineClient::default(), observations: Rc::default() }
     }
 
     /// Returns what is known of all boxes asked.
-    pub(crate) fn seen(&self) -> Observations {
-        self.seen.borrow().clone()
+    pub(crate) fn observations(&self) -> Observations {
+        self.observations.borrow().clone()
     }
 
     /// Forgets the boxes that are not in `boxes`, and notes the others as asked from now on.
     pub(crate) fn keep_only(&self, boxes: &[BoxId]) {
         let now = self.cx.clock.now();
-        let mut seen = self.seen.borrow_mut();
-        seen.retain(|id, _| boxes.contains(id));
+        let mut observations = self.observations.borrow_mut();
+        observations.retain(|id, _| boxes.contains(id));
         for id in boxes {
-            let unknown = Observation { last_heard: now, report: None };
-            seen.entry(id.clone()).or_insert(unknown);
+            let initial = Observation { last_heard: now, report: None };
+            observations.entry(id.clone()).or_insert(initial);
         }
     }
 
     /// Asks one box in the background.
-    pub(crate) fn ask(&self, id: BoxId, address: SocketAddr) {
+    pub(crate) fn probe(&self, id: BoxId, address: SocketAddr) {
         let prober = self.clone();
         tokio::task::spawn_local(async move {
-            let asked = prober.cx.clock.now();
+            let sent_at = prober.cx.clock.now();
             let answer = prober.client.report(address).await;
             let result = if answer.is_ok() { "answered" } else { "silent" };
             prober.cx.metrics.probes.with_label_values(&[result]).inc();
             if let Ok(report) = answer
-                && let Some(observation) = prober.seen.borrow_mut().get_mut(&id)
+                && let Some(observation) = prober.observations.borrow_mut().get_mut(&id)
             {
                 // The answer is at least as old as the question.
-                observation.last_heard = asked;
+                observation.last_heard = sent_at;
                 observation.report = Some(report);
             }
         });
@@ -62,20 +62,23 @@
 
     /// Says of each replica of a domain whether every member has lately acknowledged its epoch.
     pub(crate) fn evidence(&self, record: &DomainRecord, now: Millis) -> Vec<ReplicaEvidence> {
-        let seen = self.seen.borrow();
+        let observations = self.observations.borrow();
         let formed = record.replicas.iter();
-        let judged = formed.filter(|(_, held)| matches!(held.phase, Phase::Ready | Phase::Loading));
-        judged
-            .map(|(replica, held)| {
-                let members = MemberSummary::of(held, &seen, now);
-                let ages = held.boxes.iter().filter_map(|id| seen.get(id));
-                let oldest = ages.map(|seen| now.since(seen.last_heard)).max();
+        let active = formed
+            .filter(|(_, assignment)| matches!(assignment.phase, Phase::Ready | Phase::Loading));
+        active
+            .map(|(replica, assignment)| {
+                let members = MemberSummary::of(assignment, &observations, now);
+                let member_observations =
+                    assignment.boxes.iter().filter_map(|id| observations.get(id));
+                let oldest_age =
+                    member_observations.map(|observation| now.since(observation.last_heard)).max();
                 ReplicaEvidence {
                     domain: record.domain.clone(),
                     replica: replica.clone(),
-                    epoch: held.epoch,
-                    age: oldest.unwrap_or_default(),
-                    whole: members.ready == held.boxes.len(),
+                    epoch: assignment.epoch,
+                    age: oldest_age.unwrap_or_default(),
+                    whole: members.ready == assignment.boxes.len(),
                     load: members.in_flight,
                 }
             })
@@ -84,7 +87,7 @@
 }
 
 /// Returns the boxes of a domain: those listed, and those that its record still names.
-pub(crate) fn boxes_to_ask(fleet: &Fleet, record: &DomainRecord) -> Vec<BoxId> {
+pub(crate) fn boxes_to_probe(fleet: &Fleet, record: &DomainRecord) -> Vec<BoxId> {
     let mut boxes: Vec<BoxId> =
         fleet.of_domain(&record.domain).map(|info| info.id.clone()).collect();
     let assigned = record.replicas.values().flat_map(|held| &held.boxes);
--- a/crates/cherrystandd/src/duties/relay.rs
+++ b/crates/cherrystandd/src/duties/relay.rs
@@ -8,11 +8,11 @@
 use tokio::sync::watch;
 
 use crate::kernel::{Duty, DutyScope};
-use crate::relay::{NoteQuestion, Relay, handle};
+use crate::relay::{Relay, RequestLookup, handle};
 use crate::{DutyContext, DutyError, StopPhase};
 
 /// How long the other duties go on after the last request, to note what became of claims.
-const FLUSH: Duration = Duration::from_millis(200);
+const FLUSH_DELAY: Duration = Duration::from_millis(200);
 
 inventory::submit! {
     Duty { name: "relay", scope: DutyScope::Workspaces, run }
@@ -27,7 +27,7 @@
     let listener =
         TcpListener::bind(address).await.map_err(|source| DutyError::Listen { address, source })?;
     let relay = Rc::new(Relay::new(cx.clone()));
-    tokio::task::spawn_local(answer_questions(cx.clone(), relay.clone()));
+    tokio::task::spawn_local(answer_lookups(cx.clone(), relay.clone()));
     let (stop, stopped) = watch::channel(false);
     let serving = serve_http(listener, move |req| handle(relay.clone(), req), stopped);
     let stopping = async {
@@ -40,15 +40,15 @@
         _ = async { tokio::join!(serving, stopping) } => {}
         () = cx.wait_for_stop(StopPhase::Stopped) => return Ok(()),
     }
-    tokio::time::sleep(FLUSH).await;
+    tokio::time::sleep(FLUSH_DELAY).await;
     cx.stop.send_replace(StopPhase::Stopped);
     Ok(())
 }
 
-async fn answer_questions(cx: DutyContext, relay: Rc<Relay>) {
-    while let Ok(NoteQuestion { request, reply }) = cx.note_questions.recv().await {
-        let note = relay.notes.borrow().find(&request).cloned();
+async fn answer_lookups(cx: DutyContext, relay: Rc<Relay>) {
+    while let Ok(RequestLookup { request, reply }) = cx.lookup_messages.recv().await {
+        let record = relay.history.borrow().find(&request).cloned();
         // The operator may have left.
-        let _ = reply.send(note);
+        let _ = reply.send(record);
     }
 }
--- a/crates/cherrystandd/src/duties/state_keeper.rs
+++ b/crates/cherrystandd/src/duties/state_publisher.rs
@@ -9,35 +9,35 @@
 use crate::{DutyContext, DutyError, StopPhase};
 
 /// How often the state beats and is published at the least.
-const TICK: Duration = Duration::from_millis(200);
+const TICK_INTERVAL: Duration = Duration::from_millis(200);
 
 /// How many events are taken in before the state is published.
-const EVENTS_PER_VIEW: usize = 64;
+const MAX_EVENTS_PER_VIEW: usize = 64;
 
 inventory::submit! {
     Duty { name: "state", scope: DutyScope::All, run }
 }
 
 fn run(cx: DutyContext) -> Result<(), DutyError> {
-    let ended = cx.run_local(keep(&cx));
+    let result = cx.run_local(run_state(&cx));
     // Whoever still waits for an answer learns that none will come.
     cx.state_events.close();
     while cx.state_events.try_recv().is_ok() {}
-    ended
+    result
 }
 
-async fn keep(cx: &DutyContext) {
+async fn run_state(cx: &DutyContext) {
     let own = cx.current_view().own.clone();
     let mut state = NodeState::new(own, cx.config_versions.clone(), cx.clock.now());
-    let mut tick = tokio::time::interval(TICK);
-    tick.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
+    let mut interval = tokio::time::interval(TICK_INTERVAL);
+    interval.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         tokio::select! {
             event = cx.state_events.recv() => match event {
-                Ok(event) => take_several(cx, &mut state, event),
+                Ok(event) => apply_events(cx, &mut state, event),
                 Err(_) => return,
             },
-            _ = tick.tick() => beat(cx, &mut state),
+            _ = interval.tick() => tick(cx, &mut state),
             () = cx.wait_for_stop(StopPhase::Stopped) => return,
         }
         if state.take_changed() {
@@ -46,10 +46,10 @@
     }
 }
 
-fn take_several(cx: &DutyContext, state: &mut NodeState, first: StateEvent) {
+fn apply_events(cx: &DutyContext, state: &mut NodeState, first: StateEvent) {
     let now = cx.clock.now();
     state.apply(first, now);
-    for _ in 1..EVENTS_PER_VIEW {
+    for _ in 1..MAX_EVENTS_PER_VIEW {
         match cx.state_events.try_recv() {
             Ok(event) => state.apply(event, now),
             Err(_) => return,
@@ -57,7 +57,7 @@
     }
 }
 
-fn beat(cx: &DutyContext, state: &mut NodeState) {
+fn tick(cx: &DutyContext, state: &mut NodeState) {
     if cx.stop_phase() >= StopPhase::Draining {
         state.apply(StateEvent::Draining, cx.clock.now());
     }
--- a/crates/cherrystandd/src/duty_context.rs
+++ b/crates/cherrystandd/src/duty_context.rs
@@ -7,7 +7,7 @@
 
 use crate::claims::ClaimMessage;
 use crate::config_versions::ConfigVersions;
-use crate::relay::NoteQuestion;
+use crate::relay::RequestLookup;
 use crate::site::Hint;
 use crate::state::{StateEvent, View};
 use crate::store_freshness::StoreFreshness;
@@ -83,9 +83,9 @@
     /// The other end of that ring; only the claims duty reads it.
     pub(crate) claim_messages: async_channel::Receiver<ClaimMessage>,
     /// The ring by which operators ask the relay about requests.
-    pub(crate) notes: async_channel::Sender<NoteQuestion>,
+    pub(crate) lookups: async_channel::Sender<RequestLookup>,
     /// The other end of that ring; only the relay reads it.
-    pub(crate) note_questions: async_channel::Receiver<NoteQuestion>,
+    pub(crate) lookup_messages: async_channel::Receiver<RequestLookup>,
     /// What the daemon knows, as last published.
     pub(crate) view: watch::Receiver<Arc<View>>,
     /// Where the state duty publishes it.
@@ -119,7 +119,7 @@
     pub fn new(settings: Settings, metrics: Metrics) -> Self {
         let (state, state_events) = async_channel::bounded(CHANNEL_CAPACITY);
         let (claims, claim_messages) = async_channel::bounded(CHANNEL_CAPACITY);
-        let (notes, note_questions) = async_channel::bounded(CHANNEL_CAPACITY);
+        let (lookups, lookup_messages) = async_channel::bounded(CHANNEL_CAPACITY);
         let clock = Clock::start();
         let initial = View::initial(&settings, clock.now());
         let (publish_view, view) = watch::channel(Arc::new(initial));
@@ -138,8 +138,8 @@
             state_events,
             claims,
             claim_messages,
-            notes,
-            note_questions,
+            lookups,
+            lookup_messages,
             view,
             publish_view: Arc::new(publish_view),
             site,
--- a/crates/cherrystandd/src/operator/api.rs
+++ b/crates/cherrystandd/src/operator/api.rs
@@ -15,26 +15,26 @@
 use crate::counting_client::CountingClient;
 use crate::operator::status::explain_replica;
 use crate::operator::{OperatorError, WorkspaceChange, status_of};
-use crate::relay::{NoteQuestion, RelayBody, plain_text};
+use crate::relay::{RelayBody, RequestLookup, plain_text};
 use crate::state::{StateEvent, View};
 use crate::{DutyContext, write_ids};
 
 /// The largest configuration, in bytes; two of them have to fit into one record.
-const LARGEST_CONFIG: usize = 256 << 10;
+const MAX_CONFIG_BYTES: usize = 256 << 10;
 
 /// How long an operator waits for a majority of the daemons to hold a change.
-const MAJORITY_WITHIN: Duration = Duration::from_secs(12);
+const MAJORITY_TIMEOUT: Duration = Duration::from_secs(12);
 
 /// The header by which an operator says who they are, for the history.
 const OPERATOR_HEADER: &str = "cherrystand-operator";
 
 /// Serves operators on one thread.
-pub(crate) struct Operators {
+pub(crate) struct OperatorApi {
     cx: DutyContext,
     platform: CountingClient<PlatformClient>,
 }
 
-impl Operators {
+impl OperatorApi {
     /// Creates the interface.
     pub(crate) fn new(cx: DutyContext) -> Self {
         let platform = CountingClient::new(&cx, "operators");
@@ -42,18 +42,18 @@
     }
 
     async fn plan(&self, req: Request<Incoming>) -> Result<Value, OperatorError> {
-        let body = Limited::new(req.into_body(), LARGEST_CONFIG).collect().await;
+        let body = Limited::new(req.into_body(), MAX_CONFIG_BYTES).collect().await;
         let body =
             body.map_err(|_| OperatorError::BadRequest("the configuration is cut or too large"))?;
         let text = String::from_utf8(body.to_bytes().to_vec())
             .map_err(|_| OperatorError::BadRequest("the configuration is not UTF-8 text"))?;
         let config = WorkspaceConfig::from_toml(&text)?;
         let view = self.cx.current_view();
-        let held = view.formed_replicas().boxes();
-        let changes = self.change(&view, &held);
-        let written = changes.plan(config).await?;
+        let current_boxes = view.formed_replicas().boxes();
+        let change = self.workspace_change(&view, &current_boxes);
+        let written = change.plan(config).await?;
         self.cx.send_to_state(StateEvent::Records(vec![written.record]));
-        Ok(plan_for_people(&written.told))
+        Ok(plan_summary(&written.result))
     }
 
     async fn confirm(&self, req: &Request<Incoming>, id: &str) -> Result<Value, OperatorError> {
@@ -61,16 +61,16 @@
         let operator = operator.unwrap_or("unnamed");
         let view = self.cx.current_view();
         if !view.may_accept {
-            let (heard, all) = view.heard_of_expected;
-            return Err(OperatorError::TooFewDaemons { heard, all });
+            let (reachable, total) = view.heard_of_expected;
+            return Err(OperatorError::TooFewDaemons { reachable, total });
         }
-        let held = view.formed_replicas().boxes();
-        let changes = self.change(&view, &held);
-        let written = changes.confirm(&PlanId::new(id), operator).await?;
-        let accepted = written.told;
+        let current_boxes = view.formed_replicas().boxes();
+        let change = self.workspace_change(&view, &current_boxes);
+        let written = change.confirm(&PlanId::new(id), operator).await?;
+        let accepted = written.result;
         let record = written.record;
         self.cx.send_to_state(StateEvent::Records(vec![record.clone()]));
-        self.until_majority_holds(&record).await?;
+        self.wait_for_majority(&record).await?;
         log::info!(
             generation = accepted.generation.0, plan = id, operator = operator;
             "a configuration was accepted"
@@ -78,48 +78,48 @@
         Ok(json!(accepted))
     }
 
-    fn change<'a>(
+    fn workspace_change<'a>(
         &'a self,
         view: &'a View,
-        held: &'a BoxesByReplica,
+        current_boxes: &'a BoxesByReplica,
     ) -> WorkspaceChange<'a, CountingClient<PlatformClient>> {
-        let write = write_ids::next_write_id(view);
-        WorkspaceChange { service: &self.platform, write, fleet: &view.fleet, held }
+        let write_id = write_ids::next_write_id(view);
+        WorkspaceChange { store: &self.platform, write_id, fleet: &view.fleet, current_boxes }
     }
 
     /// Waits until a majority of the daemons holds a record as it was written, or a newer one.
     ///
     /// Only then can no daemon go on by the old one for long, whatever fails from here on.
-    async fn until_majority_holds(&self, record: &Document) -> Result<(), OperatorError> {
+    async fn wait_for_majority(&self, record: &Document) -> Result<(), OperatorError> {
         let holds = |view: &Arc<View>| {
             let held = view.workspaces.get(&record.key);
-            let here = held.is_some_and(|held| held.revision >= record.revision);
-            here && view.majority_holds
+            let held_here = held.is_some_and(|held| held.revision >= record.revision);
+            held_here && view.majority_holds
         };
         let mut view = self.cx.view.clone();
-        let held = tokio::time::timeout(MAJORITY_WITHIN, view.wait_for(holds)).await;
+        let held = tokio::time::timeout(MAJORITY_TIMEOUT, view.wait_for(holds)).await;
         match held {
             Ok(Ok(_)) => Ok(()),
-            Ok(Err(_)) | Err(_) => Err(OperatorError::MayBeDone),
+            Ok(Err(_)) | Err(_) => Err(OperatorError::OutcomeUnknown),
         }
     }
 
     fn plans(&self) -> Value {
         let view = self.cx.current_view();
         let records = view.workspaces.values().map(|held| &held.record);
-        let pending = records.flat_map(|record| record.plans.iter().map(plan_for_people));
+        let pending = records.flat_map(|record| record.plans.iter().map(plan_summary));
         json!(pending.collect::<Vec<_>>())
     }
 
     fn history(&self) -> Value {
         let view = self.cx.current_view();
         let records = view.workspaces.values().map(|held| &held.record);
-        let past = records.flat_map(|record| {
+        let entries = records.flat_map(|record| {
             let workspace = &record.config.workspace;
-            let one = move |past| json!({"workspace": workspace, "accepted": past});
-            record.history.iter().map(one)
+            let entry = move |accepted| json!({"workspace": workspace, "accepted": accepted});
+            record.history.iter().map(entry)
         });
-        json!(past.collect::<Vec<_>>())
+        json!(entries.collect::<Vec<_>>())
     }
 
     fn config(&self, workspace: &str) -> Result<Value, OperatorError> {
@@ -132,17 +132,17 @@
 
     async fn explain(&self, name: &str) -> Result<Value, OperatorError> {
         if let Ok(replica) = ReplicaId::try_from(name.to_owned())
-            && let Some(told) = explain_replica(&self.cx.current_view(), &replica)
+            && let Some(explanation) = explain_replica(&self.cx.current_view(), &replica)
         {
-            return Ok(told);
+            return Ok(explanation);
         }
-        let (reply, note) = oneshot::channel();
-        let question = NoteQuestion { request: name.to_owned(), reply };
-        if self.cx.notes.try_send(question).is_err() {
+        let (reply, record) = oneshot::channel();
+        let lookup = RequestLookup { request: name.to_owned(), reply };
+        if self.cx.lookups.try_send(lookup).is_err() {
             self.cx.metrics.ring_full.with_label_values(&["notes"]).inc();
         }
-        let note = note.await.ok().flatten();
-        note.map(|note| json!(note)).ok_or_else(|| unknown("replica or request", name))
+        let record = record.await.ok().flatten();
+        record.map(|record| json!(record)).ok_or_else(|| unknown("replica or request", name))
     }
 
     fn drain(&self) -> Value {
@@ -155,7 +155,7 @@
     OperatorError::Unknown { what, name: name.to_owned() }
 }
 
-fn plan_for_people(plan: &cherrystand_core::Plan) -> Value {
+fn plan_summary(plan: &cherrystand_core::Plan) -> Value {
     let changes: Vec<String> = plan.changes.iter().map(ToString::to_string).collect();
     json!({
         "id": plan.id, "workspace": plan.config.workspace, "base": plan.base,
@@ -165,13 +165,13 @@
 
 /// Answers one call of an operator.
 pub(crate) async fn handle(
-    operators: Rc<Operators>,
+    operators: Rc<OperatorApi>,
     req: Request<Incoming>,
 ) -> Response<RelayBody> {
     let path = req.uri().path().to_owned();
-    let asked = path.strip_prefix("/operator/").unwrap_or_default();
-    let (what, name) = asked.split_once('/').unwrap_or((asked, ""));
-    let outcome = match (req.method(), what) {
+    let route = path.strip_prefix("/operator/").unwrap_or_default();
+    let (call, name) = route.split_once('/').unwrap_or((route, ""));
+    let outcome = match (req.method(), call) {
         (&Method::POST, "plan") => operators.plan(req).await,
         (&Method::POST, "confirm") => operators.confirm(&req, name).await,
         (&Method::POST, "drain") => Ok(operators.drain()),
@@ -183,14 +183,14 @@
         _ => Err(unknown("call", &path)),
     };
     match outcome {
-        Ok(value) => answer(StatusCode::OK, &value),
-        Err(err) => answer(err.status(), &err.body()),
+        Ok(value) => json_response(StatusCode::OK, &value),
+        Err(err) => json_response(err.status(), &err.body()),
     }
 }
 
-fn answer(status: StatusCode, value: &Value) -> Response<RelayBody> {
-    let mut made = plain_text(status, value.to_string());
-    let kind = hyper::header::HeaderValue::from_static("application/json");
-    made.headers_mut().insert(hyper::header::CONTENT_TYPE, kind);
-    made
+fn json_response(status: StatusCode, value: &Value) -> Response<RelayBody> {
+    let mut response = plain_text(status, value.to_string());
+    let content_type = hyper::header::HeaderValue::from_static("application/json");
+    response.headers_mut().insert(hyper::header::CONTENT_TYPE, content_type);
+    response
 }
--- a/crates/cherrystandd/src/operator/change.rs
+++ b/crates/cherrystandd/src/operator/change.rs
@@ -12,32 +12,32 @@
 use crate::{clock, keys};
 
 /// How often a change is tried against others who change the same record.
-const TRIES: u32 = 8;
+const MAX_ATTEMPTS: u32 = 8;
 
 /// Plans and confirms changes through a key-value service.
 pub struct WorkspaceChange<'a, K> {
     /// The service.
-    pub service: &'a K,
+    pub store: &'a K,
     /// The identity of the write to make.
-    pub write: WriteId,
+    pub write_id: WriteId,
     /// The listed boxes.
     pub fleet: &'a Fleet,
     /// The boxes held now.
-    pub held: &'a BoxesByReplica,
+    pub current_boxes: &'a BoxesByReplica,
 }
 
 /// A record that was written, and what it was written for.
 pub struct Written<T> {
     /// What the operator is told.
-    pub told: T,
+    pub result: T,
     /// The record as it now stands.
     pub record: Document,
 }
 
 /// What became of one try to write.
-enum Try {
+enum WriteStatus {
     Done(Revision),
-    Again,
+    Retry,
 }
 
 impl<K: KeyValue> WorkspaceChange<'_, K> {
@@ -45,12 +45,13 @@
     pub async fn plan(&self, config: WorkspaceConfig) -> Result<Written<Plan>, OperatorError> {
         let workspace = config.workspace.clone();
         let id = self.plan_id(&workspace);
-        for _ in 0..TRIES {
+        for _ in 0..MAX_ATTEMPTS {
             let (revision, record) = self.read(&workspace).await?;
-            let plan = make_plan(id.clone(), &record, config.clone(), self.fleet, self.held)?;
-            let next = record.with_plan(plan.clone(), self.write.clone());
+            let plan =
+                make_plan(id.clone(), &record, config.clone(), self.fleet, self.current_boxes)?;
+            let next = record.with_plan(plan.clone(), self.write_id.clone());
             if let Some(record) = self.write(&workspace, revision, &next).await? {
-                return Ok(Written { told: plan, record });
+                return Ok(Written { result: plan, record });
             }
         }
         Err(OperatorError::Contended(workspace))
@@ -63,22 +64,22 @@
         operator: &str,
     ) -> Result<Written<AcceptedChange>, OperatorError> {
         let workspace = workspace_of(id)?;
-        for _ in 0..TRIES {
+        for _ in 0..MAX_ATTEMPTS {
             let (revision, record) = self.read(&workspace).await?;
             let now = clock::unix_secs();
-            let next = record.confirm(id, operator, now, self.write.clone())?;
+            let next = record.confirm(id, operator, now, self.write_id.clone())?;
             let accepted = next.history.last().cloned();
             let written = self.write(&workspace, revision, &next).await?;
-            if let (Some(record), Some(told)) = (written, accepted) {
-                return Ok(Written { told, record });
+            if let (Some(record), Some(result)) = (written, accepted) {
+                return Ok(Written { result, record });
             }
         }
         Err(OperatorError::Contended(workspace))
     }
 
     fn plan_id(&self, workspace: &WorkspaceId) -> PlanId {
-        let write = &self.write;
-        let seed = format!("{}/{}/{}", write.node, write.incarnation, write.sequence);
+        let write_id = &self.write_id;
+        let seed = format!("{}/{}/{}", write_id.node, write_id.incarnation, write_id.sequence);
         PlanId::new(format!("{workspace}.{:08x}", hash_bytes(seed.as_bytes()) as u32))
     }
 
@@ -86,7 +87,7 @@
         &self,
         workspace: &WorkspaceId,
     ) -> Result<(Revision, WorkspaceRecord), OperatorError> {
-        let read = self.service.get(&keys::workspace(workspace)).await?;
+        let read = self.store.get(&keys::workspace(workspace)).await?;
         let Some(document) = read else {
             return Ok((Revision::NONE, WorkspaceRecord::empty(workspace.clone())));
         };
@@ -105,53 +106,55 @@
         let key = keys::workspace(workspace);
         let body =
             serde_json::to_string(next).map_err(|_| OperatorError::Malformed(workspace.clone()))?;
-        for _ in 0..TRIES {
-            let outcome = self.service.swap(&key, expected, &body).await;
-            match self.settle(workspace, outcome).await? {
-                Some(Try::Done(revision)) => {
+        for _ in 0..MAX_ATTEMPTS {
+            let outcome = self.store.swap(&key, expected, &body).await;
+            match self.resolve_write(workspace, outcome).await? {
+                Some(WriteStatus::Done(revision)) => {
                     let body = Arc::from(body);
                     return Ok(Some(Document { key: Arc::from(key), revision, body }));
                 }
-                Some(Try::Again) => {}
+                Some(WriteStatus::Retry) => {}
                 None => return Ok(None),
             }
         }
-        Err(OperatorError::MayBeDone)
+        Err(OperatorError::OutcomeUnknown)
     }
 
     /// Finds out what became of a write, by reading where its answer does not tell.
     ///
     /// A write whose answer was lost may still take effect later. It is therefore tried again for
     /// the same revision, so that at most one of the two does.
-    async fn settle(
+    async fn resolve_write(
         &self,
         workspace: &WorkspaceId,
         outcome: Result<Swap, PlatformError>,
-    ) -> Result<Option<Try>, OperatorError> {
+    ) -> Result<Option<WriteStatus>, OperatorError> {
         match outcome {
-            Ok(Swap::Done(revision)) => Ok(Some(Try::Done(revision))),
+            Ok(Swap::Done(revision)) => Ok(Some(WriteStatus::Done(revision))),
             Ok(Swap::Conflict(_)) => {
-                let (revision, record) = self.read_again(workspace).await?;
-                let ours = record.writes.contains(&self.write);
-                Ok(ours.then_some(Try::Done(revision)))
+                let (revision, record) = self.read_with_retries(workspace).await?;
+                let is_ours = record.writes.contains(&self.write_id);
+                Ok(is_ours.then_some(WriteStatus::Done(revision)))
+            }
+            Err(PlatformError::NoAnswer(_) | PlatformError::RateLimited) => {
+                Ok(Some(WriteStatus::Retry))
             }
-            Err(PlatformError::NoAnswer(_) | PlatformError::RateLimited) => Ok(Some(Try::Again)),
             Err(err) => Err(err.into()),
         }
     }
 
     /// Reads the record after a write that may have taken effect.
-    async fn read_again(
+    async fn read_with_retries(
         &self,
         workspace: &WorkspaceId,
     ) -> Result<(Revision, WorkspaceRecord), OperatorError> {
-        for _ in 0..TRIES {
+        for _ in 0..MAX_ATTEMPTS {
             match self.read(workspace).await {
                 Err(OperatorError::Platform(_)) => {}
                 other => return other,
             }
         }
-        Err(OperatorError::MayBeDone)
+        Err(OperatorError::OutcomeUnknown)
     }
 }
 
--- a/crates/cherrystandd/src/operator/error.rs
+++ b/crates/cherrystandd/src/operator/error.rs
@@ -24,17 +24,17 @@
     #[error(
         "the platform did not answer; the change may be in force: look at `cherrystand history`"
     )]
-    MayBeDone,
+    OutcomeUnknown,
     /// This daemon is out of touch with too many others to accept a change.
     #[error(
-        "this daemon hears {heard} of {all} daemons and needs more than half to accept a change; \
+        "this daemon hears {reachable} of {total} daemons and needs more than half to accept a change; \
          ask another one or wait"
     )]
     TooFewDaemons {
         /// How many it hears, itself included.
-        heard: usize,
+        reachable: usize,
         /// How many there are.
-        all: usize,
+        total: usize,
     },
     /// Others kept changing the record.
     #[error("others keep changing workspace `{0}`; try again")]
@@ -69,7 +69,7 @@
             Self::Platform(_) | Self::TooFewDaemons { .. } | Self::Malformed(_) => {
                 StatusCode::SERVICE_UNAVAILABLE
             }
-            Self::MayBeDone => StatusCode::GATEWAY_TIMEOUT,
+            Self::OutcomeUnknown => StatusCode::GATEWAY_TIMEOUT,
         }
     }
 
@@ -81,7 +81,7 @@
             Self::Confirm(ConfirmError::UnknownPlan(_)) => "unknown-plan",
             Self::Confirm(ConfirmError::Conflict { .. }) => "conflict",
             Self::Platform(_) => "platform",
-            Self::MayBeDone => "may-be-done",
+            Self::OutcomeUnknown => "may-be-done",
             Self::TooFewDaemons { .. } => "too-few-daemons",
             Self::Contended(_) => "contended",
             Self::Malformed(_) => "malformed-record",
@@ -93,7 +93,7 @@
     /// Returns the error as operators' programs read it.
     pub fn body(&self) -> Value {
         let (line, key) = match self {
-            Self::Settings(fault) => (fault.line(), Some(fault.key())),
+            Self::Settings(err) => (err.line(), Some(err.key())),
             _ => (None, None),
         };
         json!({"error": {
--- a/crates/cherrystandd/src/operator/mod.rs
+++ b/crates/cherrystandd/src/operator/mod.rs
@@ -5,7 +5,7 @@
 mod error;
 mod status;
 
-pub(crate) use api::{Operators, handle};
+pub(crate) use api::{OperatorApi, handle};
 pub use change::{WorkspaceChange, Written};
 pub use error::OperatorError;
 pub(crate) use status::status_of;
--- a/crates/cherrystandd/src/operator/status.rs
+++ b/crates/cherrystandd/src/operator/status.rs
@@ -32,8 +32,8 @@
 }
 
 fn workspace(view: &View, record: &WorkspaceRecord) -> Value {
-    let own = |group: &&RouteGroup| group.id.workspace == record.config.workspace;
-    let groups = view.routes.iter().filter(own).map(|group| {
+    let in_workspace = |group: &&RouteGroup| group.id.workspace == record.config.workspace;
+    let groups = view.routes.iter().filter(in_workspace).map(|group| {
         let kind = match group.kind {
             RouteKind::Model { .. } => "model",
             RouteKind::Service { .. } => "service",
@@ -63,16 +63,17 @@
 
 fn replicas_of(view: &View, record: &DomainRecord) -> Vec<Value> {
     let formed = record.replicas.iter();
-    let one = |(replica, held): (&ReplicaId, &cherrystand_core::Assignment)| {
-        let last = record.explanations.iter().rev().find(|past| &past.replica == replica);
+    let describe = |(replica, assignment): (&ReplicaId, &cherrystand_core::Assignment)| {
+        let last_explanation =
+            record.explanations.iter().rev().find(|explanation| &explanation.replica == replica);
         json!({
-            "replica": replica, "domain": record.domain, "epoch": held.epoch,
-            "phase": held.phase, "serving": serves(view, replica), "boxes": held.boxes,
-            "load": format!("{}@{}", held.load.model, held.load.version),
-            "why": last.map(|past| past.evidence.to_string()),
+            "replica": replica, "domain": record.domain, "epoch": assignment.epoch,
+            "phase": assignment.phase, "serving": serves(view, replica), "boxes": assignment.boxes,
+            "load": format!("{}@{}", assignment.load.model, assignment.load.version),
+            "why": last_explanation.map(|explanation| explanation.evidence.to_string()),
         })
     };
-    formed.map(one).collect()
+    formed.map(describe).collect()
 }
 
 fn serves(view: &View, replica: &ReplicaId) -> bool {
@@ -83,52 +84,52 @@
 
 fn boxes(view: &View) -> Vec<Value> {
     let formed = view.formed_replicas();
-    let holder =
+    let replica_name =
         |id: &cherrystand_core::BoxId| formed.replica_with_box(id).map(ToString::to_string);
-    let one = |info: &cherrystand_core::BoxInfo| {
+    let describe = |info: &cherrystand_core::BoxInfo| {
         json!({
             "box": info.id, "domain": info.domain, "zone": info.zone,
-            "address": info.address, "leaving": info.leaving, "replica": holder(&info.id),
+            "address": info.address, "leaving": info.leaving, "replica": replica_name(&info.id),
         })
     };
-    view.fleet.iter().map(one).collect()
+    view.fleet.iter().map(describe).collect()
 }
 
 fn nodes(view: &View) -> Vec<Value> {
-    let standing = |standing: Liveness| match standing {
+    let liveness_name = |liveness: Liveness| match liveness {
         Liveness::Alive => "alive",
         Liveness::Suspect => "suspect",
         Liveness::Dead => "dead",
     };
-    let one = |(beat, now): &(cherrystand_core::Heartbeat, Liveness)| {
+    let describe = |(beat, liveness): &(cherrystand_core::Heartbeat, Liveness)| {
         json!({
             "node": beat.node, "zone": beat.zone, "address": beat.address,
-            "incarnation": beat.incarnation, "standing": standing(*now),
+            "incarnation": beat.incarnation, "standing": liveness_name(*liveness),
             "serving": beat.serving,
         })
     };
-    view.members.iter().map(one).collect()
+    view.members.iter().map(describe).collect()
 }
 
 /// Lists the decisions about one replica, oldest first.
 pub(crate) fn explain_replica(view: &View, replica: &ReplicaId) -> Option<Value> {
     let records = view.domains.values().map(|held| &held.record);
-    let past: Vec<Value> = records
+    let decisions: Vec<Value> = records
         .flat_map(|record| &record.explanations)
-        .filter(|past| &past.replica == replica)
-        .map(|past| {
+        .filter(|explanation| &explanation.replica == replica)
+        .map(|explanation| {
             json!({
-                "at_unix_secs": past.at_unix_secs, "epoch": past.epoch, "phase": past.phase,
-                "because": past.evidence.to_string(), "prices": past.prices,
+                "at_unix_secs": explanation.at_unix_secs, "epoch": explanation.epoch, "phase": explanation.phase,
+                "because": explanation.evidence.to_string(), "prices": explanation.prices,
             })
         })
         .collect();
-    if past.is_empty() {
+    if decisions.is_empty() {
         return None;
     }
     let serving = serves(view, replica);
     let age = view.platform_age.unwrap_or(Millis(0));
     Some(json!({
-        "replica": replica, "serving": serving, "known_as_of_ms_ago": age.0, "decisions": past,
+        "replica": replica, "serving": serving, "known_as_of_ms_ago": age.0, "decisions": decisions,
     }))
 }
--- a/crates/cherrystandd/src/relay/admitted.rs
+++ b/crates/cherrystandd/src/relay/admitted_request.rs
@@ -9,29 +9,29 @@
 use crate::relay::relay_state::Relay;
 
 /// The room that a request takes on the node, given back once when it is done.
-pub(crate) struct Admitted {
+pub(crate) struct AdmittedRequest {
     relay: Rc<Relay>,
     call: Rc<Call>,
     /// Whether the call's key is claimed.
     pub(crate) claimed: bool,
-    ended: bool,
+    finished: bool,
 }
 
-impl Admitted {
+impl AdmittedRequest {
     /// Takes the room.
-    pub(crate) fn enter(relay: &Rc<Relay>, call: &Rc<Call>) -> Result<Self, Refusal> {
+    pub(crate) fn admit(relay: &Rc<Relay>, call: &Rc<Call>) -> Result<Self, Refusal> {
         let mut core = relay.core.borrow_mut();
         core.admission.admit(call.class, &call.workspace)?;
         relay.cx.metrics.in_flight.inc();
-        Ok(Self { relay: relay.clone(), call: call.clone(), claimed: false, ended: false })
+        Ok(Self { relay: relay.clone(), call: call.clone(), claimed: false, finished: false })
     }
 
     /// Gives the room back and notes what became of the request.
     pub(crate) fn end(&mut self, outcome: Outcome, refusal: Option<RefusalReason>) {
-        if self.ended {
+        if self.finished {
             return;
         }
-        self.ended = true;
+        self.finished = true;
         let call = &self.call;
         self.relay.cx.metrics.in_flight.dec();
         self.relay.core.borrow_mut().admission.release(call.class, &call.workspace);
@@ -41,7 +41,7 @@
                 "the request may have been run, and its caller cannot know"
             );
         }
-        self.relay.note_end(call, outcome, refusal);
+        self.relay.record_outcome(call, outcome, refusal);
         if let Some(key) = call.key.filter(|_| self.claimed) {
             match outcome {
                 Outcome::NotRun => claims::release(&self.relay.cx, key),
@@ -51,7 +51,7 @@
     }
 }
 
-impl Drop for Admitted {
+impl Drop for AdmittedRequest {
     fn drop(&mut self) {
         // Nobody ended it: the caller left while the request may have been running.
         self.end(Outcome::Unknown, None);
--- a/crates/cherrystandd/src/relay/answer.rs
+++ b/crates/cherrystandd/src/relay/answer.rs
@@ -11,18 +11,18 @@
 
 /// Makes a short answer in plain text.
 pub(crate) fn plain_text(status: StatusCode, text: impl Into<Bytes>) -> Response<RelayBody> {
-    let mut answer = Response::new(RelayBody::whole(text));
-    *answer.status_mut() = status;
-    answer
+    let mut response = Response::new(RelayBody::whole(text));
+    *response.status_mut() = status;
+    response
 }
 
 /// Makes an answer in JSON.
 pub(crate) fn json<T: Serialize>(status: StatusCode, value: &T) -> Response<RelayBody> {
     let text = serde_json::to_vec(value).unwrap_or_default();
-    let mut answer = plain_text(status, text);
-    let kind = HeaderValue::from_static("application/json");
-    answer.headers_mut().insert(CONTENT_TYPE, kind);
-    answer
+    let mut response = plain_text(status, text);
+    let content_type = HeaderValue::from_static("application/json");
+    response.headers_mut().insert(CONTENT_TYPE, content_type);
+    response
 }
 
 #[derive(Serialize)]
@@ -56,7 +56,7 @@
     }
 
     /// A request that cannot be run, now or later, as it is.
-    pub(crate) fn never(reason: RefusalReason) -> Self {
+    pub(crate) fn permanent(reason: RefusalReason) -> Self {
         Self::not_run(Refusal::final_for(reason))
     }
 
@@ -66,7 +66,7 @@
     }
 
     /// A request whose key was claimed before.
-    pub(crate) fn claimed(claim: &Claim) -> Self {
+    pub(crate) fn already_claimed(claim: &Claim) -> Self {
         let outcome = match claim.outcome {
             Some(Outcome::Ran) => Outcome::Ran,
             _ => Outcome::Unknown,
@@ -76,15 +76,15 @@
 }
 
 /// When a caller may come back who met no endpoint in service, or only failing ones.
-pub(crate) const COME_BACK: Millis = Millis(1_000);
+pub(crate) const DEFAULT_RETRY_AFTER: Millis = Millis(1_000);
 
 /// A request that was not run and may be sent again.
-pub(crate) fn come_back(reason: RefusalReason) -> Failure {
-    Failure::not_run(Refusal::with_retry_after(reason, COME_BACK))
+pub(crate) fn retry_later(reason: RefusalReason) -> Failure {
+    Failure::not_run(Refusal::with_retry_after(reason, DEFAULT_RETRY_AFTER))
 }
 
 /// Makes the answer to a request that got none from an endpoint.
-pub(crate) fn failure(failure: &Failure, request: &str) -> Response<RelayBody> {
+pub(crate) fn failure_response(failure: &Failure, request: &str) -> Response<RelayBody> {
     let reason = failure.refusal.reason;
     let retry_after = failure.refusal.retry_after;
     let body = ErrorBody {
@@ -93,34 +93,34 @@
             outcome: failure.outcome.as_str(),
             message: message(reason, failure.outcome),
             request,
-            retry_after_ms: retry_after.map(|span| span.0),
+            retry_after_ms: retry_after.map(|delay| delay.0),
         },
     };
     let status = StatusCode::from_u16(reason.status()).unwrap_or(StatusCode::BAD_GATEWAY);
-    let mut answer = json(status, &body);
-    label(&mut answer, failure.outcome, request);
-    if let Some(span) = retry_after {
-        insert_number(&mut answer, RETRY_AFTER, whole_seconds(span));
-        insert_number(&mut answer, RETRY_AFTER_MS, span.0);
+    let mut response = json(status, &body);
+    set_outcome_headers(&mut response, failure.outcome, request);
+    if let Some(delay) = retry_after {
+        insert_number_header(&mut response, RETRY_AFTER, whole_seconds(delay));
+        insert_number_header(&mut response, RETRY_AFTER_MS, delay.0);
     }
-    answer
+    response
 }
 
 /// Puts the outcome and the request's id into an answer's head.
-pub(crate) fn label<B>(answer: &mut Response<B>, outcome: Outcome, request: &str) {
+pub(crate) fn set_outcome_headers<B>(response: &mut Response<B>, outcome: Outcome, request: &str) {
     let outcome = HeaderValue::from_static(outcome.as_str());
-    answer.headers_mut().insert(OUTCOME, outcome);
+    response.headers_mut().insert(OUTCOME, outcome);
     if let Ok(id) = HeaderValue::from_str(request) {
-        answer.headers_mut().insert(REQUEST_ID, id);
+        response.headers_mut().insert(REQUEST_ID, id);
     }
 }
 
-fn insert_number<B>(answer: &mut Response<B>, name: HeaderName, number: u64) {
-    answer.headers_mut().insert(name, HeaderValue::from(number));
+fn insert_number_header<B>(response: &mut Response<B>, name: HeaderName, number: u64) {
+    response.headers_mut().insert(name, HeaderValue::from(number));
 }
 
-fn whole_seconds(span: Millis) -> u64 {
-    span.0.div_ceil(1_000).max(1)
+fn whole_seconds(delay: Millis) -> u64 {
+    delay.0.div_ceil(1_000).max(1)
 }
 
 fn message(reason: RefusalReason, outcome: Outcome) -> &'static str {
--- a/crates/cherrystandd/src/relay/call.rs
+++ b/crates/cherrystandd/src/relay/call.rs
@@ -21,13 +21,13 @@
 use crate::{DutyContext, Settings};
 
 /// How many bytes of a prompt tell its prefix.
-const PREFIX_BYTES: usize = 512;
+const PROMPT_PREFIX_BYTES: usize = 512;
 
 /// How much of a refused body is still read, in bytes.
-const DISCARD_BYTES: usize = 64 << 20;
+const MAX_DISCARDED_BYTES: usize = 64 << 20;
 
 /// For how long a refused body is still read.
-const DISCARD_WITHIN: Duration = Duration::from_secs(3);
+const DISCARD_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// The paths at which models are asked.
 const MODEL_PATHS: [&str; 2] = ["/v1/chat/completions", "/v1/completions"];
@@ -51,7 +51,7 @@
     /// Whether it goes to a model.
     pub(crate) is_model: bool,
     /// Whether it may be run twice.
-    pub(crate) repeatable: bool,
+    pub(crate) is_idempotent: bool,
     /// Its claim, where the caller named it.
     pub(crate) key: Option<IdempotencyKey>,
     /// The prefix of its prompt.
@@ -64,17 +64,17 @@
 
 impl Call {
     /// Remembers how an attempt ended.
-    pub(crate) fn note_attempt(&self, target: &Target, end: AttemptEnd) {
-        let to = match &target.replica {
+    pub(crate) fn record_attempt(&self, target: &Target, end: AttemptEnd) {
+        let endpoint = match &target.replica {
             Some((replica, epoch)) => format!("{replica}@{epoch} at {}", target.address),
             None => target.address.to_string(),
         };
-        self.attempts.borrow_mut().push((to, end.as_str().to_owned()));
+        self.attempts.borrow_mut().push((endpoint, end.as_str().to_owned()));
     }
 }
 
 #[derive(Deserialize)]
-struct ModelCall<'a> {
+struct ModelRequest<'a> {
     model: String,
     #[serde(borrow)]
     prompt: Option<&'a RawValue>,
@@ -89,18 +89,20 @@
     req: Request<Incoming>,
     id: String,
 ) -> Result<Call, RefusalReason> {
-    let came = cx.clock.now();
+    let arrived_at = cx.clock.now();
     let (head, body) = req.into_parts();
-    let key = headers::name_in(&head.headers, &headers::IDEMPOTENCY_KEY).map_err(bad_header)?;
-    let asked = headers::deadline_in(&head.headers).map_err(bad_header)?;
+    let key =
+        headers::read_name(&head.headers, &headers::IDEMPOTENCY_KEY).map_err(invalid_header)?;
+    let requested_timeout = headers::read_deadline(&head.headers).map_err(invalid_header)?;
     let body = read_body(body, cx.settings.limits.body_bytes).await?;
     let core = core.borrow();
     let (group, prefix) = find_group(&core, &head, &body)?;
     let state = core.group(group).ok_or(RefusalReason::UnknownTarget)?;
     let is_model = matches!(state.kind, RouteKind::Model { .. });
-    let deadline = came + asked.unwrap_or(default_deadline(&cx.settings, is_model));
+    let deadline =
+        arrived_at + requested_timeout.unwrap_or(default_deadline(&cx.settings, is_model));
     Ok(Call {
-        repeatable: key.is_none() && may_repeat(state, &head.method),
+        is_idempotent: key.is_none() && is_idempotent(state, &head.method),
         key: key.map(|key| IdempotencyKey::new(&state.id, &key)),
         group_id: state.id.clone(),
         workspace: state.id.workspace.clone(),
@@ -116,7 +118,7 @@
     })
 }
 
-fn bad_header(_: headers::BadHeader) -> RefusalReason {
+fn invalid_header(_: headers::InvalidHeader) -> RefusalReason {
     RefusalReason::BadRequest
 }
 
@@ -126,20 +128,20 @@
 }
 
 /// Reads a body whole, up to a size.
-async fn read_body(mut body: Incoming, most: usize) -> Result<Bytes, RefusalReason> {
-    let announced = usize::try_from(body.size_hint().lower()).unwrap_or(usize::MAX);
-    if announced > most {
-        tokio::task::spawn_local(discard(body));
+async fn read_body(mut body: Incoming, max_bytes: usize) -> Result<Bytes, RefusalReason> {
+    let announced_bytes = usize::try_from(body.size_hint().lower()).unwrap_or(usize::MAX);
+    if announced_bytes > max_bytes {
+        tokio::task::spawn_local(discard_body(body));
         return Err(RefusalReason::TooLarge);
     }
-    let mut read = BytesMut::with_capacity(announced);
+    let mut read = BytesMut::with_capacity(announced_bytes);
     while let Some(frame) = body.frame().await {
         let frame = frame.map_err(|_| RefusalReason::BadRequest)?;
         let Ok(data) = frame.into_data() else {
             continue;
         };
-        if read.len() + data.len() > most {
-            tokio::task::spawn_local(discard(body));
+        if read.len() + data.len() > max_bytes {
+            tokio::task::spawn_local(discard_body(body));
             return Err(RefusalReason::TooLarge);
         }
         read.extend_from_slice(&data);
@@ -151,18 +153,18 @@
 ///
 /// The refusal goes out at once; were the connection closed with unread bytes on it, the caller
 /// would see it reset and might never see the refusal.
-async fn discard(mut body: Incoming) {
+async fn discard_body(mut body: Incoming) {
     let read = async {
-        let mut left = DISCARD_BYTES;
+        let mut remaining = MAX_DISCARDED_BYTES;
         while let Some(Ok(frame)) = body.frame().await {
-            left = left.saturating_sub(frame.data_ref().map_or(0, Bytes::len));
-            if left == 0 {
+            remaining = remaining.saturating_sub(frame.data_ref().map_or(0, Bytes::len));
+            if remaining == 0 {
                 return;
             }
         }
     };
     // A caller that is slower than this has been told long ago.
-    let _ = tokio::time::timeout(DISCARD_WITHIN, read).await;
+    let _ = tokio::time::timeout(DISCARD_TIMEOUT, read).await;
 }
 
 fn find_group(
@@ -172,17 +174,17 @@
 ) -> Result<(GroupKey, Option<u64>), RefusalReason> {
     let path = head.uri.path();
     if !MODEL_PATHS.contains(&path) {
-        let group = core.service_at(path).ok_or(RefusalReason::UnknownTarget)?;
+        let group = core.find_service(path).ok_or(RefusalReason::UnknownTarget)?;
         return Ok((group, None));
     }
     if head.method != Method::POST {
         return Err(RefusalReason::BadRequest);
     }
-    let call: ModelCall<'_> =
+    let call: ModelRequest<'_> =
         serde_json::from_slice(body).map_err(|_| RefusalReason::BadRequest)?;
     let text = call.messages.or(call.prompt).ok_or(RefusalReason::BadRequest)?.get();
-    let prefix = hash_bytes(&text.as_bytes()[..text.len().min(PREFIX_BYTES)]);
-    let group = core.model(&call.model).ok_or(RefusalReason::UnknownTarget)?;
+    let prefix = hash_bytes(&text.as_bytes()[..text.len().min(PROMPT_PREFIX_BYTES)]);
+    let group = core.find_model(&call.model).ok_or(RefusalReason::UnknownTarget)?;
     Ok((group, Some(prefix)))
 }
 
@@ -190,7 +192,7 @@
 ///
 /// A model's answer has no effect beyond itself. Of a service's methods those may that HTTP
 /// defines so, unless the configuration says otherwise.
-fn may_repeat(group: &GroupState, method: &Method) -> bool {
+fn is_idempotent(group: &GroupState, method: &Method) -> bool {
     match &group.kind {
         RouteKind::Model { .. } => true,
         RouteKind::Service { not_repeatable, .. } => {
--- a/crates/cherrystandd/src/relay/core.rs
+++ b/crates/cherrystandd/src/relay/core.rs
@@ -16,7 +16,7 @@
 use crate::state::{RouteGroup, RouteKind, RouteTarget};
 
 /// How many requests a new endpoint is sent at once at the start.
-const START_LIMIT: u32 = 32;
+const INITIAL_LIMIT: u32 = 32;
 
 /// What tells one endpoint from another: a replica under a new epoch is a new endpoint.
 type TargetId = (SocketAddr, Option<(ReplicaId, Epoch)>);
@@ -32,11 +32,11 @@
     /// Who waits for one of its endpoints.
     pub(crate) queue: WaitQueue,
     /// Wakes the one that has waited longest.
-    pub(crate) room: Rc<Notify>,
+    pub(crate) capacity_freed: Rc<Notify>,
     /// What its retries may cost.
-    pub(crate) budget: RetryBudget,
+    pub(crate) retry_budget: RetryBudget,
     /// How long its answers usually take to begin.
-    pub(crate) usual: TypicalLatency,
+    pub(crate) typical_latency: TypicalLatency,
     key: GroupKey,
     targets: BTreeMap<TargetId, EndpointKey>,
 }
@@ -51,7 +51,7 @@
 }
 
 /// An endpoint that is to be sent a request, which is counted there.
-pub(crate) struct Chosen {
+pub(crate) struct ChosenEndpoint {
     /// The endpoint.
     pub(crate) endpoint: EndpointKey,
     /// Where it is.
@@ -66,46 +66,46 @@
     pub(crate) admission: Admission,
     router: Router,
     groups: BTreeMap<GroupId, GroupState>,
-    ids: SecondaryMap<GroupKey, GroupId>,
+    group_ids: SecondaryMap<GroupKey, GroupId>,
     targets: SecondaryMap<EndpointKey, Target>,
     routes: Arc<Vec<RouteGroup>>,
-    seed: SeededRng,
+    rng: SeededRng,
 }
 
 impl RelayCore {
     /// Creates a relay without groups.
-    pub(crate) fn new(room: AdmissionLimits, seed: u64) -> Self {
+    pub(crate) fn new(limits: AdmissionLimits, seed: u64) -> Self {
         Self {
-            admission: Admission::new(room),
+            admission: Admission::new(limits),
             router: Router::default(),
             groups: BTreeMap::new(),
-            ids: SecondaryMap::new(),
+            group_ids: SecondaryMap::new(),
             targets: SecondaryMap::new(),
             routes: Arc::default(),
-            seed: SeededRng::new(seed),
+            rng: SeededRng::new(seed),
         }
     }
 
     /// Takes over the routes of a newer view.
-    pub(crate) fn follow(&mut self, routes: &Arc<Vec<RouteGroup>>, now: Millis) {
+    pub(crate) fn apply_routes(&mut self, routes: &Arc<Vec<RouteGroup>>, now: Millis) {
         if Arc::ptr_eq(&self.routes, routes) {
             return;
         }
         self.routes = routes.clone();
-        self.drop_groups(routes);
+        self.remove_missing_groups(routes);
         for group in routes.iter() {
-            self.follow_group(group, now);
+            self.apply_group(group, now);
         }
     }
 
     /// Returns a group's state.
     pub(crate) fn group(&self, key: GroupKey) -> Option<&GroupState> {
-        self.groups.get(self.ids.get(key)?)
+        self.groups.get(self.group_ids.get(key)?)
     }
 
     /// Returns a group's state, to change.
     pub(crate) fn group_mut(&mut self, key: GroupKey) -> Option<&mut GroupState> {
-        self.groups.get_mut(self.ids.get(key)?)
+        self.groups.get_mut(self.group_ids.get(key)?)
     }
 
     /// Returns all groups.
@@ -114,48 +114,50 @@
     }
 
     /// Finds the group that serves a model, named alone or with its workspace before it.
-    pub(crate) fn model(&self, asked: &str) -> Option<GroupKey> {
-        let (workspace, name) = match asked.split_once('/') {
-            Some((workspace, name)) => (Some(workspace), name),
-            None => (None, asked),
+    pub(crate) fn find_model(&self, name: &str) -> Option<GroupKey> {
+        let (workspace, model_name) = match name.split_once('/') {
+            Some((workspace, model_name)) => (Some(workspace), model_name),
+            None => (None, name),
         };
         let serves = |group: &&GroupState| {
-            let right = workspace.is_none_or(|id| id == group.id.workspace.as_str());
-            right && matches!(&group.kind, RouteKind::Model { model } if model == name)
+            let workspace_matches = workspace.is_none_or(|id| id == group.id.workspace.as_str());
+            workspace_matches
+                && matches!(&group.kind, RouteKind::Model { model } if model == model_name)
         };
         self.groups.values().find(serves).map(|group| group.key)
     }
 
     /// Finds the service with the longest prefix of a path.
-    pub(crate) fn service_at(&self, path: &str) -> Option<GroupKey> {
-        let length = |group: &GroupState| match &group.kind {
-            RouteKind::Service { prefix, .. } if covers(prefix, path) => Some(prefix.len()),
+    pub(crate) fn find_service(&self, path: &str) -> Option<GroupKey> {
+        let prefix_length = |group: &GroupState| match &group.kind {
+            RouteKind::Service { prefix, .. } if prefix_matches(prefix, path) => Some(prefix.len()),
             _ => None,
         };
-        let fitting = self.groups.values().filter_map(|group| Some((length(group)?, group.key)));
-        fitting.max_by_key(|(length, _)| *length).map(|(_, key)| key)
+        let matching =
+            self.groups.values().filter_map(|group| Some((prefix_length(group)?, group.key)));
+        matching.max_by_key(|(length, _)| *length).map(|(_, key)| key)
     }
 
     /// Chooses an endpoint and counts the request as on its way to it.
-    pub(crate) fn start(
+    pub(crate) fn start_attempt(
         &mut self,
         group: GroupKey,
         prefix: Option<u64>,
         now: Millis,
-    ) -> Result<Chosen, NoEndpoint> {
-        let key = self.router.choose(group, prefix, now, &mut self.seed)?;
+    ) -> Result<ChosenEndpoint, NoEndpoint> {
+        let key = self.router.choose(group, prefix, now, &mut self.rng)?;
         let target = self.targets.get(key).ok_or(NoEndpoint::NoneServing)?.clone();
         let permit = self.router.start(key, now).ok_or(NoEndpoint::NoneServing)?;
-        Ok(Chosen { endpoint: key, target, permit })
+        Ok(ChosenEndpoint { endpoint: key, target, permit })
     }
 
     /// Takes in that an endpoint asked to be left alone, as it turned a request away.
-    pub(crate) fn record_backoff(&mut self, endpoint: EndpointKey, asked: Millis, now: Millis) {
-        self.router.record_backoff(endpoint, asked, now);
+    pub(crate) fn record_backoff(&mut self, endpoint: EndpointKey, requested: Millis, now: Millis) {
+        self.router.record_backoff(endpoint, requested, now);
     }
 
     /// Counts a request as ended at its endpoint and lets the next one in.
-    pub(crate) fn finish(
+    pub(crate) fn finish_attempt(
         &mut self,
         group: GroupKey,
         endpoint: EndpointKey,
@@ -166,65 +168,65 @@
         self.router.finish(endpoint, end, now, first_byte);
         if let Some(group) = self.group_mut(group) {
             group.queue.record_completion(now);
-            if let Some(took) = first_byte {
-                group.usual.record(took);
+            if let Some(latency) = first_byte {
+                group.typical_latency.record(latency);
             }
-            group.room.notify_one();
+            group.capacity_freed.notify_one();
         }
     }
 
     /// Tells whether requests are still sent to an endpoint.
-    pub(crate) fn serves(&self, endpoint: EndpointKey) -> bool {
+    pub(crate) fn has_endpoint(&self, endpoint: EndpointKey) -> bool {
         self.targets.contains_key(endpoint)
     }
 
     /// Returns the usual time until an endpoint's answer begins.
-    pub(crate) fn usual(&self, endpoint: EndpointKey) -> Millis {
+    pub(crate) fn typical_latency(&self, endpoint: EndpointKey) -> Millis {
         self.router.typical_latency(endpoint)
     }
 
-    fn drop_groups(&mut self, routes: &[RouteGroup]) {
-        let gone: Vec<GroupId> = self
+    fn remove_missing_groups(&mut self, routes: &[RouteGroup]) {
+        let removed: Vec<GroupId> = self
             .groups
             .keys()
             .filter(|id| !routes.iter().any(|group| &group.id == *id))
             .cloned()
             .collect();
-        for id in gone {
+        for id in removed {
             if let Some(group) = self.groups.remove(&id) {
                 self.router.remove_group(group.key);
-                self.ids.remove(group.key);
+                self.group_ids.remove(group.key);
             }
         }
     }
 
-    fn follow_group(&mut self, route: &RouteGroup, now: Millis) {
+    fn apply_group(&mut self, route: &RouteGroup, now: Millis) {
         let mut group = self.groups.remove(&route.id).unwrap_or_else(|| GroupState {
             id: route.id.clone(),
             class: route.class,
             kind: route.kind.clone(),
             queue: WaitQueue::default(),
-            room: Rc::default(),
-            budget: RetryBudget::default(),
-            usual: TypicalLatency::default(),
+            capacity_freed: Rc::default(),
+            retry_budget: RetryBudget::default(),
+            typical_latency: TypicalLatency::default(),
             key: self.router.add_group(),
             targets: BTreeMap::new(),
         });
         group.class = route.class;
         group.kind = route.kind.clone();
-        self.ids.insert(group.key, route.id.clone());
-        self.drop_targets(&mut group, route);
+        self.group_ids.insert(group.key, route.id.clone());
+        self.remove_missing_targets(&mut group, route);
         for target in &route.targets {
-            self.follow_target(&mut group, target, now);
+            self.apply_target(&mut group, target, now);
         }
         self.groups.insert(route.id.clone(), group);
     }
 
-    fn drop_targets(&mut self, group: &mut GroupState, route: &RouteGroup) {
-        let stays = |id: &TargetId| route.targets.iter().any(|target| id_of(target) == *id);
+    fn remove_missing_targets(&mut self, group: &mut GroupState, route: &RouteGroup) {
+        let is_listed = |id: &TargetId| route.targets.iter().any(|target| target_id(target) == *id);
         let (router, targets) = (&mut self.router, &mut self.targets);
         group.targets.retain(|id, key| {
-            let keep = stays(id);
+            let keep = is_listed(id);
             if !keep {
                 router.remove_endpoint(*key);
                 targets.remove(*key);
@@ -233,18 +235,18 @@
         });
     }
 
-    fn follow_target(&mut self, group: &mut GroupState, target: &RouteTarget, now: Millis) {
+    fn apply_target(&mut self, group: &mut GroupState, target: &RouteTarget, now: Millis) {
         let (router, targets) = (&mut self.router, &mut self.targets);
-        let key = *group.targets.entry(id_of(target)).or_insert_with(|| {
+        let key = *group.targets.entry(target_id(target)).or_insert_with(|| {
             let spec = EndpointSpec {
                 near: target.near,
-                initial_limit: START_LIMIT,
+                initial_limit: INITIAL_LIMIT,
                 max_limit: target.max_limit,
             };
             let key = router.add_endpoint(group.key, spec);
-            let (address, replica) = id_of(target);
+            let (address, replica) = target_id(target);
             targets.insert(key, Target { address, replica });
-            group.room.notify_one();
+            group.capacity_freed.notify_one();
             key
         });
         if let Some(load) = target.load {
@@ -253,11 +255,11 @@
     }
 }
 
-fn id_of(target: &RouteTarget) -> TargetId {
+fn target_id(target: &RouteTarget) -> TargetId {
     (target.address, target.replica.clone())
 }
 
-fn covers(prefix: &str, path: &str) -> bool {
+fn prefix_matches(prefix: &str, path: &str) -> bool {
     let Some(rest) = path.strip_prefix(prefix) else {
         return false;
     };
--- a/crates/cherrystandd/src/relay/headers.rs
+++ b/crates/cherrystandd/src/relay/headers.rs
@@ -23,49 +23,52 @@
 pub(crate) const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
 
 /// The longest id or key that is taken, in bytes.
-const LONGEST_NAME: usize = 256;
+const MAX_NAME_BYTES: usize = 256;
 
 /// The longest deadline that is taken.
-const LONGEST_DEADLINE: Millis = Millis(3_600_000);
+const MAX_DEADLINE: Millis = Millis(3_600_000);
 
 /// Tells that a header's value is not one that it may have.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct BadHeader;
+pub(crate) struct InvalidHeader;
 
 /// Returns the text of a header that names something.
-pub(crate) fn name_in(headers: &HeaderMap, name: &HeaderName) -> Result<Option<String>, BadHeader> {
+pub(crate) fn read_name(
+    headers: &HeaderMap,
+    name: &HeaderName,
+) -> Result<Option<String>, InvalidHeader> {
     let Some(value) = headers.get(name) else {
         return Ok(None);
     };
-    let text = value.to_str().map_err(|_| BadHeader)?;
-    if text.is_empty() || text.len() > LONGEST_NAME {
-        return Err(BadHeader);
+    let text = value.to_str().map_err(|_| InvalidHeader)?;
+    if text.is_empty() || text.len() > MAX_NAME_BYTES {
+        return Err(InvalidHeader);
     }
     Ok(Some(text.to_owned()))
 }
 
 /// Returns how long the caller will wait, where it says so.
-pub(crate) fn deadline_in(headers: &HeaderMap) -> Result<Option<Millis>, BadHeader> {
-    let Some(text) = name_in(headers, &DEADLINE_MS)? else {
+pub(crate) fn read_deadline(headers: &HeaderMap) -> Result<Option<Millis>, InvalidHeader> {
+    let Some(text) = read_name(headers, &DEADLINE_MS)? else {
         return Ok(None);
     };
-    let span: u64 = text.parse().map_err(|_| BadHeader)?;
-    Ok(Some(Millis(span).min(LONGEST_DEADLINE)))
+    let timeout: u64 = text.parse().map_err(|_| InvalidHeader)?;
+    Ok(Some(Millis(timeout).min(MAX_DEADLINE)))
 }
 
 /// Takes out the headers that concern one connection only.
-pub(crate) fn strip_connection(headers: &mut HeaderMap) {
-    let named: Vec<HeaderName> = headers
+pub(crate) fn remove_hop_by_hop_headers(headers: &mut HeaderMap) {
+    let connection_options: Vec<HeaderName> = headers
         .get_all(CONNECTION)
         .iter()
         .filter_map(|value| value.to_str().ok())
         .flat_map(|value| value.split(','))
         .filter_map(|name| name.trim().parse().ok())
         .collect();
-    for name in named {
+    for name in connection_options {
         headers.remove(name);
     }
-    let fixed = [
+    let hop_by_hop = [
         CONNECTION,
         PROXY_AUTHENTICATE,
         PROXY_AUTHORIZATION,
@@ -75,21 +78,21 @@
         UPGRADE,
         HeaderName::from_static("keep-alive"),
     ];
-    for name in fixed {
+    for name in hop_by_hop {
         headers.remove(name);
     }
 }
 
 /// Makes the headers of an attempt from those of the caller's request.
-pub(crate) fn for_attempt(
+pub(crate) fn attempt_headers(
     caller: &HeaderMap,
     host: &str,
     request: &str,
-    remaining: Millis,
+    remaining_time: Millis,
     epoch: Option<u64>,
 ) -> HeaderMap {
     let mut headers = caller.clone();
-    strip_connection(&mut headers);
+    remove_hop_by_hop_headers(&mut headers);
     headers.remove(CONTENT_LENGTH);
     headers.remove(cherrystand_platform::EPOCH_HEADER);
     let mut set = |name: HeaderName, value: &str| {
@@ -99,7 +102,7 @@
     };
     set(HOST, host);
     set(REQUEST_ID, request);
-    set(DEADLINE_MS, &remaining.0.to_string());
+    set(DEADLINE_MS, &remaining_time.0.to_string());
     if let Some(epoch) = epoch {
         let name = HeaderName::from_static(cherrystand_platform::EPOCH_HEADER);
         set(name, &epoch.to_string());
--- a/crates/cherrystandd/src/relay/relay_state.rs
+++ b/crates/cherrystandd/src/relay/relay_state.rs
@@ -12,15 +12,15 @@
 use crate::relay::call::Call;
 use crate::relay::core::RelayCore;
 use crate::relay::headers;
-use crate::relay::notes::{Notes, RequestNote};
+use crate::relay::request_history::{RequestHistory, RequestRecord};
 use crate::state::View;
 use crate::{DutyContext, clock};
 
 /// A view older than this tells that the process was paused or its state duty is held up.
-pub(crate) const VIEW_LIFE: Millis = Millis(1_500);
+pub(crate) const MAX_VIEW_AGE: Millis = Millis(1_500);
 
 /// How long a request waits for a newer view.
-const NEW_VIEW_WITHIN: Duration = Duration::from_millis(300);
+const VIEW_REFRESH_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Serves callers on one thread.
 pub(crate) struct Relay {
@@ -31,19 +31,19 @@
     /// Its connections to endpoints.
     pub(crate) pool: EndpointPool,
     /// What it decided lately.
-    pub(crate) notes: RefCell<Notes>,
-    made: Cell<u64>,
+    pub(crate) history: RefCell<RequestHistory>,
+    next_id: Cell<u64>,
 }
 
 impl Relay {
     /// Creates a relay that knows no group yet.
     pub(crate) fn new(cx: DutyContext) -> Self {
-        let room = cx.settings.limits.admission_limits();
+        let limits = cx.settings.limits.admission_limits();
         Self {
-            core: RefCell::new(RelayCore::new(room, clock::unix_millis())),
+            core: RefCell::new(RelayCore::new(limits, clock::unix_millis())),
             pool: EndpointPool::default(),
-            notes: RefCell::default(),
-            made: Cell::new(0),
+            history: RefCell::default(),
+            next_id: Cell::new(0),
             cx,
         }
     }
@@ -54,8 +54,13 @@
     }
 
     /// Remembers what became of a request.
-    pub(crate) fn note_end(&self, call: &Call, outcome: Outcome, refusal: Option<RefusalReason>) {
-        self.notes.borrow_mut().push(RequestNote {
+    pub(crate) fn record_outcome(
+        &self,
+        call: &Call,
+        outcome: Outcome,
+        refusal: Option<RefusalReason>,
+    ) {
+        self.history.borrow_mut().push(RequestRecord {
             request: call.id.clone(),
             group: call.group_id.to_string(),
             attempts: call.attempts.take(),
@@ -66,28 +71,28 @@
 
     /// Returns the id that the caller gave the request, or a new one.
     pub(crate) fn request_id(&self, req: &Request<Incoming>) -> Result<String, RefusalReason> {
-        let kept = headers::name_in(req.headers(), &headers::REQUEST_ID);
-        let kept = kept.map_err(|_| RefusalReason::BadRequest)?;
-        Ok(kept.unwrap_or_else(|| self.make_id()))
+        let caller_id = headers::read_name(req.headers(), &headers::REQUEST_ID);
+        let caller_id = caller_id.map_err(|_| RefusalReason::BadRequest)?;
+        Ok(caller_id.unwrap_or_else(|| self.generate_id()))
     }
 
-    fn make_id(&self) -> String {
-        let number = self.made.get();
-        self.made.set(number + 1);
+    fn generate_id(&self) -> String {
+        let number = self.next_id.get();
+        self.next_id.set(number + 1);
         let own = &self.cx.current_view().own;
         format!("{}-{:x}-{number:x}", own.node, own.incarnation.0)
     }
 
     /// Returns the newest view, waiting a moment for one where the last one is old.
     pub(crate) async fn fresh_view(&self) -> Option<Arc<View>> {
-        let is_fresh = |view: &View| self.now().since(view.made_at) <= VIEW_LIFE;
+        let is_fresh = |view: &View| self.now().since(view.made_at) <= MAX_VIEW_AGE;
         let mut view = self.cx.view.clone();
         let known = view.borrow().clone();
         if is_fresh(&known) {
             return Some(known);
         }
         let newer = view.wait_for(|view| is_fresh(view));
-        let newer = tokio::time::timeout(NEW_VIEW_WITHIN, newer).await.ok()?.ok()?;
+        let newer = tokio::time::timeout(VIEW_REFRESH_TIMEOUT, newer).await.ok()?.ok()?;
         Some(newer.clone())
     }
 }
--- a/crates/cherrystandd/src/relay/flow.rs
+++ b/crates/cherrystandd/src/relay/request_handler.rs
@@ -11,23 +11,23 @@
 use hyper::{Method, Request, Response, StatusCode};
 
 use crate::claims;
-use crate::relay::admitted::Admitted;
-use crate::relay::answer::{self, Failure, come_back, plain_text};
-use crate::relay::attempt::{Begun, InFlight, attempt};
+use crate::relay::active_attempt::{ActiveAttempt, StartedAnswer, run_attempt};
+use crate::relay::admitted_request::AdmittedRequest;
+use crate::relay::answer::{self, Failure, plain_text, retry_later};
 use crate::relay::body::RelayBody;
 use crate::relay::call::{Call, read_call};
 use crate::relay::headers;
+use crate::relay::queued_request::wait_for_endpoint;
 use crate::relay::relay_state::Relay;
 use crate::relay::status_pages::{metrics, models, readiness};
 use crate::relay::stream::RelayedStream;
-use crate::relay::waiting::next_endpoint;
 
-/// A repeatable call to a service is sent to a second endpoint once its answer is this many
-/// times as late as usual.
-const HEDGE_FACTOR: u64 = 3;
+/// A is_idempotent call to a service is sent to a second endpoint once its answer is this many
+/// times as late as typical_latency.
+const HEDGE_LATENCY_FACTOR: u64 = 3;
 
 /// The least and the most time before a second endpoint is asked.
-const HEDGE_WITHIN: (Millis, Millis) = (Millis(15), Millis(250));
+const HEDGE_DELAY_RANGE: (Millis, Millis) = (Millis(15), Millis(250));
 
 /// Answers one request of a caller, or of the balancer.
 pub(crate) async fn handle(relay: Rc<Relay>, req: Request<Incoming>) -> Response<RelayBody> {
@@ -43,20 +43,20 @@
 async fn serve(relay: Rc<Relay>, req: Request<Incoming>) -> Response<RelayBody> {
     let id = match relay.request_id(&req) {
         Ok(id) => id,
-        Err(reason) => return fail(&relay, &Failure::never(reason), ""),
+        Err(reason) => return respond_with_failure(&relay, &Failure::permanent(reason), ""),
     };
     match serve_call(&relay, req, id.clone()).await {
         Ok(answer) => answer,
-        Err(failure) => fail(&relay, &failure, &id),
+        Err(failure) => respond_with_failure(&relay, &failure, &id),
     }
 }
 
-fn fail(relay: &Relay, failure: &Failure, id: &str) -> Response<RelayBody> {
+fn respond_with_failure(relay: &Relay, failure: &Failure, id: &str) -> Response<RelayBody> {
     let reason = failure.refusal.reason.as_str();
     relay.cx.metrics.refusals.with_label_values(&[reason]).inc();
-    let made = answer::failure(failure, id);
-    relay.cx.metrics.record_answer(failure.outcome, made.status().as_u16());
-    made
+    let response = answer::failure_response(failure, id);
+    relay.cx.metrics.record_answer(failure.outcome, response.status().as_u16());
+    response
 }
 
 async fn serve_call(
@@ -67,14 +67,14 @@
     let view = relay.fresh_view().await;
     let view = view
         .filter(|view| view.serve_by.may_serve())
-        .ok_or_else(|| come_back(RefusalReason::ConfigurationOld))?;
-    relay.core.borrow_mut().follow(&view.routes, relay.now());
-    let call = read_call(&relay.cx, &relay.core, req, id).await.map_err(Failure::never)?;
+        .ok_or_else(|| retry_later(RefusalReason::ConfigurationOld))?;
+    relay.core.borrow_mut().apply_routes(&view.routes, relay.now());
+    let call = read_call(&relay.cx, &relay.core, req, id).await.map_err(Failure::permanent)?;
     let call = Rc::new(call);
     relay.cx.metrics.requests.with_label_values(&[call.class.as_str()]).inc();
-    let mut admitted = Admitted::enter(relay, &call).map_err(Failure::not_run)?;
+    let mut admitted = AdmittedRequest::admit(relay, &call).map_err(Failure::not_run)?;
     match run_call(relay, &call, &mut admitted).await {
-        Ok(begun) => Ok(pass_on(relay, &call, begun, admitted)),
+        Ok(started) => Ok(relay_answer(relay, &call, started, admitted)),
         Err(failure) => {
             admitted.end(failure.outcome, Some(failure.refusal.reason));
             Err(failure)
@@ -85,156 +85,158 @@
 async fn run_call(
     relay: &Rc<Relay>,
     call: &Rc<Call>,
-    admitted: &mut Admitted,
-) -> Result<Begun, Failure> {
-    let asked = relay.now();
+    admitted: &mut AdmittedRequest,
+) -> Result<StartedAnswer, Failure> {
+    let arrived_at = relay.now();
     if let Some(key) = call.key {
-        claim(relay, call, key).await?;
+        acquire_claim(relay, call, key).await?;
         admitted.claimed = true;
     }
     let mut attempts = 0;
     if let Some(group) = relay.core.borrow_mut().group_mut(call.group) {
-        group.budget.earn();
+        group.retry_budget.earn();
     }
     loop {
-        let chosen = next_endpoint(relay, call).await?;
+        let chosen = wait_for_endpoint(relay, call).await?;
         let endpoint = chosen.endpoint;
-        let in_flight = InFlight::start(relay.clone(), call.clone(), chosen);
+        let attempt = ActiveAttempt::start(relay.clone(), call.clone(), chosen);
         attempts += 1;
-        if call.key.is_some() && relay.now().since(asked) > CLAIM_USE_TIMEOUT {
+        if call.key.is_some() && relay.now().since(arrived_at) > CLAIM_USE_TIMEOUT {
             // Nothing was sent; a claim this old is given up rather than used.
-            return Err(come_back(RefusalReason::KeysOutOfReach));
+            return Err(retry_later(RefusalReason::KeysOutOfReach));
         }
-        let usual = relay.core.borrow().usual(endpoint);
-        let end = match try_endpoint(relay, call, in_flight, usual).await {
-            Ok(begun) => return Ok(begun),
+        let typical_latency = relay.core.borrow().typical_latency(endpoint);
+        let end = match attempt_with_hedge(relay, call, attempt, typical_latency).await {
+            Ok(started) => return Ok(started),
             Err(end) => end,
         };
-        after_failure(relay, call, end, attempts, usual)?;
+        check_retry(relay, call, end, attempts, typical_latency)?;
         let retries = &relay.cx.metrics.retries;
         retries.with_label_values(&[end.as_str()]).inc();
     }
 }
 
 /// Claims a keyed call, within the caller's deadline.
-async fn claim(relay: &Relay, call: &Call, key: IdempotencyKey) -> Result<(), Failure> {
+async fn acquire_claim(relay: &Relay, call: &Call, key: IdempotencyKey) -> Result<(), Failure> {
     let remaining = Duration::from_millis(call.deadline.since(relay.now()).0);
     let answer = tokio::time::timeout(remaining, claims::acquire(&relay.cx, key)).await;
     match answer.ok().flatten() {
         Some(ClaimResponse::Granted) => Ok(()),
-        Some(ClaimResponse::AlreadyClaimed(claim)) => Err(Failure::claimed(&claim)),
+        Some(ClaimResponse::AlreadyClaimed(claim)) => Err(Failure::already_claimed(&claim)),
         // Should the claim yet be written, it stays: this daemon may hold the key for an earlier
         // sending that still runs, and giving it up here would let another daemon run it again.
         Some(ClaimResponse::ShardFull | ClaimResponse::Recorded) | None => {
-            Err(come_back(RefusalReason::KeysOutOfReach))
+            Err(retry_later(RefusalReason::KeysOutOfReach))
         }
     }
 }
 
 /// Makes one attempt, and a second one beside it where the first is late and may be repeated.
-async fn try_endpoint(
+async fn attempt_with_hedge(
     relay: &Rc<Relay>,
     call: &Rc<Call>,
-    in_flight: InFlight,
-    usual: Millis,
-) -> Result<Begun, AttemptEnd> {
-    let may_hedge = call.repeatable && !call.is_model;
-    let mut first = std::pin::pin!(attempt(in_flight, may_hedge));
+    attempt: ActiveAttempt,
+    typical_latency: Millis,
+) -> Result<StartedAnswer, AttemptEnd> {
+    let may_hedge = call.is_idempotent && !call.is_model;
+    let mut first = std::pin::pin!(run_attempt(attempt, may_hedge));
     if !may_hedge {
         return first.await;
     }
-    let late = Millis(usual.0 * HEDGE_FACTOR).clamp(HEDGE_WITHIN.0, HEDGE_WITHIN.1);
-    if let Ok(done) = tokio::time::timeout(Duration::from_millis(late.0), &mut first).await {
+    let hedge_delay = Millis(typical_latency.0 * HEDGE_LATENCY_FACTOR)
+        .clamp(HEDGE_DELAY_RANGE.0, HEDGE_DELAY_RANGE.1);
+    if let Ok(done) = tokio::time::timeout(Duration::from_millis(hedge_delay.0), &mut first).await {
         return done;
     }
-    let Some(second) = second_endpoint(relay, call) else {
+    let Some(second) = start_hedge(relay, call) else {
         return first.await;
     };
-    let mut second = std::pin::pin!(attempt(second, true));
+    let mut second = std::pin::pin!(run_attempt(second, true));
     let (done, first_done) = tokio::select! {
         done = &mut first => (done, true),
         done = &mut second => (done, false),
     };
     match done {
-        Ok(begun) => Ok(begun),
+        Ok(started) => Ok(started),
         Err(_) if first_done => second.await,
         Err(_) => first.await,
     }
 }
 
-fn second_endpoint(relay: &Rc<Relay>, call: &Rc<Call>) -> Option<InFlight> {
+fn start_hedge(relay: &Rc<Relay>, call: &Rc<Call>) -> Option<ActiveAttempt> {
     let mut core = relay.core.borrow_mut();
     let group = core.group_mut(call.group)?;
-    if !group.budget.spend() {
+    if !group.retry_budget.spend() {
         return None;
     }
-    let chosen = core.start(call.group, None, relay.now()).ok()?;
+    let chosen = core.start_attempt(call.group, None, relay.now()).ok()?;
     drop(core);
     relay.cx.metrics.retries.with_label_values(&[AttemptEnd::Overtaken.as_str()]).inc();
-    Some(InFlight::start(relay.clone(), call.clone(), chosen))
+    Some(ActiveAttempt::start(relay.clone(), call.clone(), chosen))
 }
 
 /// Lets the caller of this function try again, or says what the request's caller is told.
-fn after_failure(
+fn check_retry(
     relay: &Relay,
     call: &Call,
     end: AttemptEnd,
     attempts: u32,
-    usual: Millis,
+    typical_latency: Millis,
 ) -> Result<(), Failure> {
-    let failed = FailedAttempt {
+    let failed_attempt = FailedAttempt {
         end,
         attempts,
-        is_idempotent: call.repeatable,
+        is_idempotent: call.is_idempotent,
         answer_started: false,
         can_resend: true,
         remaining: call.deadline.since(relay.now()),
-        typical_duration: usual,
+        typical_duration: typical_latency,
     };
     let mut core = relay.core.borrow_mut();
     let Some(group) = core.group_mut(call.group) else {
-        return Err(failure_after(end));
+        return Err(failure_from(end));
     };
-    decide_retry(&failed, &mut group.budget).map_err(|reason: NoRetry| {
-        let withheld = &relay.cx.metrics.retries_withheld;
-        withheld.with_label_values(&[reason.as_str()]).inc();
-        failure_after(end)
+    decide_retry(&failed_attempt, &mut group.retry_budget).map_err(|reason: NoRetry| {
+        let rejected = &relay.cx.metrics.retries_withheld;
+        rejected.with_label_values(&[reason.as_str()]).inc();
+        failure_from(end)
     })
 }
 
-fn failure_after(end: AttemptEnd) -> Failure {
+fn failure_from(end: AttemptEnd) -> Failure {
     let reason = match end {
         AttemptEnd::TimedOut => RefusalReason::DeadlinePassed,
         _ => RefusalReason::EndpointsFailed,
     };
     match end.outcome() {
-        Outcome::NotRun => come_back(reason),
+        Outcome::NotRun => retry_later(reason),
         _ => Failure::unknown(reason),
     }
 }
 
 /// Makes the answer to the caller from the endpoint's.
-fn pass_on(
+fn relay_answer(
     relay: &Relay,
     call: &Call,
-    begun: Begun,
-    mut admitted: Admitted,
+    started: StartedAnswer,
+    mut admitted: AdmittedRequest,
 ) -> Response<RelayBody> {
-    let events = begun.is_event_stream();
-    let Begun { mut head, held, rest, in_flight } = begun;
-    headers::strip_connection(&mut head.headers);
-    let body = match rest {
+    let is_event_stream = started.is_event_stream();
+    let StartedAnswer { mut head, buffered, remaining_body, attempt } = started;
+    headers::remove_hop_by_hop_headers(&mut head.headers);
+    let body = match remaining_body {
         None => {
             admitted.end(Outcome::Ran, None);
-            RelayBody::whole(held)
+            RelayBody::whole(buffered)
         }
-        Some(rest) => {
-            let stream = RelayedStream::new(held, rest, events, in_flight, admitted);
+        Some(remaining_body) => {
+            let stream =
+                RelayedStream::new(buffered, remaining_body, is_event_stream, attempt, admitted);
             RelayBody::Stream(Box::new(stream))
         }
     };
-    let mut made = Response::from_parts(head, body);
-    answer::label(&mut made, Outcome::Ran, &call.id);
-    relay.cx.metrics.record_answer(Outcome::Ran, made.status().as_u16());
-    made
+    let mut response = Response::from_parts(head, body);
+    answer::set_outcome_headers(&mut response, Outcome::Ran, &call.id);
+    relay.cx.metrics.record_answer(Outcome::Ran, response.status().as_u16());
+    response
 }
--- a/crates/cherrystandd/src/relay/notes.rs
+++ b/crates/cherrystandd/src/relay/request_history.rs
@@ -6,11 +6,11 @@
 use tokio::sync::oneshot;
 
 /// How many requests are remembered.
-const REMEMBERED: usize = 2_048;
+const HISTORY_CAPACITY: usize = 2_048;
 
 /// Says what was decided for one request.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub(crate) struct RequestNote {
+pub(crate) struct RequestRecord {
     /// The request's id.
     pub request: String,
     /// The group that it went to.
@@ -25,30 +25,30 @@
 
 /// Asks the relay what it remembers of a request.
 #[derive(Debug)]
-pub(crate) struct NoteQuestion {
+pub(crate) struct RequestLookup {
     /// The request's id.
     pub(crate) request: String,
     /// Where the answer goes.
-    pub(crate) reply: oneshot::Sender<Option<RequestNote>>,
+    pub(crate) reply: oneshot::Sender<Option<RequestRecord>>,
 }
 
 /// Remembers the last requests.
 #[derive(Debug, Default)]
-pub(crate) struct Notes {
-    notes: VecDeque<RequestNote>,
+pub(crate) struct RequestHistory {
+    records: VecDeque<RequestRecord>,
 }
 
-impl Notes {
-    /// Adds a note, forgetting the oldest.
-    pub(crate) fn push(&mut self, note: RequestNote) {
-        if self.notes.len() >= REMEMBERED {
-            self.notes.pop_front();
+impl RequestHistory {
+    /// Adds a record, forgetting the oldest.
+    pub(crate) fn push(&mut self, record: RequestRecord) {
+        if self.records.len() >= HISTORY_CAPACITY {
+            self.records.pop_front();
         }
-        self.notes.push_back(note);
+        self.records.push_back(record);
     }
 
-    /// Finds the newest note of a request.
-    pub(crate) fn find(&self, request: &str) -> Option<&RequestNote> {
-        self.notes.iter().rev().find(|note| note.request == request)
+    /// Finds the newest record of a request.
+    pub(crate) fn find(&self, request: &str) -> Option<&RequestRecord> {
+        self.records.iter().rev().find(|record| record.request == request)
     }
 }
--- a/crates/cherrystandd/src/relay/status_pages.rs
+++ b/crates/cherrystandd/src/relay/status_pages.rs
@@ -6,17 +6,17 @@
 use crate::StopPhase;
 use crate::relay::answer::{json as json_answer, plain_text};
 use crate::relay::body::RelayBody;
-use crate::relay::relay_state::{Relay, VIEW_LIFE};
+use crate::relay::relay_state::{MAX_VIEW_AGE, Relay};
 use crate::state::RouteKind;
 
 /// Tells whether the node takes requests.
 pub(crate) fn readiness(relay: &Relay) -> Response<RelayBody> {
     let view = relay.cx.current_view();
-    let fresh = relay.now().since(view.made_at) <= VIEW_LIFE;
+    let is_fresh = relay.now().since(view.made_at) <= MAX_VIEW_AGE;
     if relay.cx.stop_phase() > StopPhase::Running {
         return plain_text(StatusCode::SERVICE_UNAVAILABLE, "stopping\n");
     }
-    if !fresh || !view.serve_by.may_serve() {
+    if !is_fresh || !view.serve_by.may_serve() {
         let text = format!("not ready: {:?}\n", view.serve_by);
         return plain_text(StatusCode::SERVICE_UNAVAILABLE, text);
     }
@@ -34,7 +34,7 @@
 /// Lists the models that can be asked for.
 pub(crate) fn models(relay: &Relay) -> Response<RelayBody> {
     let view = relay.cx.current_view();
-    relay.core.borrow_mut().follow(&view.routes, relay.now());
+    relay.core.borrow_mut().apply_routes(&view.routes, relay.now());
     let core = relay.core.borrow();
     let models = core.groups().filter_map(|group| match &group.kind {
         RouteKind::Model { model } => Some(json!({
@@ -42,6 +42,6 @@
         })),
         RouteKind::Service { .. } => None,
     });
-    let list = json!({"object": "list", "data": models.collect::<Vec<_>>()});
-    json_answer(StatusCode::OK, &list)
+    let model_list = json!({"object": "list", "data": models.collect::<Vec<_>>()});
+    json_answer(StatusCode::OK, &model_list)
 }
--- a/crates/cherrystandd/src/relay/stream.rs
+++ b/crates/cherrystandd/src/relay/stream.rs
@@ -10,58 +10,58 @@
 use hyper::body::{Body, Frame};
 use tokio::time::Sleep;
 
-use crate::relay::admitted::Admitted;
-use crate::relay::attempt::InFlight;
+use crate::relay::active_attempt::ActiveAttempt;
+use crate::relay::admitted_request::AdmittedRequest;
 
 /// How often a stream that brings nothing looks whether its answer can still come.
 ///
 /// Silence alone ends no answer: one that paused for 10 s was broken off though its replica served.
-const LOOK_EVERY: Duration = Duration::from_secs(10);
+const SILENCE_CHECK_INTERVAL: Duration = Duration::from_secs(10);
 
 /// What a caller of a stream of events gets when the stream breaks.
 ///
 /// The end marker of a whole stream never follows it.
-const BROKEN_EVENT: &str = "event: error\ndata: {\"error\":{\"reason\":\"answer-cut\",\
+const INTERRUPTED_EVENT: &str = "event: error\ndata: {\"error\":{\"reason\":\"answer-cut\",\
     \"outcome\":\"unknown\",\"message\":\"The answer broke off; it may have been run.\"}}\n\n";
 
 /// Passes on the rest of an answer, a frame at a time as the caller takes them.
 pub(crate) struct RelayedStream {
-    held: Option<Bytes>,
-    rest: Option<PooledBody>,
-    events: bool,
-    silence: Pin<Box<Sleep>>,
-    in_flight: InFlight,
-    admitted: Admitted,
+    buffered: Option<Bytes>,
+    remaining_body: Option<PooledBody>,
+    is_event_stream: bool,
+    silence_timer: Pin<Box<Sleep>>,
+    attempt: ActiveAttempt,
+    admitted: AdmittedRequest,
 }
 
 impl RelayedStream {
     /// Begins to pass on an answer.
     pub(crate) fn new(
-        held: Bytes,
-        rest: PooledBody,
-        events: bool,
-        in_flight: InFlight,
-        admitted: Admitted,
+        buffered: Bytes,
+        remaining_body: PooledBody,
+        is_event_stream: bool,
+        attempt: ActiveAttempt,
+        admitted: AdmittedRequest,
     ) -> Self {
         Self {
-            held: (!held.is_empty()).then_some(held),
-            rest: Some(rest),
-            events,
-            silence: Box::pin(tokio::time::sleep(LOOK_EVERY)),
-            in_flight,
+            buffered: (!buffered.is_empty()).then_some(buffered),
+            remaining_body: Some(remaining_body),
+            is_event_stream,
+            silence_timer: Box::pin(tokio::time::sleep(SILENCE_CHECK_INTERVAL)),
+            attempt,
             admitted,
         }
     }
 
     fn end(&mut self, end: AttemptEnd, outcome: Outcome) {
-        self.rest = None;
-        self.in_flight.end(end);
+        self.remaining_body = None;
+        self.attempt.end(end);
         self.admitted.end(outcome, None);
     }
 
-    fn look_later(&mut self) {
+    fn reset_silence_timer(&mut self) {
         // Whether its time is over is looked up on the daemon's clock.
-        self.silence.set(tokio::time::sleep(LOOK_EVERY));
+        self.silence_timer.set(tokio::time::sleep(SILENCE_CHECK_INTERVAL));
     }
 
     /// Waits on, until the caller's time is over or the endpoint is out of service.
@@ -69,23 +69,23 @@
         &mut self,
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, std::io::Error>>> {
-        while self.silence.as_mut().poll(cx).is_ready() {
-            if !self.in_flight.is_in_service() {
-                return self.break_off(AttemptEnd::ReplicaLost);
+        while self.silence_timer.as_mut().poll(cx).is_ready() {
+            if !self.attempt.is_in_service() {
+                return self.interrupt(AttemptEnd::ReplicaLost);
             }
-            if self.in_flight.is_overdue() {
-                return self.break_off(AttemptEnd::TimedOut);
+            if self.attempt.is_past_deadline() {
+                return self.interrupt(AttemptEnd::TimedOut);
             }
-            self.look_later();
+            self.reset_silence_timer();
         }
         Poll::Pending
     }
 
     /// Tells the caller that the answer broke off: by an event, or by cutting the connection.
-    fn break_off(&mut self, end: AttemptEnd) -> Poll<Option<Result<Frame<Bytes>, std::io::Error>>> {
+    fn interrupt(&mut self, end: AttemptEnd) -> Poll<Option<Result<Frame<Bytes>, std::io::Error>>> {
         self.end(end, Outcome::Unknown);
-        if self.events {
-            let event = Bytes::from_static(BROKEN_EVENT.as_bytes());
+        if self.is_event_stream {
+            let event = Bytes::from_static(INTERRUPTED_EVENT.as_bytes());
             return Poll::Ready(Some(Ok(Frame::data(event))));
         }
         Poll::Ready(Some(Err(std::io::ErrorKind::ConnectionAborted.into())))
@@ -100,22 +100,22 @@
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, std::io::Error>>> {
-        if let Some(held) = self.held.take() {
-            return Poll::Ready(Some(Ok(Frame::data(held))));
+        if let Some(buffered) = self.buffered.take() {
+            return Poll::Ready(Some(Ok(Frame::data(buffered))));
         }
-        let Some(rest) = self.rest.as_mut() else {
+        let Some(remaining_body) = self.remaining_body.as_mut() else {
             return Poll::Ready(None);
         };
-        match Pin::new(rest).poll_frame(cx) {
+        match Pin::new(remaining_body).poll_frame(cx) {
             Poll::Ready(Some(Ok(frame))) => {
-                self.look_later();
+                self.reset_silence_timer();
                 Poll::Ready(Some(Ok(frame)))
             }
             Poll::Ready(None) => {
                 self.end(AttemptEnd::Answered, Outcome::Ran);
                 Poll::Ready(None)
             }
-            Poll::Ready(Some(Err(_))) => self.break_off(AttemptEnd::AnswerCut),
+            Poll::Ready(Some(Err(_))) => self.interrupt(AttemptEnd::AnswerCut),
             Poll::Pending => self.poll_silence(cx),
         }
     }
--- a/crates/cherrystandd/src/site/request.rs
+++ b/crates/cherrystandd/src/site/request.rs
@@ -15,7 +15,7 @@
 use hyper::{Request, StatusCode};
 use sha2::{Digest, Sha256};
 
-use crate::relay::headers::strip_connection;
+use crate::relay::headers::remove_hop_by_hop_headers;
 use crate::site::trials::Trial;
 
 /// A caller's request while it is being served.
@@ -107,7 +107,7 @@
         let path = self.head.uri.path_and_query().and_then(|path| path.as_str().parse().ok());
         *req.uri_mut() = path.unwrap_or_default();
         let mut headers = self.head.headers.clone();
-        strip_connection(&mut headers);
+        remove_hop_by_hop_headers(&mut headers);
         headers.remove(CONTENT_LENGTH);
         let left = self.deadline.since(now);
         let tenant = self.tenant.as_deref();
--- a/crates/cherrystandd/src/site/request_handler.rs
+++ b/crates/cherrystandd/src/site/request_handler.rs
@@ -9,7 +9,7 @@
 use hyper::header::HeaderValue;
 use hyper::{Request, Response, StatusCode};
 
-use crate::relay::headers::strip_connection;
+use crate::relay::headers::remove_hop_by_hop_headers;
 use crate::site::Driver;
 use crate::site::active_attempt::ActiveAttempt;
 use crate::site::endpoint_call::{self, StartedAnswer};
@@ -171,7 +171,7 @@
     }
     let (tx, body) = CallerBody::events(frontend.held_bytes.clone());
     let mut head = started.head.clone();
-    strip_connection(&mut head.headers);
+    remove_hop_by_hop_headers(&mut head.headers);
     head.headers.remove(hyper::header::CONTENT_LENGTH);
     let last_event = req.facts.last_event;
     let stream = EventStream { frontend: frontend.clone(), req, tx, attempts, last_event };
@@ -301,6 +301,6 @@
     } else {
         attempt.succeeded();
     }
-    strip_connection(&mut head.headers);
+    remove_hop_by_hop_headers(&mut head.headers);
     Ok(Response::from_parts(head, CallerBody::held(bytes, share)))
 }
--- a/crates/cherrystandd/tests/operators.rs
+++ b/crates/cherrystandd/tests/operators.rs
@@ -46,15 +46,19 @@
         incarnation: Incarnation(1),
         sequence,
     };
-    let make =
-        |sequence| WorkspaceChange { service, write: write(sequence), fleet: &fleet, held: &held };
+    let make = |sequence| WorkspaceChange {
+        store: service,
+        write_id: write(sequence),
+        fleet: &fleet,
+        current_boxes: &held,
+    };
     let wanted = config(operator as u32 * 100 + number as u32);
     let Ok(planned) = make(number * 2).plan(wanted).await else {
         return Told::MayBeDone;
     };
-    let id = planned.told.id;
+    let id = planned.result.id;
     match make(number * 2 + 1).confirm(&id, &format!("operator-{operator}")).await {
-        Ok(written) => Told::Accepted(id, written.told.generation),
+        Ok(written) => Told::Accepted(id, written.result.generation),
         Err(OperatorError::Confirm(_)) => Told::NotDone(id),
         Err(_) => Told::MayBeDone,
     }
@@ -120,16 +124,16 @@
     let service = FakeKeyValue::default();
     let (fleet, held) = (Fleet::default(), BoxesByReplica::new());
     let make = |sequence| WorkspaceChange {
-        service: &service,
-        write: WriteId { node: NodeId::new("n"), incarnation: Incarnation(1), sequence },
+        store: &service,
+        write_id: WriteId { node: NodeId::new("n"), incarnation: Incarnation(1), sequence },
         fleet: &fleet,
-        held: &held,
+        current_boxes: &held,
     };
     let outcome = run(async {
-        let first = make(0).plan(config(1)).await.expect("a plan").told.id;
-        let second = make(1).plan(config(2)).await.expect("a plan").told.id;
+        let first = make(0).plan(config(1)).await.expect("a plan").result.id;
+        let second = make(1).plan(config(2)).await.expect("a plan").result.id;
         make(2).confirm(&second, "huda").await.expect("accepted");
-        make(3).confirm(&first, "omar").await.map(|written| written.told)
+        make(3).confirm(&first, "omar").await.map(|written| written.result)
     });
     let err = outcome.expect_err("a conflict");
     assert_eq!(err.kind(), "conflict");
