--- a/crates/cherrystandd/tests/site.rs
+++ b/crates/cherrystandd/tests/site.rs
@@ -15,7 +15,7 @@
     support::run(async {
         let site = Site::start(1).await;
         let node = &site.nodes[0];
-        until("it listens", async || {
+        until("the node listens", async || {
             call_at(node.ready, "GET", "/ready", &[], "").await.status != StatusCode::BAD_GATEWAY
         })
         .await;
@@ -25,7 +25,7 @@
         assert_eq!(early.status, StatusCode::SERVICE_UNAVAILABLE);
         assert!(!early.header("retry-after").is_empty());
         site.site.configure(&config(1, "/calls/", &["k1"]));
-        until("it is ready", async || is_ready(node).await).await;
+        until("the node is ready", async || is_ready(node).await).await;
         until("two replicas serve", async || site.site.leaders().len() == 2).await;
         until("models answer", async || {
             call(node, "GET", STREAM, "warm", "k1").await.status == StatusCode::OK
@@ -45,14 +45,14 @@
         let large = send(node, "POST", CALL, "l1", &bearer, &"x".repeat(3_000)).await;
         assert_eq!(large.status, StatusCode::PAYLOAD_TOO_LARGE);
         assert!(site.site.runs_of("l1").is_empty() && site.site.runs_of("x").is_empty());
-        let told = call_at(node.operators, "GET", "/metrics", &[], "").await;
+        let metrics = call_at(node.operators, "GET", "/metrics", &[], "").await;
         assert!(
-            told.text().contains("cherrystand_refusals_total{reason=\"no-key\"} 1"),
+            metrics.text().contains("cherrystand_refusals_total{reason=\"no-key\"} 1"),
             "{}",
-            told.text()
+            metrics.text()
         );
         for head in site.site.heads() {
-            assert!(!head.contains_key("authorization"), "the key was handed on");
+            assert!(!head.contains_key("authorization"), "the key was forwarded");
             assert_eq!(head["cherrystand-tenant"], "families");
             // Only engines take a priority.
             let is_stream = head["cherrystand-request-id"].starts_with(['s', 'w']);
@@ -122,7 +122,7 @@
             answer: "HTTP/1.1 413 Payload Too Large",
         },
         Case {
-            name: "a method nobody has",
+            name: "an unknown method",
             bytes: b"\x16\x03\x01\x02\x00\x01\x00\r\n\r\n".to_vec(),
             answer: "HTTP/1.1 400 Bad Request",
         },
@@ -146,20 +146,20 @@
     support::run(async {
         let site = Site::serving(1).await;
         let node = &site.nodes[0];
-        let strike = async {
+        let fail_member = async {
             tokio::time::sleep(Duration::from_millis(250)).await;
             let (_, members) = site.site.leaders().pop_first().expect("a leader");
             site.site.set_mood(&members[1], BoxMood::Dark);
         };
-        let (answers, ()) = tokio::join!(six_streams(node), strike);
-        let mut moved = 0;
+        let (answers, ()) = tokio::join!(six_streams(node), fail_member);
+        let mut resumed = 0;
         for (answer, id) in answers {
             assert_eq!((answer.status, answer.text()), (StatusCode::OK, whole_stream(&id)));
             let runs = site.site.runs_of(&id);
             assert!(runs.len() <= 2, "{id} ran {runs:?}");
-            moved += runs.len() - 1;
+            resumed += runs.len() - 1;
         }
-        assert!(moved > 0, "no stream was at the replica that stood still");
+        assert!(resumed > 0, "no stream was at the stalled replica");
         // The spare replaces the dark member.
         until("both replicas serve", async || {
             let leaders = site.site.leaders();
@@ -252,9 +252,9 @@
             ..both
         },
         Case { name: "the other one fails", other: BoxMood::LosesAnswers, ..both },
-        Case { name: "no repeat is left", retry_slack: 0.0, ..both },
+        Case { name: "no retry is left", retry_slack: 0.0, ..both },
         Case {
-            name: "no repeat is left, no answer has begun",
+            name: "no retry is left, no answer has begun",
             after_ms: 0,
             retry_slack: 0.0,
             ..both
@@ -342,13 +342,13 @@
             let began = std::time::Instant::now();
             let all = site.nodes.iter().map(six_streams);
             let answers = futures_util::future::join_all(all).await;
-            let cut =
+            let failed =
                 answers.iter().flatten().filter(|(answer, id)| answer.text() != whole_stream(id));
-            assert!(cut.count() > 0, "{}: some were at the replica that is dead", case.name);
+            assert!(failed.count() > 0, "{}: no stream was at the dead replica", case.name);
             // It takes 0.3 s to suspect the replica, and 0.2 to 1.4 s to probe its members.
             let took = began.elapsed();
             let is_in_time = took < Duration::from_millis(4_000);
-            assert!(is_in_time, "{}: given up well before 5 s: {took:?}", case.name);
+            assert!(is_in_time, "{}: not ended well before 5 s: {took:?}", case.name);
         });
         futures_util::future::join_all(all).await;
     });
@@ -476,13 +476,13 @@
         assert!(arrivals.iter().all(|arrival| arrival.target == "a-2"), "{arrivals:?}");
         let answers = six_streams(node).await;
         assert!(answers.iter().all(|(answer, id)| answer.text() == whole_stream(id)));
-        let told = call_at(node.operators, "GET", "/metrics", &[], "").await.text();
-        assert!(told.contains("values_refused_total{kind=\"entry\"} 5"), "{told}");
+        let metrics = call_at(node.operators, "GET", "/metrics", &[], "").await.text();
+        assert!(metrics.contains("values_refused_total{kind=\"entry\"} 5"), "{metrics}");
         // The box is back once its entry is readable, and the configuration in force survives an
         // invalid one.
         site.site.list("a-1");
         site.site.store.put("op/config", "not base64!".to_owned());
-        until("it is chosen again", async || {
+        until("a-1 is chosen again", async || {
             let _ = call(node, "POST", CALL, "again", "k1").await;
             site.site.runs_of("again").iter().any(|(id, _)| id == "a-1")
         })
@@ -535,7 +535,7 @@
             runs: 1,
         },
         Case {
-            name: "lost, repeatable",
+            name: "lost, idempotent",
             mood: BoxMood::LosesAnswers,
             path: "/looks/1",
             status: StatusCode::OK,
@@ -549,7 +549,7 @@
             runs: 1,
         },
         Case {
-            name: "failed, repeatable",
+            name: "failed, idempotent",
             mood: BoxMood::Fails,
             path: "/looks/1",
             status: StatusCode::OK,
@@ -565,18 +565,18 @@
             site.site.set_mood("a-1", case.mood);
             // Enough requests that some reach the endpoint with the mood: with 12 requests and two
             // endpoints chosen at random, none did in 85 of 400,000 draws.
-            let mut met = false;
+            let mut reached = false;
             for attempt in 0..32 {
                 let id = format!("r{number}-{attempt}");
                 let answer = call(node, "POST", case.path, &id, "k1").await;
                 let runs = site.site.runs_of(&id);
                 assert!(runs.len() <= 2, "{}: {runs:?}", case.name);
-                let hit = match case.mood {
+                let is_at_endpoint = match case.mood {
                     BoxMood::Sheds => true,
                     _ => runs.iter().any(|(id, _)| id == "a-1"),
                 };
-                if hit && !met {
-                    met = true;
+                if is_at_endpoint && !reached {
+                    reached = true;
                     assert_eq!(
                         (answer.status, runs.len()),
                         (case.status, case.runs),
@@ -585,7 +585,7 @@
                     );
                 }
             }
-            assert!(met, "{}: no request met the endpoint", case.name);
+            assert!(reached, "{}: no request met the endpoint", case.name);
         }
     });
 }
@@ -596,27 +596,27 @@
         name: &'static str,
         moods: [BoxMood; 2],
         /// The statuses that callers may get.
-        told: &'static [StatusCode],
+        allowed: &'static [StatusCode],
     }
     const LOST: StatusCode = StatusCode::BAD_GATEWAY;
     const FAILED: StatusCode = StatusCode::INTERNAL_SERVER_ERROR;
     const NOT_RUN: StatusCode = StatusCode::SERVICE_UNAVAILABLE;
     let cases = [
-        Case { name: "both refuse", moods: [BoxMood::Sheds, BoxMood::Sheds], told: &[NOT_RUN] },
+        Case { name: "both refuse", moods: [BoxMood::Sheds, BoxMood::Sheds], allowed: &[NOT_RUN] },
         Case {
             name: "one loses its answer, one refuses",
             moods: [BoxMood::LosesAnswers, BoxMood::Sheds],
-            told: &[LOST, NOT_RUN],
+            allowed: &[LOST, NOT_RUN],
         },
         Case {
             name: "one fails, one refuses",
             moods: [BoxMood::Fails, BoxMood::Sheds],
-            told: &[FAILED, NOT_RUN],
+            allowed: &[FAILED, NOT_RUN],
         },
         Case {
             name: "one fails, one loses its answer",
             moods: [BoxMood::Fails, BoxMood::LosesAnswers],
-            told: &[FAILED],
+            allowed: &[FAILED],
         },
     ];
     support::run(async {
@@ -633,10 +633,10 @@
                     let id = format!("t{number}-{attempt}{path}").replace('/', "-");
                     let answer = call(node, "POST", path, &id, "k1").await;
                     let runs = site.site.runs_of(&id);
-                    let told = (case.name, path, answer.status, &runs);
-                    assert!(case.told.contains(&answer.status), "{told:?}");
-                    let promised = answer.status == NOT_RUN;
-                    assert_eq!(promised, runs.is_empty(), "not true: {told:?}");
+                    let context = (case.name, path, answer.status, &runs);
+                    assert!(case.allowed.contains(&answer.status), "{context:?}");
+                    let claims_not_run = answer.status == NOT_RUN;
+                    assert_eq!(claims_not_run, runs.is_empty(), "wrong claim: {context:?}");
                 }
             }
         }
@@ -720,7 +720,7 @@
         };
         let (story, ()) = tokio::join!(call(node, "POST", STREAM, "s1", "k1"), stop);
         assert_eq!((story.status, story.text()), (StatusCode::OK, whole_stream("s1")));
-        until("it ends", || {
+        until("the daemon exits", || {
             let ended = site.nodes[0].process.has_ended();
             async move { ended }
         })
@@ -734,7 +734,7 @@
         let site = Site::start(1).await;
         site.site.configure_once_missed(&config(1, "/calls/", &["k1"]));
         let node = &site.nodes[0];
-        until("it is ready", async || is_ready(node).await).await;
+        until("the node is ready", async || is_ready(node).await).await;
     });
 }
 
@@ -789,7 +789,7 @@
         Case { name: "a call", path: CALL, door: Door::Open, status: StatusCode::OK },
         Case { name: "a stream", path: STREAM, door: Door::Open, status: StatusCode::OK },
         Case {
-            name: "nobody tells it anything",
+            name: "no store and no peer answers",
             path: CALL,
             door: Door::Silent,
             status: StatusCode::SERVICE_UNAVAILABLE,
@@ -830,7 +830,7 @@
     }
     let cases = [
         Case { name: "the readers run", readers_run: true },
-        Case { name: "nobody runs", readers_run: false },
+        Case { name: "no reader runs", readers_run: false },
     ];
     support::run(async {
         let mut site = Site::serving(2).await;
@@ -848,10 +848,10 @@
                 call(node, "GET", STREAM, case.name, "k1").await.status == StatusCode::OK
             })
             .await;
-            let told = call_at(node.operators, "GET", "/metrics", &[], "").await.text();
-            let lists = told.contains("way=\"in\",kind=\"whole-lists\"")
-                || told.contains("kind=\"whole-lists\",way=\"in\"");
-            assert_eq!(lists, case.readers_run, "{}: {told}", case.name);
+            let metrics = call_at(node.operators, "GET", "/metrics", &[], "").await.text();
+            let read_lists = metrics.contains("way=\"in\",kind=\"whole-lists\"")
+                || metrics.contains("kind=\"whole-lists\",way=\"in\"");
+            assert_eq!(read_lists, case.readers_run, "{}: {metrics}", case.name);
         }
     });
 }
--- a/crates/cherrystandd/tests/slow_readers.rs
+++ b/crates/cherrystandd/tests/slow_readers.rs
@@ -71,13 +71,13 @@
             let runs = site.site.runs_of(&format!("slow-{number}"));
             assert_eq!(runs.len(), 1, "{runs:?}");
         }
-        let told = metrics(node).await;
+        let text = metrics(node).await;
         for line in [
             "cherrystand_stream_ends_total{end=\"caller-slow\"} 2",
             "cherrystand_stream_ends_total{end=\"broken-off\"} 0",
             "cherrystand_answers_ended_with_box_total 0",
         ] {
-            assert!(told.contains(line), "{line} is not in {told}");
+            assert!(text.contains(line), "{line} is not in {text}");
         }
         // Both replicas are chosen as before.
         for leader in site.site.leaders().into_keys() {
@@ -123,7 +123,7 @@
         let peak = node.process.peak_kb();
         assert!(peak < MAX_MEMORY_KB, "{peak} KB");
         drop(slow);
-        until("nothing is held any more", async || {
+        until("no memory is held", async || {
             metrics(node).await.contains("cherrystand_bytes_held 0")
         })
         .await;
@@ -141,8 +141,8 @@
     }
     let cases = [
         Case { name: "a terabyte", length: 1 << 40 },
-        Case { name: "all that there are numbers for", length: u64::MAX / 2 },
-        Case { name: "more than the room for bodies", length: 1 << 30 },
+        Case { name: "the largest number", length: u64::MAX / 2 },
+        Case { name: "more than the memory for bodies", length: 1 << 30 },
     ];
     /// A refused answer fails at once; otherwise the daemon would wait for an endpoint that is
     /// still sending.
--- a/crates/cherrystandd/tests/wishes.rs
+++ b/crates/cherrystandd/tests/wishes.rs
@@ -59,12 +59,12 @@
         Case { name: "both", wishes: [backoff; 2], min_served: 0.0, ..case },
         Case { name: "both, a plain service", wishes: [backoff; 2], min_served: 0.0, path: CALL },
         Case {
-            name: "one daemon alone is turned away",
+            name: "one daemon alone is refused",
             wishes: [BoxWishes::rest(Sheds::From("n0-"), "1.5"), healthy],
             ..case
         },
         Case {
-            name: "every other request is turned away",
+            name: "every other request is refused",
             wishes: [BoxWishes::rest(Sheds::EverySecond, "1.5"), healthy],
             ..case
         },
@@ -74,7 +74,7 @@
             ..case
         },
         Case {
-            name: "a rest that outlasts the test",
+            name: "a backoff that outlasts the test",
             wishes: [BoxWishes::rest(Sheds::All, "1e9"), healthy],
             ..case
         },
@@ -186,7 +186,10 @@
             assert_eq!(asked.answer.status, StatusCode::SERVICE_UNAVAILABLE);
             assert!(asked.took < Duration::from_millis(300), "took {:?}", asked.took);
             // Both clocks run while the request is on its way.
-            assert!(after + 0.1 > first.as_secs_f64(), "told {after} s, {first:?} were left");
+            assert!(
+                after + 0.1 > first.as_secs_f64(),
+                "retry-after {after} s, {first:?} of backoff left"
+            );
         }
         assert!(refused > 20, "{refused} of {}", asked.len());
         assert_eq!(violations(&site), Vec::<String>::new());
@@ -214,7 +217,7 @@
         site.site.set_wishes("a-1", BoxWishes::default());
         // No other endpoint serves now.
         site.site.set_wishes("a-2", BoxWishes { sheds: Sheds::All, ..BoxWishes::default() });
-        until("it is sent requests again", async || {
+        until("a-1 gets requests again", async || {
             let id = format!("n0-{}", site.site.arrivals().len());
             ask(node, CALL, id.clone()).await;
             site.site.runs_of(&id).iter().any(|(target, _)| target == "a-1")
@@ -233,13 +236,13 @@
             site.site.set_wishes(id, BoxWishes::rest(Sheds::All, "60"));
         }
         let node = &site.nodes[0];
-        until("both rest", async || {
+        until("both are in backoff", async || {
             ask(node, CALL, "n0-rest".to_owned()).await;
             site.site.told().len() >= 2
         })
         .await;
         site.site.restart("a-1", false);
-        until("the new life serves", async || {
+        until("the new incarnation serves", async || {
             is_served(&ask(node, CALL, "n0-again".to_owned()).await)
         })
         .await;
@@ -263,8 +266,8 @@
         Case { name: "in streams' heads", path: STREAM, sheds: Sheds::None, door: Door::Open };
     let cases = [
         Case { name: "in whole answers", path: CALL, ..case },
-        Case { name: "as it turns requests away", sheds: Sheds::All, ..case },
-        Case { name: "to a daemon out of touch with the store", door: Door::Silent, ..case },
+        Case { name: "in refusals", sheds: Sheds::All, ..case },
+        Case { name: "to a daemon that the store does not answer", door: Door::Silent, ..case },
         case,
     ];
     support::run(async {
