--- a/crates/cherrystand_core/src/site/capacity_planner.rs
+++ b/crates/cherrystand_core/src/site/capacity_planner.rs
@@ -33,7 +33,7 @@
 ///
 /// For a model with few replicas one is a large part. With none assumed lost, six large replicas
 /// were preferred to eight, and a class earned 0.77 of its credit instead of 0.89 while 20 boxes
-/// were cut off (one simulated day each).
+/// were cut off (one day each).
 const ASSUMED_LOST_REPLICAS: usize = 1;
 
 /// Below this utilisation of the busiest model nothing is changed: there is room for bursts.
--- a/crates/cherrystand_core/src/site/formation.rs
+++ b/crates/cherrystand_core/src/site/formation.rs
@@ -197,7 +197,7 @@
             // It already loads a model.
             (OrderEnd::Unfit, MemberTask::Stage { .. }) => false,
             // The box cannot execute it in its state, and would refuse it again: sent again at
-            // once, 456 of 714 such orders were refused on a simulated day on which boxes restarted
+            // once, 456 of 714 such orders were refused on a day on which boxes restarted
             // while the store was unreachable.
             (OrderEnd::Unknown, _) => false,
             // A box that responds but left an order unanswered is ordered again, under a later
--- a/crates/cherrystand_core/src/site/policy.rs
+++ b/crates/cherrystand_core/src/site/policy.rs
@@ -58,7 +58,7 @@
     fn default() -> Self {
         Self {
             choice: ChoiceRule::default(),
-            // 3.5 KB per request, at the users' price of traffic, are 0.01 to 0.03 of its credit.
+            // 3.5 KB per request, at the users' price of bytes, are 0.01 to 0.03 of its credit.
             far_cost: 0.02,
             defer_late: true,
             tell_loads: true,
--- a/crates/cherrystand_core/src/site/route_table.rs
+++ b/crates/cherrystand_core/src/site/route_table.rs
@@ -18,10 +18,10 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RouteError {
     /// No route matches it.
-    #[error("no route covers the request")]
+    #[error("no route matches the request")]
     NoRoute,
     /// Its key is missing or unknown.
-    #[error("the key is missing or not known")]
+    #[error("the key is missing or unknown")]
     UnknownKey,
 }
 
--- a/crates/cherrystand_core/src/site/site_box.rs
+++ b/crates/cherrystand_core/src/site/site_box.rs
@@ -63,8 +63,8 @@
     pub slots: u32,
     /// Whether it is about to leave.
     pub leaving: bool,
-    /// How much longer it was cold when it reported this; whoever stores the box keeps the absolute
-    /// time instead.
+    /// How much longer it was cold when it reported this, if it did; the list of boxes keeps the
+    /// absolute time instead.
     pub cold_remaining: Option<Millis>,
     /// Its fabric domain, if it has one.
     pub domain: Option<DomainId>,
