--- a/crates/cherrystand_core/src/nodes/call_history.rs
+++ b/crates/cherrystand_core/src/nodes/call_history.rs
@@ -76,9 +76,9 @@
 
     /// Returns counts of the recent calls.
     pub fn stats(&self, now: Millis) -> CallStats {
-        let recent = self.ended.iter().filter(|call| now.since(call.ended) <= RETENTION);
+        let recent_calls = self.ended.iter().filter(|call| now.since(call.ended) <= RETENTION);
         let mut stats = CallStats { open: self.open.len(), ..CallStats::default() };
-        for call in recent {
+        for call in recent_calls {
             if call.answered {
                 stats.answered += 1;
                 stats.slowest = stats.slowest.max(call.ended.since(call.started));
--- a/crates/cherrystand_core/src/nodes/change_log.rs
+++ b/crates/cherrystand_core/src/nodes/change_log.rs
@@ -16,7 +16,7 @@
     /// A record was written.
     Record(Document),
     /// A box is gone.
-    Gone(BoxId),
+    Removed(BoxId),
 }
 
 /// The changes since a peer last asked.
@@ -50,8 +50,8 @@
     }
 
     /// Adds that a box, whose entry was under `key`, was removed.
-    pub fn gone(&mut self, key: &str, id: BoxId) {
-        self.push(Arc::from(key), Change::Gone(id));
+    pub fn record_removal(&mut self, key: &str, id: BoxId) {
+        self.push(Arc::from(key), Change::Removed(id));
     }
 
     fn push(&mut self, key: Arc<str>, change: Change) {
@@ -88,7 +88,7 @@
         for change in last.into_values() {
             match change {
                 Change::Record(document) => since.records.push(document.clone()),
-                Change::Gone(id) => since.gone.push(id.clone()),
+                Change::Removed(id) => since.gone.push(id.clone()),
             }
         }
         Some(since)
--- a/crates/cherrystand_core/src/nodes/documents.rs
+++ b/crates/cherrystand_core/src/nodes/documents.rs
@@ -65,11 +65,11 @@
 
     /// Returns the same hash of only the records whose key starts with `prefix`.
     pub fn fingerprint_of_prefix(&self, prefix: &str) -> u64 {
-        let one = |copy: &Document| {
+        let hash_of = |copy: &Document| {
             let revision = crate::mix(copy.revision.number() ^ crate::mix(copy.revision.era().0));
             crate::mix(crate::hash_bytes(copy.key.as_bytes()) ^ revision)
         };
-        self.with_prefix(prefix).fold(0, |sum, copy| sum ^ one(copy))
+        self.with_prefix(prefix).fold(0, |sum, copy| sum ^ hash_of(copy))
     }
 
     /// Returns the copies that are newer here than in `theirs`.
--- a/crates/cherrystand_core/src/nodes/freshness.rs
+++ b/crates/cherrystand_core/src/nodes/freshness.rs
@@ -99,7 +99,7 @@
         if by_platform {
             return ServeBy::Platform;
         }
-        if self.last_platform_read.is_some() && self.hears_majority(now) {
+        if self.last_platform_read.is_some() && self.hears_from_majority(now) {
             return ServeBy::Majority;
         }
         if self.last_platform_read.is_none() && now.since(self.started) <= FRESH_FOR {
@@ -110,7 +110,7 @@
 
     /// Tells whether this node may try to get a change accepted.
     pub fn may_accept(&self, now: Millis) -> bool {
-        self.hears_majority(now)
+        self.hears_from_majority(now)
     }
 
     /// Returns how many of the expected daemons were heard from recently, including this one, and
@@ -124,7 +124,7 @@
         (heard, self.expected.len())
     }
 
-    fn hears_majority(&self, now: Millis) -> bool {
+    fn hears_from_majority(&self, now: Millis) -> bool {
         let (heard, all) = self.heard_of_expected(now);
         heard * 2 > all
     }
--- a/crates/cherrystand_core/src/nodes/membership.rs
+++ b/crates/cherrystand_core/src/nodes/membership.rs
@@ -160,13 +160,13 @@
             return false;
         }
         let before = liveness_after(now.since(known.last_heard));
-        let says_the_same =
+        let is_unchanged =
             known.heartbeat == Heartbeat { beat: known.heartbeat.beat, ..heartbeat.clone() };
-        *known = match says_the_same {
+        *known = match is_unchanged {
             true => Member { heartbeat, last_heard, fingerprint: known.fingerprint },
             false => Member::new(heartbeat, last_heard),
         };
-        !says_the_same || before != liveness_after(age)
+        !is_unchanged || before != liveness_after(age)
     }
 
     /// Returns a fingerprint of what is known of all daemons that are not dead, without their
@@ -189,29 +189,29 @@
         Digest::Beats { roster, beats }
     }
 
-    /// Merges a digest that a peer sent `on_the_way` ago; returns whether it changes anything but
+    /// Merges a digest that a peer sent `transit_time` ago; returns whether it changes anything but
     /// beats.
     ///
     /// Beats for a roster other than the own one are ignored; the next answer contains everything.
-    pub fn merge_digest(&mut self, digest: Digest, on_the_way: Millis, now: Millis) -> bool {
+    pub fn merge_digest(&mut self, digest: Digest, transit_time: Millis, now: Millis) -> bool {
         match digest {
             Digest::Whole(all) => {
-                let mut news = false;
+                let mut has_changes = false;
                 for (heartbeat, age) in all {
-                    news |= self.merge_heartbeat(heartbeat, age + on_the_way, now);
+                    has_changes |= self.merge_heartbeat(heartbeat, age + transit_time, now);
                 }
-                news
+                has_changes
             }
             Digest::Beats { roster, beats } => {
                 if roster == self.roster(now) {
-                    self.merge_beats(&beats, on_the_way, now);
+                    self.merge_beats(&beats, transit_time, now);
                 }
                 false
             }
         }
     }
 
-    fn merge_beats(&mut self, beats: &[(u64, Millis)], on_the_way: Millis, now: Millis) {
+    fn merge_beats(&mut self, beats: &[(u64, Millis)], transit_time: Millis, now: Millis) {
         let before = self.members.range::<NodeId, _>(..&self.own.node);
         let own = before.filter(|(_, member)| !member.is_dead(now)).count();
         let known: Vec<&mut Member> =
@@ -224,20 +224,20 @@
         for (member, (beat, age)) in known.into_iter().zip(others) {
             if *beat > member.heartbeat.beat {
                 member.heartbeat.beat = *beat;
-                member.last_heard = now - (*age + on_the_way);
+                member.last_heard = now - (*age + transit_time);
             }
         }
     }
 
     /// Lists the daemons that are not dead in the order of their names, including this one.
     fn in_order(&self, now: Millis) -> impl Iterator<Item = (&Heartbeat, Millis)> {
-        let told = move |member: &Member| now.since(member.last_heard);
-        let fresh = move |(_, member): &(&NodeId, &Member)| !member.is_dead(now);
+        let age_of = move |member: &Member| now.since(member.last_heard);
+        let is_not_dead = move |(_, member): &(&NodeId, &Member)| !member.is_dead(now);
         let own = &self.own.node;
-        let before = self.members.range::<NodeId, _>(..own).filter(fresh);
-        let after = self.members.range::<NodeId, _>(own..).filter(fresh);
-        let before = before.map(move |(_, member)| (&member.heartbeat, told(member)));
-        let after = after.map(move |(_, member)| (&member.heartbeat, told(member)));
+        let before = self.members.range::<NodeId, _>(..own).filter(is_not_dead);
+        let after = self.members.range::<NodeId, _>(own..).filter(is_not_dead);
+        let before = before.map(move |(_, member)| (&member.heartbeat, age_of(member)));
+        let after = after.map(move |(_, member)| (&member.heartbeat, age_of(member)));
         before.chain(std::iter::once((&self.own, Millis(0)))).chain(after)
     }
 
--- a/crates/cherrystand_core/src/nodes/replica_evidence.rs
+++ b/crates/cherrystand_core/src/nodes/replica_evidence.rs
@@ -99,7 +99,7 @@
 
     /// Removes replicas whose evidence expired long ago.
     pub fn prune(&mut self, now: Millis) {
-        let long = Millis(EVIDENCE_TTL.0 * 4);
-        self.stored.retain(|_, stored| now.since(stored.acknowledged_at) <= long);
+        let retention = Millis(EVIDENCE_TTL.0 * 4);
+        self.stored.retain(|_, stored| now.since(stored.acknowledged_at) <= retention);
     }
 }
--- a/crates/cherrystand_core/src/requests/endpoint_rate_limits.rs
+++ b/crates/cherrystand_core/src/requests/endpoint_rate_limits.rs
@@ -98,8 +98,8 @@
 
     /// Tells whether no permits are being requested or granted.
     pub fn is_idle(&self) -> bool {
-        let nothing_to_send = self.to_announce.is_empty() && self.replies.is_empty();
-        nothing_to_send && self.endpoints.values().all(RateLimitedEndpoint::is_idle)
+        let nothing_queued = self.to_announce.is_empty() && self.replies.is_empty();
+        nothing_queued && self.endpoints.values().all(RateLimitedEndpoint::is_idle)
     }
 
     /// Sets the number after which this node's requests for permits are numbered. The requests of
--- a/crates/cherrystand_core/src/requests/router.rs
+++ b/crates/cherrystand_core/src/requests/router.rs
@@ -76,10 +76,10 @@
     AllBackingOff(Millis),
 }
 
-/// Chooses endpoints by sampled load, with a preference for the own zone and for the endpoint
-/// that likely holds a prompt's prefix.
+/// Selects endpoints by sampled load, with a preference for the own zone and for the endpoint that
+/// likely has a prompt's prefix in its cache.
 ///
-/// A choice takes no lock, allocates nothing and looks at a fixed number of endpoints.
+/// A selection takes no lock, does not allocate and examines a bounded number of endpoints.
 ///
 /// # Examples
 ///
--- a/crates/cherrystand_core/tests/backoff_simulation.rs
+++ b/crates/cherrystand_core/tests/backoff_simulation.rs
@@ -30,22 +30,22 @@
 
 #[derive(Debug, Default)]
 struct Results {
-    came: usize,
+    received: usize,
     served: usize,
     /// Requests that replicas refused.
-    turned_away: usize,
+    refused: usize,
     /// Requests that reached a replica during a backoff that their daemon knew of.
     during_backoff: usize,
 }
 
 struct Simulation {
     algorithm: Algorithm,
-    seed: SeededRng,
+    rng: SeededRng,
     nodes: Vec<EndpointBackpressure<usize>>,
     /// The node, the replica and the end of each request in flight, and whether it was sent after a
     /// backoff.
     in_flight: Vec<(usize, usize, Millis, bool)>,
-    out: Results,
+    results: Results,
 }
 
 impl Simulation {
@@ -54,38 +54,39 @@
         nodes.resize_with(NODES, EndpointBackpressure::default);
         Self {
             algorithm,
-            seed: SeededRng::new(seed),
+            rng: SeededRng::new(seed),
             nodes,
             in_flight: Vec::new(),
-            out: Results::default(),
+            results: Results::default(),
         }
     }
 
     /// Simulates requests at `percent` of what all replicas can answer.
     fn run(mut self, percent: u64) -> Results {
-        let a_second = (REPLICAS * REPLICA_CAPACITY) as u64 * 1_000 / ANSWER_TIME.0 * percent / 100;
-        let (mut now, mut owed) = (Millis(0), 0);
+        let per_second =
+            (REPLICAS * REPLICA_CAPACITY) as u64 * 1_000 / ANSWER_TIME.0 * percent / 100;
+        let (mut now, mut credit) = (Millis(0), 0);
         while now < DURATION {
             self.end(now);
-            owed += a_second * STEP.0;
-            while owed >= 1_000 {
-                owed -= 1_000;
-                let node = self.seed.below(NODES);
-                self.out.came += 1;
+            credit += per_second * STEP.0;
+            while credit >= 1_000 {
+                credit -= 1_000;
+                let node = self.rng.below(NODES);
+                self.results.received += 1;
                 self.send(node, now);
             }
             now = now + STEP;
         }
-        self.out
+        self.results
     }
 
     fn end(&mut self, now: Millis) {
-        let (ended, rest) =
+        let (ended, remaining) =
             std::mem::take(&mut self.in_flight).into_iter().partition(|(_, _, at, _)| *at <= now);
-        self.in_flight = rest;
+        self.in_flight = remaining;
         let ended: Vec<(usize, usize, Millis, bool)> = ended;
         for (node, replica, _, is_after_backoff) in ended {
-            self.out.served += 1;
+            self.results.served += 1;
             if is_after_backoff {
                 self.nodes[node].record_answer(&replica, now);
                 self.nodes[node].record_end(&replica);
@@ -117,36 +118,37 @@
         while tried.len() < 2 {
             let Some(replica) = self.choose(node, &tried, now) else { return };
             tried.push(replica);
-            let rests = matches!(self.state(node, replica, now), BackpressureState::BackingOff(_));
-            self.out.during_backoff += usize::from(rests);
+            let is_backing_off =
+                matches!(self.state(node, replica, now), BackpressureState::BackingOff(_));
+            self.results.during_backoff += usize::from(is_backing_off);
             let permit = self.nodes[node].acquire_permit(&replica, 0, now);
             let is_after_backoff = permit.is_some_and(|permit| permit.is_after_backoff());
-            let held = self.in_flight.iter().filter(|(_, at, _, _)| *at == replica).count();
-            if held < REPLICA_CAPACITY {
+            let queued = self.in_flight.iter().filter(|(_, at, _, _)| *at == replica).count();
+            if queued < REPLICA_CAPACITY {
                 self.in_flight.push((node, replica, now + ANSWER_TIME, is_after_backoff));
                 return;
             }
-            self.turn_away(node, replica, is_after_backoff, now);
+            self.refuse(node, replica, is_after_backoff, now);
         }
     }
 
-    fn turn_away(&mut self, node: usize, replica: usize, is_after_backoff: bool, now: Millis) {
-        self.out.turned_away += 1;
+    fn refuse(&mut self, node: usize, replica: usize, is_after_backoff: bool, now: Millis) {
+        self.results.refused += 1;
         if is_after_backoff {
             self.nodes[node].record_end(&replica);
         }
-        let bound = match self.algorithm {
+        let receivers = match self.algorithm {
             Algorithm::SharedBackoff => 0..NODES,
             _ => node..node + 1,
         };
-        for node in bound {
+        for node in receivers {
             let in_flight = self.own_in_flight(node, replica) + 1;
             self.nodes[node].record_backoff(&replica, BACKOFF, in_flight, now);
         }
     }
 
     fn choose(&mut self, node: usize, tried: &[usize], now: Millis) -> Option<usize> {
-        let first = self.seed.below(REPLICAS);
+        let first = self.rng.below(REPLICAS);
         let mut best: Option<(u32, usize)> = None;
         for replica in (0..REPLICAS).map(|number| (number + first) % REPLICAS) {
             if self.algorithm == Algorithm::ResumeAtOnce {
@@ -159,8 +161,8 @@
             {
                 continue;
             }
-            let behind = if state == BackpressureState::Recovering { 1_000 } else { 0 };
-            let cost = self.own_in_flight(node, replica) + behind;
+            let penalty = if state == BackpressureState::Recovering { 1_000 } else { 0 };
+            let cost = self.own_in_flight(node, replica) + penalty;
             if best.is_none_or(|(least, _)| cost < least) {
                 best = Some((cost, replica));
             }
@@ -174,7 +176,7 @@
 /// capacity of the replica.
 #[test]
 fn honouring_backoffs_costs_few_answers_and_avoids_refusals() {
-    let ways = [
+    let algorithms = [
         Algorithm::Ignore,
         Algorithm::ResumeAtOnce,
         Algorithm::ResumeGradually,
@@ -182,21 +184,24 @@
         Algorithm::LimitedConcurrency,
     ];
     for percent in [90, 100, 150] {
-        let all = ways.map(|algorithm| {
+        let all = algorithms.map(|algorithm| {
             let out = Simulation::new(algorithm, 7).run(percent);
             println!("{percent}% {algorithm:?}: {out:?}");
             out
         });
-        let [ignored, at_once, one_first, binds_all, limited] = all;
-        for followed in [&at_once, &one_first, &binds_all, &limited] {
-            assert_eq!(followed.during_backoff, 0, "{percent}%: {followed:?}");
+        let [ignored, at_once, gradual, shared, limited] = all;
+        for honoured in [&at_once, &gradual, &shared, &limited] {
+            assert_eq!(honoured.during_backoff, 0, "{percent}%: {honoured:?}");
         }
         // Nearly all that the replicas can answer, and a tenth of the refusals.
-        let can = (REPLICAS * REPLICA_CAPACITY) as u64 * DURATION.0 / ANSWER_TIME.0
+        let capacity = (REPLICAS * REPLICA_CAPACITY) as u64 * DURATION.0 / ANSWER_TIME.0
             * percent.min(100)
             / 100;
-        assert!(limited.served as u64 * 10 >= can * 8, "{percent}%: {limited:?} of {can}");
-        assert!(limited.turned_away * 5 <= ignored.turned_away, "{percent}%: {limited:?}");
-        assert!(limited.served >= one_first.served && limited.served >= binds_all.served);
+        assert!(
+            limited.served as u64 * 10 >= capacity * 8,
+            "{percent}%: {limited:?} of {capacity}"
+        );
+        assert!(limited.refused * 5 <= ignored.refused, "{percent}%: {limited:?}");
+        assert!(limited.served >= gradual.served && limited.served >= shared.served);
     }
 }
--- a/crates/cherrystand_core/tests/endpoint_rate_limits.rs
+++ b/crates/cherrystand_core/tests/endpoint_rate_limits.rs
@@ -105,15 +105,15 @@
     let (first, second) =
         (BoxId::new("i-1").with_incarnation(7), BoxId::new("i-1").with_incarnation(8));
     let mut limits = EndpointRateLimits::default();
-    let told = |limit, age| RateLimitMessage::Heard(RateLimitReport { limit, age, cold: None });
-    limits.handle_message(peer(1), &first, told(Some(rate(3.5)), Millis(100)), NOW);
+    let heard = |limit, age| RateLimitMessage::Heard(RateLimitReport { limit, age, cold: None });
+    limits.handle_message(peer(1), &first, heard(Some(rate(3.5)), Millis(100)), NOW);
     assert_eq!((limits.limit(&first), limits.limit(&second)), (Some(rate(3.5)), None));
     assert_eq!(limits.permit_wait(&second, NOW), None);
     assert!(limits.take_permit(&second, NOW) && !limits.take_permit(&first, NOW));
     // An older report that there is no limit does not lift it, a newer one does.
-    limits.handle_message(peer(1), &first, told(None, Millis(5_000)), NOW + Millis(500));
+    limits.handle_message(peer(1), &first, heard(None, Millis(5_000)), NOW + Millis(500));
     assert_eq!(limits.limit(&first), Some(rate(3.5)));
-    limits.handle_message(peer(1), &first, told(None, Millis(0)), NOW + Millis(1_500));
+    limits.handle_message(peer(1), &first, heard(None, Millis(0)), NOW + Millis(1_500));
     assert_eq!(limits.limit(&first), None);
     // A node that asks for permits and does not know that the limit was lifted is told.
     let report = RateLimitReport { limit: Some(rate(3.5)), age: Millis(3_000), cold: None };
@@ -263,19 +263,19 @@
     let own: Vec<usize> = (0..4).filter(|node| owners[*node].address.is_none()).collect();
     assert_eq!(own.len(), 1, "exactly one owner: {owners:?}");
     let owner = own[0];
-    let at_it = |(node, kept): (usize, &RateLimitOwner)| {
-        node == owner || kept.address == Some(peer(owner as u16))
+    let agrees = |(node, named_owner): (usize, &RateLimitOwner)| {
+        node == owner || named_owner.address == Some(peer(owner as u16))
     };
-    assert!(owners.iter().enumerate().all(at_it), "{owners:?}");
+    assert!(owners.iter().enumerate().all(agrees), "{owners:?}");
     // A daemon that is dead, suspected or stopping is not the owner. Daemons that are out of sight
     // keep their share.
     for (gone, share) in [((true, Dead), 0.75), ((true, Suspect), 0.75), ((false, Alive), 1.0)] {
         let mut states = [(true, Alive); 4];
         states[owner] = gone;
         let other = NodeId::new(names[(owner + 1) % 4]);
-        let named = rate_limit_owner_of(&id, &other, &seen(states));
-        assert_ne!(named.address, Some(peer(owner as u16)), "{gone:?}");
-        assert!((named.share - share).abs() < 1e-9, "{gone:?}: {named:?}");
+        let selected = rate_limit_owner_of(&id, &other, &seen(states));
+        assert_ne!(selected.address, Some(peer(owner as u16)), "{gone:?}");
+        assert!((selected.share - share).abs() < 1e-9, "{gone:?}: {selected:?}");
     }
 }
 
@@ -286,7 +286,7 @@
     Take(usize),
     Step(usize),
     /// Delivers one of the messages in transit, which stays there and can be delivered again.
-    Arrive(usize),
+    Deliver(usize),
     Lose(usize),
     Pass(u64),
 }
@@ -297,8 +297,8 @@
         (0..3_usize).prop_map(Event::Take),
         (0..3_usize).prop_map(Event::Step),
         (0..3_usize).prop_map(Event::Step),
-        (0..64_usize).prop_map(Event::Arrive),
-        (0..64_usize).prop_map(Event::Arrive),
+        (0..64_usize).prop_map(Event::Deliver),
+        (0..64_usize).prop_map(Event::Deliver),
         (0..64_usize).prop_map(Event::Lose),
         (0..60_u64).prop_map(Event::Pass),
     ]
@@ -314,7 +314,7 @@
             node.record_answer(&1, ObservedRateLimit { limit: Some(rate(3.5)), request_sent_at: NOW }, NOW);
         }
         let owner = |node: usize| RateLimitOwner { address: (node != 0).then(|| peer(0)), share: 1.0 };
-        let (mut now, mut way, mut sent) = (NOW, Vec::new(), 0_u32);
+        let (mut now, mut in_transit, mut sent) = (NOW, Vec::new(), 0_u32);
         for event in events {
             match event {
                 Event::Want(node) => nodes[node].request_permit(&1, now),
@@ -322,18 +322,18 @@
                 Event::Step(node) => {
                     for (to, _, message) in nodes[node].step(now, |_| owner(node)).messages {
                         if let RateLimitRecipient::Node(to) = to {
-                            way.push((node, usize::from(to.port()), message));
+                            in_transit.push((node, usize::from(to.port()), message));
                         }
                     }
                 }
-                Event::Arrive(place) if !way.is_empty() => {
-                    let (from, to, message) = way[place % way.len()];
+                Event::Deliver(place) if !in_transit.is_empty() => {
+                    let (from, to, message) = in_transit[place % in_transit.len()];
                     nodes[to].handle_message(peer(from as u16), &1, message, now);
                 }
-                Event::Lose(place) if !way.is_empty() => {
-                    way.swap_remove(place % way.len());
+                Event::Lose(place) if !in_transit.is_empty() => {
+                    in_transit.swap_remove(place % in_transit.len());
                 }
-                Event::Arrive(_) | Event::Lose(_) => {}
+                Event::Deliver(_) | Event::Lose(_) => {}
                 Event::Pass(span) => now = now + Millis(span),
             }
             // The ledger starts with a debt of one second.
--- a/crates/cherrystand_core/tests/era_tracker.rs
+++ b/crates/cherrystand_core/tests/era_tracker.rs
@@ -14,10 +14,15 @@
     }
     use ReportedEra::{Invalid, Known, Missing};
     let cases = [
-        Case { name: "none ever told", reported: &[Missing], last: Some(0), rejected: 0 },
-        Case { name: "a drill", reported: &[Missing, Known(Era(1))], last: Some(1), rejected: 0 },
+        Case { name: "never reported", reported: &[Missing], last: Some(0), rejected: 0 },
         Case {
-            name: "two at once",
+            name: "restored once",
+            reported: &[Missing, Known(Era(1))],
+            last: Some(1),
+            rejected: 0,
+        },
+        Case {
+            name: "restored twice",
             reported: &[Known(Era(1)), Known(Era(3))],
             last: Some(3),
             rejected: 0,
@@ -29,12 +34,17 @@
             rejected: 1,
         },
         Case {
-            name: "told no more",
+            name: "no longer reported",
             reported: &[Known(Era(2)), Missing],
             last: Some(2),
             rejected: 0,
         },
-        Case { name: "no number", reported: &[Known(Era(2)), Invalid], last: Some(2), rejected: 1 },
+        Case {
+            name: "not a number",
+            reported: &[Known(Era(2)), Invalid],
+            last: Some(2),
+            rejected: 1,
+        },
     ];
     for case in cases {
         let mut tracker = EraTracker::default();
@@ -73,7 +83,7 @@
     tombstones.insert(&"b", Revision::new(50));
     let listed = Revision::in_era(Era(1), 40);
     tombstones.advance_to_era(listed, |key| *key == "b");
-    assert!(tombstones.hides(&"a", Revision::in_era(Era(1), 39)), "the copy's entry");
+    assert!(tombstones.hides(&"a", Revision::in_era(Era(1), 39)), "the backup's entry");
     assert!(!tombstones.hides(&"a", Revision::in_era(Era(1), 41)), "written again");
-    assert!(!tombstones.hides(&"b", Revision::in_era(Era(1), 39)), "it is there");
+    assert!(!tombstones.hides(&"b", Revision::in_era(Era(1), 39)), "it exists");
 }
--- a/crates/cherrystand_core/tests/liveness_probe.rs
+++ b/crates/cherrystand_core/tests/liveness_probe.rs
@@ -12,33 +12,33 @@
 
 /// Returns a daemon's call history at a given time.
 fn history_at(calls: &[Call], now: u64) -> CallHistory {
-    let mut book = CallHistory::default();
+    let mut history = CallHistory::default();
     for (began, answered) in calls.iter().filter(|(began, _)| *began <= now) {
-        let call = book.begin(Millis(*began));
+        let call = history.begin(Millis(*began));
         if let Some(at) = answered.filter(|at| *at <= now) {
-            book.end(call, true, Millis(at));
+            history.end(call, true, Millis(at));
         }
     }
-    book
+    history
 }
 
 /// Simulates the probes of a box until it answers or a verdict is reached, and returns the verdict
 /// and its time. `answers` returns when the box answers a probe that begins at a given time, and
-/// `late` is the delay of each of the daemon's timers.
+/// `timer_delay` is the delay of each of the daemon's timers.
 fn probe(
     calls: &[Call],
-    late: u64,
+    timer_delay: u64,
     answers: impl Fn(u64) -> Option<u64>,
 ) -> Option<(ProbeVerdict, u64)> {
-    let mut check = LivenessProbe::default();
-    let mut begun = 1_000;
+    let mut liveness_probe = LivenessProbe::default();
+    let mut started = 1_000;
     loop {
-        let now = begun + check.timeout().0 + late;
-        if answers(begun).is_some_and(|at| at <= now) {
+        let now = started + liveness_probe.timeout().0 + timer_delay;
+        if answers(started).is_some_and(|at| at <= now) {
             return None;
         }
-        match check.record_timeout(Millis(begun), Millis(now), &history_at(calls, now)) {
-            ProbeVerdict::AskAgain => begun = now,
+        match liveness_probe.record_timeout(Millis(started), Millis(now), &history_at(calls, now)) {
+            ProbeVerdict::AskAgain => started = now,
             verdict => return Some((verdict, now - 1_000)),
         }
     }
@@ -49,7 +49,7 @@
     struct Case {
         name: &'static str,
         calls: Vec<Call>,
-        late: u64,
+        timer_delay: u64,
         verdict: ProbeVerdict,
         /// The latest time of the verdict.
         within: u64,
@@ -63,69 +63,69 @@
         Case {
             name: "a dead box, others answer at once",
             calls: every(100, 3),
-            late: 0,
+            timer_delay: 0,
             verdict: ProbeVerdict::Silent,
             within: 200,
         },
         Case {
             name: "a dead box, others take 60 ms over a lossy link",
             calls: every(100, 60),
-            late: 5,
+            timer_delay: 5,
             verdict: ProbeVerdict::Silent,
             within: 205,
         },
         Case {
             name: "a dead box, a busy link; known within the half second and a little",
             calls: every(100, 90),
-            late: 0,
+            timer_delay: 0,
             verdict: ProbeVerdict::Silent,
             within: 500,
         },
         Case {
             name: "nobody answers",
             calls: (0..30).map(|number| (1_000 + number * 50, None)).collect(),
-            late: 0,
+            timer_delay: 0,
             verdict: ProbeVerdict::Undecided,
             within: 1_400,
         },
         Case {
             name: "nobody is asked",
             calls: Vec::new(),
-            late: 0,
+            timer_delay: 0,
             verdict: ProbeVerdict::Undecided,
             within: 1_400,
         },
         Case {
             name: "all answers wait behind 400 ms of bulk",
             calls: every(100, 400),
-            late: 0,
+            timer_delay: 0,
             verdict: ProbeVerdict::Undecided,
             within: 1_400,
         },
         Case {
             name: "the link becomes free just before time runs out: the box is asked again first",
             calls: vec![(1_000, None), (1_190, Some(1_193))],
-            late: 0,
+            timer_delay: 0,
             verdict: ProbeVerdict::Silent,
             within: 500,
         },
         Case {
             name: "the daemon's own timers are late",
             calls: every(10, 3),
-            late: 150,
+            timer_delay: 150,
             verdict: ProbeVerdict::Undecided,
             within: 2_000,
         },
         Case {
             name: "answers of long ago",
             calls: vec![(500, Some(503)), (900, Some(905))],
-            late: 0,
+            timer_delay: 0,
             verdict: ProbeVerdict::Undecided,
             within: 1_400,
         },
     ];
     for case in cases {
-        let (verdict, at) = probe(&case.calls, case.late, |_| None).expect(case.name);
+        let (verdict, at) = probe(&case.calls, case.timer_delay, |_| None).expect(case.name);
         assert_eq!(verdict, case.verdict, "{}", case.name);
         assert!(at <= case.within, "{}: at {at} ms", case.name);
     }
@@ -135,7 +135,7 @@
     /// If every answer takes as long as the link delays it, a healthy box is never declared silent.
     #[test]
     fn box_that_answers_like_others_is_never_declared_silent(
-        held_up in prop::collection::vec(0u64..1_500, 1..40),
+        delays in prop::collection::vec(0u64..1_500, 1..40),
         own in 0u64..30,
         slower in 0u64..100,
     ) {
@@ -143,15 +143,15 @@
         // as long, since a queue serves one after the other.
         let mut free_at = 1_000;
         let mut calls: Vec<Call> = Vec::new();
-        for (number, hold) in held_up.iter().enumerate() {
+        for (number, delay) in delays.iter().enumerate() {
             let began = 1_000 + number as u64 * 40;
-            free_at = free_at.max(began + hold);
+            free_at = free_at.max(began + delay);
             calls.push((began, Some(free_at + own)));
         }
         // The box's answer arrives soon after that of the first call that begins with the probe.
-        let answers = |begun: u64| {
-            let with = calls.iter().find(|(began, _)| *began >= begun);
-            with.map_or(Some(begun), |(_, answered)| answered.map(|at| at + slower))
+        let answers = |started: u64| {
+            let with = calls.iter().find(|(began, _)| *began >= started);
+            with.map_or(Some(started), |(_, answered)| answered.map(|at| at + slower))
         };
         let verdict = probe(&calls, 0, answers).map(|(verdict, _)| verdict);
         prop_assert_ne!(verdict, Some(ProbeVerdict::Silent));
@@ -172,12 +172,12 @@
     }
     let cases = [
         Case {
-            name: "its replica stands still",
+            name: "its replica is stalled",
             reason: ProbeReason::NoAnswer,
             verdict: ProbeVerdict::Silent,
         },
         Case {
-            name: "its entry ran out",
+            name: "its entry expired",
             reason: ProbeReason::NotListed,
             verdict: ProbeVerdict::Undecided,
         },
--- a/crates/cherrystand_core/tests/nodes.rs
+++ b/crates/cherrystand_core/tests/nodes.rs
@@ -43,20 +43,20 @@
 fn old_heartbeats_revive_nobody_and_a_later_incarnation_wins() {
     struct Case {
         name: &'static str,
-        news: Heartbeat,
+        received: Heartbeat,
         liveness: Liveness,
     }
     let cases = [
-        Case { name: "the same beat again", news: beat(1, 2, 10), liveness: Liveness::Dead },
-        Case { name: "an earlier life", news: beat(1, 1, 99), liveness: Liveness::Dead },
-        Case { name: "a later beat", news: beat(1, 2, 11), liveness: Liveness::Alive },
-        Case { name: "a later life", news: beat(1, 3, 0), liveness: Liveness::Alive },
+        Case { name: "the same beat again", received: beat(1, 2, 10), liveness: Liveness::Dead },
+        Case { name: "an earlier incarnation", received: beat(1, 1, 99), liveness: Liveness::Dead },
+        Case { name: "a later beat", received: beat(1, 2, 11), liveness: Liveness::Alive },
+        Case { name: "a later incarnation", received: beat(1, 3, 0), liveness: Liveness::Alive },
     ];
     for case in cases {
         let mut members = Membership::new(beat(0, 1, 0), Millis(0));
         members.merge_heartbeat(beat(1, 2, 10), Millis(0), Millis(0));
         let later = DEAD_AFTER + Millis(1_000);
-        members.merge_heartbeat(case.news, Millis(0), later);
+        members.merge_heartbeat(case.received, Millis(0), later);
         assert_eq!(members.liveness(&node(1), later), case.liveness, "{}", case.name);
     }
 }
@@ -69,7 +69,7 @@
     assert!(members.tick(PAUSE_GAP + PAUSE_GAP + Millis(1)));
     assert_eq!(members.own().incarnation, Incarnation(8));
     members.merge_heartbeat(beat(0, 12, 5), Millis(0), Millis(9_999));
-    assert_eq!(members.own().incarnation, Incarnation(13), "it rises above what others heard");
+    assert_eq!(members.own().incarnation, Incarnation(13), "it supersedes what others know of it");
 }
 
 #[test]
@@ -115,7 +115,7 @@
             may_accept: false,
         },
         Case {
-            name: "the platform is out, a majority is there",
+            name: "the platform is unreachable, a majority agrees",
             platform_age: Some(late),
             peers: &[(1, 10)],
             daemons: 3,
@@ -123,7 +123,7 @@
             may_accept: true,
         },
         Case {
-            name: "the platform is out, half is there",
+            name: "the platform is unreachable, half agrees",
             platform_age: Some(late),
             peers: &[(1, 10)],
             daemons: 4,
@@ -131,7 +131,7 @@
             may_accept: false,
         },
         Case {
-            name: "the platform is out, and the majority's news is old",
+            name: "the platform is unreachable, and the majority was heard of too long ago",
             platform_age: Some(late),
             peers: &[(1, 8_001), (2, 8_001)],
             daemons: 3,
@@ -180,7 +180,7 @@
     written: Revision,
     /// A change that has been written but not yet confirmed to its operator.
     pending: Option<(usize, Revision)>,
-    told: Vec<(Millis, Revision)>,
+    confirmed: Vec<(Millis, Revision)>,
 }
 
 impl Daemons {
@@ -193,7 +193,7 @@
             members: (0..count).map(|number| Membership::new(beat(number, 1, 0), start)).collect(),
             written: Revision::new(1),
             pending: None,
-            told: Vec::new(),
+            confirmed: Vec::new(),
         };
         (0..count).for_each(|number| daemons.read(number));
         daemons
@@ -222,36 +222,36 @@
     }
 
     /// The operator gets the confirmation once the daemon knows that a majority holds the change.
-    fn tell(&mut self) {
+    fn confirm(&mut self) {
         let Some((number, revision)) = self.pending else {
             return;
         };
         let held = self.records[number].revision("workspace") >= revision;
         if held && self.fresh[number].is_majority(self.members[number].agreeing()) {
-            self.told.push((self.now, revision));
+            self.confirmed.push((self.now, revision));
             self.pending = None;
         }
     }
 
     /// One daemon asks another one for updates.
-    fn exchange(&mut self, asks: usize, answers: usize) {
-        self.members[answers].tick(self.now);
-        let roster = self.members[asks].roster(self.now);
-        let told = self.members[answers].digest_for(roster, self.now);
-        self.members[asks].merge_digest(told, Millis(0), self.now);
-        for (node, heard) in self.members[asks].agreement_times() {
-            self.fresh[asks].record_agreement(node, heard);
+    fn exchange(&mut self, requester: usize, responder: usize) {
+        self.members[responder].tick(self.now);
+        let roster = self.members[requester].roster(self.now);
+        let digest = self.members[responder].digest_for(roster, self.now);
+        self.members[requester].merge_digest(digest, Millis(0), self.now);
+        for (node, heard) in self.members[requester].agreement_times() {
+            self.fresh[requester].record_agreement(node, heard);
         }
-        let theirs = self.records[answers].newer_than(&self.records[asks].versions());
-        let ours = self.records[asks].newer_than(&self.records[answers].versions());
+        let theirs = self.records[responder].newer_than(&self.records[requester].versions());
+        let ours = self.records[requester].newer_than(&self.records[responder].versions());
         if theirs.is_empty()
             && ours.is_empty()
-            && let Some(age) = self.fresh[answers].platform_age(self.now)
+            && let Some(age) = self.fresh[responder].platform_age(self.now)
         {
-            self.fresh[asks].record_platform_read(self.now, age);
+            self.fresh[requester].record_platform_read(self.now, age);
         }
-        theirs.into_iter().for_each(|record| self.take(asks, record));
-        ours.into_iter().for_each(|record| self.take(answers, record));
+        theirs.into_iter().for_each(|record| self.take(requester, record));
+        ours.into_iter().for_each(|record| self.take(responder, record));
     }
 }
 
@@ -278,7 +278,7 @@
     prop_oneof![
         1 => (0..count).prop_map(Event::Read),
         1 => (0..count).prop_map(Event::Accept),
-        6 => (0..count, 0..count).prop_map(|(asks, answers)| Event::Exchange(asks, answers)),
+        6 => (0..count, 0..count).prop_map(|(requester, responder)| Event::Exchange(requester, responder)),
         2 => (1_u64..4_000).prop_map(Event::Wait),
     ]
 }
@@ -298,19 +298,19 @@
             match event {
                 Event::Read(number) => daemons.read(number),
                 Event::Accept(number) => daemons.accept(number),
-                Event::Exchange(asks, answers) if asks != answers => {
-                    daemons.exchange(asks, answers);
+                Event::Exchange(requester, responder) if requester != responder => {
+                    daemons.exchange(requester, responder);
                 }
                 Event::Exchange(..) => {}
                 Event::Wait(span) => daemons.now = daemons.now + Millis(span),
             }
-            daemons.tell();
+            daemons.confirm();
             for number in 0..5 {
                 if !daemons.fresh[number].serve_by(daemons.now).may_serve() {
                     continue;
                 }
                 let held = daemons.records[number].revision("workspace");
-                let missing = daemons.told.iter().find(|(_, revision)| *revision > held);
+                let missing = daemons.confirmed.iter().find(|(_, revision)| *revision > held);
                 let late = missing.map(|(at, _)| daemons.now.since(*at)).unwrap_or_default();
                 prop_assert!(late <= IN_FORCE_WITHIN, "daemon {} is {:?} late", number, late);
             }
@@ -358,14 +358,14 @@
 
     #[test]
     fn evidence_counts_until_its_oldest_acknowledgement_expires(
-        told in prop::collection::vec((0_u64..4_000, 0_u64..6_000, any::<bool>(), 1_u64..3), 1..40),
+        reports in prop::collection::vec((0_u64..4_000, 0_u64..6_000, any::<bool>(), 1_u64..3), 1..40),
     ) {
         let replica = ReplicaId::new(GroupId::new(WorkspaceId::new("w"), "g"), 0);
         let domain = DomainId::new("d");
         let mut table = EvidenceTable::default();
         let mut now = Millis(100_000);
-        let mut given: Vec<(Millis, bool, u64)> = Vec::new();
-        for (wait, age, whole, epoch) in told {
+        let mut acknowledged: Vec<(Millis, bool, u64)> = Vec::new();
+        for (wait, age, whole, epoch) in reports {
             now = now + Millis(wait);
             let evidence = ReplicaEvidence {
                 domain: domain.clone(),
@@ -376,10 +376,10 @@
                 load: 0,
             };
             table.merge(&evidence, now);
-            given.push((now - Millis(age), whole, epoch));
+            acknowledged.push((now - Millis(age), whole, epoch));
             for epoch in 1..3 {
                 if table.load_if_whole(&domain, &replica, Epoch(epoch), now).is_some() {
-                    let fresh = given.iter().any(|(at, whole, of)| {
+                    let fresh = acknowledged.iter().any(|(at, whole, of)| {
                         *whole && *of == epoch && now.since(*at) <= EVIDENCE_TTL
                     });
                     prop_assert!(fresh, "whole under {} without fresh evidence", epoch);
--- a/crates/cherrystand_core/tests/outcomes.rs
+++ b/crates/cherrystand_core/tests/outcomes.rs
@@ -11,9 +11,9 @@
     struct Case {
         end: AttemptEnd,
         outcome: Outcome,
-        blames_endpoint: bool,
+        is_endpoint_failure: bool,
     }
-    let case = |end, outcome, blames_endpoint| Case { end, outcome, blames_endpoint };
+    let case = |end, outcome, is_endpoint_failure| Case { end, outcome, is_endpoint_failure };
     let cases = [
         case(AttemptEnd::ConnectFailed, Outcome::NotRun, true),
         case(AttemptEnd::NotSent, Outcome::NotRun, true),
@@ -30,7 +30,7 @@
     assert_eq!(cases.len(), AttemptEnd::ALL.len(), "a case for every end");
     for case in cases {
         assert_eq!(case.end.outcome(), case.outcome, "{:?}", case.end);
-        assert_eq!(case.end.is_endpoint_failure(), case.blames_endpoint, "{:?}", case.end);
+        assert_eq!(case.end.is_endpoint_failure(), case.is_endpoint_failure, "{:?}", case.end);
     }
 }
 
@@ -56,29 +56,29 @@
     let cut = failed(AttemptEnd::CutBeforeAnswer);
     let unsent = failed(AttemptEnd::ConnectFailed);
     let cases = [
-        Case { name: "repeatable", failed: cut, expected: Ok(()) },
+        Case { name: "idempotent", failed: cut, expected: Ok(()) },
         Case {
-            name: "not repeatable, and it may have run",
+            name: "not idempotent, may have run",
             failed: FailedAttempt { is_idempotent: false, ..cut },
             expected: Err(NoRetry::NotRepeatable),
         },
         Case {
-            name: "not repeatable, and certainly not run",
+            name: "not idempotent, certainly not run",
             failed: FailedAttempt { is_idempotent: false, ..unsent },
             expected: Ok(()),
         },
         Case {
-            name: "part of an answer is out",
+            name: "a part of the answer was sent",
             failed: FailedAttempt { answer_started: true, ..cut },
             expected: Err(NoRetry::AnswerBegun),
         },
         Case {
-            name: "the body is gone",
+            name: "the body was not kept",
             failed: FailedAttempt { can_resend: false, ..unsent },
             expected: Err(NoRetry::NotReplayable),
         },
         Case {
-            name: "the caller is gone",
+            name: "the caller disconnected",
             failed: failed(AttemptEnd::CallerLeft),
             expected: Err(NoRetry::CallerLeft),
         },
@@ -94,8 +94,8 @@
         },
     ];
     for case in cases {
-        let decided = decide_retry(&case.failed, &mut RetryBudget::default());
-        assert_eq!(decided, case.expected, "{}", case.name);
+        let decision = decide_retry(&case.failed, &mut RetryBudget::default());
+        assert_eq!(decision, case.expected, "{}", case.name);
     }
 }
 
@@ -127,9 +127,9 @@
         ends in prop::collection::vec(prop::sample::select(&AttemptEnd::ALL[..]), 1..6),
     ) {
         let mut budget = RetryBudget::default();
-        let mut doubtful = 0;
+        let mut possibly_run = 0;
         for (number, end) in ends.iter().enumerate() {
-            doubtful += u32::from(end.outcome() != Outcome::NotRun);
+            possibly_run += u32::from(end.outcome() != Outcome::NotRun);
             if *end == AttemptEnd::Answered {
                 break;
             }
@@ -139,6 +139,6 @@
                 break;
             }
         }
-        prop_assert!(doubtful <= 1, "sent {} times with doubt", doubtful);
+        prop_assert!(possibly_run <= 1, "possibly run {} times", possibly_run);
     }
 }
--- a/crates/cherrystand_core/tests/rate_limit_simulation.rs
+++ b/crates/cherrystand_core/tests/rate_limit_simulation.rs
@@ -65,7 +65,7 @@
     request_rate: f64,
     demand: Demand,
     /// How many percent of the messages are lost, and as many duplicated.
-    lost: usize,
+    loss_percent: usize,
     /// Whether the owner is down for a while.
     loses_owner: bool,
     /// If the limit is that of a cold endpoint, how nodes learn that it is cold.
@@ -91,7 +91,7 @@
 
 struct Simulation {
     scenario: Scenario,
-    seed: SeededRng,
+    rng: SeededRng,
     nodes: Vec<EndpointRateLimits<usize>>,
     /// The token buckets of the algorithms without an owner.
     buckets: Vec<f64>,
@@ -112,10 +112,10 @@
                 if scenario.algorithm == Algorithm::IndependentLimits { 1.0 } else { 0.0 };
                 scenario.nodes
             ];
-        let seed = SeededRng::new(seed);
+        let rng = SeededRng::new(seed);
         Self {
             scenario,
-            seed,
+            rng,
             nodes,
             buckets,
             in_transit: BTreeMap::new(),
@@ -139,9 +139,9 @@
     /// Draws when each node learns that the endpoint is cold; `None` if it never does.
     fn learn_times(&mut self) -> Vec<Option<Millis>> {
         let Some(cold) = self.scenario.cold else { return Vec::new() };
-        let draw = |_| match self.seed.below(100) < cold.never_percent {
+        let draw = |_| match self.rng.below(100) < cold.never_percent {
             true => None,
-            false => Some(Millis(self.seed.below(cold.known_within.0 as usize) as u64)),
+            false => Some(Millis(self.rng.below(cold.known_within.0 as usize) as u64)),
         };
         (0..self.scenario.nodes).map(draw).collect()
     }
@@ -189,11 +189,11 @@
     }
 
     fn results(self) -> Results {
-        let (settled, span) = match self.scenario.cold {
+        let (warm_up, span) = match self.scenario.cold {
             Some(_) => (Millis(0), Millis(1_000)),
             None => (WARM_UP, Millis(4_000)),
         };
-        let counted: Vec<Millis> = self.sent.into_iter().filter(|at| *at >= settled).collect();
+        let counted: Vec<Millis> = self.sent.into_iter().filter(|at| *at >= warm_up).collect();
         let within = |last: &Millis| {
             counted.iter().filter(|at| **at <= *last && last.since(**at) < span).count()
         };
@@ -204,8 +204,8 @@
     }
 
     fn deliver(&mut self, now: Millis) {
-        let message = self.in_transit.remove(&now).unwrap_or_default();
-        for (from, to, message) in message {
+        let messages = self.in_transit.remove(&now).unwrap_or_default();
+        for (from, to, message) in messages {
             if !self.is_lost(to, now) {
                 self.nodes[to].handle_message(address(from), &0, message, now);
                 self.step(to, now);
@@ -228,9 +228,9 @@
         }
         let owner = self.owner(now);
         let address = (owner != node).then(|| address(owner));
-        let keeper_of = |_: &usize| RateLimitOwner { address, share: 1.0 };
-        self.nodes[node].reassign_owners(now, keeper_of);
-        let out = self.nodes[node].step(now, keeper_of);
+        let owner_of = |_: &usize| RateLimitOwner { address, share: 1.0 };
+        self.nodes[node].reassign_owners(now, owner_of);
+        let out = self.nodes[node].step(now, owner_of);
         for (to, _, message) in out.messages {
             match to {
                 RateLimitRecipient::Node(to) => self.send(node, node_at(to), message, now),
@@ -248,15 +248,15 @@
 
     fn send(&mut self, from: usize, to: usize, message: RateLimitMessage, now: Millis) {
         self.messages += 1;
-        let copies = match self.seed.below(100) {
-            drawn if drawn < self.scenario.lost => 0,
-            drawn if drawn < 2 * self.scenario.lost => 2,
+        let copies = match self.rng.below(100) {
+            drawn if drawn < self.scenario.loss_percent => 0,
+            drawn if drawn < 2 * self.scenario.loss_percent => 2,
             _ => 1,
         };
         for copy in 0..copies {
-            let late = Millis(self.seed.below(3) as u64 * STEP.0 + copy * 300);
+            let delay = Millis(self.rng.below(3) as u64 * STEP.0 + copy * 300);
             self.in_transit
-                .entry(now + MESSAGE_LATENCY + late)
+                .entry(now + MESSAGE_LATENCY + delay)
                 .or_default()
                 .push((from, to, message));
         }
@@ -267,30 +267,30 @@
         let chance = self.scenario.request_rate * STEP.as_secs_f64();
         let times = chance.ceil() as usize;
         for _ in 0..times {
-            if (self.seed.below(1_000_000) as f64) < chance / times as f64 * 1e6 {
+            if (self.rng.below(1_000_000) as f64) < chance / times as f64 * 1e6 {
                 let node = self.draw_node(now);
                 self.request(node, now);
             }
         }
-        let part = match self.scenario.algorithm {
+        let share = match self.scenario.algorithm {
             Algorithm::IndependentLimits => 1.0,
             _ => 1.0 / self.scenario.nodes as f64,
         };
         for bucket in &mut self.buckets {
-            *bucket = (*bucket + self.scenario.limit * part * STEP.as_secs_f64()).min(1.0);
+            *bucket = (*bucket + self.scenario.limit * share * STEP.as_secs_f64()).min(1.0);
         }
     }
 
     fn draw_node(&mut self, now: Millis) -> usize {
         let nodes = self.scenario.nodes;
         match self.scenario.demand {
-            Demand::Even => self.seed.below(nodes),
-            Demand::Skewed if self.seed.below(10) < 9 => self.seed.below((nodes / 10).max(1)),
-            Demand::Skewed => self.seed.below(nodes),
+            Demand::Even => self.rng.below(nodes),
+            Demand::Skewed if self.rng.below(10) < 9 => self.rng.below((nodes / 10).max(1)),
+            Demand::Skewed => self.rng.below(nodes),
             Demand::Shifting => {
                 let third = (nodes / 3).max(1);
                 let first = (now.0 / 8_000) as usize % 3 * third;
-                (first + self.seed.below(third)) % nodes
+                (first + self.rng.below(third)) % nodes
             }
         }
     }
@@ -310,9 +310,9 @@
                 is_sent
             }
             _ => {
-                let has_one = self.buckets[node] >= 1.0;
-                self.buckets[node] -= if has_one { 1.0 } else { 0.0 };
-                has_one
+                let has_permit = self.buckets[node] >= 1.0;
+                self.buckets[node] -= if has_permit { 1.0 } else { 0.0 };
+                has_permit
             }
         };
         if is_sent {
@@ -322,17 +322,17 @@
 }
 
 fn simulate(scenario: Scenario) -> Results {
-    let outcomes = [1, 2, 3].map(|seed| Simulation::new(scenario, seed).run());
-    let worst = outcomes.iter().map(|out| out.worst).max().unwrap_or_default();
-    let used = outcomes.iter().map(|out| out.used).sum::<f64>() / 3.0;
-    let messages = outcomes.iter().map(|out| out.messages).sum::<usize>() / 3;
+    let results = [1, 2, 3].map(|seed| Simulation::new(scenario, seed).run());
+    let worst = results.iter().map(|out| out.worst).max().unwrap_or_default();
+    let used = results.iter().map(|out| out.used).sum::<f64>() / 3.0;
+    let messages = results.iter().map(|out| out.messages).sum::<usize>() / 3;
     println!(
         "{:?} {} nodes, limit {}, {:?}, lost {}{}: worst {worst}, used {used:.2}, {:.1} messages a second",
         scenario.algorithm,
         scenario.nodes,
         scenario.limit,
         scenario.demand,
-        scenario.lost,
+        scenario.loss_percent,
         if scenario.loses_owner { ", owner lost" } else { "" },
         messages as f64 / DURATION.as_secs_f64(),
     );
@@ -350,7 +350,7 @@
     limit: 3.5,
     request_rate: 14.0,
     demand: Demand::Even,
-    lost: 0,
+    loss_percent: 0,
     loses_owner: false,
     cold: None,
 };
@@ -368,12 +368,12 @@
             }
             let kept = simulate(scenario);
             assert!(kept.worst <= max_allowed(&scenario), "{scenario:?}: {kept:?}");
-            let least = if demand == Demand::Even { 0.95 } else { 0.9 };
-            assert!(kept.used >= least, "{scenario:?}: {kept:?}");
+            let min_used = if demand == Demand::Even { 0.95 } else { 0.9 };
+            assert!(kept.used >= min_used, "{scenario:?}: {kept:?}");
         }
     }
-    let each = simulate(Scenario { algorithm: Algorithm::IndependentLimits, ..SCENARIO });
-    assert!(each.worst > max_allowed(&SCENARIO), "{each:?}");
+    let independent = simulate(Scenario { algorithm: Algorithm::IndependentLimits, ..SCENARIO });
+    assert!(independent.worst > max_allowed(&SCENARIO), "{independent:?}");
 }
 
 #[test]
@@ -391,9 +391,9 @@
 /// Lost permits reduce the throughput, and no permit counts twice.
 #[test]
 fn lost_and_duplicated_messages_grant_nothing_more() {
-    for lost in [5, 20] {
+    for loss_percent in [5, 20] {
         for nodes in [9, 60] {
-            let scenario = Scenario { lost, nodes, ..SCENARIO };
+            let scenario = Scenario { loss_percent, nodes, ..SCENARIO };
             let kept = simulate(scenario);
             assert!(kept.worst <= max_allowed(&scenario), "{scenario:?}: {kept:?}");
             assert!(kept.used >= 0.6, "{scenario:?}: {kept:?}");
@@ -426,11 +426,18 @@
             let faults = [(0, false), (5, false), (0, true)];
             // The largest scenario runs without faults, as it takes as long as all others.
             let faults = if nodes < 1_000 { &faults[..] } else { &faults[..1] };
-            for (lost, loses_owner) in faults.iter().copied() {
+            for (loss_percent, loses_owner) in faults.iter().copied() {
                 let cold = Some(Cold { never_percent, ..cold });
                 let (limit, request_rate) = (14.0, 28.0);
-                let scenario =
-                    Scenario { nodes, limit, request_rate, lost, loses_owner, cold, ..SCENARIO };
+                let scenario = Scenario {
+                    nodes,
+                    limit,
+                    request_rate,
+                    loss_percent,
+                    loses_owner,
+                    cold,
+                    ..SCENARIO
+                };
                 let kept = simulate(scenario);
                 // The platform's rule allows half as much again and five.
                 assert!(kept.worst as f64 <= 1.5 * limit + 5.0, "{scenario:?}: {kept:?}");
@@ -445,10 +452,10 @@
 fn nodes_without_store_learn_of_a_cold_endpoint_from_the_owner() {
     let cold = Cold { known_within: Millis(500), never_percent: 50, owner_announces: true };
     for nodes in [9, 69, 300, 1_000] {
-        for lost in [0, 5] {
+        for loss_percent in [0, 5] {
             let (limit, request_rate) = (14.0, 28.0);
             let scenario =
-                Scenario { nodes, limit, request_rate, lost, cold: Some(cold), ..SCENARIO };
+                Scenario { nodes, limit, request_rate, loss_percent, cold: Some(cold), ..SCENARIO };
             let kept = simulate(scenario);
             assert!(kept.worst as f64 <= 1.5 * limit + 5.0, "{scenario:?}: {kept:?}");
         }
--- a/crates/cherrystand_core/tests/reader_list.rs
+++ b/crates/cherrystand_core/tests/reader_list.rs
@@ -7,7 +7,7 @@
 use cherrystand_core::{Heartbeat, Millis, NodeId, ReaderList, ReaderListPublisher};
 use support::heartbeat;
 
-fn reading(number: usize) -> Heartbeat {
+fn reader_heartbeat(number: usize) -> Heartbeat {
     let changes = Some(SocketAddr::from(([127, 0, 0, 1], 1_000 + number as u16)));
     Heartbeat { changes, ..heartbeat(number, "z") }
 }
@@ -19,7 +19,7 @@
 
 #[test]
 fn readers_asked_depend_on_rank() {
-    let beats: Vec<Heartbeat> = (0..6).map(reading).collect();
+    let beats: Vec<Heartbeat> = (0..6).map(reader_heartbeat).collect();
     let list = list_of(&beats);
     assert_eq!(list.readers.len(), 2);
     for beat in &beats {
@@ -37,7 +37,7 @@
 
 #[test]
 fn first_reader_publishes_settled_lists() {
-    struct Look {
+    struct Step {
         name: &'static str,
         at: u64,
         /// The number of daemons.
@@ -45,42 +45,42 @@
         own: usize,
         due: bool,
     }
-    let all: Vec<Heartbeat> = (0..6).map(reading).collect();
+    let all: Vec<Heartbeat> = (0..6).map(reader_heartbeat).collect();
     let rank = |count: usize, rank: usize| {
         let node = &list_of(&all[..count]).readers[rank].node;
         all.iter().position(|beat| &beat.node == node).expect("one of them")
     };
     let (first, second) = (rank(6, 0), rank(6, 1));
-    let looks = [
-        Look { name: "just seen", at: 0, daemons: 6, own: first, due: false },
-        Look { name: "not settled", at: 500, daemons: 6, own: first, due: false },
-        Look { name: "settled", at: 1_000, daemons: 6, own: first, due: true },
-        Look { name: "written", at: 1_500, daemons: 6, own: first, due: false },
-        Look { name: "not the first any more", at: 2_000, daemons: 6, own: second, due: false },
-        Look { name: "the first again", at: 2_500, daemons: 6, own: first, due: false },
-        Look { name: "and settled", at: 3_500, daemons: 6, own: first, due: true },
+    let steps = [
+        Step { name: "just seen", at: 0, daemons: 6, own: first, due: false },
+        Step { name: "not settled", at: 500, daemons: 6, own: first, due: false },
+        Step { name: "settled", at: 1_000, daemons: 6, own: first, due: true },
+        Step { name: "written", at: 1_500, daemons: 6, own: first, due: false },
+        Step { name: "not the first any more", at: 2_000, daemons: 6, own: second, due: false },
+        Step { name: "the first again", at: 2_500, daemons: 6, own: first, due: false },
+        Step { name: "and settled", at: 3_500, daemons: 6, own: first, due: true },
     ];
-    let mut keeper = ReaderListPublisher::default();
-    for look in looks {
-        let list = list_of(&all[..look.daemons]);
-        let due = keeper.due(&all[look.own].node, list, Millis(look.at));
-        assert_eq!(due.is_some(), look.due, "{}", look.name);
+    let mut publisher = ReaderListPublisher::default();
+    for step in steps {
+        let list = list_of(&all[..step.daemons]);
+        let due = publisher.due(&all[step.own].node, list, Millis(step.at));
+        assert_eq!(due.is_some(), step.due, "{}", step.name);
         if let Some(list) = due {
-            keeper.record_written(list);
+            publisher.record_written(list);
         }
     }
 }
 
 #[test]
 fn failed_write_is_retried_later() {
-    let beats = [reading(0)];
-    let mut keeper = ReaderListPublisher::default();
-    let due = |keeper: &mut ReaderListPublisher, at| {
-        keeper.due(&beats[0].node, list_of(&beats), Millis(at)).is_some()
+    let beats = [reader_heartbeat(0)];
+    let mut publisher = ReaderListPublisher::default();
+    let due = |publisher: &mut ReaderListPublisher, at| {
+        publisher.due(&beats[0].node, list_of(&beats), Millis(at)).is_some()
     };
-    assert!(!due(&mut keeper, 0));
-    assert!(due(&mut keeper, 1_000));
-    keeper.record_failure(Millis(1_000));
-    assert!(!due(&mut keeper, 1_500));
-    assert!(due(&mut keeper, 2_000));
+    assert!(!due(&mut publisher, 0));
+    assert!(due(&mut publisher, 1_000));
+    publisher.record_failure(Millis(1_000));
+    assert!(!due(&mut publisher, 1_500));
+    assert!(due(&mut publisher, 2_000));
 }
--- a/crates/cherrystand_core/tests/readers.rs
+++ b/crates/cherrystand_core/tests/readers.rs
@@ -134,18 +134,18 @@
     let mut log = ChangeLog::default();
     log.record(document("boxes/a", 1));
     log.record(document("boxes/b", 2));
-    log.gone("boxes/a", BoxId::new("a"));
+    log.record_removal("boxes/a", BoxId::new("a"));
     log.record(document("boxes/b", 4));
     let all = ChangesSince { records: vec![document("boxes/b", 4)], gone: vec![BoxId::new("a")] };
     assert_eq!(log.since(0), Some(all));
     let last = ChangesSince { records: vec![document("boxes/b", 4)], gone: Vec::new() };
     assert_eq!(log.since(3), Some(last));
     assert_eq!(log.since(4), Some(ChangesSince::default()));
-    assert_eq!(log.since(5), None, "of a count that never was");
+    assert_eq!(log.since(5), None, "a count beyond the last change");
     for revision in 5..3_000 {
         log.record(document("boxes/c", revision));
     }
-    assert_eq!(log.since(4), None, "what is too long ago");
+    assert_eq!(log.since(4), None, "changes that are no longer kept");
 }
 
 #[test]
@@ -153,29 +153,34 @@
     struct Case {
         name: &'static str,
         /// When the store's state was read, and when the store did not answer.
-        told: &'static [u64],
-        missed: &'static [u64],
+        updates: &'static [u64],
+        failures: &'static [u64],
         decides: bool,
     }
     let cases = [
-        Case { name: "never heard", told: &[], missed: &[], decides: false },
-        Case { name: "heard just now", told: &[2_900], missed: &[], decides: false },
-        Case { name: "heard for long", told: &[1_000, 2_000, 2_900], missed: &[], decides: true },
-        Case { name: "turned away since", told: &[1_000, 2_000], missed: &[2_900], decides: false },
-        Case { name: "not heard lately", told: &[500, 1_000], missed: &[], decides: false },
+        Case { name: "no update", updates: &[], failures: &[], decides: false },
+        Case { name: "first update just now", updates: &[2_900], failures: &[], decides: false },
+        Case {
+            name: "fresh for a while",
+            updates: &[1_000, 2_000, 2_900],
+            failures: &[],
+            decides: true,
+        },
+        Case { name: "failed since", updates: &[1_000, 2_000], failures: &[2_900], decides: false },
+        Case { name: "last update too old", updates: &[500, 1_000], failures: &[], decides: false },
     ];
     for case in cases {
-        let mut reach = StoreReachability::default();
+        let mut reachability = StoreReachability::default();
         let mut decides = false;
         for now in (0..=3_000).step_by(100) {
-            if case.told.contains(&now) {
-                reach.record_success();
-                reach.record_update(Millis(now));
+            if case.updates.contains(&now) {
+                reachability.record_success();
+                reachability.record_update(Millis(now));
             }
-            if case.missed.contains(&now) {
-                reach.record_failure();
+            if case.failures.contains(&now) {
+                reachability.record_failure();
             }
-            decides = reach.may_decide(Millis(now));
+            decides = reachability.may_decide(Millis(now));
         }
         assert_eq!(decides, case.decides, "{}", case.name);
     }
@@ -190,20 +195,20 @@
         zones: usize,
         per_zone: usize,
         watches: Millis,
-        questions: Millis,
+        polls: Millis,
     }
     let cases = [
-        Case { name: "one", zones: 1, per_zone: 1, watches: Millis(20), questions: Millis(4) },
-        Case { name: "few", zones: 3, per_zone: 3, watches: Millis(60), questions: Millis(12) },
+        Case { name: "one", zones: 1, per_zone: 1, watches: Millis(20), polls: Millis(4) },
+        Case { name: "few", zones: 3, per_zone: 3, watches: Millis(60), polls: Millis(12) },
         Case {
             name: "a zone of 28",
             zones: 3,
             per_zone: 28,
             watches: Millis(60),
-            questions: Millis(112),
+            polls: Millis(112),
         },
-        Case { name: "295", zones: 5, per_zone: 59, watches: Millis(100), questions: Millis(236) },
-        Case { name: "most", zones: 8, per_zone: 90, watches: Millis(160), questions: Millis(250) },
+        Case { name: "295", zones: 5, per_zone: 59, watches: Millis(100), polls: Millis(236) },
+        Case { name: "most", zones: 8, per_zone: 90, watches: Millis(160), polls: Millis(250) },
     ];
     for case in cases {
         let beats: Vec<Heartbeat> = (0..case.zones * case.per_zone)
@@ -211,7 +216,7 @@
             .collect();
         let alive: Vec<&Heartbeat> = beats.iter().collect();
         assert_eq!(watch_interval(&alive), case.watches, "{}", case.name);
-        assert_eq!(poll_interval(&beats[0].zone, &alive), case.questions, "{}", case.name);
+        assert_eq!(poll_interval(&beats[0].zone, &alive), case.polls, "{}", case.name);
     }
 }
 
@@ -228,56 +233,56 @@
         /// The daemon was paused until the given time.
         Paused(u64),
         /// A peer reports that the store answered it all the time.
-        WasNone,
+        NoOutage,
     }
     struct Case {
         name: &'static str,
         events: &'static [Event],
         at: u64,
-        keeps: bool,
+        retained: bool,
         /// The length of the outage that peers are asked about.
-        doubts: Option<u64>,
+        unconfirmed: Option<u64>,
     }
-    use Event::{Answered, AnsweredPeer, Failed, Paused, WasNone};
-    let case = Case { name: "", events: &[], at: 0, keeps: false, doubts: None };
+    use Event::{Answered, AnsweredPeer, Failed, NoOutage, Paused};
+    let case = Case { name: "", events: &[], at: 0, retained: false, unconfirmed: None };
     let cases = [
         Case { name: "never out", events: &[Answered(1_000), Answered(2_000)], at: 2_000, ..case },
         Case {
-            name: "long silent",
+            name: "silent for long",
             events: &[Answered(1_000), Answered(3_900)],
             at: 4_000,
-            keeps: true,
-            doubts: Some(2_900),
+            retained: true,
+            unconfirmed: Some(2_900),
         },
         Case {
             name: "failed once",
             events: &[Answered(1_000), Failed(1_100), Answered(1_200)],
             at: 3_399,
-            keeps: true,
-            doubts: Some(200),
+            retained: true,
+            unconfirmed: Some(200),
         },
         Case {
-            name: "and back",
+            name: "retention over",
             events: &[Answered(1_000), Failed(1_100), Answered(1_200)],
             at: 3_400,
-            doubts: Some(200),
+            unconfirmed: Some(200),
             ..case
         },
         Case { name: "still out", events: &[Answered(1_000), Failed(1_050)], at: 1_100, ..case },
         Case {
-            name: "a peer judges",
+            name: "a peer decides what to retain",
             events: &[Failed(4_900), AnsweredPeer(5_000)],
             at: 5_100,
             ..case
         },
         Case {
-            name: "stood still for longer than any silence",
+            name: "paused for longer than any silence",
             events: &[Answered(1_000), Paused(9_000), Answered(9_010)],
             at: 9_020,
             ..case
         },
         Case {
-            name: "a call ran out meanwhile",
+            name: "a call timed out meanwhile",
             events: &[Answered(1_000), Paused(3_000), Failed(3_000), Answered(3_200)],
             at: 3_210,
             ..case
@@ -292,27 +297,27 @@
                 Answered(3_600),
             ],
             at: 3_610,
-            keeps: true,
-            doubts: Some(600),
+            retained: true,
+            unconfirmed: Some(600),
         },
         Case {
             name: "silent for long before",
             events: &[Answered(1_000), AnsweredPeer(1_000), Paused(1_700), Answered(4_600)],
             at: 4_610,
-            keeps: true,
-            doubts: Some(3_600),
+            retained: true,
+            unconfirmed: Some(3_600),
         },
         Case {
             name: "cut off alone",
-            events: &[Answered(1_000), Failed(2_000), Answered(5_000), WasNone],
+            events: &[Answered(1_000), Failed(2_000), Answered(5_000), NoOutage],
             at: 5_010,
-            doubts: Some(4_000),
+            unconfirmed: Some(4_000),
             ..case
         },
     ];
     for case in cases {
         let mut outage = StoreOutage::default();
-        let mut awake_until = 0;
+        let mut running_until = 0;
         let run_until = |outage: &mut StoreOutage, from: u64, until: u64| {
             let ticks = (from..until).step_by(RunningTime::TICK_INTERVAL.0 as usize);
             ticks.for_each(|at| outage.record_running(Millis(at)));
@@ -320,22 +325,22 @@
         for event in case.events {
             match *event {
                 Answered(at) | AnsweredPeer(at) | Failed(at) => {
-                    run_until(&mut outage, awake_until, at);
-                    awake_until = at;
+                    run_until(&mut outage, running_until, at);
+                    running_until = at;
                 }
-                Paused(until) => awake_until = until,
-                WasNone => {}
+                Paused(until) => running_until = until,
+                NoOutage => {}
             }
             match *event {
                 Answered(at) => outage.record_answer(Millis(at)),
                 AnsweredPeer(at) => outage.record_peer_answer(Millis(at), Millis(0), Millis(at)),
                 Failed(at) => _ = outage.record_failure(Millis(at)),
                 Paused(_) => {}
-                WasNone => outage.clear_outage(),
+                NoOutage => outage.clear_outage(),
             }
         }
-        assert_eq!(outage.keeps_unlisted(Millis(case.at)), case.keeps, "{}", case.name);
-        assert_eq!(outage.take_unconfirmed_outage(), case.doubts.map(Millis), "{}", case.name);
+        assert_eq!(outage.keeps_unlisted(Millis(case.at)), case.retained, "{}", case.name);
+        assert_eq!(outage.take_unconfirmed_outage(), case.unconfirmed.map(Millis), "{}", case.name);
     }
 }
 
@@ -398,8 +403,8 @@
         let moved = after.iter().filter(|(name, source)| before[*name] != **source).count();
         // If a reader or a branch leaves, the next daemon in rank takes its place, and some of the
         // others move.
-        let has_duty = branches.contains(&beat) || readers.contains(&beat);
-        let bound = if has_duty { read_from_it + 3 * 15 } else { 0 };
+        let is_source = branches.contains(&beat) || readers.contains(&beat);
+        let bound = if is_source { read_from_it + 3 * 15 } else { 0 };
         assert!(moved <= bound, "{number}: {moved} moved, {read_from_it} read from it");
     }
 }
@@ -414,10 +419,10 @@
     let (readers, branches) = (readers_of(&zone, &alive), branches_of(&zone, &alive));
     let is_follower = |beat: &&&Heartbeat| !readers.contains(beat) && !branches.contains(beat);
     let own = alive.iter().find(is_follower).expect("a follower");
-    let mut chooser = SourceSelector::default();
+    let mut selector = SourceSelector::default();
     let mut tried = Vec::new();
-    while let Source::Peer(peer) = chooser.choose(own, &alive, Millis(0)) {
-        chooser.record_failure(&peer.node, Millis(0));
+    while let Source::Peer(peer) = selector.choose(own, &alive, Millis(0)) {
+        selector.record_failure(&peer.node, Millis(0));
         tried.push(peer);
     }
     assert_eq!(tried.len(), 4);
--- a/crates/cherrystand_core/tests/relays.rs
+++ b/crates/cherrystand_core/tests/relays.rs
@@ -28,9 +28,9 @@
     now: Millis,
     members: Vec<Membership>,
     faults: Vec<Option<Fault>>,
-    seed: SeededRng,
+    rng: SeededRng,
     /// The number of exchanges with a peer of another zone.
-    far: usize,
+    cross_zone: usize,
     round: usize,
     /// Whether each daemon gossips with random peers instead, for comparison.
     random: bool,
@@ -45,8 +45,8 @@
             now,
             members,
             faults: vec![None; size],
-            seed: SeededRng::new(seed),
-            far: 0,
+            rng: SeededRng::new(seed),
+            cross_zone: 0,
             round: 0,
             random: false,
         };
@@ -78,19 +78,19 @@
         let alive = self.members[own].alive(self.now);
         let known = self.members[own].all(self.now);
         let chosen = match self.random {
-            true => Some(alive[1 + self.seed.below(alive.len() - 1)]),
-            false => choose_gossip_peer(&me, &known, self.round + own, &mut self.seed),
+            true => Some(alive[1 + self.rng.below(alive.len() - 1)]),
+            false => choose_gossip_peer(&me, &known, self.round + own, &mut self.rng),
         };
         let Some(peer) = chosen else { return };
-        self.far += usize::from(peer.zone != me.zone);
+        self.cross_zone += usize::from(peer.zone != me.zone);
         let peer = number_of(peer);
         if self.faults[peer].is_some() {
             return;
         }
         let roster = self.members[own].roster(self.now);
         self.members[peer].merge_heartbeat(me, Millis(0), self.now);
-        let told = self.members[peer].digest_for(roster, self.now);
-        self.members[own].merge_digest(told, Millis(0), self.now);
+        let digest = self.members[peer].digest_for(roster, self.now);
+        self.members[own].merge_digest(digest, Millis(0), self.now);
     }
 
     fn run(&mut self, rounds: usize) {
@@ -100,10 +100,10 @@
     }
 
     /// Counts the pairs of healthy daemons of which one does not consider the other alive.
-    fn misjudged(&self) -> usize {
-        let sound: Vec<usize> =
+    fn wrong_pairs(&self) -> usize {
+        let healthy: Vec<usize> =
             (0..self.members.len()).filter(|number| self.faults[*number].is_none()).collect();
-        let pairs = sound.iter().flat_map(|own| sound.iter().map(move |other| (*own, *other)));
+        let pairs = healthy.iter().flat_map(|own| healthy.iter().map(move |other| (*own, *other)));
         let wrong = pairs.filter(|(own, other)| {
             let node = &self.members[*other].own().node;
             self.members[*own].liveness(node, self.now) != Liveness::Alive
@@ -161,16 +161,16 @@
     for case in cases {
         let mut fleet = Fleet::new(case.size, case.zones, 7);
         fleet.run(20);
-        assert_eq!(fleet.misjudged(), 0, "{}: before", case.name);
+        assert_eq!(fleet.wrong_pairs(), 0, "{}: before", case.name);
         let relays = fleet.relays();
         for (place, fault) in case.fail {
             fleet.faults[relays[*place]] = Some(*fault);
         }
         // Others take their place once they are suspected, and gossip is late until then.
         fleet.run(24);
-        assert_eq!(fleet.misjudged(), 0, "{}: after", case.name);
+        assert_eq!(fleet.wrong_pairs(), 0, "{}: after", case.name);
         fleet.run(40);
-        assert_eq!(fleet.misjudged(), 0, "{}: later", case.name);
+        assert_eq!(fleet.wrong_pairs(), 0, "{}: later", case.name);
     }
 }
 
@@ -192,16 +192,20 @@
             let mut fleet = Fleet::new(case.size, case.zones, 7);
             fleet.random = random;
             fleet.run(20);
-            fleet.far = 0;
+            fleet.cross_zone = 0;
             let wrong = (0..20).map(|_| {
                 fleet.run(1);
-                fleet.misjudged()
+                fleet.wrong_pairs()
             });
-            (wrong.sum::<usize>(), fleet.far)
+            (wrong.sum::<usize>(), fleet.cross_zone)
         };
-        let ((wrong, far), (random_wrong, random_far)) = (run(false), run(true));
+        let ((wrong, cross_zone), (random_wrong, random_far)) = (run(false), run(true));
         assert!(wrong <= random_wrong, "{}: {wrong} against {random_wrong}", case.size);
-        assert!(far * case.fewer < random_far, "{}: {far} against {random_far}", case.size);
+        assert!(
+            cross_zone * case.fewer < random_far,
+            "{}: {cross_zone} against {random_far}",
+            case.size
+        );
     }
 }
 
@@ -217,8 +221,8 @@
         const ROUNDS: usize = 40;
         let mut fleet = Fleet::new(per_zone * zones, zones, seed);
         fleet.run(ROUNDS);
-        prop_assert!(fleet.far <= ROUNDS * zones * RELAYS_PER_ZONE, "{} far", fleet.far);
-        prop_assert_eq!(fleet.misjudged(), 0);
+        prop_assert!(fleet.cross_zone <= ROUNDS * zones * RELAYS_PER_ZONE, "{} exchanges between zones", fleet.cross_zone);
+        prop_assert_eq!(fleet.wrong_pairs(), 0);
     }
 }
 
@@ -230,34 +234,34 @@
 fn loads_are_counted_once() {
     let now = Millis(10_000);
     let own_zone = ZoneId::new("z0");
-    let told = |zone: &str, age, loads| ZoneLoads { zone: ZoneId::new(zone), age, loads };
-    let requests = |book: &PeerLoads| {
-        let sums = book.totals();
+    let zone_loads = |zone: &str, age, loads| ZoneLoads { zone: ZoneId::new(zone), age, loads };
+    let requests = |peer_loads: &PeerLoads| {
+        let sums = peer_loads.totals();
         sums.get(&BoxId::new("b1")).map_or(0.0, |sum| sum.requests)
     };
-    let mut book = PeerLoads::default();
-    book.record_node(NodeId::new("near"), own_zone.clone(), vec![load("b1", 2, 10)], now);
-    assert_eq!(requests(&book), 2.0);
+    let mut peer_loads = PeerLoads::default();
+    peer_loads.record_node(NodeId::new("near"), own_zone.clone(), vec![load("b1", 2, 10)], now);
+    assert_eq!(requests(&peer_loads), 2.0);
     // A peer of another zone counts separately until its zone's total is known.
-    book.record_node(NodeId::new("far"), ZoneId::new("z1"), vec![load("b1", 3, 10)], now);
-    assert_eq!(requests(&book), 5.0);
-    book.record_zone(told("z1", Millis(100), vec![load("b1", 7, 10)]), &own_zone, now);
-    assert_eq!(requests(&book), 9.0);
+    peer_loads.record_node(NodeId::new("far"), ZoneId::new("z1"), vec![load("b1", 3, 10)], now);
+    assert_eq!(requests(&peer_loads), 5.0);
+    peer_loads.record_zone(zone_loads("z1", Millis(100), vec![load("b1", 7, 10)]), &own_zone, now);
+    assert_eq!(requests(&peer_loads), 9.0);
     // Neither an older total that arrives on another path nor one of the own zone changes anything.
-    book.record_zone(told("z1", Millis(300), vec![load("b1", 50, 10)]), &own_zone, now);
-    book.record_zone(told("z0", Millis(0), vec![load("b1", 50, 10)]), &own_zone, now);
-    assert_eq!(requests(&book), 9.0);
+    peer_loads.record_zone(zone_loads("z1", Millis(300), vec![load("b1", 50, 10)]), &own_zone, now);
+    peer_loads.record_zone(zone_loads("z0", Millis(0), vec![load("b1", 50, 10)]), &own_zone, now);
+    assert_eq!(requests(&peer_loads), 9.0);
     // The totals are returned once, until something changes.
-    assert_eq!(book.changed_totals(), Some(book.totals()));
-    assert_eq!(book.changed_totals(), None);
-    let sum = book.zone_total(&own_zone, &[load("b1", 1, 400), load("b2", 4, 5)], now);
+    assert_eq!(peer_loads.changed_totals(), Some(peer_loads.totals()));
+    assert_eq!(peer_loads.changed_totals(), None);
+    let sum = peer_loads.zone_total(&own_zone, &[load("b1", 1, 400), load("b2", 4, 5)], now);
     assert_eq!(sum.loads, vec![load_sum("b1", 3, 300, 10), load_sum("b2", 4, 400, 5)]);
-    assert_eq!(book.other_zone_totals(now)[0].age, Millis(100));
+    assert_eq!(peer_loads.other_zone_totals(now)[0].age, Millis(100));
     // Expired loads no longer count: first the zone's total, then what its peer reported alone.
-    book.remove_expired(4, now + Millis(1_600));
-    assert_eq!(requests(&book), 5.0);
-    book.remove_expired(1, now + Millis(1_600));
-    assert_eq!(requests(&book), 0.0);
+    peer_loads.remove_expired(4, now + Millis(1_600));
+    assert_eq!(requests(&peer_loads), 5.0);
+    peer_loads.remove_expired(1, now + Millis(1_600));
+    assert_eq!(requests(&peer_loads), 0.0);
 }
 
 fn load_sum(id: &str, requests: u32, unread: u32, silent_ms: u32) -> EndpointLoad {
@@ -267,10 +271,10 @@
 #[test]
 fn most_recent_progress_is_merged() {
     let now = Millis(10_000);
-    let mut book = PeerLoads::default();
+    let mut peer_loads = PeerLoads::default();
     let id = BoxId::new("b1");
-    assert_eq!(book.last_progress(&id), None);
-    book.record_progress(&[load("b1", 1, 500)], now);
-    book.record_progress(&[load("b1", 1, 700)], now);
-    assert_eq!(book.last_progress(&id), Some(Millis(9_500)));
+    assert_eq!(peer_loads.last_progress(&id), None);
+    peer_loads.record_progress(&[load("b1", 1, 500)], now);
+    peer_loads.record_progress(&[load("b1", 1, 700)], now);
+    assert_eq!(peer_loads.last_progress(&id), Some(Millis(9_500)));
 }
--- a/crates/cherrystand_core/tests/routing.rs
+++ b/crates/cherrystand_core/tests/routing.rs
@@ -24,7 +24,7 @@
     let mut rng = SeededRng::new(7);
     let mut chosen = Vec::new();
     for _ in 0..4 {
-        let key = router.choose(group, None, NOW, &mut rng).expect("room");
+        let key = router.choose(group, None, NOW, &mut rng).expect("an endpoint");
         assert!(router.start(key, NOW).is_some());
         chosen.push(keys.iter().position(|other| *other == key).expect("known"));
     }
@@ -62,14 +62,14 @@
     let (mut router, group, _) = router(8, 0, 64);
     let mut rng = SeededRng::new(3);
     let prefix = Some(0xfeed);
-    let first = router.choose(group, prefix, NOW, &mut rng).expect("room");
+    let first = router.choose(group, prefix, NOW, &mut rng).expect("an endpoint");
     for _ in 0..20 {
-        let again = router.choose(group, prefix, NOW, &mut rng).expect("room");
-        assert_eq!(again, first, "a calm endpoint keeps its prefix");
+        let again = router.choose(group, prefix, NOW, &mut rng).expect("an endpoint");
+        assert_eq!(again, first, "an endpoint that is not overloaded keeps its prefix");
     }
     let mut used = std::collections::BTreeSet::new();
     for _ in 0..64 {
-        let key = router.choose(group, prefix, NOW, &mut rng).expect("room");
+        let key = router.choose(group, prefix, NOW, &mut rng).expect("an endpoint");
         assert!(router.start(key, NOW).is_some());
         used.insert(key);
     }
@@ -84,7 +84,8 @@
     router.report_load(keys[0], NOW, 50);
     let mut rng = SeededRng::new(5);
     let mut picks = |now| {
-        let picked = (0..100).map(|_| router.choose(group, None, now, &mut rng).expect("room"));
+        let picked =
+            (0..100).map(|_| router.choose(group, None, now, &mut rng).expect("an endpoint"));
         picked.filter(|key| *key == keys[0]).count()
     };
     assert_eq!(picks(NOW), 0);
@@ -102,7 +103,7 @@
         now = now + Millis(expected);
         assert!(breaker.allows(now), "{expected}");
         breaker.record_start();
-        assert!(!breaker.allows(now), "one trial at a time");
+        assert!(!breaker.allows(now), "one probe at a time");
     }
     breaker.record_success();
     assert!(breaker.allows(now));
@@ -127,61 +128,66 @@
 fn admission_reserves_for_consent_and_shares_between_workspaces() {
     struct Case {
         name: &'static str,
-        held: &'static [(Class, &'static str, u32)],
-        asks: (Class, &'static str),
-        refused: Option<RefusalReason>,
+        in_flight: &'static [(Class, &'static str, u32)],
+        request: (Class, &'static str),
+        refusal_reason: Option<RefusalReason>,
     }
     let cases = [
-        Case { name: "empty", held: &[], asks: (Class::Batch, "a"), refused: None },
+        Case { name: "empty", in_flight: &[], request: (Class::Batch, "a"), refusal_reason: None },
         Case {
-            name: "the common room is full",
-            held: &[(Class::Interactive, "a", 80)],
-            asks: (Class::Interactive, "b"),
-            refused: Some(RefusalReason::NodeFull),
+            name: "the shared limit is reached",
+            in_flight: &[(Class::Interactive, "a", 80)],
+            request: (Class::Interactive, "b"),
+            refusal_reason: Some(RefusalReason::NodeFull),
         },
         Case {
-            name: "consent has room although the common room is full",
-            held: &[(Class::Interactive, "a", 80)],
-            asks: (Class::Consent, "a"),
-            refused: None,
+            name: "consent is admitted although the shared limit is reached",
+            in_flight: &[(Class::Interactive, "a", 80)],
+            request: (Class::Consent, "a"),
+            refusal_reason: None,
         },
         Case {
-            name: "consent beyond its own room uses the common one",
-            held: &[(Class::Consent, "a", 50)],
-            asks: (Class::Consent, "a"),
-            refused: None,
+            name: "consent beyond its reserved part uses the shared limit",
+            in_flight: &[(Class::Consent, "a", 50)],
+            request: (Class::Consent, "a"),
+            refusal_reason: None,
         },
         Case {
-            name: "a workspace with its share of a busy room",
-            held: &[(Class::Interactive, "a", 40), (Class::Interactive, "b", 30)],
-            asks: (Class::Interactive, "a"),
-            refused: Some(RefusalReason::WorkspaceShare),
+            name: "a workspace with its share of a busy node",
+            in_flight: &[(Class::Interactive, "a", 40), (Class::Interactive, "b", 30)],
+            request: (Class::Interactive, "a"),
+            refusal_reason: Some(RefusalReason::WorkspaceShare),
         },
         Case {
-            name: "a workspace below its share of a busy room",
-            held: &[(Class::Interactive, "a", 40), (Class::Interactive, "b", 30)],
-            asks: (Class::Interactive, "b"),
-            refused: None,
+            name: "a workspace below its share of a busy node",
+            in_flight: &[(Class::Interactive, "a", 40), (Class::Interactive, "b", 30)],
+            request: (Class::Interactive, "b"),
+            refusal_reason: None,
         },
         Case {
-            name: "batch has half of the common room",
-            held: &[(Class::Batch, "a", 40)],
-            asks: (Class::Batch, "a"),
-            refused: Some(RefusalReason::NodeFull),
+            name: "batch may use half of the shared limit",
+            in_flight: &[(Class::Batch, "a", 40)],
+            request: (Class::Batch, "a"),
+            refusal_reason: Some(RefusalReason::NodeFull),
         },
     ];
     for case in cases {
         let limits = AdmissionLimits { total: 100, reserved_for_consent: 20, batch_percent: 50 };
         let mut admission = Admission::new(limits);
-        for (class, workspace, count) in case.held {
+        for (class, workspace, count) in case.in_flight {
             for _ in 0..*count {
-                let entered = admission.admit(*class, &WorkspaceId::new(*workspace));
-                assert_eq!(entered, Ok(()), "{}", case.name);
+                let admitted = admission.admit(*class, &WorkspaceId::new(*workspace));
+                assert_eq!(admitted, Ok(()), "{}", case.name);
             }
         }
-        let (class, workspace) = case.asks;
-        let entered = admission.admit(class, &WorkspaceId::new(workspace));
-        assert_eq!(entered.err().map(|refusal| refusal.reason), case.refused, "{}", case.name);
+        let (class, workspace) = case.request;
+        let admitted = admission.admit(class, &WorkspaceId::new(workspace));
+        assert_eq!(
+            admitted.err().map(|refusal| refusal.reason),
+            case.refusal_reason,
+            "{}",
+            case.name
+        );
     }
 }
 
--- a/crates/cherrystandd/src/site/box_entries.rs
+++ b/crates/cherrystandd/src/site/box_entries.rs
@@ -196,7 +196,7 @@
             self.reapply_entries(&service, now);
         }
         if self.remove_listed(name, now) {
-            self.change_log.gone(&Driver::box_key(name), name.clone());
+            self.change_log.record_removal(&Driver::box_key(name), name.clone());
         }
     }
 
