--- a/crates/cherrystandd/src/relay/active_attempt.rs
+++ b/crates/cherrystandd/src/relay/active_attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt to have a request run by an endpoint.
+//! One attempt to run a request at an endpoint.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -17,30 +17,30 @@
 use crate::relay::headers;
 use crate::relay::relay_state::Relay;
 
-/// How long a connection may take to come about.
+/// How long connecting to an endpoint may take.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// An answer that is not a stream of events is buffered back up to this size, so that it can still
-/// be asked for again when it breaks off.
+/// An answer that is not an event stream is buffered up to this size before any of it is relayed,
+/// so that the request can still be retried when the connection breaks.
 const MAX_BUFFERED_BYTES: usize = 1 << 20;
 
-/// Counts a request at its endpoint; it is ended once, by whoever holds it last.
+/// An attempt in flight, counted at its endpoint until `end` is called or it is dropped.
 pub(crate) struct ActiveAttempt {
     relay: Rc<Relay>,
     call: Rc<Call>,
     endpoint: EndpointKey,
     target: Target,
-    /// The leave to send it, until it is sent.
+    /// The permit to send the request, until it is sent.
     permit: Option<SendPermit>,
     started_at: Millis,
     first_byte: Option<Millis>,
-    /// What is counted when nobody ends it: its caller left, or another attempt was faster.
+    /// The end recorded on drop: the caller left, or another attempt was faster.
     end_if_dropped: AttemptEnd,
     ended: bool,
 }
 
 impl ActiveAttempt {
-    /// Counts a request that is about to be sent.
+    /// Counts a request that is about to be sent as in flight.
     pub(crate) fn start(relay: Rc<Relay>, call: Rc<Call>, chosen: ChosenEndpoint) -> Self {
         let started_at = relay.now();
         let ChosenEndpoint { endpoint, target, permit } = chosen;
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Takes in what rest its endpoint asked for as it turned the request away.
+    /// Records the backoff that the endpoint asked for when it refused the request.
     fn record_backoff(&self, requested: AskedRest) {
         let now = self.relay.now();
         match requested {
@@ -65,31 +65,31 @@
                 self.relay.core.borrow_mut().record_backoff(self.endpoint, delay, now);
             }
             AskedRest::Unreadable => {
-                log::debug!("the rest that {} asks for is no time", self.target.address);
+                log::debug!("invalid backoff in the answer of endpoint {}", self.target.address);
             }
             AskedRest::None => {}
         }
     }
 
-    /// RequestHistory that the answer begins.
+    /// Records the time until the answer began.
     fn record_first_byte(&mut self) {
         let latency = self.relay.now().since(self.started_at);
         self.first_byte = Some(latency);
         self.relay.cx.metrics.first_byte.observe(latency.as_secs_f64());
     }
 
-    /// Tells whether the endpoint is still one that requests are sent to: a replica that was found
-    /// broken, or that nobody bore out for 3 s, is not.
+    /// Returns whether the endpoint is still routed to. A replica is not if it was found broken, or
+    /// if no daemon has had evidence for 3 s that it serves.
     pub(crate) fn is_in_service(&self) -> bool {
         self.relay.core.borrow().has_endpoint(self.endpoint)
     }
 
-    /// Tells whether the caller's time is over.
+    /// Returns whether the caller's deadline has passed.
     pub(crate) fn is_past_deadline(&self) -> bool {
         self.relay.now() >= self.call.deadline
     }
 
-    /// Ends the count.
+    /// Ends the attempt, once; later calls have no effect.
     pub(crate) fn end(&mut self, end: AttemptEnd) {
         if self.ended {
             return;
@@ -110,27 +110,29 @@
     }
 }
 
-/// An answer whose head, and maybe whole body, is there.
+/// An answer whose head, and possibly whole body, has arrived.
 pub(crate) struct StartedAnswer {
-    /// The answer's head.
+    /// The status and headers of the answer.
     pub(crate) head: Parts,
-    /// What was read of the body.
+    /// The part of the body read so far.
     pub(crate) buffered: Bytes,
-    /// The rest of the body; nothing where it was read whole.
+    /// The rest of the body; `None` if it was read completely.
     pub(crate) remaining_body: Option<PooledBody>,
-    /// Counts the request at its endpoint.
+    /// The attempt that got the answer.
     pub(crate) attempt: ActiveAttempt,
 }
 
 impl StartedAnswer {
-    /// Tells whether the answer is a stream of events.
+    /// Returns whether the answer is an event stream.
     pub(crate) fn is_event_stream(&self) -> bool {
         let content_type = self.head.headers.get(CONTENT_TYPE).map(HeaderValue::as_bytes);
         content_type.is_some_and(|content_type| content_type.starts_with(b"text/event-stream"))
     }
 }
 
-/// Sends the request to one endpoint and waits until its answer can be passed on.
+/// Sends the request to one endpoint and waits until its answer can be relayed.
+///
+/// `may_be_overtaken` says that the attempt may be dropped because a hedged one was faster.
 pub(crate) async fn run_attempt(
     mut attempt: ActiveAttempt,
     may_be_overtaken: bool,
@@ -207,7 +209,7 @@
     }
 }
 
-/// Reads the body of an answer that is not a stream of events, up to a size.
+/// Reads the body of an answer that is not an event stream, up to `MAX_BUFFERED_BYTES`.
 async fn buffer_answer(
     answer: Response<PooledBody>,
 ) -> Result<(Parts, Bytes, Option<PooledBody>), AttemptEnd> {
--- a/crates/cherrystandd/src/relay/admitted_request.rs
+++ b/crates/cherrystandd/src/relay/admitted_request.rs
@@ -1,4 +1,4 @@
-//! The room that a request takes on the node.
+//! A request's share of the node's admission limits.
 
 use std::rc::Rc;
 
@@ -8,17 +8,17 @@
 use crate::relay::call::Call;
 use crate::relay::relay_state::Relay;
 
-/// The room that a request takes on the node, given back once when it is done.
+/// A request that counts against the node's admission limits until it ends.
 pub(crate) struct AdmittedRequest {
     relay: Rc<Relay>,
     call: Rc<Call>,
-    /// Whether the call's key is claimed.
+    /// Whether the call's idempotency key is claimed.
     pub(crate) claimed: bool,
     finished: bool,
 }
 
 impl AdmittedRequest {
-    /// Takes the room.
+    /// Counts the request against the limits, or refuses it.
     pub(crate) fn admit(relay: &Rc<Relay>, call: &Rc<Call>) -> Result<Self, Refusal> {
         let mut core = relay.core.borrow_mut();
         core.admission.admit(call.class, &call.workspace)?;
@@ -26,7 +26,7 @@
         Ok(Self { relay: relay.clone(), call: call.clone(), claimed: false, finished: false })
     }
 
-    /// Gives the room back and notes what became of the request.
+    /// Releases the request's admission, records its outcome and settles its claim, once.
     pub(crate) fn end(&mut self, outcome: Outcome, refusal: Option<RefusalReason>) {
         if self.finished {
             return;
@@ -38,7 +38,7 @@
         if outcome == Outcome::Unknown {
             log::warn!(
                 request = call.id.as_str(), group = call.group_id.to_string();
-                "the request may have been run, and its caller cannot know"
+                "the outcome of a request is unknown: it may have been run"
             );
         }
         self.relay.record_outcome(call, outcome, refusal);
@@ -53,7 +53,7 @@
 
 impl Drop for AdmittedRequest {
     fn drop(&mut self) {
-        // Nobody ended it: the caller left while the request may have been running.
+        // Dropped without an end: the caller left while the request may have been running.
         self.end(Outcome::Unknown, None);
     }
 }
--- a/crates/cherrystandd/src/relay/answer.rs
+++ b/crates/cherrystandd/src/relay/answer.rs
@@ -1,4 +1,4 @@
-//! Answers that the daemon itself makes.
+//! Answers that the daemon generates itself.
 
 use bytes::Bytes;
 use cherrystand_core::{Claim, Millis, Outcome, Refusal, RefusalReason};
@@ -9,14 +9,14 @@
 use crate::relay::body::RelayBody;
 use crate::relay::headers::{OUTCOME, REQUEST_ID, RETRY_AFTER_MS};
 
-/// Makes a short answer in plain text.
+/// Builds a plain-text answer.
 pub(crate) fn plain_text(status: StatusCode, text: impl Into<Bytes>) -> Response<RelayBody> {
     let mut response = Response::new(RelayBody::whole(text));
     *response.status_mut() = status;
     response
 }
 
-/// Makes an answer in JSON.
+/// Builds a JSON answer.
 pub(crate) fn json<T: Serialize>(status: StatusCode, value: &T) -> Response<RelayBody> {
     let text = serde_json::to_vec(value).unwrap_or_default();
     let mut response = plain_text(status, text);
@@ -40,32 +40,32 @@
     retry_after_ms: Option<u64>,
 }
 
-/// What became of a request that got no answer from an endpoint.
+/// Why a request got no answer from an endpoint.
 #[derive(Clone, Debug)]
 pub(crate) struct Failure {
-    /// Whether it was run.
+    /// Whether the request was run.
     pub(crate) outcome: Outcome,
-    /// Why it has no answer.
+    /// The reason, and when the caller may retry.
     pub(crate) refusal: Refusal,
 }
 
 impl Failure {
-    /// A request that was certainly not run.
+    /// Creates the failure of a request that was certainly not run.
     pub(crate) fn not_run(refusal: Refusal) -> Self {
         Self { outcome: Outcome::NotRun, refusal }
     }
 
-    /// A request that cannot be run, now or later, as it is.
+    /// Creates the failure of a request that was not run and that a retry won't help.
     pub(crate) fn permanent(reason: RefusalReason) -> Self {
         Self::not_run(Refusal::final_for(reason))
     }
 
-    /// A request that may have been run.
+    /// Creates the failure of a request that may have been run.
     pub(crate) fn unknown(reason: RefusalReason) -> Self {
         Self { outcome: Outcome::Unknown, refusal: Refusal::final_for(reason) }
     }
 
-    /// A request whose key was claimed before.
+    /// Creates the failure of a request whose idempotency key was claimed before.
     pub(crate) fn already_claimed(claim: &Claim) -> Self {
         let outcome = match claim.outcome {
             Some(Outcome::Ran) => Outcome::Ran,
@@ -75,15 +75,15 @@
     }
 }
 
-/// When a caller may come back who met no endpoint in service, or only failing ones.
+/// When a caller may retry if no endpoint was in service or all of them failed.
 pub(crate) const DEFAULT_RETRY_AFTER: Millis = Millis(1_000);
 
-/// A request that was not run and may be sent again.
+/// Returns the failure of a request that was not run and may be sent again.
 pub(crate) fn retry_later(reason: RefusalReason) -> Failure {
     Failure::not_run(Refusal::with_retry_after(reason, DEFAULT_RETRY_AFTER))
 }
 
-/// Makes the answer to a request that got none from an endpoint.
+/// Builds the error answer to a request that got no answer from an endpoint.
 pub(crate) fn failure_response(failure: &Failure, request: &str) -> Response<RelayBody> {
     let reason = failure.refusal.reason;
     let retry_after = failure.refusal.retry_after;
@@ -106,7 +106,7 @@
     response
 }
 
-/// Puts the outcome and the request's id into an answer's head.
+/// Sets the headers with the outcome and the request's id.
 pub(crate) fn set_outcome_headers<B>(response: &mut Response<B>, outcome: Outcome, request: &str) {
     let outcome = HeaderValue::from_static(outcome.as_str());
     response.headers_mut().insert(OUTCOME, outcome);
--- a/crates/cherrystandd/src/relay/body.rs
+++ b/crates/cherrystandd/src/relay/body.rs
@@ -9,16 +9,16 @@
 
 use crate::relay::stream::RelayedStream;
 
-/// Either a body that is there whole, or one that is still coming.
+/// A body that is complete, or one that is still being received.
 pub(crate) enum RelayBody {
-    /// A whole body.
+    /// A complete body.
     Whole(Full<Bytes>),
-    /// The rest of an endpoint's answer.
+    /// An endpoint's answer that is relayed while it is received.
     Stream(Box<RelayedStream>),
 }
 
 impl RelayBody {
-    /// Makes a whole body.
+    /// Creates a complete body.
     pub(crate) fn whole(bytes: impl Into<Bytes>) -> Self {
         Self::Whole(Full::new(bytes.into()))
     }
--- a/crates/cherrystandd/src/relay/call.rs
+++ b/crates/cherrystandd/src/relay/call.rs
@@ -1,4 +1,4 @@
-//! A caller's request, read and understood.
+//! Reading and routing of a caller's request.
 
 use std::cell::RefCell;
 use std::time::Duration;
@@ -20,50 +20,51 @@
 use crate::state::RouteKind;
 use crate::{DutyContext, Settings};
 
-/// How many bytes of a prompt tell its prefix.
+/// How many bytes of a prompt identify its prefix, by which requests are routed to the same
+/// replica.
 const PROMPT_PREFIX_BYTES: usize = 512;
 
-/// How much of a refused body is still read, in bytes.
+/// How much of the rest of a refused body is read, in bytes.
 const MAX_DISCARDED_BYTES: usize = 64 << 20;
 
-/// For how long a refused body is still read.
+/// For how long the rest of a refused body is read.
 const DISCARD_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// The paths at which models are asked.
+/// The paths of requests to models.
 const MODEL_PATHS: [&str; 2] = ["/v1/chat/completions", "/v1/completions"];
 
-/// A request on its way.
+/// A request that has been read and routed to a group.
 pub(crate) struct Call {
     /// The request's id.
     pub(crate) id: String,
-    /// The request's head.
+    /// The request's method, path and headers.
     pub(crate) head: Parts,
     /// The request's whole body.
     pub(crate) body: Bytes,
-    /// The group that it goes to.
+    /// The group that it is routed to.
     pub(crate) group: GroupKey,
     /// That group's id.
     pub(crate) group_id: GroupId,
-    /// The workspace that it counts for.
+    /// The workspace whose share of the node it uses.
     pub(crate) workspace: WorkspaceId,
     /// Its class.
     pub(crate) class: Class,
     /// Whether it goes to a model.
     pub(crate) is_model: bool,
-    /// Whether it may be run twice.
+    /// Whether it may be run more than once.
     pub(crate) is_idempotent: bool,
-    /// Its claim, where the caller named it.
+    /// Its idempotency key, if the caller set one.
     pub(crate) key: Option<IdempotencyKey>,
-    /// The prefix of its prompt.
+    /// The hash of its prompt's prefix, if it goes to a model.
     pub(crate) prefix: Option<u64>,
     /// When the caller stops waiting.
     pub(crate) deadline: Millis,
-    /// Its attempts so far: the endpoint and how each ended.
+    /// The endpoint and the end of each attempt so far.
     pub(crate) attempts: RefCell<Vec<(String, String)>>,
 }
 
 impl Call {
-    /// Remembers how an attempt ended.
+    /// Records how an attempt ended.
     pub(crate) fn record_attempt(&self, target: &Target, end: AttemptEnd) {
         let endpoint = match &target.replica {
             Some((replica, epoch)) => format!("{replica}@{epoch} at {}", target.address),
@@ -82,7 +83,7 @@
     messages: Option<&'a RawValue>,
 }
 
-/// Reads a request whole and finds where it goes.
+/// Reads a whole request and finds its group.
 pub(crate) async fn read_call(
     cx: &DutyContext,
     core: &RefCell<RelayCore>,
@@ -127,7 +128,7 @@
     Millis(if is_model { limits.model_deadline_ms } else { limits.service_deadline_ms })
 }
 
-/// Reads a body whole, up to a size.
+/// Reads a whole body of at most `max_bytes`.
 async fn read_body(mut body: Incoming, max_bytes: usize) -> Result<Bytes, RefusalReason> {
     let announced_bytes = usize::try_from(body.size_hint().lower()).unwrap_or(usize::MAX);
     if announced_bytes > max_bytes {
@@ -149,10 +150,10 @@
     Ok(read.freeze())
 }
 
-/// Reads on for a while after a body was refused.
+/// Reads the rest of a refused body for a while.
 ///
-/// The refusal goes out at once; were the connection closed with unread bytes on it, the caller
-/// would see it reset and might never see the refusal.
+/// The refusal is sent at once. If the connection were closed with unread bytes, it would be reset
+/// and the caller might never receive the refusal.
 async fn discard_body(mut body: Incoming) {
     let read = async {
         let mut remaining = MAX_DISCARDED_BYTES;
@@ -163,7 +164,7 @@
             }
         }
     };
-    // A caller that is slower than this has been told long ago.
+    // By the timeout the caller has long received the refusal.
     let _ = tokio::time::timeout(DISCARD_TIMEOUT, read).await;
 }
 
@@ -188,10 +189,10 @@
     Ok((group, Some(prefix)))
 }
 
-/// Tells whether a call without a key may be run twice.
+/// Returns whether a call without an idempotency key may be run more than once.
 ///
-/// A model's answer has no effect beyond itself. Of a service's methods those may that HTTP
-/// defines so, unless the configuration says otherwise.
+/// Calls to models have no side effects. For services it depends on whether HTTP defines the method
+/// as idempotent, except for the methods that the configuration lists as not repeatable.
 fn is_idempotent(group: &GroupState, method: &Method) -> bool {
     match &group.kind {
         RouteKind::Model { .. } => true,
--- a/crates/cherrystandd/src/relay/core.rs
+++ b/crates/cherrystandd/src/relay/core.rs
@@ -1,4 +1,4 @@
-//! What the relay decides from, kept in step with the published view.
+//! The relay's groups and endpoints, updated from the published view.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -15,54 +15,54 @@
 
 use crate::state::{RouteGroup, RouteKind, RouteTarget};
 
-/// How many requests a new endpoint is sent at once at the start.
+/// The initial concurrency limit of a new endpoint, in requests.
 const INITIAL_LIMIT: u32 = 32;
 
-/// What tells one endpoint from another: a replica under a new epoch is a new endpoint.
+/// Identifies an endpoint; a replica under a new epoch is a new endpoint.
 type TargetId = (SocketAddr, Option<(ReplicaId, Epoch)>);
 
-/// A group and what the relay keeps for it.
+/// A group and the relay's state for it.
 pub(crate) struct GroupState {
-    /// The group.
+    /// The group's id.
     pub(crate) id: GroupId,
     /// Its class.
     pub(crate) class: Class,
-    /// How requests find it.
+    /// The model name or path prefix that requests are matched by.
     pub(crate) kind: RouteKind,
-    /// Who waits for one of its endpoints.
+    /// The requests that wait for one of its endpoints.
     pub(crate) queue: WaitQueue,
-    /// Wakes the one that has waited longest.
+    /// Wakes the request that has waited longest when an endpoint has capacity.
     pub(crate) capacity_freed: Rc<Notify>,
-    /// What its retries may cost.
+    /// Limits its retries to a share of its requests.
     pub(crate) retry_budget: RetryBudget,
-    /// How long its answers usually take to begin.
+    /// The typical time until its answers begin.
     pub(crate) typical_latency: TypicalLatency,
     key: GroupKey,
     targets: BTreeMap<TargetId, EndpointKey>,
 }
 
-/// Where an endpoint is, and what it serves.
+/// The address of an endpoint and the replica behind it.
 #[derive(Clone, Debug)]
 pub(crate) struct Target {
     /// Its address.
     pub(crate) address: SocketAddr,
-    /// The replica and epoch that requests are meant for.
+    /// The replica and epoch that requests are addressed to; `None` for an endpoint of a service.
     pub(crate) replica: Option<(ReplicaId, Epoch)>,
 }
 
-/// An endpoint that is to be sent a request, which is counted there.
+/// An endpoint chosen for a request, which is already counted as in flight there.
 pub(crate) struct ChosenEndpoint {
-    /// The endpoint.
+    /// The endpoint's key in the router.
     pub(crate) endpoint: EndpointKey,
-    /// Where it is.
+    /// Its address and replica.
     pub(crate) target: Target,
-    /// The leave to send the request.
+    /// The permit to send the request.
     pub(crate) permit: SendPermit,
 }
 
-/// Holds the relay's decisions, on the relay's own thread.
+/// The routing, queueing and admission state of the relay, used on its thread only.
 pub(crate) struct RelayCore {
-    /// Admits requests to the node.
+    /// The node's admission limits.
     pub(crate) admission: Admission,
     router: Router,
     groups: BTreeMap<GroupId, GroupState>,
@@ -73,7 +73,7 @@
 }
 
 impl RelayCore {
-    /// Creates a relay without groups.
+    /// Creates the state of a relay without groups.
     pub(crate) fn new(limits: AdmissionLimits, seed: u64) -> Self {
         Self {
             admission: Admission::new(limits),
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Takes over the routes of a newer view.
+    /// Updates the groups and endpoints to the routes of a newer view.
     pub(crate) fn apply_routes(&mut self, routes: &Arc<Vec<RouteGroup>>, now: Millis) {
         if Arc::ptr_eq(&self.routes, routes) {
             return;
@@ -103,7 +103,7 @@
         self.groups.get(self.group_ids.get(key)?)
     }
 
-    /// Returns a group's state, to change.
+    /// Returns a group's state for modification.
     pub(crate) fn group_mut(&mut self, key: GroupKey) -> Option<&mut GroupState> {
         self.groups.get_mut(self.group_ids.get(key)?)
     }
@@ -113,7 +113,7 @@
         self.groups.values()
     }
 
-    /// Finds the group that serves a model, named alone or with its workspace before it.
+    /// Finds the group that serves a model, named as `model` or `workspace/model`.
     pub(crate) fn find_model(&self, name: &str) -> Option<GroupKey> {
         let (workspace, model_name) = match name.split_once('/') {
             Some((workspace, model_name)) => (Some(workspace), model_name),
@@ -127,7 +127,7 @@
         self.groups.values().find(serves).map(|group| group.key)
     }
 
-    /// Finds the service with the longest prefix of a path.
+    /// Finds the service with the longest path prefix that matches a path.
     pub(crate) fn find_service(&self, path: &str) -> Option<GroupKey> {
         let prefix_length = |group: &GroupState| match &group.kind {
             RouteKind::Service { prefix, .. } if prefix_matches(prefix, path) => Some(prefix.len()),
@@ -138,7 +138,7 @@
         matching.max_by_key(|(length, _)| *length).map(|(_, key)| key)
     }
 
-    /// Chooses an endpoint and counts the request as on its way to it.
+    /// Chooses an endpoint and counts the request as in flight there.
     pub(crate) fn start_attempt(
         &mut self,
         group: GroupKey,
@@ -151,12 +151,12 @@
         Ok(ChosenEndpoint { endpoint: key, target, permit })
     }
 
-    /// Takes in that an endpoint asked to be left alone, as it turned a request away.
+    /// Records the backoff that an endpoint asked for when it refused a request.
     pub(crate) fn record_backoff(&mut self, endpoint: EndpointKey, requested: Millis, now: Millis) {
         self.router.record_backoff(endpoint, requested, now);
     }
 
-    /// Counts a request as ended at its endpoint and lets the next one in.
+    /// Counts an attempt as ended at its endpoint and wakes the next queued request.
     pub(crate) fn finish_attempt(
         &mut self,
         group: GroupKey,
@@ -175,12 +175,12 @@
         }
     }
 
-    /// Tells whether requests are still sent to an endpoint.
+    /// Returns whether the routes still contain an endpoint.
     pub(crate) fn has_endpoint(&self, endpoint: EndpointKey) -> bool {
         self.targets.contains_key(endpoint)
     }
 
-    /// Returns the usual time until an endpoint's answer begins.
+    /// Returns the typical time until an endpoint's answer begins.
     pub(crate) fn typical_latency(&self, endpoint: EndpointKey) -> Millis {
         self.router.typical_latency(endpoint)
     }
--- a/crates/cherrystandd/src/relay/headers.rs
+++ b/crates/cherrystandd/src/relay/headers.rs
@@ -1,4 +1,4 @@
-//! Headers that the daemon reads, writes or keeps to itself.
+//! Headers that the daemon reads, writes or removes.
 
 use cherrystand_core::Millis;
 use hyper::HeaderMap;
@@ -7,32 +7,32 @@
     PROXY_AUTHORIZATION, TE, TRAILER, TRANSFER_ENCODING, UPGRADE,
 };
 
-/// Names a request; it is kept where the caller set it.
+/// The request's id; an id set by the caller is kept.
 pub(crate) const REQUEST_ID: HeaderName = HeaderName::from_static("x-request-id");
 
-/// Says in an answer whether the request was run.
+/// Whether the request was run, in an answer.
 pub(crate) const OUTCOME: HeaderName = HeaderName::from_static("cherrystand-outcome");
 
-/// Says in a refusal when to come back, in milliseconds.
+/// After how many milliseconds the caller may retry, in a refusal.
 pub(crate) const RETRY_AFTER_MS: HeaderName = HeaderName::from_static("cherrystand-retry-after-ms");
 
-/// Says how many milliseconds the caller will wait.
+/// How many milliseconds the sender of a request waits for its answer.
 pub(crate) const DEADLINE_MS: HeaderName = HeaderName::from_static("cherrystand-deadline-ms");
 
-/// Marks and names a call that must not be repeated.
+/// The idempotency key of a call that must not be run more than once.
 pub(crate) const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
 
-/// The longest id or key that is taken, in bytes.
+/// The longest id or key accepted, in bytes.
 const MAX_NAME_BYTES: usize = 256;
 
-/// The longest deadline that is taken.
+/// The longest time that a caller can ask to wait; longer ones are cut to it.
 const MAX_DEADLINE: Millis = Millis(3_600_000);
 
-/// Tells that a header's value is not one that it may have.
+/// A header has an invalid value.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct InvalidHeader;
 
-/// Returns the text of a header that names something.
+/// Reads a header that holds an id or a key.
 pub(crate) fn read_name(
     headers: &HeaderMap,
     name: &HeaderName,
@@ -47,7 +47,7 @@
     Ok(Some(text.to_owned()))
 }
 
-/// Returns how long the caller will wait, where it says so.
+/// Reads how long the caller waits, if it says so.
 pub(crate) fn read_deadline(headers: &HeaderMap) -> Result<Option<Millis>, InvalidHeader> {
     let Some(text) = read_name(headers, &DEADLINE_MS)? else {
         return Ok(None);
@@ -56,7 +56,7 @@
     Ok(Some(Millis(timeout).min(MAX_DEADLINE)))
 }
 
-/// Takes out the headers that concern one connection only.
+/// Removes the hop-by-hop headers, including those listed in `Connection`.
 pub(crate) fn remove_hop_by_hop_headers(headers: &mut HeaderMap) {
     let connection_options: Vec<HeaderName> = headers
         .get_all(CONNECTION)
@@ -83,7 +83,7 @@
     }
 }
 
-/// Makes the headers of an attempt from those of the caller's request.
+/// Builds the headers of an attempt from those of the caller's request.
 pub(crate) fn attempt_headers(
     caller: &HeaderMap,
     host: &str,
--- a/crates/cherrystandd/src/relay/mod.rs
+++ b/crates/cherrystandd/src/relay/mod.rs
@@ -1,4 +1,4 @@
-//! The way of a request from its caller to an endpoint and back.
+//! Relays requests from callers to endpoints, and their answers back.
 
 mod active_attempt;
 mod admitted_request;
--- a/crates/cherrystandd/src/relay/queued_request.rs
+++ b/crates/cherrystandd/src/relay/queued_request.rs
@@ -1,4 +1,4 @@
-//! QueuedRequest for an endpoint with room.
+//! Waiting in a group's queue for an endpoint with capacity.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -10,7 +10,7 @@
 use crate::relay::core::ChosenEndpoint;
 use crate::relay::relay_state::Relay;
 
-/// Waits for an endpoint with room, within what the queue allows.
+/// Waits for an endpoint with free capacity, for as long as the queue and the deadline allow.
 pub(crate) async fn wait_for_endpoint(
     relay: &Rc<Relay>,
     call: &Call,
@@ -46,7 +46,7 @@
     }
 }
 
-/// A place in a group's queue, given up when it is dropped.
+/// A request in a group's queue; it leaves the queue when dropped.
 struct QueuedRequest {
     relay: Rc<Relay>,
     group: GroupKey,
@@ -66,14 +66,14 @@
         Ok(Self { relay: relay.clone(), group: call.group, capacity_freed, queued_at: now })
     }
 
-    /// Tells whether an answer that begins now would likely come in time.
+    /// Returns whether an answer would likely begin before the deadline if it were requested now.
     fn has_time_for_answer(&self, deadline: Millis) -> bool {
         let core = self.relay.core.borrow();
         let required = core.group(self.group).map(|group| group.typical_latency.required_time());
         deadline.since(self.relay.now()) >= required.unwrap_or_default()
     }
 
-    /// Waits until there may be room, and tells whether there is still time.
+    /// Waits until capacity may be free; returns `false` if the time for waiting ran out first.
     async fn wait_for_capacity(&self, deadline: Millis) -> bool {
         let until = (self.queued_at + MAX_QUEUE_WAIT).min(deadline);
         let remaining = until.since(self.relay.now());
--- a/crates/cherrystandd/src/relay/relay_state.rs
+++ b/crates/cherrystandd/src/relay/relay_state.rs
@@ -1,4 +1,4 @@
-//! What the relay keeps while it serves.
+//! The state of the relay.
 
 use std::cell::{Cell, RefCell};
 use std::sync::Arc;
@@ -16,27 +16,27 @@
 use crate::state::View;
 use crate::{DutyContext, clock};
 
-/// A view older than this tells that the process was paused or its state duty is held up.
+/// The age beyond which a view is stale: the process was paused or the state duty is blocked.
 pub(crate) const MAX_VIEW_AGE: Millis = Millis(1_500);
 
-/// How long a request waits for a newer view.
+/// How long a request waits for a newer view if the last one is stale.
 const VIEW_REFRESH_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Serves callers on one thread.
+/// Serves callers, on one thread.
 pub(crate) struct Relay {
     /// The duty's context.
     pub(crate) cx: DutyContext,
-    /// What it decides from.
+    /// Its routes, queues and limits.
     pub(crate) core: RefCell<RelayCore>,
     /// Its connections to endpoints.
     pub(crate) pool: EndpointPool,
-    /// What it decided lately.
+    /// The decisions on recent requests.
     pub(crate) history: RefCell<RequestHistory>,
     next_id: Cell<u64>,
 }
 
 impl Relay {
-    /// Creates a relay that knows no group yet.
+    /// Creates a relay without routes.
     pub(crate) fn new(cx: DutyContext) -> Self {
         let limits = cx.settings.limits.admission_limits();
         Self {
@@ -48,12 +48,12 @@
         }
     }
 
-    /// Returns the time now.
+    /// Returns the current time of the daemon's clock.
     pub(crate) fn now(&self) -> Millis {
         self.cx.clock.now()
     }
 
-    /// Remembers what became of a request.
+    /// Adds a finished request to the history.
     pub(crate) fn record_outcome(
         &self,
         call: &Call,
@@ -69,7 +69,7 @@
         });
     }
 
-    /// Returns the id that the caller gave the request, or a new one.
+    /// Returns the request id that the caller set, or else a new one.
     pub(crate) fn request_id(&self, req: &Request<Incoming>) -> Result<String, RefusalReason> {
         let caller_id = headers::read_name(req.headers(), &headers::REQUEST_ID);
         let caller_id = caller_id.map_err(|_| RefusalReason::BadRequest)?;
@@ -83,7 +83,7 @@
         format!("{}-{:x}-{number:x}", own.node, own.incarnation.0)
     }
 
-    /// Returns the newest view, waiting a moment for one where the last one is old.
+    /// Returns the newest view, waiting for a newer one if it is stale; `None` if none comes in time.
     pub(crate) async fn fresh_view(&self) -> Option<Arc<View>> {
         let is_fresh = |view: &View| self.now().since(view.made_at) <= MAX_VIEW_AGE;
         let mut view = self.cx.view.clone();
--- a/crates/cherrystandd/src/relay/request_handler.rs
+++ b/crates/cherrystandd/src/relay/request_handler.rs
@@ -1,4 +1,4 @@
-//! One request from its arrival to its answer.
+//! Handles a request from its arrival to its answer.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -22,14 +22,14 @@
 use crate::relay::status_pages::{metrics, models, readiness};
 use crate::relay::stream::RelayedStream;
 
-/// A is_idempotent call to a service is sent to a second endpoint once its answer is this many
-/// times as late as typical_latency.
+/// An idempotent call to a service is hedged, which means sent to a second endpoint as well, once
+/// it has waited this many times the typical latency.
 const HEDGE_LATENCY_FACTOR: u64 = 3;
 
-/// The least and the most time before a second endpoint is asked.
+/// The shortest and the longest wait before a call is hedged.
 const HEDGE_DELAY_RANGE: (Millis, Millis) = (Millis(15), Millis(250));
 
-/// Answers one request of a caller, or of the balancer.
+/// Answers one request of a caller, the load balancer or the metrics collector.
 pub(crate) async fn handle(relay: Rc<Relay>, req: Request<Incoming>) -> Response<RelayBody> {
     match (req.method(), req.uri().path()) {
         (&Method::GET, "/livez") => plain_text(StatusCode::OK, "live\n"),
@@ -102,7 +102,7 @@
         let attempt = ActiveAttempt::start(relay.clone(), call.clone(), chosen);
         attempts += 1;
         if call.key.is_some() && relay.now().since(arrived_at) > CLAIM_USE_TIMEOUT {
-            // Nothing was sent; a claim this old is given up rather than used.
+            // Nothing was sent yet; a claim this old is released instead of used.
             return Err(retry_later(RefusalReason::KeysOutOfReach));
         }
         let typical_latency = relay.core.borrow().typical_latency(endpoint);
@@ -116,22 +116,23 @@
     }
 }
 
-/// Claims a keyed call, within the caller's deadline.
+/// Claims the idempotency key of a call, within the caller's deadline.
 async fn acquire_claim(relay: &Relay, call: &Call, key: IdempotencyKey) -> Result<(), Failure> {
     let remaining = Duration::from_millis(call.deadline.since(relay.now()).0);
     let answer = tokio::time::timeout(remaining, claims::acquire(&relay.cx, key)).await;
     match answer.ok().flatten() {
         Some(ClaimResponse::Granted) => Ok(()),
         Some(ClaimResponse::AlreadyClaimed(claim)) => Err(Failure::already_claimed(&claim)),
-        // Should the claim yet be written, it stays: this daemon may hold the key for an earlier
-        // sending that still runs, and giving it up here would let another daemon run it again.
+        // The claim isn't released, even if it turns out to be written: this daemon may hold the
+        // key for an earlier copy of the request that still runs, and a release would let another
+        // daemon run it again.
         Some(ClaimResponse::ShardFull | ClaimResponse::Recorded) | None => {
             Err(retry_later(RefusalReason::KeysOutOfReach))
         }
     }
 }
 
-/// Makes one attempt, and a second one beside it where the first is late and may be repeated.
+/// Makes one attempt, and a second one in parallel if the first is late and may be hedged.
 async fn attempt_with_hedge(
     relay: &Rc<Relay>,
     call: &Rc<Call>,
@@ -175,7 +176,7 @@
     Some(ActiveAttempt::start(relay.clone(), call.clone(), chosen))
 }
 
-/// Lets the caller of this function try again, or says what the request's caller is told.
+/// Returns `Ok` if the request may be retried, or else the failure to answer its caller with.
 fn check_retry(
     relay: &Relay,
     call: &Call,
@@ -214,7 +215,7 @@
     }
 }
 
-/// Makes the answer to the caller from the endpoint's.
+/// Builds the answer to the caller from the endpoint's answer.
 fn relay_answer(
     relay: &Relay,
     call: &Call,
--- a/crates/cherrystandd/src/relay/status_pages.rs
+++ b/crates/cherrystandd/src/relay/status_pages.rs
@@ -1,4 +1,4 @@
-//! What the balancer, the metrics' collector and callers ask the node itself.
+//! Pages that the node answers itself: readiness, metrics and the list of models.
 
 use hyper::{Response, StatusCode};
 use serde_json::json;
@@ -9,7 +9,7 @@
 use crate::relay::relay_state::{MAX_VIEW_AGE, Relay};
 use crate::state::RouteKind;
 
-/// Tells whether the node takes requests.
+/// Answers the load balancer whether the node accepts requests.
 pub(crate) fn readiness(relay: &Relay) -> Response<RelayBody> {
     let view = relay.cx.current_view();
     let is_fresh = relay.now().since(view.made_at) <= MAX_VIEW_AGE;
@@ -23,7 +23,7 @@
     plain_text(StatusCode::OK, "ready\n")
 }
 
-/// Gives all metrics.
+/// Answers with all metrics in text form.
 pub(crate) fn metrics(relay: &Relay) -> Response<RelayBody> {
     match relay.cx.metrics.render() {
         Ok(text) => plain_text(StatusCode::OK, text),
@@ -31,7 +31,7 @@
     }
 }
 
-/// Lists the models that can be asked for.
+/// Lists the models that are served.
 pub(crate) fn models(relay: &Relay) -> Response<RelayBody> {
     let view = relay.cx.current_view();
     relay.core.borrow_mut().apply_routes(&view.routes, relay.now());
--- a/crates/cherrystandd/src/relay/stream.rs
+++ b/crates/cherrystandd/src/relay/stream.rs
@@ -1,4 +1,4 @@
-//! Passing an answer on while it is still coming.
+//! Relaying of an answer while it is still being received.
 
 use std::pin::Pin;
 use std::task::{Context, Poll};
@@ -13,18 +13,19 @@
 use crate::relay::active_attempt::ActiveAttempt;
 use crate::relay::admitted_request::AdmittedRequest;
 
-/// How often a stream that brings nothing looks whether its answer can still come.
+/// How often a silent stream checks whether the rest of its answer can still come.
 ///
-/// Silence alone ends no answer: one that paused for 10 s was broken off though its replica served.
+/// Silence alone doesn't end an answer: ending one after 10 s without data interrupted answers of
+/// replicas that still served.
 const SILENCE_CHECK_INTERVAL: Duration = Duration::from_secs(10);
 
-/// What a caller of a stream of events gets when the stream breaks.
+/// The event that a caller gets when its event stream is interrupted.
 ///
-/// The end marker of a whole stream never follows it.
+/// The end marker of a complete stream never follows it.
 const INTERRUPTED_EVENT: &str = "event: error\ndata: {\"error\":{\"reason\":\"answer-cut\",\
     \"outcome\":\"unknown\",\"message\":\"The answer broke off; it may have been run.\"}}\n\n";
 
-/// Passes on the rest of an answer, a frame at a time as the caller takes them.
+/// Relays the rest of an answer frame by frame, at the caller's pace.
 pub(crate) struct RelayedStream {
     buffered: Option<Bytes>,
     remaining_body: Option<PooledBody>,
@@ -35,7 +36,7 @@
 }
 
 impl RelayedStream {
-    /// Begins to pass on an answer.
+    /// Starts to relay an answer, first the part that was buffered.
     pub(crate) fn new(
         buffered: Bytes,
         remaining_body: PooledBody,
@@ -60,11 +61,11 @@
     }
 
     fn reset_silence_timer(&mut self) {
-        // Whether its time is over is looked up on the daemon's clock.
+        // The timer only triggers the check; the deadline itself is read from the daemon's clock.
         self.silence_timer.set(tokio::time::sleep(SILENCE_CHECK_INTERVAL));
     }
 
-    /// Waits on, until the caller's time is over or the endpoint is out of service.
+    /// Waits for more, until the caller's deadline passes or the endpoint is out of service.
     fn poll_silence(
         &mut self,
         cx: &mut Context<'_>,
@@ -81,7 +82,7 @@
         Poll::Pending
     }
 
-    /// Tells the caller that the answer broke off: by an event, or by cutting the connection.
+    /// Reports the interruption to the caller: by an event, or by closing the connection.
     fn interrupt(&mut self, end: AttemptEnd) -> Poll<Option<Result<Frame<Bytes>, std::io::Error>>> {
         self.end(end, Outcome::Unknown);
         if self.is_event_stream {
