--- a/crates/cherrystandd/src/duties/claim_batcher.rs
+++ b/crates/cherrystandd/src/duties/claim_batcher.rs
@@ -1,4 +1,4 @@
-//! The duty that writes claims on calls into the platform's service, many at a time.
+//! The duty that writes claims of idempotency keys to the platform's store, in batches.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,7 +12,7 @@
 use crate::kernel::{Duty, DutyScope};
 use crate::{DutyContext, DutyError, StopPhase, keys, write_ids};
 
-/// How long calls gather before they are written together.
+/// How long calls are collected before they are written together.
 const BATCH_DELAY: Duration = Duration::from_millis(15);
 
 inventory::submit! {
@@ -58,7 +58,7 @@
     tx
 }
 
-/// Gathers the calls of one shard into batches.
+/// Writes the calls of one shard in batches.
 struct ShardWriter {
     cx: DutyContext,
     writer: ClaimWriter<CountingClient<PlatformClient>>,
@@ -75,7 +75,8 @@
             let requests: Vec<ClaimRequest> =
                 batch.iter().map(|call| call.request.clone()).collect();
             let id = write_ids::next_write_id(&self.cx.current_view());
-            // Where the batch is not known to stand, dropping the channels tells the askers.
+            // If it is unknown whether the batch was written, its channels are dropped, and callers
+            // see that no answer comes.
             if let Some(answers) = self.writer.write(&requests, &id).await {
                 self.answer(batch, answers);
             }
@@ -92,7 +93,8 @@
             };
             self.cx.metrics.claims.with_label_values(&[label]).inc();
             if let Some(tx) = call.answer {
-                // An asker that left holds a claim that nobody uses; it answers `unknown`.
+                // If the caller left, its claim stays unused, and a later call with the key is
+                // answered with `unknown`.
                 let _ = tx.send(answer);
             }
         }
--- a/crates/cherrystandd/src/duties/controller.rs
+++ b/crates/cherrystandd/src/duties/controller.rs
@@ -1,8 +1,8 @@
-//! The duty that watches over this daemon's share of fabric domains.
+//! The duty that observes and controls this daemon's share of the fabric domains.
 //!
-//! Two daemons ask the boxes of each domain, so that evidence goes on when one of them dies. The
-//! first of the two also decides, under a lease that only saves work: what is safe rests on the
-//! compare-and-swap of the domain's record and on the epochs in orders.
+//! Two daemons probe the boxes of each domain, so that evidence continues when one of them dies.
+//! The first of the two also controls the domain, under a lease. The lease only avoids duplicate
+//! work: safety rests on the compare-and-swap of the domain's record and on the epochs in orders.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -19,22 +19,22 @@
 use crate::state::{StateEvent, View};
 use crate::{DutyContext, DutyError, StopPhase, clock, keys, write_ids};
 
-/// How many daemons ask the boxes of one domain.
+/// How many daemons probe the boxes of one domain.
 const OBSERVERS_PER_DOMAIN: usize = 2;
 
-/// The time between two steps.
+/// The time between two steps of the control loop.
 const STEP_INTERVAL: Duration = Duration::from_millis(250);
 
-/// How long a lease on a domain lasts.
+/// How long a lease on a domain is valid.
 const LEASE_TTL: Duration = Duration::from_secs(10);
 
-/// How long before its end a lease is renewed.
+/// How long before its expiry a lease is renewed.
 const LEASE_RENEWAL_LEAD: Millis = Millis(5_000);
 
-/// How long a daemon that was refused a lease waits before it asks again.
+/// How long a daemon waits before it asks again for a lease that it did not get.
 const LEASE_RETRY_DELAY: Millis = Millis(2_000);
 
-/// How long a controller that just began waits, so that it has asked every box.
+/// How long a new controller observes before its first decision, so that every box was probed.
 const INITIAL_OBSERVATION_TIME: Millis = Millis(1_500);
 
 inventory::submit! {
@@ -61,7 +61,7 @@
     last_probe: Option<Millis>,
 }
 
-/// What the duty remembers of a domain that it watches over.
+/// The state of a domain that this daemon controls.
 struct ControlledDomain {
     controller: Controller,
     started_at: Millis,
@@ -101,7 +101,7 @@
         }
     }
 
-    /// Lets go of domains that another daemon decides for from now on.
+    /// Releases the domains that another daemon controls from now on.
     async fn release_domains(&mut self, controlled: &[DomainId]) {
         let released: Vec<DomainId> =
             self.domains.keys().filter(|id| !controlled.contains(id)).cloned().collect();
@@ -110,7 +110,7 @@
             if domain_state.is_some_and(|domain_state| domain_state.leased_until.is_some()) {
                 let holder = self.cx.settings.node.as_str();
                 let name = lease_name(&domain);
-                // Should this fail, the lease ends by itself.
+                // If this fails, the lease expires by itself.
                 let _ = self.platform.lease(&name, holder, Duration::ZERO).await;
             }
         }
@@ -169,7 +169,7 @@
         };
         let step = domain_state.controller.step(input);
         if let Some(fault) = step.fault {
-            log::error!(domain = domain.as_str(); "nothing is written: {fault}");
+            log::error!(domain = domain.as_str(); "the domain's record is not written: {fault}");
         }
         for order in step.orders {
             self.send_order(view, order);
@@ -179,7 +179,7 @@
         }
     }
 
-    /// Takes or renews the lease on a domain, and tells whether this daemon should decide now.
+    /// Acquires or renews the lease on a domain and returns whether this daemon may control it now.
     async fn ensure_lease(&mut self, domain: &DomainId) -> bool {
         let now = self.cx.clock.now();
         let policy = self.cx.settings.repair.policy();
@@ -205,7 +205,7 @@
             && now.since(domain_state.started_at) >= INITIAL_OBSERVATION_TIME
     }
 
-    /// Writes a record; whatever comes of it, the next step decides from what then stands.
+    /// Writes a domain's record; whatever the result, the next step decides from the stored record.
     async fn write(
         &self,
         view: &View,
@@ -217,7 +217,7 @@
         let explanations: Vec<_> = next.explanations.iter().rev().take(4).cloned().collect();
         let body = match serde_json::to_string(&next) {
             Ok(body) => body,
-            Err(err) => return log::error!("a domain's record has no JSON form: {err}"),
+            Err(err) => return log::error!("a domain's record could not be serialized: {err}"),
         };
         let key = keys::domain(domain);
         let outcome = self.platform.swap(&key, expected, &body).await;
@@ -234,9 +234,9 @@
                 self.cx.send_to_state(StateEvent::Records(vec![record]));
             }
             Ok(Swap::Conflict(_)) | Err(PlatformError::NoAnswer(_)) => self.read_back(&key).await,
-            Err(err) => log::warn!("a domain's record was not written: {err}"),
+            Err(err) => log::warn!("a domain's record could not be written: {err}"),
         }
-        // The published view has to hold the new record before the next step decides.
+        // The published view has to contain the new record before the next step decides.
         tokio::time::sleep(STEP_INTERVAL).await;
     }
 
@@ -269,7 +269,7 @@
     format!("domain-{domain}")
 }
 
-/// Returns the domains that this daemon observes, and its rank among each one's observers.
+/// Returns the domains that this daemon observes, with its rank among the observers of each.
 fn observed_domains(view: &View) -> Vec<(DomainId, usize)> {
     let mut domains = view.fleet.domains();
     domains.extend(view.domains.values().map(|held| held.record.domain.clone()));
--- a/crates/cherrystandd/src/duties/gossip.rs
+++ b/crates/cherrystandd/src/duties/gossip.rs
@@ -1,4 +1,4 @@
-//! The duty that exchanges news with peers.
+//! The duty that exchanges state with peers by gossip.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,11 +11,11 @@
 use crate::state::{StateEvent, View};
 use crate::{DutyContext, DutyError, StopPhase, clock};
 
-/// The time between two exchanges.
+/// The time between two gossip rounds.
 const ROUND_INTERVAL: Duration = Duration::from_millis(250);
 
-/// In one round of this many a seed or a dead daemon is tried, so that parted sides find each
-/// other again.
+/// One round of this many contacts a seed or an unreachable daemon, so that the sides of a healed
+/// partition find each other again.
 const RECONNECT_ROUNDS: usize = 8;
 
 inventory::submit! {
@@ -27,7 +27,7 @@
     let node_hash = hash_bytes(cx.settings.node.as_str().as_bytes());
     let mut rng = SeededRng::new(node_hash ^ clock::unix_millis());
     let mut dialer = PeerDialer::default();
-    // Not all start with the same one.
+    // Daemons that start together start at different rounds.
     let mut round = rng.below(RECONNECT_ROUNDS);
     while cx.stop_phase() < StopPhase::Stopped {
         round += 1;
@@ -37,7 +37,7 @@
             && let Err(err) = exchange(&cx, &mut dialer, peer)
         {
             cx.metrics.peer_failures.inc();
-            log::debug!("no exchange with {peer}: {err}");
+            log::debug!("gossip exchange with {peer} failed: {err}");
         }
         std::thread::sleep(ROUND_INTERVAL);
     }
--- a/crates/cherrystandd/src/duties/mod.rs
+++ b/crates/cherrystandd/src/duties/mod.rs
@@ -1,4 +1,4 @@
-//! The daemon's duties, each on a thread of its own.
+//! The daemon's duties, each of which runs on its own thread.
 
 mod claim_batcher;
 mod controller;
--- a/crates/cherrystandd/src/duties/operator_api.rs
+++ b/crates/cherrystandd/src/duties/operator_api.rs
@@ -23,7 +23,7 @@
     let listener =
         TcpListener::bind(address).await.map_err(|source| DutyError::Listen { address, source })?;
     let operators = Rc::new(OperatorApi::new(cx.clone()));
-    // OperatorApi' calls are short; at the end they are cut rather than waited for.
+    // Operators' calls are short, so a stop aborts them instead of waiting for them.
     let (_stop, stopped) = watch::channel(false);
     let serving = serve_http(listener, move |req| handle(operators.clone(), req), stopped);
     tokio::select! {
--- a/crates/cherrystandd/src/duties/peer_answers.rs
+++ b/crates/cherrystandd/src/duties/peer_answers.rs
@@ -1,4 +1,4 @@
-//! The duty that answers the questions of peers.
+//! The duty that answers requests of peers.
 
 use cherrystand_peer::{PeerListener, Question, Reply};
 use tokio::sync::oneshot;
@@ -30,7 +30,7 @@
             Ok(None) => {}
             Err(err) => {
                 cx.metrics.peer_failures.inc();
-                log::warn!("a peer's question could not be answered: {err}");
+                log::warn!("a request of a peer could not be answered: {err}");
             }
         }
     }
@@ -40,6 +40,6 @@
 fn answer(cx: &DutyContext, question: Question) -> Reply {
     let (tx, rx) = oneshot::channel();
     cx.send_to_state(StateEvent::PeerQuestion(question, tx));
-    // Where the state duty is gone, the peer is told nothing new.
+    // If the state duty has ended, the peer gets an answer without data.
     rx.blocking_recv().unwrap_or(Reply::Taken)
 }
--- a/crates/cherrystandd/src/duties/platform_watch.rs
+++ b/crates/cherrystandd/src/duties/platform_watch.rs
@@ -1,7 +1,7 @@
-//! The duty that reads the platform's records and lists.
+//! The duty that reads the platform's records and its list of boxes.
 //!
-//! Only a few daemons of a zone watch; the others get the records from peers, and read for
-//! themselves only when no fresh news comes.
+//! Only a few daemons of a zone watch the platform. The others get the records from peers and read
+//! the platform themselves only when what they get from peers is too old.
 
 use std::time::Duration;
 
@@ -14,25 +14,25 @@
 use crate::state::{StateEvent, View};
 use crate::{DutyContext, DutyError, StopPhase};
 
-/// How many daemons of each zone watch.
+/// How many daemons of each zone watch the platform.
 const WATCHERS_PER_ZONE: usize = 2;
 
-/// How long one watch waits for a change.
+/// How long one watch call waits for a change.
 const WATCH_TIMEOUT: Duration = Duration::from_millis(2_000);
 
-/// How long a daemon that does not watch waits before it looks again whether it should.
+/// How often a daemon that does not watch checks whether it should.
 const IDLE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The least time between two calls of a watcher; changes that come faster arrive together.
+/// The shortest time between two reads; changes that come faster are read together.
 const MIN_READ_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How old the box list may grow before a watcher reads it again.
+/// The age of the list of boxes at which a watcher reads it again.
 const MAX_LIST_AGE: Millis = Millis(1_800);
 
-/// How long a watcher pauses after the platform failed it.
+/// How long a watcher waits after a failed read.
 const FAILURE_RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// A daemon that does not watch reads for itself once the news is this old.
+/// The age of the data at which a daemon that does not watch reads the platform itself.
 const MAX_DATA_AGE: Millis = Millis(FRESH_FOR.0 / 2);
 
 inventory::submit! {
@@ -62,7 +62,7 @@
         }
         if let Err(err) = watcher.read_once().await {
             log::warn!("the platform could not be read: {err}");
-            // A service that was set up anew counts its revisions from the start.
+            // A store that was set up anew counts its revisions from the start.
             watcher.known_revision = None;
             tokio::time::sleep(FAILURE_RETRY_DELAY).await;
         }
@@ -82,9 +82,9 @@
 struct Watcher<'a> {
     cx: &'a DutyContext,
     client: CountingClient<PlatformClient>,
-    /// The revision up to which all records are known.
+    /// The revision up to which all records were read.
     known_revision: Option<Revision>,
-    /// When the box list was last read.
+    /// When the list of boxes was last read.
     list_read_at: Option<Millis>,
 }
 
--- a/crates/cherrystandd/src/duties/prober.rs
+++ b/crates/cherrystandd/src/duties/prober.rs
@@ -1,4 +1,4 @@
-//! The observer of one daemon's share of boxes.
+//! Probing of boxes.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -12,7 +12,7 @@
 
 use crate::DutyContext;
 
-/// Asks boxes how they are and keeps what they answered.
+/// Probes boxes and keeps their last reports.
 #[derive(Clone)]
 pub(crate) struct Prober {
     cx: DutyContext,
@@ -21,17 +21,18 @@
 }
 
 impl Prober {
-    /// Creates a prober that has seen nothing yet.
+    /// Creates a prober without observations.
     pub(crate) fn new(cx: DutyContext) -> Self {
         Self { cx, client: EngineClient::default(), observations: Rc::default() }
     }
 
-    /// Returns what is known of all boxes asked.
+    /// Returns the observations of all probed boxes.
     pub(crate) fn observations(&self) -> Observations {
         self.observations.borrow().clone()
     }
 
-    /// Forgets the boxes that are not in `boxes`, and notes the others as asked from now on.
+    /// Drops the observations of boxes that are not in `boxes`, and adds an empty one for each new
+    /// box, which counts as heard from now.
     pub(crate) fn keep_only(&self, boxes: &[BoxId]) {
         let now = self.cx.clock.now();
         let mut observations = self.observations.borrow_mut();
@@ -42,7 +43,7 @@
         }
     }
 
-    /// Asks one box in the background.
+    /// Probes one box in the background.
     pub(crate) fn probe(&self, id: BoxId, address: SocketAddr) {
         let prober = self.clone();
         tokio::task::spawn_local(async move {
@@ -53,14 +54,15 @@
             if let Ok(report) = answer
                 && let Some(observation) = prober.observations.borrow_mut().get_mut(&id)
             {
-                // The answer is at least as old as the question.
+                // The report may be as old as the request for it.
                 observation.last_heard = sent_at;
                 observation.report = Some(report);
             }
         });
     }
 
-    /// Says of each replica of a domain whether every member has lately acknowledged its epoch.
+    /// Returns, for each loading or ready replica of a domain, whether every member has recently
+    /// acknowledged its epoch.
     pub(crate) fn evidence(&self, record: &DomainRecord, now: Millis) -> Vec<ReplicaEvidence> {
         let observations = self.observations.borrow();
         let formed = record.replicas.iter();
@@ -86,7 +88,7 @@
     }
 }
 
-/// Returns the boxes of a domain: those listed, and those that its record still names.
+/// Returns the boxes of a domain: those in the inventory, and those that its record still names.
 pub(crate) fn boxes_to_probe(fleet: &Fleet, record: &DomainRecord) -> Vec<BoxId> {
     let mut boxes: Vec<BoxId> =
         fleet.of_domain(&record.domain).map(|info| info.id.clone()).collect();
--- a/crates/cherrystandd/src/duties/relay.rs
+++ b/crates/cherrystandd/src/duties/relay.rs
@@ -11,7 +11,7 @@
 use crate::relay::{Relay, RequestLookup, handle};
 use crate::{DutyContext, DutyError, StopPhase};
 
-/// How long the other duties go on after the last request, to note what became of claims.
+/// How long the other duties run on after the last request, to write the outcomes of claimed calls.
 const FLUSH_DELAY: Duration = Duration::from_millis(200);
 
 inventory::submit! {
@@ -48,7 +48,7 @@
 async fn answer_lookups(cx: DutyContext, relay: Rc<Relay>) {
     while let Ok(RequestLookup { request, reply }) = cx.lookup_messages.recv().await {
         let record = relay.history.borrow().find(&request).cloned();
-        // The operator may have left.
+        // The operator may have disconnected.
         let _ = reply.send(record);
     }
 }
--- a/crates/cherrystandd/src/duties/state_publisher.rs
+++ b/crates/cherrystandd/src/duties/state_publisher.rs
@@ -1,4 +1,4 @@
-//! The duty that keeps the daemon's state and publishes it.
+//! The duty that owns the daemon's state and publishes it.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,10 +8,10 @@
 use crate::state::StateEvent;
 use crate::{DutyContext, DutyError, StopPhase};
 
-/// How often the state beats and is published at the least.
+/// The interval of heartbeats, and the longest time between two published views.
 const TICK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// How many events are taken in before the state is published.
+/// How many events are applied at most before the state is published.
 const MAX_EVENTS_PER_VIEW: usize = 64;
 
 inventory::submit! {
@@ -20,7 +20,7 @@
 
 fn run(cx: DutyContext) -> Result<(), DutyError> {
     let result = cx.run_local(run_state(&cx));
-    // Whoever still waits for an answer learns that none will come.
+    // Dropping the events closes their reply channels, so that nobody waits for an answer.
     cx.state_events.close();
     while cx.state_events.try_recv().is_ok() {}
     result
@@ -63,7 +63,7 @@
     }
     if state.tick(cx.clock.now()) {
         cx.metrics.pauses.inc();
-        log::warn!("this process was paused and goes on as a new incarnation");
+        log::warn!("this process was paused and continues as a new incarnation");
     }
 }
 
--- a/crates/cherrystandd/src/operator/api.rs
+++ b/crates/cherrystandd/src/operator/api.rs
@@ -1,4 +1,4 @@
-//! The calls that operators make, over HTTP with JSON.
+//! The calls of operators, over HTTP with JSON.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -19,23 +19,23 @@
 use crate::state::{StateEvent, View};
 use crate::{DutyContext, write_ids};
 
-/// The largest configuration, in bytes; two of them have to fit into one record.
+/// The largest configuration, in bytes; two have to fit into one record.
 const MAX_CONFIG_BYTES: usize = 256 << 10;
 
-/// How long an operator waits for a majority of the daemons to hold a change.
+/// How long a confirmation waits until a majority of the daemons has the change.
 const MAJORITY_TIMEOUT: Duration = Duration::from_secs(12);
 
-/// The header by which an operator says who they are, for the history.
+/// The header with the operator's name, for the history.
 const OPERATOR_HEADER: &str = "cherrystand-operator";
 
-/// Serves operators on one thread.
+/// Serves operators, on one thread.
 pub(crate) struct OperatorApi {
     cx: DutyContext,
     platform: CountingClient<PlatformClient>,
 }
 
 impl OperatorApi {
-    /// Creates the interface.
+    /// Creates the interface with its own client of the platform.
     pub(crate) fn new(cx: DutyContext) -> Self {
         let platform = CountingClient::new(&cx, "operators");
         Self { cx, platform }
@@ -87,9 +87,10 @@
         WorkspaceChange { store: &self.platform, write_id, fleet: &view.fleet, current_boxes }
     }
 
-    /// Waits until a majority of the daemons holds a record as it was written, or a newer one.
+    /// Waits until a majority of the daemons has a record as it was written, or a newer one.
     ///
-    /// Only then can no daemon go on by the old one for long, whatever fails from here on.
+    /// From then on no daemon serves by the old record for long, whatever fails: one that has
+    /// contact neither with the platform nor with a majority stops serving.
     async fn wait_for_majority(&self, record: &Document) -> Result<(), OperatorError> {
         let holds = |view: &Arc<View>| {
             let held = view.workspaces.get(&record.key);
@@ -163,7 +164,7 @@
     })
 }
 
-/// Answers one call of an operator.
+/// Answers a call of an operator.
 pub(crate) async fn handle(
     operators: Rc<OperatorApi>,
     req: Request<Incoming>,
--- a/crates/cherrystandd/src/operator/change.rs
+++ b/crates/cherrystandd/src/operator/change.rs
@@ -1,4 +1,4 @@
-//! Changes of a workspace's record.
+//! Changes to a workspace's record.
 
 use std::sync::Arc;
 
@@ -11,37 +11,37 @@
 use crate::operator::OperatorError;
 use crate::{clock, keys};
 
-/// How often a change is tried against others who change the same record.
+/// How often each step of a change is tried, against concurrent changes and failed calls.
 const MAX_ATTEMPTS: u32 = 8;
 
-/// Plans and confirms changes through a key-value service.
+/// Plans and confirms changes to the records in a key-value store.
 pub struct WorkspaceChange<'a, K> {
-    /// The service.
+    /// The store.
     pub store: &'a K,
-    /// The identity of the write to make.
+    /// The id of the write, by which the record tells whether it took effect.
     pub write_id: WriteId,
-    /// The listed boxes.
+    /// The boxes in the inventory.
     pub fleet: &'a Fleet,
-    /// The boxes held now.
+    /// The boxes that replicas hold now.
     pub current_boxes: &'a BoxesByReplica,
 }
 
-/// A record that was written, and what it was written for.
+/// A record that was written, and the result for the operator.
 pub struct Written<T> {
-    /// What the operator is told.
+    /// The result for the operator.
     pub result: T,
-    /// The record as it now stands.
+    /// The record as written.
     pub record: Document,
 }
 
-/// What became of one try to write.
+/// The result of one attempt to write.
 enum WriteStatus {
     Done(Revision),
     Retry,
 }
 
 impl<K: KeyValue> WorkspaceChange<'_, K> {
-    /// Makes a plan and leaves it pending.
+    /// Makes a plan and stores it as pending.
     pub async fn plan(&self, config: WorkspaceConfig) -> Result<Written<Plan>, OperatorError> {
         let workspace = config.workspace.clone();
         let id = self.plan_id(&workspace);
@@ -57,7 +57,7 @@
         Err(OperatorError::Contended(workspace))
     }
 
-    /// Puts a pending plan in force.
+    /// Activates a pending plan.
     pub async fn confirm(
         &self,
         id: &PlanId,
@@ -96,7 +96,7 @@
         Ok((document.revision, record))
     }
 
-    /// Writes a record; nothing is returned when somebody else changed it first.
+    /// Writes a record; returns `None` if it was changed concurrently.
     async fn write(
         &self,
         workspace: &WorkspaceId,
@@ -120,10 +120,10 @@
         Err(OperatorError::OutcomeUnknown)
     }
 
-    /// Finds out what became of a write, by reading where its answer does not tell.
+    /// Determines whether a write took effect, by reading the record if the answer leaves it open.
     ///
-    /// A write whose answer was lost may still take effect later. It is therefore tried again for
-    /// the same revision, so that at most one of the two does.
+    /// A write whose answer was lost may still take effect later. It is therefore retried against
+    /// the same revision, so that at most one of the two takes effect.
     async fn resolve_write(
         &self,
         workspace: &WorkspaceId,
@@ -143,7 +143,7 @@
         }
     }
 
-    /// Reads the record after a write that may have taken effect.
+    /// Reads the record after a write that may have taken effect, retrying if the platform fails.
     async fn read_with_retries(
         &self,
         workspace: &WorkspaceId,
--- a/crates/cherrystandd/src/operator/error.rs
+++ b/crates/cherrystandd/src/operator/error.rs
@@ -1,17 +1,17 @@
-//! What operators are told when something cannot be done.
+//! Errors of operators' calls.
 
 use cherrystand_core::{ConfirmError, PlanError, SettingsError, WorkspaceId};
 use cherrystand_platform::PlatformError;
 use hyper::StatusCode;
 use serde_json::{Value, json};
 
-/// Tells an operator why something was not done, or that it may have been.
+/// Why a call of an operator failed, or that its outcome is unknown.
 #[derive(Debug, thiserror::Error)]
 pub enum OperatorError {
-    /// The configuration is at fault.
+    /// The configuration is invalid.
     #[error("{0}")]
     Settings(#[from] SettingsError),
-    /// No plan can be made.
+    /// No plan can be made for the configuration.
     #[error("{0}")]
     Plan(#[from] PlanError),
     /// The plan cannot be confirmed.
@@ -20,35 +20,35 @@
     /// The platform did not answer, and nothing was changed.
     #[error("nothing was changed: {0}")]
     Platform(#[from] PlatformError),
-    /// The change may have taken effect, or has and is not yet held by a majority.
+    /// The change may have taken effect, or it has but no majority of the daemons has it yet.
     #[error(
         "the platform did not answer; the change may be in force: look at `cherrystand history`"
     )]
     OutcomeUnknown,
-    /// This daemon is out of touch with too many others to accept a change.
+    /// This daemon hears too few others to accept a change.
     #[error(
-        "this daemon hears {reachable} of {total} daemons and needs more than half to accept a change; \
-         ask another one or wait"
+        "this daemon hears {reachable} of {total} daemons and needs more than half to accept a \
+         change; ask another one or wait"
     )]
     TooFewDaemons {
-        /// How many it hears, itself included.
+        /// How many daemons it hears, including itself.
         reachable: usize,
-        /// How many there are.
+        /// How many daemons there are.
         total: usize,
     },
-    /// Others kept changing the record.
+    /// Concurrent changes to the record won every attempt.
     #[error("others keep changing workspace `{0}`; try again")]
     Contended(WorkspaceId),
-    /// The record in the platform cannot be read.
+    /// The record in the platform's store cannot be parsed.
     #[error("the record of workspace `{0}` is malformed; a newer daemon may have written it")]
     Malformed(WorkspaceId),
-    /// The request cannot be understood.
+    /// The request's body is invalid.
     #[error("{0}")]
     BadRequest(&'static str),
-    /// There is no such thing.
+    /// The named thing does not exist.
     #[error("there is no {what} `{name}`")]
     Unknown {
-        /// What was asked for.
+        /// The kind of thing.
         what: &'static str,
         /// Its name.
         name: String,
@@ -56,7 +56,7 @@
 }
 
 impl OperatorError {
-    /// Returns the HTTP status that goes with the error.
+    /// Returns the HTTP status for the error.
     pub fn status(&self) -> StatusCode {
         match self {
             Self::Settings(_) | Self::Plan(_) | Self::BadRequest(_) => StatusCode::BAD_REQUEST,
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Returns the kind of error, for programs.
+    /// Returns the kind of error, for programs to match on.
     pub fn kind(&self) -> &'static str {
         match self {
             Self::Settings(_) => "settings",
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Returns the error as operators' programs read it.
+    /// Returns the JSON body of the answer with the error.
     pub fn body(&self) -> Value {
         let (line, key) = match self {
             Self::Settings(err) => (err.line(), Some(err.key())),
--- a/crates/cherrystandd/src/operator/mod.rs
+++ b/crates/cherrystandd/src/operator/mod.rs
@@ -1,4 +1,4 @@
-//! The interface for operators.
+//! The HTTP interface for operators.
 
 mod api;
 mod change;
--- a/crates/cherrystandd/src/operator/status.rs
+++ b/crates/cherrystandd/src/operator/status.rs
@@ -1,11 +1,11 @@
-//! What operators see of the system.
+//! The status of the system for operators.
 
 use cherrystand_core::{DomainRecord, Liveness, Millis, ReplicaId, WorkspaceRecord};
 use serde_json::{Value, json};
 
 use crate::state::{RouteGroup, RouteKind, View};
 
-/// Describes groups, replicas, boxes and daemons as this one knows them.
+/// Describes the groups, replicas, boxes and daemons in this daemon's view.
 pub(crate) fn status_of(view: &View) -> Value {
     let workspaces = view.workspaces.values().map(|held| workspace(view, &held.record));
     json!({
@@ -111,7 +111,7 @@
     view.members.iter().map(describe).collect()
 }
 
-/// Lists the decisions about one replica, oldest first.
+/// Lists the decisions on a replica, oldest first, or returns `None` if there is none.
 pub(crate) fn explain_replica(view: &View, replica: &ReplicaId) -> Option<Value> {
     let records = view.domains.values().map(|held| &held.record);
     let decisions: Vec<Value> = records
@@ -119,7 +119,8 @@
         .filter(|explanation| &explanation.replica == replica)
         .map(|explanation| {
             json!({
-                "at_unix_secs": explanation.at_unix_secs, "epoch": explanation.epoch, "phase": explanation.phase,
+                "at_unix_secs": explanation.at_unix_secs, "epoch": explanation.epoch,
+                "phase": explanation.phase,
                 "because": explanation.evidence.to_string(), "prices": explanation.prices,
             })
         })
--- a/crates/cherrystandd/src/relay/relay_state.rs
+++ b/crates/cherrystandd/src/relay/relay_state.rs
@@ -83,7 +83,9 @@
         format!("{}-{:x}-{number:x}", own.node, own.incarnation.0)
     }
 
-    /// Returns the newest view, waiting for a newer one if it is stale; `None` if none comes in time.
+    /// Returns the newest view, or waits for a newer one if it is stale.
+    ///
+    /// Returns `None` if none is published in time.
     pub(crate) async fn fresh_view(&self) -> Option<Arc<View>> {
         let is_fresh = |view: &View| self.now().since(view.made_at) <= MAX_VIEW_AGE;
         let mut view = self.cx.view.clone();
