--- a/crates/cherrystand_core/src/site/homes.rs
+++ b/crates/cherrystand_core/src/site/homes.rs
@@ -74,10 +74,10 @@
 /// Of this many domains of a model, one has hosts that also preload another model.
 ///
 /// A domain that restarts entirely loads for 20 s where its hosts hold the other model, and serves
-/// after 2 s where they hold its own. With all of four domains preloaded, a day on which
-/// one of eight boxes restarted earned 0.720, since callers waited for a quarter of the model's
-/// replicas; the mean of five such days was 0.706 instead of 0.804. With one of five, the share at
-/// risk is as large as the share that can be reassigned.
+/// after 2 s where they hold its own. With all of four domains preloaded, a day on which one of
+/// eight boxes restarted earned 0.720, since callers waited for a quarter of the model's replicas;
+/// the mean of five such days was 0.706 instead of 0.804. With one of five, the share at risk is as
+/// large as the share that can be reassigned.
 const DOMAINS_PER_PRELOADED: usize = 5;
 
 /// Returns, for some of the domains, the model that their hosts preload besides their home model,
--- a/crates/cherrystand_core/src/site/policy.rs
+++ b/crates/cherrystand_core/src/site/policy.rs
@@ -17,7 +17,7 @@
     TwoAtRandom,
 }
 
-/// Switches decisions on and off; the defaults are what measured best.
+/// Switches decisions on and off.
 ///
 /// Source: docs/MEASURES.md.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
