--- a/crates/cherrystandd/tests/store_drills.rs
+++ b/crates/cherrystandd/tests/store_drills.rs
@@ -51,7 +51,7 @@
         site.site.list(BOXES[number % BOXES.len()]);
     }
     site.site.configure(config);
-    // By now all daemons have read the configuration.
+    // Gives all daemons time to read the configuration.
     tokio::time::sleep(Duration::from_millis(300)).await;
     let doors = || 0..site.nodes.len();
     doors().for_each(|door| site.site.set_door(door, Door::Silent));
