--- a/crates/cherrystandd/src/claim_writer.rs
+++ b/crates/cherrystandd/src/claim_writer.rs
@@ -1,4 +1,4 @@
-//! Writing batches of claims into one shard's record.
+//! Writes batches of claims to the record of one shard.
 
 use std::time::Duration;
 
@@ -10,13 +10,13 @@
 
 use crate::clock;
 
-/// How long one batch is tried; a claim must be used within twice this time.
+/// The time for which one batch is retried: half of the time within which a claim must be used.
 const WRITE_TIMEOUT: Duration = Duration::from_millis(CLAIM_USE_TIMEOUT.0 / 2);
 
-/// How long the writer pauses before it tries again.
+/// The pause between two tries.
 const RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Writes claims into one record of a key-value service, keeping a copy of it.
+/// Writes claims to one record of a key-value service and caches that record.
 ///
 /// Source: docs/design/0008-at-most-once.md.
 #[derive(Debug)]
@@ -28,21 +28,21 @@
 }
 
 impl<K: KeyValue> ClaimWriter<K> {
-    /// Creates a writer of the record at `key` that has yet to read it.
+    /// Creates a writer of the record at `key`, which it has not read yet.
     pub fn new(service: K, key: String) -> Self {
         Self { service, key, revision: Revision::NONE, record: ClaimRecord::default() }
     }
 
-    /// Writes a batch under one identity until it stands or time is up.
+    /// Writes a batch under one write id, retrying until it is stored or the timeout expires.
     ///
-    /// Returns the answers, or nothing when it is not known whether the batch stands. Then no call
-    /// of the batch may be run: its claims, if they do stand, are never used.
+    /// Returns the answers, or `None` if it is unknown whether the batch was stored. No call of the
+    /// batch may run then: its claims, if they were stored, stay unused.
     ///
-    /// A write whose answer was lost is tried again at the revision that it was made for, so that
-    /// only one of the two can take effect, and is found by its identity where it did.
+    /// A write whose answer was lost is retried with the same expected revision, so that at most one
+    /// of the two takes effect. If the first one did, its write id is found in the record.
     #[expect(
         clippy::disallowed_methods,
-        reason = "tries are counted; whether a claim is used in time is looked up on the daemon's clock"
+        reason = "only limits retries; whether a claim is used in time is checked on the daemon's clock"
     )]
     pub async fn write(
         &mut self,
@@ -78,7 +78,7 @@
         self.service.swap(&self.key, self.revision, &body).await
     }
 
-    /// Reads the record as it is, and tells whether the write `id` is in it.
+    /// Reads the stored record and returns whether it contains the write `id`.
     async fn read_back(&mut self, id: &WriteId) -> bool {
         let Ok(Some(document)) = self.service.get(&self.key).await else {
             return false;
--- a/crates/cherrystandd/src/claims.rs
+++ b/crates/cherrystandd/src/claims.rs
@@ -1,20 +1,20 @@
-//! How the relay asks for claims on calls.
+//! Sends the relay's claims on calls to the claims duty.
 
 use cherrystand_core::{ClaimRequest, ClaimResponse, IdempotencyKey, Outcome};
 use tokio::sync::oneshot;
 
 use crate::DutyContext;
 
-/// Asks the claims duty for one change, answered through the channel.
+/// Asks the claims duty for one change to a claim.
 #[derive(Debug)]
 pub(crate) struct ClaimMessage {
-    /// The change.
+    /// The requested change.
     pub(crate) request: ClaimRequest,
-    /// Where the answer goes; it is dropped when the platform does not answer.
+    /// Receives the answer; dropped if the platform does not answer.
     pub(crate) answer: Option<oneshot::Sender<ClaimResponse>>,
 }
 
-/// Claims a call; nothing is returned when the platform does not answer in time.
+/// Claims a call. Returns `None` if the platform does not answer in time.
 pub(crate) async fn acquire(cx: &DutyContext, key: IdempotencyKey) -> Option<ClaimResponse> {
     let (tx, rx) = oneshot::channel();
     let call = ClaimMessage { request: ClaimRequest::Acquire(key), answer: Some(tx) };
@@ -22,17 +22,18 @@
     rx.await.ok()
 }
 
-/// Gives a claim up, since the call was certainly not run.
+/// Releases the claim of a call that certainly did not run.
 pub(crate) fn release(cx: &DutyContext, key: IdempotencyKey) {
     send(cx, ClaimRequest::Release(key));
 }
 
-/// Notes what became of a claimed call.
+/// Records the outcome of a claimed call.
 pub(crate) fn complete(cx: &DutyContext, key: IdempotencyKey, outcome: Outcome) {
     send(cx, ClaimRequest::Complete(key, outcome));
 }
 
-/// A note that is lost leaves the claim as it is, which answers `unknown`: safe, and less helpful.
+/// Sends a change without waiting for the answer. If it is lost, the claim stays without an outcome
+/// and a repeated call is answered with `unknown`, which is safe but tells the caller less.
 fn send(cx: &DutyContext, request: ClaimRequest) {
     let call = ClaimMessage { request, answer: None };
     if cx.claims.try_send(call).is_err() {
--- a/crates/cherrystandd/src/config_versions.rs
+++ b/crates/cherrystandd/src/config_versions.rs
@@ -1,4 +1,4 @@
-//! The last versions of the configuration, which several duties pass on and read.
+//! The last versions of the configuration, which several duties read and send to peers.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
@@ -7,7 +7,7 @@
 
 use crate::Metrics;
 
-/// Shares the versions between the duties of one daemon, so that each is packed once.
+/// Shares the versions between the duties of one daemon, so that each version is compressed once.
 #[derive(Clone)]
 pub(crate) struct ConfigVersions {
     versions: Arc<Mutex<Versions>>,
@@ -20,42 +20,43 @@
     }
 
     fn versions(&self) -> MutexGuard<'_, Versions> {
-        // A version is whole before it is noted; one who panicked left nothing half done.
+        // Each change is a single insertion, so a thread that panicked left no partial state.
         self.versions.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Notes a version that is in force.
+    /// Records a version that is in force.
     pub(crate) fn note(&self, config: &Document) {
         self.versions().note(config.revision, config.body.clone());
     }
 
-    /// Returns the newest revision; 0 where there is none.
+    /// Returns the newest revision, or 0 if there is none.
     pub(crate) fn newest(&self) -> Revision {
         self.versions().newest()
     }
 
-    /// Returns the newest version for a peer that holds `theirs`; nothing where it needs none.
+    /// Returns the newest version, packed for a peer that holds `theirs`, or `None` if the peer is up
+    /// to date.
     pub(crate) fn newer_than(&self, theirs: Revision) -> Option<Arc<PackedBody>> {
         match self.versions().newer_than(theirs) {
             Ok(packed) => packed,
             Err(err) => {
-                log::error!("the configuration is not passed on: {err}");
+                log::error!("cannot pack the configuration for a peer: {err}");
                 None
             }
         }
     }
 
-    /// Unpacks a version that a peer passed on, as the record with a key.
+    /// Unpacks a version received from a peer into the record with the given key.
     ///
     /// # Errors
     ///
-    /// Returns an [`UnpackError`], counted, where it does not fit what is held.
+    /// Returns an [`UnpackError`], and counts it, if the version does not apply to those held here.
     pub(crate) fn unpack(&self, key: &str, packed: &PackedBody) -> Result<Document, UnpackError> {
         match self.versions().unpack(packed) {
             Ok(body) => Ok(Document { key: Arc::from(key), revision: packed.revision, body }),
             Err(err) => {
                 self.metrics.versions_refused.with_label_values(&[err.as_str()]).inc();
-                log::warn!("a version of the configuration is refused: {err}");
+                log::warn!("rejected a version of the configuration from a peer: {err}");
                 Err(err)
             }
         }
--- a/crates/cherrystandd/src/counting_client.rs
+++ b/crates/cherrystandd/src/counting_client.rs
@@ -10,7 +10,7 @@
 
 use crate::{DutyContext, Metrics};
 
-/// Counts each call by the duty that makes it and by what became of it.
+/// Wraps a platform client and counts its calls by duty and result.
 #[derive(Clone)]
 pub(crate) struct CountingClient<K> {
     inner: K,
@@ -19,7 +19,7 @@
 }
 
 impl CountingClient<PlatformClient> {
-    /// Creates a client of the platform that the settings name.
+    /// Creates a client of the platform given in the settings.
     pub(crate) fn new(cx: &DutyContext, duty: &'static str) -> Self {
         let inner = PlatformClient::new(cx.settings.platform.address);
         Self::wrap(inner, cx, duty)
@@ -27,7 +27,7 @@
 }
 
 impl<K> CountingClient<K> {
-    /// Counts the calls of a client for a duty.
+    /// Wraps a client that a duty uses.
     pub(crate) fn wrap(inner: K, cx: &DutyContext, duty: &'static str) -> Self {
         Self { inner, metrics: cx.metrics.clone(), duty }
     }
--- a/crates/cherrystandd/src/duty_context.rs
+++ b/crates/cherrystandd/src/duty_context.rs
@@ -1,4 +1,4 @@
-//! What every duty is given.
+//! The context that every duty is given: settings, clock, channels and published state.
 
 use std::sync::Arc;
 
@@ -13,25 +13,25 @@
 use crate::store_freshness::StoreFreshness;
 use crate::{Clock, Metrics, Settings};
 
-/// How many events a ring between duties holds.
+/// The capacity of a channel between duties, in messages.
 pub(crate) const CHANNEL_CAPACITY: usize = 1_024;
 
-/// Says how far the daemon is with stopping.
+/// The phase of the daemon's shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum StopPhase {
-    /// It is not.
+    /// The daemon is not stopping.
     Running,
-    /// It is not ready any more, and finishes what it has.
+    /// The daemon reports that it is not ready and finishes the requests in flight.
     Draining,
-    /// Everything ends now.
+    /// All duties end now.
     Stopped,
 }
 
-/// Tells why a duty failed.
+/// The reason why a duty failed.
 #[derive(Debug, thiserror::Error)]
 pub enum DutyError {
     /// The duty's thread could not be started.
-    #[error("the thread of duty `{duty}` could not be started")]
+    #[error("cannot start the thread of duty `{duty}`")]
     Thread {
         /// The duty.
         duty: &'static str,
@@ -39,18 +39,18 @@
         source: std::io::Error,
     },
     /// The duty's event loop could not be started.
-    #[error("the event loop could not be started")]
+    #[error("cannot start the event loop")]
     Runtime(#[source] std::io::Error),
-    /// An address could not be listened at.
-    #[error("cannot listen at {address}; check `listen` in the settings")]
+    /// The daemon cannot listen on an address.
+    #[error("cannot listen on {address}; check `listen` in the settings")]
     Listen {
         /// The address.
         address: std::net::SocketAddr,
         /// The reason.
         source: std::io::Error,
     },
-    /// The address for peers could not be listened at.
-    #[error("cannot listen for peers at {address}; check `listen.peers` in the settings")]
+    /// The daemon cannot listen on its address for peers.
+    #[error("cannot listen for peers on {address}; check `listen.peers` in the settings")]
     ListenPeers {
         /// The address.
         address: std::net::SocketAddr,
@@ -65,57 +65,57 @@
     },
 }
 
-/// Gives a duty its settings, clocks, rings and the published view.
+/// The settings, clock, channels and published state that the duties of one daemon share.
 #[derive(Clone)]
 pub struct DutyContext {
     /// The daemon's settings.
     pub settings: Arc<Settings>,
     /// The daemon's clock.
     pub clock: Clock,
-    /// What the daemon counts.
+    /// The daemon's metrics.
     pub metrics: Arc<Metrics>,
-    /// The ring towards the duty that keeps the daemon's state.
+    /// Sends events to the state duty.
     pub(crate) state: async_channel::Sender<StateEvent>,
-    /// The other end of that ring; only the state duty reads it.
+    /// Receives the events sent to `state`; only the state duty reads it.
     pub(crate) state_events: async_channel::Receiver<StateEvent>,
-    /// The ring towards the duty that claims calls.
+    /// Sends requests to the claims duty.
     pub(crate) claims: async_channel::Sender<ClaimMessage>,
-    /// The other end of that ring; only the claims duty reads it.
+    /// Receives the requests sent to `claims`; only the claims duty reads it.
     pub(crate) claim_messages: async_channel::Receiver<ClaimMessage>,
-    /// The ring by which operators ask the relay about requests.
+    /// Sends operators' lookups of past requests to the relay.
     pub(crate) lookups: async_channel::Sender<RequestLookup>,
-    /// The other end of that ring; only the relay reads it.
+    /// Receives the lookups sent to `lookups`; only the relay reads it.
     pub(crate) lookup_messages: async_channel::Receiver<RequestLookup>,
-    /// What the daemon knows, as last published.
+    /// The daemon's state, as last published.
     pub(crate) view: watch::Receiver<Arc<View>>,
-    /// Where the state duty publishes it.
+    /// Publishes `view`; used by the state duty.
     pub(crate) publish_view: Arc<watch::Sender<Arc<View>>>,
-    /// What is known of the site, as last published.
+    /// The state of the site, as last published.
     pub(crate) site: watch::Receiver<Arc<SiteView>>,
-    /// Where the duty that reads the site publishes it.
+    /// Publishes `site`; used by the duty `site-control`.
     pub(crate) publish_site: Arc<watch::Sender<Arc<SiteView>>>,
-    /// As of when that is.
+    /// The age of the state in `site`.
     pub(crate) store_freshness: Arc<StoreFreshness>,
-    /// What all daemons have in flight by model, as the request path last published it.
+    /// The requests in flight at all daemons by model, as last published.
     pub(crate) model_loads: watch::Receiver<Arc<ModelLoads>>,
-    /// Where the request path publishes it.
+    /// Publishes `model_loads`; used by the request path.
     pub(crate) publish_model_loads: Arc<watch::Sender<Arc<ModelLoads>>>,
-    /// What this node has to say beside the store's record of requests that end replicas.
+    /// What this node adds to the store's record of requests suspected of crashing boxes.
     pub(crate) suspects: watch::Receiver<Arc<SuspectRecord>>,
-    /// Where the request path publishes it.
+    /// Publishes `suspects`; used by the request path.
     pub(crate) publish_suspects: Arc<watch::Sender<Arc<SuspectRecord>>>,
-    /// The ring by which the request path has boxes looked at.
+    /// Sends the request path's hints about boxes that need a probe.
     pub(crate) hints: async_channel::Sender<Hint>,
-    /// The other end of that ring; only the duty that reads the site reads it.
+    /// Receives the hints sent to `hints`; only the duty `site-control` reads it.
     pub(crate) hint_events: async_channel::Receiver<Hint>,
-    /// The last versions of the configuration.
+    /// The last versions of the configuration, for exchange with peers.
     pub(crate) config_versions: ConfigVersions,
-    /// How far the daemon is with stopping.
+    /// Publishes the phase of the shutdown.
     pub(crate) stop: Arc<watch::Sender<StopPhase>>,
 }
 
 impl DutyContext {
-    /// Creates the context of a daemon that starts now.
+    /// Creates the context of a daemon whose clock starts now.
     pub fn new(settings: Settings, metrics: Metrics) -> Self {
         let (state, state_events) = async_channel::bounded(CHANNEL_CAPACITY);
         let (claims, claim_messages) = async_channel::bounded(CHANNEL_CAPACITY);
@@ -155,7 +155,7 @@
         }
     }
 
-    /// Begins a planned stop.
+    /// Begins a graceful shutdown, unless one is in progress.
     pub fn drain(&self) {
         self.stop.send_if_modified(|phase| {
             let begins = *phase == StopPhase::Running;
@@ -166,40 +166,42 @@
         });
     }
 
-    /// Returns how far the daemon is with stopping.
+    /// Returns the phase of the shutdown.
     pub fn stop_phase(&self) -> StopPhase {
         *self.stop.borrow()
     }
 
-    /// Waits until stopping has come to `phase`.
+    /// Waits until the shutdown has reached `phase`.
     pub(crate) async fn wait_for_stop(&self, phase: StopPhase) {
         let mut stop = self.stop.subscribe();
-        // The sender lives in this very context.
+        // Cannot fail: this context holds the sender.
         let _ = stop.wait_for(|now| *now >= phase).await;
     }
 
-    /// Returns the view as last published.
+    /// Returns the last published view.
     pub(crate) fn current_view(&self) -> Arc<View> {
         self.view.borrow().clone()
     }
 
-    /// Hands an event to the state duty, giving it up where the ring is full.
+    /// Sends an event to the state duty, or drops and counts it if the channel is full.
     ///
-    /// Every event is told again later: records by comparison, evidence by the next probe.
+    /// A dropped event is made up for later: records by comparison with a peer, evidence by the next
+    /// probe.
     pub(crate) fn send_to_state(&self, event: StateEvent) {
         if self.state.try_send(event).is_err() {
             self.metrics.ring_full.with_label_values(&["state"]).inc();
         }
     }
 
-    /// Has the duty that watches over boxes look at one.
+    /// Asks the duty that monitors boxes to check one. The hint is dropped and counted if the channel
+    /// is full.
     pub(crate) fn hint(&self, hint: Hint) {
         if self.hints.try_send(hint).is_err() {
             self.metrics.ring_full.with_label_values(&["hints"]).inc();
         }
     }
 
-    /// Runs a duty's future on an event loop of this thread until it ends.
+    /// Runs a duty's future to completion on an event loop of the current thread.
     pub(crate) fn run_local<F: Future>(&self, duty: F) -> Result<F::Output, DutyError> {
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_all()
--- a/crates/cherrystandd/src/kernel.rs
+++ b/crates/cherrystandd/src/kernel.rs
@@ -1,6 +1,6 @@
-//! The kernel: it starts each duty on a thread of its own and stops them in order.
+//! The kernel, which runs each duty on its own thread and stops all of them when one fails.
 //!
-//! Duties register themselves with [`inventory::submit!`]; the kernel knows none by name.
+//! Duties register themselves with [`inventory::submit!`], so the kernel has no list of them.
 
 use std::sync::Arc;
 use std::thread::JoinHandle;
@@ -9,14 +9,14 @@
 
 use crate::{DutyContext, DutyError, StopPhase};
 
-/// Says in which kind of deployment a duty runs.
+/// The kind of deployment in which a duty runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DutyScope {
-    /// In every one.
+    /// Every deployment.
     All,
-    /// Where operators state workspaces through the daemon.
+    /// Deployments in which operators configure workspaces through the daemon.
     Workspaces,
-    /// Where the platform's store holds one configuration of routes.
+    /// Deployments in which the platform's store holds one configuration of routes.
     Routes,
 }
 
@@ -30,13 +30,13 @@
     }
 }
 
-/// A duty that the kernel runs on a thread of its own.
+/// A task that the kernel runs on its own thread.
 pub struct Duty {
-    /// The duty's name, which its thread carries.
+    /// The name of the duty and of its thread.
     pub name: &'static str,
-    /// Where it runs.
+    /// The deployments in which it runs.
     pub scope: DutyScope,
-    /// Runs the duty until its context says that it is time to stop.
+    /// Runs the duty until the stop phase of its context ends it.
     pub run: fn(DutyContext) -> Result<(), DutyError>,
 }
 
@@ -49,11 +49,11 @@
 }
 
 impl Kernel {
-    /// Starts every registered duty.
+    /// Starts every registered duty whose scope includes this deployment.
     ///
     /// # Errors
     ///
-    /// Returns a [`DutyError`] where a thread cannot be started.
+    /// Returns a [`DutyError`] if a thread cannot be started.
     pub fn start(cx: &DutyContext) -> Result<Self, DutyError> {
         let mut threads = Vec::new();
         for duty in inventory::iter::<Duty>.into_iter().filter(|duty| duty.scope.includes(cx)) {
@@ -62,11 +62,11 @@
         Ok(Self { stop: cx.stop.clone(), threads })
     }
 
-    /// Waits until every duty has ended, and ends the others once one has failed.
+    /// Waits until every duty has ended. A duty that fails stops the others.
     ///
     /// # Errors
     ///
-    /// Returns the first failure of a duty.
+    /// Returns the error of the first failed duty, in the order in which they were started.
     pub fn join(self) -> Result<(), DutyError> {
         let mut outcome = Ok(());
         for (name, thread) in self.threads {
@@ -101,7 +101,7 @@
     outcome
 }
 
-/// Stops the daemon when a duty ends otherwise than it should, by panic included.
+/// Stops the daemon when dropped, unless the duty has succeeded. This covers panics too.
 struct StopOnFailure {
     stop: Arc<watch::Sender<StopPhase>>,
     succeeded: bool,
--- a/crates/cherrystandd/src/keys.rs
+++ b/crates/cherrystandd/src/keys.rs
@@ -1,38 +1,39 @@
-//! Where the records stand in the platform's key-value service.
+//! Keys of the records in the platform's key-value service.
 
 use cherrystand_core::{DomainId, WorkspaceId, ZoneId};
 
-/// Below this stands everything that all daemons have to know.
+/// The prefix of all records that every daemon reads.
 pub(crate) const SHARED: &str = "cherrystand/shared/";
 
-/// Below this stand the workspaces' records.
+/// The prefix of the workspaces' records.
 pub(crate) const WORKSPACES: &str = "cherrystand/shared/workspace/";
 
-/// Below this stand the domains' records.
+/// The prefix of the domains' records.
 pub(crate) const DOMAINS: &str = "cherrystand/shared/domain/";
 
-/// Names the record of requests that end replicas.
+/// The key of the record of requests suspected of crashing boxes.
 pub(crate) const SUSPECTS: &str = "cherrystand/shared/suspects";
 
-/// Names the box list among the records that daemons pass on; the platform keeps it elsewhere.
+/// The key of the box list among the records that daemons exchange. The platform keeps the list
+/// outside the key-value service.
 pub(crate) const INVENTORY: &str = "platform/inventory";
 
-/// Below this stand the copies that daemons pass on where routes are configured.
+/// The prefix of the copies that daemons exchange in deployments with configured routes.
 pub(crate) const SITE_RECORDS: &str = "site/";
 
-/// Names the copy of the operators' configuration.
+/// The key of the copy of the operators' configuration.
 pub(crate) const SITE_CONFIG: &str = "site/config";
 
-/// Names the copy of which availability zones operators have emptied.
+/// The key of the copy of the list of evacuated availability zones.
 pub(crate) const EVACUATED_ZONES: &str = "site/emptied-zones";
 
-/// Below this stand the claims on calls.
+/// The prefix of the claims on calls.
 const CLAIMS: &str = "cherrystand/claims/";
 
-/// Below this stand the notes of who reads the store; nobody but a daemon that starts reads them.
+/// The prefix of the lists of daemons that read the store; only a daemon that starts reads them.
 const READERS: &str = "cherrystand/readers/";
 
-/// Returns the key of the note of a zone's readers.
+/// Returns the key of the list of a zone's readers.
 pub(crate) fn readers(zone: &ZoneId) -> String {
     format!("{READERS}{zone}")
 }
@@ -47,7 +48,7 @@
     format!("{DOMAINS}{id}")
 }
 
-/// Returns the key of a shard of claims.
+/// Returns the key of the record of a claim shard.
 pub(crate) fn claims(shard: u64) -> String {
     format!("{CLAIMS}{shard:02}")
 }
--- a/crates/cherrystandd/src/lib.rs
+++ b/crates/cherrystandd/src/lib.rs
@@ -1,6 +1,7 @@
-//! The daemon: a kernel, the duties that it runs, and what joins them.
+//! The daemon: a kernel, the duties that it runs, and the state that they share.
 //!
-//! docs/ARCHITECTURE.md shows the way of a request and of a change through these modules.
+//! docs/ARCHITECTURE.md describes how a request and a change of configuration pass through these
+//! modules.
 
 mod claim_writer;
 mod claims;
--- a/crates/cherrystandd/src/logging.rs
+++ b/crates/cherrystandd/src/logging.rs
@@ -1,10 +1,10 @@
-//! The daemon's log: JSON lines on standard error.
+//! The daemon's log: one JSON object per line on standard error.
 
 use logforth::append;
 use logforth::layout::JsonLayout;
 use logforth::record::{Level, LevelFilter};
 
-/// Sends the log to standard error, a JSON object a line.
+/// Installs the logger, which writes records of level info and above to standard error.
 pub fn start_logging() {
     logforth::starter_log::builder()
         .dispatch(|dispatch| {
--- a/crates/cherrystandd/src/main.rs
+++ b/crates/cherrystandd/src/main.rs
@@ -1,4 +1,4 @@
-//! The program `cherrystandd`.
+//! The `cherrystandd` executable.
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -15,7 +15,7 @@
     /// file with the daemon's settings, in TOML
     #[argh(option)]
     settings: PathBuf,
-    /// check the settings and end
+    /// check the settings and exit
     #[argh(switch)]
     check: bool,
 }
@@ -24,7 +24,7 @@
     let args: Args = argh::from_env();
     let settings = Settings::load(&args.settings)?;
     if args.check {
-        println!("{}: the settings are sound", args.settings.display());
+        println!("{}: the settings are valid", args.settings.display());
         return Ok(());
     }
     start_logging();
@@ -39,7 +39,7 @@
     Ok(())
 }
 
-/// Waits for a signal; never ends where there is none to wait for.
+/// Waits for a signal, or forever if there is none to wait for.
 async fn received(signal: Option<&mut Signal>) {
     match signal {
         Some(signal) => _ = signal.recv().await,
@@ -47,7 +47,7 @@
     }
 }
 
-/// Begins a planned stop on the signals that ask for one.
+/// Starts a thread that begins a graceful shutdown on SIGTERM or SIGINT.
 fn watch_signals(cx: DutyContext) -> std::io::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let guard = runtime.enter();
@@ -55,7 +55,7 @@
     let mut interrupt = signal(SignalKind::interrupt())?;
     let mut hang_up = signal(SignalKind::hangup())?;
     let suspended = Duration::from_millis(cx.settings.testing.suspended_ms);
-    // The signal ends the process where nothing is set.
+    // Without the setting SIGUSR1 keeps its default action, which ends the process.
     let mut suspend = match suspended.is_zero() {
         true => None,
         false => Some(signal(SignalKind::user_defined1())?),
@@ -67,9 +67,10 @@
                 tokio::select! {
                     _ = terminate.recv() => return,
                     _ = interrupt.recv() => return,
-                    // What may change in the settings is read at the next start.
                     () = received(suspend.as_mut()) => jump_ahead(suspended),
-                    _ = hang_up.recv() => log::info!("settings changed; they count from the next start"),
+                    _ = hang_up.recv() => log::info!(
+                        "received SIGHUP; changed settings take effect at the next start"
+                    ),
                 }
             }
         });
--- a/crates/cherrystandd/src/metrics.rs
+++ b/crates/cherrystandd/src/metrics.rs
@@ -1,4 +1,4 @@
-//! What the daemon counts.
+//! The daemon's metrics.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -12,92 +12,93 @@
 
 use crate::site::RefusedKind;
 
-/// Bounds of the buckets for times, in seconds.
+/// Upper bounds of the histogram buckets for durations, in seconds.
 const TIME_BUCKETS: [f64; 12] =
     [0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.46, 1.0, 2.5, 10.0];
 
-/// Holds every counter and gauge; docs/operators/metrics.md says what each is for.
+/// All metrics of the daemon; docs/operators/metrics.md explains what each is for.
 pub struct Metrics {
     registry: Registry,
-    /// Requests taken, by class.
+    /// Requests received, by class.
     pub requests: IntCounterVec,
-    /// Answers, by outcome and status.
+    /// Answers sent, by outcome and status.
     pub answers: IntCounterVec,
-    /// Refusals, by reason.
+    /// Requests refused, by reason.
     pub refusals: IntCounterVec,
-    /// Attempts at endpoints, by how they ended.
+    /// Attempts sent to endpoints, by how they ended.
     pub attempts: IntCounterVec,
-    /// Requests that endpoints turned away, by whether they asked for rest.
+    /// Requests that endpoints rejected, by whether the endpoint asked for a backoff.
     pub endpoint_refusals: IntCounterVec,
-    /// Endpoints that said in their answers that they leave.
+    /// Endpoints that announced in an answer that they are draining.
     pub endpoints_leaving: IntCounter,
-    /// Answers in which endpoints named how many requests they take, by whether that could be read.
+    /// Answers in which endpoints stated a rate limit, by whether it could be parsed.
     pub limits_named: IntCounterVec,
-    /// Retries, by how the attempt before ended.
+    /// Retries, by how the previous attempt ended.
     pub retries: IntCounterVec,
-    /// Failed attempts that were not followed by another, by reason.
+    /// Failed attempts that were not retried, by reason.
     pub retries_withheld: IntCounterVec,
     /// Streams, by how they ended.
     pub stream_ends: IntCounterVec,
-    /// Answers that ended with the boxes that were making them.
+    /// Answers cut off by the crash of the box that produced them.
     pub answers_ended_with_box: IntCounter,
-    /// Requests that are refused since each replica ended that ran them.
+    /// Requests that are refused because every replica that ran them crashed.
     pub requests_refused_for_ends: IntGauge,
     /// Requests in flight.
     pub in_flight: IntGauge,
-    /// Seconds until the first byte of an answer.
+    /// Time to the first byte of an answer, in seconds.
     pub first_byte: Histogram,
     /// Claims on calls, by answer.
     pub claims: IntCounterVec,
-    /// Calls to the platform, by duty and what became of them.
+    /// Calls to the platform, by duty and result.
     pub platform_calls: IntCounterVec,
-    /// Bytes between daemons, by direction and kind of message.
+    /// Bytes sent to and received from peers, by direction and kind of message.
     pub peer_bytes: IntCounterVec,
-    /// Exchanges with peers that failed.
+    /// Failed exchanges with peers.
     pub peer_failures: IntCounter,
-    /// Probes of engines, by what became of them.
+    /// Probes of engines, by result.
     pub probes: IntCounterVec,
-    /// Orders to engines, by what became of them.
+    /// Orders to engines, by result.
     pub orders: IntCounterVec,
-    /// Seconds until a box answered an order or a question, or was waited for in vain.
+    /// Time until a box answered an order or a probe, or until the call timed out, in seconds.
     pub box_call_time: HistogramVec,
-    /// Verdicts on boxes that did not answer.
+    /// Verdicts on boxes that did not answer a probe.
     pub silence_verdicts: IntCounterVec,
-    /// Seconds by which news from a peer was old when it arrived, by kind.
+    /// Age of an update from a peer when it arrives, by kind, in seconds.
     pub news_age: HistogramVec,
-    /// Seconds by which what is known of the store was old as a request was sent.
+    /// Age of the copy of the store's records when a request is sent, in seconds.
     pub news_age_at_send: Histogram,
-    /// Configurations of peers that were refused, by reason.
+    /// Configurations from peers that were rejected, by reason.
     pub versions_refused: IntCounterVec,
-    /// Values of the platform's store that could not be used, by kind.
+    /// Values of the platform's store that were rejected as invalid, by kind.
     pub values_refused: IntCounterVec,
-    /// Replicas in the routing choice.
+    /// Replicas that requests can be routed to.
     pub serving_replicas: IntGauge,
-    /// The accepted generation of each workspace known here.
+    /// The accepted generation of each known workspace.
     pub generation: IntGaugeVec,
-    /// Seconds since the platform was last read by anyone heard from.
+    /// Time since this daemon or a peer that it heard from last read the platform, in seconds.
     pub platform_age: IntGauge,
-    /// Pauses of this process that it noticed.
+    /// Pauses of this process that it detected.
     pub pauses: IntCounter,
-    /// Events given up since a ring was full, by ring.
+    /// Messages dropped because a channel between duties was full, by channel.
     pub ring_full: IntCounterVec,
-    /// Bytes of requests and answers that are held whole, as they are counted.
+    /// Bytes of request and answer bodies buffered in memory; `render` copies them into the gauge.
     pub bytes_held: Arc<AtomicUsize>,
     bytes_held_gauge: IntGauge,
-    /// Availability zones that operators have emptied, as this daemon knows it.
+    /// Availability zones that are evacuated, as far as this daemon knows.
     pub zones_evacuated: IntGauge,
-    /// How often the platform's store has come back from a copy.
+    /// The number of times that the platform's store was restored from a backup.
     pub store_era: IntGauge,
-    /// Endpoints that are cold, as this daemon knows it.
+    /// Endpoints in a cold start, as far as this daemon knows.
     pub endpoints_cold: IntGauge,
 }
 
 impl Metrics {
-    /// Creates all metrics at zero, each reason with its label so that absence is visible.
+    /// Creates all metrics at zero. Label values that are known in advance are created too, so that a
+    /// count of zero is reported.
     ///
     /// # Errors
     ///
-    /// Returns an error where two metrics have one name.
+    /// Returns an error if two metrics have the same name.
     pub fn new() -> Result<Self, prometheus::Error> {
         let registry = Registry::new();
         let factory = MetricFactory { registry: &registry };
@@ -235,11 +236,11 @@
         self.answers.with_label_values(&[outcome.as_str(), &status]).inc();
     }
 
-    /// Writes all metrics in the Prometheus text format.
+    /// Encodes all metrics in the Prometheus text format.
     ///
     /// # Errors
     ///
-    /// Returns an error where a metric cannot be written.
+    /// Returns an error if a metric cannot be encoded.
     pub fn render(&self) -> Result<Vec<u8>, prometheus::Error> {
         self.bytes_held_gauge.set(self.bytes_held.load(Ordering::Relaxed) as i64);
         let mut buf = Vec::new();
--- a/crates/cherrystandd/src/settings.rs
+++ b/crates/cherrystandd/src/settings.rs
@@ -10,93 +10,95 @@
 };
 use serde::Deserialize;
 
-/// The bytes of bodies that a daemon holds at once where its memory is not known.
+/// The bytes of bodies that a daemon buffers at most if its memory size is not set.
 const DEFAULT_HELD_BYTES: usize = 32 << 20;
 
-/// The part of its memory for them: as much goes for what it knows, and for what connections buffer.
+/// The daemon buffers bodies in at most this fraction (1/n) of its memory. Its state and the buffers of
+/// connections each need as much.
 const HELD_MEMORY_DIVISOR: usize = 4;
 
-/// The widest link that a box can have, in Mbit/s.
+/// The highest bandwidth accepted for a box's link, in Mbit/s.
 const MAX_LINK_MBPS: f64 = 1_000_000.0;
 
-/// Holds everything that one daemon is told at its start.
+/// The settings that one daemon reads at its start.
 ///
-/// Source: docs/operators/settings.md, which a test checks against these types.
+/// Documented in docs/operators/settings.md; a test checks that page against these types.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
     /// The daemon's name, unique among all daemons.
     pub node: NodeId,
-    /// The availability zone that it runs in.
+    /// The availability zone that the daemon runs in.
     pub zone: ZoneId,
-    /// Where it listens.
+    /// The addresses that the daemon listens on.
     pub listen: Listen,
-    /// Where the platform is.
+    /// The address of the platform.
     pub platform: Platform,
-    /// Other daemons to get in touch with first.
+    /// Addresses of other daemons to contact first.
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
-    /// How much it takes on.
+    /// Limits on the load that the daemon accepts.
     #[serde(default)]
     pub limits: Limits,
-    /// How boxes and the weight store behave.
+    /// The behaviour of boxes and the weight store, for planning repairs.
     #[serde(default)]
     pub repair: Repair,
-    /// How it stops.
+    /// The daemon's shutdown.
     #[serde(default)]
     pub stop: Stop,
-    /// How it serves where the platform's store holds one configuration of routes; left out where
-    /// operators state workspaces.
+    /// Set if the platform's store holds one configuration of routes; left out if operators configure
+    /// workspaces through the daemon.
     #[serde(default)]
     pub site: Option<SiteSettings>,
-    /// Which decisions are made how where routes are served.
+    /// The strategies for decisions in deployments with configured routes.
     #[serde(default)]
     pub policy: Policy,
-    /// What only tests ask for; refused by a release build.
+    /// Settings for tests only, which a release build rejects.
     #[serde(default)]
     pub testing: Testing,
 }
 
-/// Says what only tests ask for.
+/// Settings for tests only.
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Testing {
-    /// By how much SIGUSR1 moves the daemon's clock on, in milliseconds, as a suspension of its machine
-    /// does; 0 leaves the signal alone.
+    /// The time by which SIGUSR1 advances the daemon's clock to simulate a suspension of its machine, in
+    /// milliseconds; 0 leaves the signal's default action in place.
     #[serde(default)]
     pub suspended_ms: u64,
 }
 
-/// Says how the daemon serves routes.
+/// Settings of deployments with configured routes.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SiteSettings {
-    /// The address at which the balancer asks whether the daemon is ready.
+    /// The address on which the load balancer in front checks whether the daemon is ready.
     pub ready: SocketAddr,
-    /// The address at which peers read the store's changes that this daemon passes on.
+    /// The address on which peers read the store's changes from this daemon.
     pub changes: SocketAddr,
-    /// Whether this is the very first start of all daemons.
+    /// Whether this is the first start of the whole deployment.
     #[serde(default)]
     pub first_start: bool,
-    /// How long a stop may take, in milliseconds.
+    /// The time that a shutdown may take, in milliseconds.
     pub grace_ms: u64,
-    /// Repeats for each request, over all daemons.
+    /// Retries allowed per request, over all daemons.
     pub retry_ratio: f64,
-    /// Repeats beyond that in one window, over all daemons.
+    /// Retries allowed beyond that ratio in one window, over all daemons.
     pub retry_slack: f64,
-    /// The window that slides over both, in seconds.
+    /// The sliding window for both, in seconds.
     pub retry_window_s: u64,
-    /// Within what time nothing more is sent to an endpoint that leaves, in milliseconds.
+    /// The time within which all daemons stop sending to a draining endpoint, in milliseconds.
     #[serde(default = "default_propagation_ms")]
     pub drain_ms: u64,
-    /// Within what time a configuration is in force everywhere, in milliseconds.
+    /// The time within which a configuration is in force at all daemons, in milliseconds.
     #[serde(default = "default_propagation_ms")]
     pub config_apply_ms: u64,
-    /// Within what time nothing more is sent to an availability zone that operators empty, in milliseconds; left out
-    /// where none is emptied.
+    /// The time within which all daemons stop sending to an evacuated availability zone, in milliseconds;
+    /// left out if zones are never evacuated.
     #[serde(default)]
     pub evacuate_ms: Option<u64>,
-    /// The region of each availability zone; a request that is bound to regions gets to no other zone.
+    /// The region of each availability zone. A request that is restricted to regions is sent only to
+    /// zones of those regions.
     #[serde(default)]
     pub regions: BTreeMap<ZoneId, RegionId>,
 }
@@ -106,8 +108,8 @@
 }
 
 impl SiteSettings {
-    /// Returns how the time is split that a change may take to all daemons: all changes go the same way, and the one
-    /// that is due first decides.
+    /// Returns the budget for the time in which a change reaches all daemons. All kinds of changes take
+    /// the same path, so the shortest bound applies.
     pub fn propagation_budget(&self) -> PropagationBudget {
         let smallest = self.drain_ms.min(self.config_apply_ms);
         PropagationBudget::new(Millis(
@@ -115,7 +117,7 @@
         ))
     }
 
-    /// Returns the retry budget of all daemons together.
+    /// Returns the bounds on retries over all daemons.
     pub fn retry_bounds(&self) -> RetryBounds {
         RetryBounds {
             ratio: self.retry_ratio,
@@ -125,7 +127,7 @@
     }
 }
 
-/// Says where the daemon listens.
+/// The addresses that the daemon listens on.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Listen {
@@ -137,7 +139,7 @@
     pub peers: SocketAddr,
 }
 
-/// Says where the platform is.
+/// The address of the platform.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Platform {
@@ -145,25 +147,25 @@
     pub address: SocketAddr,
 }
 
-/// Says how much the daemon takes on.
+/// Limits on the load that the daemon accepts.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Limits {
-    /// Requests at once, of all classes.
+    /// The maximum number of concurrent requests of all classes.
     pub requests: u32,
-    /// The part of them that only consent requests use.
+    /// The number of those that are reserved for consent requests.
     pub consent_requests: u32,
-    /// The part of the rest that batch requests may use, in percent.
+    /// The share of the rest that batch requests may use, in percent.
     pub batch_percent: u32,
     /// The largest body of a request, in bytes.
     pub body_bytes: usize,
-    /// What the box's link carries, in Mbit/s; 0 where that is not known.
+    /// The bandwidth of the box's link, in Mbit/s; 0 if unknown.
     pub link_mbps: f64,
-    /// The memory that the daemon may use, in MB; 0 where that is not known.
+    /// The memory that the daemon may use, in MB; 0 if unknown.
     pub memory_mb: usize,
-    /// The time that a model request gets where its caller names none, in milliseconds.
+    /// The deadline of a model request whose caller sets none, in milliseconds.
     pub model_deadline_ms: u64,
-    /// The time that a service request gets where its caller names none, in milliseconds.
+    /// The deadline of a service request whose caller sets none, in milliseconds.
     pub service_deadline_ms: u64,
 }
 
@@ -184,7 +186,7 @@
 }
 
 impl Limits {
-    /// Returns how many bytes of bodies the daemon holds at once, at the most.
+    /// Returns how many bytes of bodies the daemon buffers at most.
     pub fn max_held_bytes(&self) -> usize {
         match self.memory_mb {
             0 => DEFAULT_HELD_BYTES,
@@ -192,7 +194,7 @@
         }
     }
 
-    /// Returns the room for requests.
+    /// Returns the limits for the admission of requests.
     pub fn admission_limits(&self) -> AdmissionLimits {
         AdmissionLimits {
             total: self.requests,
@@ -202,21 +204,21 @@
     }
 }
 
-/// Says how boxes and the weight store behave, for pricing repairs.
+/// The behaviour of boxes and the weight store, from which the cost of repairs is estimated.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Repair {
-    /// How many boxes of one domain may load at once.
+    /// The number of boxes of one domain that may load weights at the same time.
     pub loads_at_once: u32,
-    /// Seconds that loading one box's weights takes.
+    /// The time to load one box's weights, in seconds.
     pub load_seconds: f64,
-    /// Seconds that a box with its weights in memory takes to join anew.
+    /// The time in which a box with its weights in memory rejoins a replica, in seconds.
     pub rejoin_seconds: f64,
-    /// Seconds that a restarted box takes to come back, on average.
+    /// The mean time in which a restarting box comes back, in seconds.
     pub restart_seconds: f64,
-    /// The share of lost boxes that come back, from 0 to 1.
+    /// The fraction of lost boxes that come back, from 0 to 1.
     pub restart_share: f64,
-    /// How often each box is asked how it is, in milliseconds.
+    /// The interval between two probes of a box, in milliseconds.
     pub probe_ms: u64,
 }
 
@@ -235,7 +237,7 @@
 }
 
 impl Repair {
-    /// Returns the policy that controllers follow.
+    /// Returns the repair policy of the controllers.
     pub fn policy(&self) -> RepairPolicy {
         RepairPolicy {
             loads_at_once: self.loads_at_once,
@@ -250,12 +252,12 @@
     }
 }
 
-/// Says how the daemon stops.
+/// The daemon's shutdown.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Stop {
-    /// For how long it keeps taking requests once it has turned not ready, in milliseconds; the
-    /// balancer in front has to notice within this time.
+    /// The time for which the daemon still accepts requests after it has reported that it is not ready,
+    /// in milliseconds. The load balancer in front has to notice within this time.
     pub linger_ms: u64,
 }
 
@@ -265,29 +267,29 @@
     }
 }
 
-/// Tells why settings could not be used.
+/// The reason why settings could not be loaded.
 #[derive(Debug, thiserror::Error)]
 pub enum LoadSettingsError {
-    /// The file could not be read.
-    #[error("{file}: cannot be read; check that it exists and may be read")]
+    /// The file cannot be read.
+    #[error("{file}: cannot read the file; check that it exists and its permissions")]
     Unreadable {
         /// The file.
         file: String,
         /// The reason.
         source: std::io::Error,
     },
-    /// A setting is at fault.
+    /// A setting is invalid.
     #[error("{file}: {source}")]
     Invalid {
         /// The file.
         file: String,
-        /// The fault.
+        /// The invalid setting.
         source: SettingsError,
     },
 }
 
 impl Settings {
-    /// Returns the region of each availability zone, as far as it is stated.
+    /// Returns the region of each availability zone for which one is set.
     pub fn regions(&self) -> &BTreeMap<ZoneId, RegionId> {
         static NONE: BTreeMap<ZoneId, RegionId> = BTreeMap::new();
         self.site.as_ref().map_or(&NONE, |site| &site.regions)
@@ -297,7 +299,7 @@
     ///
     /// # Errors
     ///
-    /// Returns a [`LoadSettingsError`] that names the file, and the line and key at fault.
+    /// Returns a [`LoadSettingsError`] with the file, and the line and key of an invalid setting.
     pub fn load(path: &Path) -> Result<Self, LoadSettingsError> {
         let file = path.display().to_string();
         let text = std::fs::read_to_string(path).map_err(|source| {
@@ -311,7 +313,7 @@
     ///
     /// # Errors
     ///
-    /// Returns a [`SettingsError`] with the line and key at fault.
+    /// Returns a [`SettingsError`] with the line and key of the invalid setting.
     pub fn from_toml(text: &str) -> Result<Self, SettingsError> {
         let settings: Self = settings_from_toml(text)?;
         settings.check().map_err(|err| err.locate(text))?;
@@ -355,7 +357,7 @@
     fn check_testing(&self, is_test_build: bool) -> Result<(), SettingsError> {
         let suspended = self.testing.suspended_ms;
         if suspended > 0 && !is_test_build {
-            return Err(invalid_value("suspended_ms", suspended, "0, but for a build for tests"));
+            return Err(invalid_value("suspended_ms", suspended, "0 in a release build"));
         }
         Ok(())
     }
--- a/crates/cherrystandd/src/state/event.rs
+++ b/crates/cherrystandd/src/state/event.rs
@@ -1,48 +1,48 @@
-//! What other duties tell the state duty.
+//! The messages that other duties send to the state duty.
 
 use cherrystand_core::{Document, Millis, ReplicaEvidence, Version};
 use cherrystand_peer::{Carried, Greeting, News, Question, Reply};
 use cherrystand_platform::Inventory;
 use tokio::sync::oneshot;
 
-/// Tells or asks the state duty something.
+/// An update or a request to the state duty. The channel in a request receives its answer.
 #[derive(Debug)]
 pub(crate) enum StateEvent {
-    /// A peer asks; the reply goes back through the channel.
+    /// A peer asked a question.
     PeerQuestion(Question, oneshot::Sender<Reply>),
-    /// The gossip duty wants to ask a peer for news.
+    /// The gossip duty needs a greeting with which to ask a peer for news.
     GetGreeting(oneshot::Sender<Greeting>),
-    /// A peer sent its news; what to ask it next goes back through the channel.
+    /// A peer sent its news.
     PeerNews {
         /// The news.
         news: News,
-        /// When the peer was asked.
+        /// When the peer was asked, on the daemon's clock.
         asked: Millis,
-        /// Where the next question goes.
+        /// Receives the next question to the peer, if there is one.
         next: oneshot::Sender<Option<Question>>,
     },
-    /// A peer compared records; what to hand it goes back through the channel.
+    /// A peer compared its records with those of this daemon.
     PeerComparison {
         /// The peer's newer records.
         newer: Vec<Carried>,
-        /// The records that the peer wants, and what it holds of them.
+        /// The records that the peer wants, with the versions that it holds.
         wanted: Vec<Version>,
-        /// Where the records to hand over go.
+        /// Receives the message with the records for the peer, if there are any.
         to_send: oneshot::Sender<Option<Question>>,
     },
     /// Records were read from the platform or written to it.
     Records(Vec<Document>),
-    /// The platform answered, and all its records are known as of when it was asked.
+    /// The platform answered, so all its records are known as of the time of the question.
     PlatformRead {
-        /// When it was asked.
+        /// When the platform was asked, on the daemon's clock.
         asked: Millis,
     },
-    /// The platform's list was read.
+    /// The platform's box list was read.
     Inventory(Inventory),
-    /// Replicas were looked at.
+    /// Replicas were probed.
     Evidence(Vec<ReplicaEvidence>),
-    /// Whether the platform answers this daemon, so that it may decide for domains.
+    /// Whether this daemon may decide for domains, which requires that the platform answers it.
     MayDecide(bool),
-    /// The daemon begins to stop.
+    /// The daemon has begun its shutdown.
     Draining,
 }
--- a/crates/cherrystandd/src/state/mod.rs
+++ b/crates/cherrystandd/src/state/mod.rs
@@ -1,4 +1,4 @@
-//! What one daemon knows, kept by one duty and published to the others.
+//! The state of one daemon, owned by the state duty and published to the others as a [`View`].
 
 mod event;
 mod node_state;
--- a/crates/cherrystandd/src/state/node_state.rs
+++ b/crates/cherrystandd/src/state/node_state.rs
@@ -1,4 +1,4 @@
-//! The state of one daemon and how news changes it.
+//! The state of one daemon and how events change it.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -15,10 +15,10 @@
 use crate::keys;
 use crate::state::{StateEvent, Versioned, View, build_routes};
 
-/// How many bytes of records go into one message between daemons.
+/// The size at which a message between daemons is full, in bytes of records.
 const RECORD_BYTES_PER_MESSAGE: usize = 1 << 20;
 
-/// Keeps what one daemon knows; it does no I/O and takes the time from outside.
+/// The state of one daemon. It does no I/O, and its callers pass in the time.
 pub(crate) struct NodeState {
     membership: Membership,
     documents: Documents,
@@ -28,9 +28,10 @@
     workspaces: BTreeMap<Arc<str>, Arc<Versioned<WorkspaceRecord>>>,
     domains: BTreeMap<Arc<str>, Arc<Versioned<DomainRecord>>>,
     config_versions: ConfigVersions,
-    /// Whether the whole configuration is asked for, since what changed in it did not fit.
+    /// Whether to request the configuration as a full text, because the last difference from a peer did
+    /// not apply to the version held here.
     request_full_config: bool,
-    /// Whether anything changed that others are to see at once, and not by the next tick.
+    /// Whether anything changed that has to be published at once instead of at the next tick.
     changed: bool,
 }
 
@@ -52,20 +53,20 @@
         }
     }
 
-    /// Beats once, and tells whether the daemon was paused; what it knew of replicas and of the
-    /// configuration's age then counts for nothing by its own age.
+    /// Increments the heartbeat and returns whether the daemon was paused. What it knew of replicas and
+    /// of the configuration's age before a pause expires by its own age.
     pub(crate) fn tick(&mut self, now: Millis) -> bool {
-        // What is published gets older with each beat.
+        // The published ages have to be updated with each heartbeat.
         self.changed = true;
         self.evidence.prune(now);
         self.membership.tick(now)
     }
 
-    /// Takes in an event, answering through its channel where it has one.
+    /// Applies an event, and answers it if it is a request.
     pub(crate) fn apply(&mut self, event: StateEvent, now: Millis) {
         match event {
             StateEvent::PeerQuestion(question, reply) => {
-                // Whoever asked may have given up meanwhile.
+                // Fails if the requester has given up in the meantime.
                 let _ = reply.send(self.answer(question, now));
             }
             StateEvent::GetGreeting(reply) => {
@@ -106,15 +107,15 @@
         }
     }
 
-    /// Tells whether anything changed since the last call that others are to see at once.
+    /// Returns whether anything changed since the last call that has to be published at once.
     ///
-    /// Beats and the questions of peers are not: a relay of 59 daemons is asked some 85 times a
-    /// second, and published as often a view that said nothing new.
+    /// Heartbeats and questions of peers alone do not count. One of 59 daemons is asked about 85 times a
+    /// second, and would publish an unchanged view as often.
     pub(crate) fn take_changed(&mut self) -> bool {
         std::mem::take(&mut self.changed)
     }
 
-    /// Returns all that is known as one value.
+    /// Returns the state as one immutable value.
     pub(crate) fn view(&self, now: Millis) -> View {
         let own = self.membership.own().clone();
         let routes = build_routes(
@@ -171,7 +172,7 @@
         }
     }
 
-    /// Returns the news for a peer with a roster.
+    /// Returns the news for a peer that holds the given roster.
     fn news(&self, roster: u64, now: Millis) -> News {
         News {
             from: self.membership.own().clone(),
@@ -182,9 +183,9 @@
         }
     }
 
-    /// Takes in a peer's news, and tells whether its records differ.
+    /// Applies a peer's news, and returns whether its records differ from those held here.
     ///
-    /// Whatever it says the age of something is, the time since it was asked comes on top.
+    /// The time since the peer was asked is added to all ages in its answer.
     fn apply_news(&mut self, news: News, asked: Millis, now: Millis) -> bool {
         let elapsed = now.since(asked);
         self.changed |= self.membership.merge_digest(news.members, elapsed, now);
@@ -198,21 +199,21 @@
         }
         let differs = news.fingerprint != self.documents.fingerprint();
         if let Some(age) = news.platform_age.filter(|_| !differs) {
-            // Only records that are the same here are as fresh as the peer says.
+            // The peer's age applies to this daemon only if both hold the same records.
             self.changed = true;
             self.freshness.record_platform_read(now, age + elapsed);
         }
         differs
     }
 
-    /// Returns the versions held, without that of the configuration where the whole is to come.
+    /// Returns the versions held here, without the configuration's if its full text is requested.
     fn held_versions(&self) -> Vec<Version> {
         let mut versions = self.documents.versions();
         versions.retain(|(key, _)| !(self.request_full_config && &**key == keys::SITE_CONFIG));
         versions
     }
 
-    /// Returns the versions held of what a peer that holds `theirs` has newer copies of.
+    /// Returns the versions held here of the records that a peer holding `theirs` has newer versions of.
     fn wanted_versions(&self, theirs: &[Version]) -> Vec<Version> {
         let mut wanted = self.documents.older_than(theirs);
         let wants_full = |key: &str| self.request_full_config && key == keys::SITE_CONFIG;
@@ -223,7 +224,7 @@
         wanted
     }
 
-    /// Makes records ready for a peer that holds the versions `theirs`.
+    /// Packs records for a peer that holds the versions `theirs`.
     fn pack_records(&self, records: Vec<Document>, theirs: &[Version]) -> Vec<Carried> {
         let held = |key: &str| theirs.iter().find(|(held, _)| &**held == key);
         let carry = |record: Document| {
@@ -240,7 +241,8 @@
         records.into_iter().map(carry).collect()
     }
 
-    /// Takes in what a peer sent; what does not fit is asked for whole the next time.
+    /// Applies the records that a peer sent. If a packed one cannot be unpacked, its full text is
+    /// requested in the next exchange.
     fn apply_carried(&mut self, records: Vec<Carried>) {
         for carried in records {
             match carried {
@@ -281,12 +283,12 @@
         } else if &*key == keys::INVENTORY {
             match serde_json::from_str::<Inventory>(&document.body) {
                 Ok(inventory) => self.apply_inventory(inventory),
-                Err(err) => log::error!(key = &*key; "the box list is malformed: {err}"),
+                Err(err) => log::error!(key = &*key; "malformed box list: {err}"),
             }
         }
     }
 
-    /// Turns the platform's list into a record like the others, so that peers carry it on.
+    /// Stores the platform's box list as a record, so that it is exchanged with peers like the others.
     fn record_inventory(&mut self, inventory: &Inventory) {
         let version = Revision::new(inventory.version);
         if version <= self.documents.revision(keys::INVENTORY) {
@@ -317,7 +319,7 @@
             let held = Versioned { revision: document.revision, record };
             records.insert(document.key.clone(), Arc::new(held));
         }
-        Err(err) => log::error!(key = &*document.key; "a record is malformed: {err}"),
+        Err(err) => log::error!(key = &*document.key; "malformed record: {err}"),
     }
 }
 
--- a/crates/cherrystandd/src/state/routes.rs
+++ b/crates/cherrystandd/src/state/routes.rs
@@ -1,4 +1,4 @@
-//! Where requests can go, as follows from the records and the evidence.
+//! The endpoints that requests can be sent to, derived from the records and the evidence of replicas.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -11,58 +11,58 @@
 
 use crate::state::Versioned;
 
-/// How many requests one node sends to a model replica at once at the most.
+/// The upper bound of one node's concurrent requests to a model replica.
 const MAX_REPLICA_REQUESTS: u32 = 256;
 
-/// Describes a group that requests can go to.
+/// A group of endpoints that serve the same requests.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct RouteGroup {
-    /// The group.
+    /// The group's id.
     pub id: GroupId,
     /// The class of its requests.
     pub class: Class,
-    /// What kind of group it is.
+    /// How requests are matched to the group.
     pub kind: RouteKind,
     /// The endpoints in service.
     pub targets: Vec<RouteTarget>,
 }
 
-/// Says how requests find a group.
+/// How requests are matched to a group.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum RouteKind {
-    /// By the model that they ask for.
+    /// By the requested model.
     Model {
-        /// The model.
+        /// The model's name.
         model: String,
     },
-    /// By their path.
+    /// By the request's path.
     Service {
-        /// The path's beginning.
+        /// The prefix of the path.
         prefix: String,
-        /// Methods whose calls must not be repeated.
+        /// Methods whose calls must not be retried.
         not_repeatable: Vec<String>,
     },
 }
 
-/// Describes an endpoint in service.
+/// An endpoint in service.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct RouteTarget {
-    /// Where it listens.
+    /// The address that the endpoint listens on.
     pub address: SocketAddr,
-    /// Whether it is in the node's own zone.
+    /// Whether the endpoint is in the node's own zone.
     pub near: bool,
-    /// The replica and epoch that requests are meant for, at model engines.
+    /// The replica and the epoch that requests are sent to; `None` for the endpoints of services.
     pub replica: Option<(ReplicaId, Epoch)>,
-    /// What the endpoint reports to have in flight.
+    /// The number of requests in flight that the endpoint reports, if it does.
     pub load: Option<u32>,
-    /// How many requests this node sends it at once at the most.
+    /// The upper bound of this node's concurrent requests to the endpoint.
     pub max_limit: u32,
 }
 
-/// Works out where requests can go now.
+/// Builds the groups and endpoints that requests can be sent to at a given time.
 ///
-/// A replica is among the targets only while its record says that it is ready and fresh evidence
-/// says that every member acknowledged the very epoch of the record.
+/// A replica is a target only while its record says that it is ready and recent evidence shows that
+/// every member has acknowledged the epoch of the record.
 pub(crate) fn build_routes(
     own_zone: &ZoneId,
     workspaces: &BTreeMap<Arc<str>, Arc<Versioned<WorkspaceRecord>>>,
--- a/crates/cherrystandd/src/state/view.rs
+++ b/crates/cherrystandd/src/state/view.rs
@@ -1,4 +1,4 @@
-//! What a daemon knows, as one immutable value.
+//! An immutable snapshot of a daemon's state.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -11,48 +11,48 @@
 use crate::state::RouteGroup;
 use crate::{Settings, clock};
 
-/// Holds a record and the revision at which it was read.
+/// A record and the revision at which it was read.
 #[derive(Clone, Debug)]
 pub(crate) struct Versioned<T> {
-    /// The revision.
+    /// The revision of the record in the store.
     pub revision: Revision,
-    /// The record.
+    /// The record as parsed.
     pub record: T,
 }
 
-/// Holds what a daemon knows at one moment.
+/// A snapshot of a daemon's state.
 #[derive(Clone, Debug)]
 pub(crate) struct View {
-    /// When the view was made, on the daemon's clock.
+    /// When the snapshot was taken, on the daemon's clock.
     pub made_at: Millis,
     /// The daemon's own heartbeat.
     pub own: Heartbeat,
-    /// By what right the daemon serves.
+    /// What allows the daemon to serve, or why it may not.
     pub serve_by: ServeBy,
-    /// Whether the daemon may try to have a change accepted.
+    /// Whether the daemon may try to get a change of configuration accepted.
     pub may_accept: bool,
-    /// How many daemons were heard from lately, and how many there should be.
+    /// How many of the expected daemons were heard from recently, and how many are expected.
     pub heard_of_expected: (usize, usize),
-    /// Whether a majority of the daemons holds the configurations that this one holds.
+    /// Whether a majority of the daemons holds the same configurations as this one.
     pub majority_holds: bool,
-    /// How long ago the platform was last read by anyone heard from.
+    /// The time since this daemon or a peer that it heard from last read the platform.
     pub platform_age: Option<Millis>,
-    /// The daemons known, this one first.
+    /// The known daemons, this one first.
     pub members: Vec<(Heartbeat, Liveness)>,
     /// The workspaces' records, by key.
     pub workspaces: BTreeMap<Arc<str>, Arc<Versioned<WorkspaceRecord>>>,
     /// The domains' records, by key.
     pub domains: BTreeMap<Arc<str>, Arc<Versioned<DomainRecord>>>,
-    /// The listed boxes.
+    /// The boxes in the platform's list.
     pub fleet: Arc<Fleet>,
-    /// The copies passed on where routes are configured.
+    /// The records that daemons exchange in deployments with configured routes.
     pub site_records: Vec<Document>,
-    /// Where requests can go.
+    /// The endpoints that requests can be sent to.
     pub routes: Arc<Vec<RouteGroup>>,
 }
 
 impl View {
-    /// Returns what a daemon knows at its start: itself.
+    /// Returns the view at the daemon's start, when it knows only itself.
     pub(crate) fn initial(settings: &Settings, now: Millis) -> Self {
         Self {
             made_at: now,
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Returns the assignments of all domains.
+    /// Returns the formed replicas of all domains.
     pub(crate) fn formed_replicas(&self) -> FormedReplicas {
         FormedReplicas::new(self.domains.values().map(|held| &held.record))
     }
@@ -85,7 +85,8 @@
 
 /// Returns the first heartbeat of a daemon that starts now.
 ///
-/// Its life is numbered by the clock, which is all that a box without a disk has to number by.
+/// The wall clock gives the number of its incarnation, since a box without a disk cannot store the
+/// last one.
 pub(crate) fn initial_heartbeat(settings: &Settings) -> Heartbeat {
     Heartbeat {
         node: settings.node.clone(),
--- a/crates/cherrystandd/src/store_freshness.rs
+++ b/crates/cherrystandd/src/store_freshness.rs
@@ -1,4 +1,4 @@
-//! How old what a daemon knows of the store is, for the request path to see.
+//! The age of a daemon's copy of the store's records, as the request path reads it.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Mutex, PoisonError};
@@ -7,34 +7,35 @@
 
 use crate::site::ChangeSource;
 
-/// Holds as of when everything that the store told is known here, and from whom it came last.
+/// Tracks the time as of which a daemon's copy of the store's records is complete, and the source of
+/// the last update.
 ///
-/// It is told with each answer, also with one that says nothing new, so that the age grows as soon as none
-/// comes; a view is published only where something changed.
+/// It is updated on every answer, even one without changes, so that the age grows as soon as answers
+/// stop. A view could not serve for this, because it is published only when something changed.
 #[derive(Debug, Default)]
 pub(crate) struct StoreFreshness {
-    /// In milliseconds on the daemon's clock; 0 before anything is known.
+    /// In milliseconds on the daemon's clock; 0 before the first update.
     as_of: AtomicU64,
     source: Mutex<ChangeSource>,
 }
 
 impl StoreFreshness {
-    /// Notes that everything is known as of a time, and who told it.
+    /// Records that the copy is complete as of a time, and which source the update came from.
     pub(crate) fn record_update(&self, as_of: Millis, source: &ChangeSource) {
         self.as_of.store(as_of.0, Ordering::Relaxed);
-        // A source is whole before it is noted; one who panicked left nothing half done.
+        // Each change is a single assignment, so a thread that panicked left no partial state.
         let mut held = self.source.lock().unwrap_or_else(PoisonError::into_inner);
         if *held != *source {
             *held = source.clone();
         }
     }
 
-    /// Returns how old what is known is.
+    /// Returns the time since which the copy may be outdated.
     pub(crate) fn age(&self, now: Millis) -> Millis {
         now.since(Millis(self.as_of.load(Ordering::Relaxed)))
     }
 
-    /// Returns who told it.
+    /// Returns the source of the last update.
     pub(crate) fn source(&self) -> ChangeSource {
         self.source.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
--- a/crates/cherrystandd/src/write_ids.rs
+++ b/crates/cherrystandd/src/write_ids.rs
@@ -1,4 +1,4 @@
-//! Numbers of this daemon's writes.
+//! Unique ids for this daemon's writes.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
@@ -8,7 +8,7 @@
 
 static SEQUENCE: AtomicU64 = AtomicU64::new(0);
 
-/// Returns an identity that no other write has.
+/// Returns a write id that no other write has.
 pub(crate) fn next_write_id(view: &View) -> WriteId {
     WriteId {
         node: view.own.node.clone(),
