--- a/crates/cherrystandd/src/claims.rs
+++ b/crates/cherrystandd/src/claims.rs
@@ -17,8 +17,8 @@
 /// Claims a call. Returns `None` if the platform does not answer in time.
 pub(crate) async fn acquire(cx: &DutyContext, key: IdempotencyKey) -> Option<ClaimResponse> {
     let (tx, rx) = oneshot::channel();
-    let call = ClaimMessage { request: ClaimRequest::Acquire(key), answer: Some(tx) };
-    cx.claims.try_send(call).ok()?;
+    let message = ClaimMessage { request: ClaimRequest::Acquire(key), answer: Some(tx) };
+    cx.claims.try_send(message).ok()?;
     rx.await.ok()
 }
 
@@ -35,8 +35,8 @@
 /// Sends a change without waiting for the answer. If it is lost, the claim stays without an outcome
 /// and a repeated call is answered with `unknown`, which is safe but tells the caller less.
 fn send(cx: &DutyContext, request: ClaimRequest) {
-    let call = ClaimMessage { request, answer: None };
-    if cx.claims.try_send(call).is_err() {
+    let message = ClaimMessage { request, answer: None };
+    if cx.claims.try_send(message).is_err() {
         cx.metrics.ring_full.with_label_values(&["claims"]).inc();
     }
 }
--- a/crates/cherrystandd/src/clock.rs
+++ b/crates/cherrystandd/src/clock.rs
@@ -30,11 +30,11 @@
     /// Sleeps until `at` on this clock.
     pub(crate) async fn sleep_until(&self, at: Millis) {
         loop {
-            let left = Duration::from_millis(at.since(self.now()).0);
-            if left.is_zero() {
+            let remaining = Duration::from_millis(at.since(self.now()).0);
+            if remaining.is_zero() {
                 return;
             }
-            tokio::time::sleep(left.min(MAX_SLEEP)).await;
+            tokio::time::sleep(remaining.min(MAX_SLEEP)).await;
         }
     }
 
@@ -42,12 +42,12 @@
     pub(crate) async fn timeout_at<T>(
         &self,
         at: Millis,
-        awaited: impl Future<Output = T>,
+        future: impl Future<Output = T>,
     ) -> Option<T> {
         tokio::select! {
             // A result that is ready at the deadline still counts.
             biased;
-            out = awaited => Some(out),
+            output = future => Some(output),
             () = self.sleep_until(at) => None,
         }
     }
@@ -60,6 +60,6 @@
 
 /// Returns the wall-clock time in milliseconds since the Unix epoch.
 pub(crate) fn unix_millis() -> u64 {
-    let since = SystemTime::now().duration_since(UNIX_EPOCH);
-    since.map(|since| since.as_millis() as u64).unwrap_or_default()
+    let elapsed = SystemTime::now().duration_since(UNIX_EPOCH);
+    elapsed.map(|elapsed| elapsed.as_millis() as u64).unwrap_or_default()
 }
--- a/crates/cherrystandd/src/config_versions.rs
+++ b/crates/cherrystandd/src/config_versions.rs
@@ -25,19 +25,19 @@
     }
 
     /// Records a version that is in force.
-    pub(crate) fn note(&self, config: &Document) {
+    pub(crate) fn record(&self, config: &Document) {
         self.versions().note(config.revision, config.body.clone());
     }
 
     /// Returns the newest revision, or 0 if there is none.
-    pub(crate) fn newest(&self) -> Revision {
+    pub(crate) fn newest_revision(&self) -> Revision {
         self.versions().newest()
     }
 
-    /// Returns the newest version, packed for a peer that holds `theirs`, or `None` if the peer is up
-    /// to date.
-    pub(crate) fn newer_than(&self, theirs: Revision) -> Option<Arc<PackedBody>> {
-        match self.versions().newer_than(theirs) {
+    /// Returns the newest version, packed for a peer that holds `peer_revision`, or `None` if the peer is
+    /// up to date.
+    pub(crate) fn newer_than(&self, peer_revision: Revision) -> Option<Arc<PackedBody>> {
+        match self.versions().newer_than(peer_revision) {
             Ok(packed) => packed,
             Err(err) => {
                 log::error!("cannot pack the configuration for a peer: {err}");
--- a/crates/cherrystandd/src/kernel.rs
+++ b/crates/cherrystandd/src/kernel.rs
@@ -70,8 +70,8 @@
     pub fn join(self) -> Result<(), DutyError> {
         let mut outcome = Ok(());
         for (name, thread) in self.threads {
-            let ended = thread.join().unwrap_or(Err(DutyError::Panicked { duty: name }));
-            outcome = outcome.and(ended);
+            let result = thread.join().unwrap_or(Err(DutyError::Panicked { duty: name }));
+            outcome = outcome.and(result);
         }
         self.stop.send_replace(StopPhase::Stopped);
         outcome
--- a/crates/cherrystandd/src/settings.rs
+++ b/crates/cherrystandd/src/settings.rs
@@ -333,9 +333,11 @@
 
     fn check_addresses(&self) -> Result<(), SettingsError> {
         let listen = &self.listen;
-        let all = [listen.callers, listen.operators, listen.peers];
-        let has_duplicate = all[0] == all[1] || all[0] == all[2] || all[1] == all[2];
-        if has_duplicate && all.iter().all(|address| address.port() != 0) {
+        let addresses = [listen.callers, listen.operators, listen.peers];
+        let has_duplicate = addresses[0] == addresses[1]
+            || addresses[0] == addresses[2]
+            || addresses[1] == addresses[2];
+        if has_duplicate && addresses.iter().all(|address| address.port() != 0) {
             return Err(SettingsError::new(
                 SettingsErrorKind::Conflict,
                 "operators",
--- a/crates/cherrystandd/src/site/control.rs
+++ b/crates/cherrystandd/src/site/control.rs
@@ -212,7 +212,7 @@
         let nodes = self.cx.view.borrow().alive().count();
         let state = self.state.borrow();
         if let Some(config) = state.config() {
-            self.cx.config_versions.note(config);
+            self.cx.config_versions.record(config);
         }
         let view = state.view(nodes, self.cx.settings.policy.serve_unlisted);
         self.cx.metrics.zones_evacuated.set(view.evacuated.len() as i64);
@@ -301,7 +301,7 @@
     pub(crate) fn held_config_revision(&self) -> Revision {
         match self.needs_full_config.get() {
             true => Revision::NONE,
-            false => self.cx.config_versions.newest(),
+            false => self.cx.config_versions.newest_revision(),
         }
     }
 
--- a/crates/cherrystandd/src/state/node_state.rs
+++ b/crates/cherrystandd/src/state/node_state.rs
@@ -79,8 +79,9 @@
             }
             StateEvent::PeerComparison { newer, wanted, to_send } => {
                 self.apply_carried(newer);
-                let found = wanted.iter().filter_map(|(key, _)| self.documents.get(key)).cloned();
-                let records = self.pack_records(limit_to_message(found), &wanted);
+                let requested =
+                    wanted.iter().filter_map(|(key, _)| self.documents.get(key)).cloned();
+                let records = self.pack_records(limit_to_message(requested), &wanted);
                 let question = (!records.is_empty()).then_some(Question::Take(records));
                 let _ = to_send.send(question);
             }
@@ -90,9 +91,9 @@
                 self.freshness.record_platform_read(now, now.since(asked));
             }
             StateEvent::Inventory(inventory) => self.record_inventory(&inventory),
-            StateEvent::Evidence(all) => {
+            StateEvent::Evidence(reports) => {
                 self.changed = true;
-                for evidence in &all {
+                for evidence in &reports {
                     self.evidence.merge(evidence, now);
                 }
             }
@@ -134,7 +135,7 @@
             heard_of_expected: self.freshness.heard_of_expected(now),
             majority_holds: self.freshness.is_majority(self.membership.agreeing()),
             platform_age: self.freshness.platform_age(now),
-            members: members.map(|(beat, standing)| (beat.clone(), standing)).collect(),
+            members: members.map(|(heartbeat, liveness)| (heartbeat.clone(), liveness)).collect(),
             workspaces: self.workspaces.clone(),
             domains: self.domains.clone(),
             fleet: self.fleet.clone(),
@@ -150,12 +151,12 @@
                 self.changed |= self.membership.merge_heartbeat(greeting.from, Millis(0), now);
                 Reply::News(self.news(greeting.roster, now))
             }
-            Question::Compare(theirs) => Reply::Compared {
+            Question::Compare(peer_versions) => Reply::Compared {
                 newer: self.pack_records(
-                    limit_to_message(self.documents.newer_than(&theirs).into_iter()),
-                    &theirs,
+                    limit_to_message(self.documents.newer_than(&peer_versions).into_iter()),
+                    &peer_versions,
                 ),
-                wanted: self.wanted_versions(&theirs),
+                wanted: self.wanted_versions(&peer_versions),
             },
             Question::Take(records) => {
                 self.apply_carried(records);
@@ -189,8 +190,8 @@
     fn apply_news(&mut self, news: News, asked: Millis, now: Millis) -> bool {
         let elapsed = now.since(asked);
         self.changed |= self.membership.merge_digest(news.members, elapsed, now);
-        for (node, heard) in self.membership.agreement_times() {
-            self.freshness.record_agreement(node, heard);
+        for (node, agreed_at) in self.membership.agreement_times() {
+            self.freshness.record_agreement(node, agreed_at);
         }
         self.changed |= !news.evidence.is_empty();
         for evidence in &news.evidence {
@@ -213,9 +214,10 @@
         versions
     }
 
-    /// Returns the versions held here of the records that a peer holding `theirs` has newer versions of.
-    fn wanted_versions(&self, theirs: &[Version]) -> Vec<Version> {
-        let mut wanted = self.documents.older_than(theirs);
+    /// Returns the versions held here of the records of which a peer that holds `peer_versions` has newer
+    /// ones.
+    fn wanted_versions(&self, peer_versions: &[Version]) -> Vec<Version> {
+        let mut wanted = self.documents.older_than(peer_versions);
         let wants_full = |key: &str| self.request_full_config && key == keys::SITE_CONFIG;
         wanted
             .iter_mut()
@@ -224,13 +226,14 @@
         wanted
     }
 
-    /// Packs records for a peer that holds the versions `theirs`.
-    fn pack_records(&self, records: Vec<Document>, theirs: &[Version]) -> Vec<Carried> {
-        let held = |key: &str| theirs.iter().find(|(held, _)| &**held == key);
+    /// Packs records for a peer that holds the versions `peer_versions`.
+    fn pack_records(&self, records: Vec<Document>, peer_versions: &[Version]) -> Vec<Carried> {
+        let find_version = |key: &str| peer_versions.iter().find(|(held, _)| &**held == key);
         let carry = |record: Document| {
-            let theirs = held(&record.key).map(|(_, revision)| *revision).unwrap_or_default();
+            let peer_revision =
+                find_version(&record.key).map(|(_, revision)| *revision).unwrap_or_default();
             let packed = match &*record.key {
-                keys::SITE_CONFIG => self.config_versions.newer_than(theirs),
+                keys::SITE_CONFIG => self.config_versions.newer_than(peer_revision),
                 _ => None,
             };
             match packed {
--- a/crates/cherrystandd/src/state/routes.rs
+++ b/crates/cherrystandd/src/state/routes.rs
@@ -121,19 +121,19 @@
     }
 
     fn replicas_in(&self, record: &DomainRecord, group: &GroupId) -> Vec<RouteTarget> {
-        let formed = record.replicas.iter();
-        let ready =
-            formed.filter(|(replica, held)| &replica.group == group && held.phase == Phase::Ready);
+        let replicas = record.replicas.iter();
+        let ready = replicas
+            .filter(|(replica, held)| &replica.group == group && held.phase == Phase::Ready);
         ready
             .filter_map(|(replica, held)| {
-                let whole =
+                let load =
                     self.evidence.load_if_whole(&record.domain, replica, held.epoch, self.now);
                 let leader = self.fleet.get(held.boxes.first()?)?;
                 Some(RouteTarget {
                     address: leader.address,
                     near: &leader.zone == self.own_zone,
                     replica: Some((replica.clone(), held.epoch)),
-                    load: Some(whole?),
+                    load: Some(load?),
                     max_limit: MAX_REPLICA_REQUESTS,
                 })
             })
--- a/crates/cherrystandd/src/state/view.rs
+++ b/crates/cherrystandd/src/state/view.rs
@@ -78,8 +78,8 @@
 
     /// Returns the heartbeats of the daemons that are alive.
     pub(crate) fn alive(&self) -> impl Iterator<Item = &Heartbeat> {
-        let alive = self.members.iter().filter(|(_, standing)| *standing == Liveness::Alive);
-        alive.map(|(beat, _)| beat)
+        let alive = self.members.iter().filter(|(_, liveness)| *liveness == Liveness::Alive);
+        alive.map(|(heartbeat, _)| heartbeat)
     }
 }
 
