--- a/crates/cherrystandd/src/duties/controller.rs
+++ b/crates/cherrystandd/src/duties/controller.rs
@@ -154,8 +154,9 @@
         let formed = view.formed_replicas();
         let service = ServingState { formed: &formed, ready_since: &self.ready_since, now };
         let workspaces = view.workspaces.values();
-        let desired: Vec<_> =
-            workspaces.flat_map(|held| desired_in_domain(&held.record, &domain, service)).collect();
+        let desired: Vec<_> = workspaces
+            .flat_map(|versioned| desired_in_domain(&versioned.record, &domain, service))
+            .collect();
         let input = ControllerInput {
             record: &record,
             desired: &desired,
@@ -272,7 +273,7 @@
 /// Returns the domains that this daemon observes, with its rank among the observers of each.
 fn observed_domains(view: &View) -> Vec<(DomainId, usize)> {
     let mut domains = view.fleet.domains();
-    domains.extend(view.domains.values().map(|held| held.record.domain.clone()));
+    domains.extend(view.domains.values().map(|versioned| versioned.record.domain.clone()));
     let alive: Vec<_> = view.alive().cloned().collect();
     let rank_of = |domain: &DomainId| {
         let ranking = rank_by_hash(domain.as_str(), &alive);
@@ -283,7 +284,7 @@
 
 fn record_of(view: &View, domain: &DomainId) -> (Revision, DomainRecord) {
     match view.domains.get(keys::domain(domain).as_str()) {
-        Some(held) => (held.revision, held.record.clone()),
+        Some(versioned) => (versioned.revision, versioned.record.clone()),
         None => (Revision::NONE, DomainRecord::empty(domain.clone())),
     }
 }
--- a/crates/cherrystandd/src/duties/prober.rs
+++ b/crates/cherrystandd/src/duties/prober.rs
@@ -92,7 +92,7 @@
 pub(crate) fn boxes_to_probe(fleet: &Fleet, record: &DomainRecord) -> Vec<BoxId> {
     let mut boxes: Vec<BoxId> =
         fleet.of_domain(&record.domain).map(|info| info.id.clone()).collect();
-    let assigned = record.replicas.values().flat_map(|held| &held.boxes);
+    let assigned = record.replicas.values().flat_map(|assignment| &assignment.boxes);
     boxes.extend(assigned.chain(record.releasing.keys()).cloned());
     boxes.sort();
     boxes.dedup();
--- a/crates/cherrystandd/src/duties/state_publisher.rs
+++ b/crates/cherrystandd/src/duties/state_publisher.rs
@@ -69,9 +69,9 @@
 
 fn publish(cx: &DutyContext, state: &NodeState) {
     let view = state.view(cx.clock.now());
-    for held in view.workspaces.values() {
-        let workspace = held.record.config.workspace.as_str();
-        let generation = held.record.generation.0 as i64;
+    for versioned in view.workspaces.values() {
+        let workspace = versioned.record.config.workspace.as_str();
+        let generation = versioned.record.generation.0 as i64;
         cx.metrics.generation.with_label_values(&[workspace]).set(generation);
     }
     let serving = view.routes.iter().flat_map(|group| &group.targets);
--- a/crates/cherrystandd/src/operator/api.rs
+++ b/crates/cherrystandd/src/operator/api.rs
@@ -93,13 +93,13 @@
     /// contact neither with the platform nor with a majority stops serving.
     async fn wait_for_majority(&self, record: &Document) -> Result<(), OperatorError> {
         let holds = |view: &Arc<View>| {
-            let held = view.workspaces.get(&record.key);
-            let held_here = held.is_some_and(|held| held.revision >= record.revision);
-            held_here && view.majority_holds
+            let stored = view.workspaces.get(&record.key);
+            let is_current = stored.is_some_and(|stored| stored.revision >= record.revision);
+            is_current && view.majority_holds
         };
         let mut view = self.cx.view.clone();
-        let held = tokio::time::timeout(MAJORITY_TIMEOUT, view.wait_for(holds)).await;
-        match held {
+        let reached = tokio::time::timeout(MAJORITY_TIMEOUT, view.wait_for(holds)).await;
+        match reached {
             Ok(Ok(_)) => Ok(()),
             Ok(Err(_)) | Err(_) => Err(OperatorError::OutcomeUnknown),
         }
@@ -107,14 +107,14 @@
 
     fn plans(&self) -> Value {
         let view = self.cx.current_view();
-        let records = view.workspaces.values().map(|held| &held.record);
+        let records = view.workspaces.values().map(|versioned| &versioned.record);
         let pending = records.flat_map(|record| record.plans.iter().map(plan_summary));
         json!(pending.collect::<Vec<_>>())
     }
 
     fn history(&self) -> Value {
         let view = self.cx.current_view();
-        let records = view.workspaces.values().map(|held| &held.record);
+        let records = view.workspaces.values().map(|versioned| &versioned.record);
         let entries = records.flat_map(|record| {
             let workspace = &record.config.workspace;
             let entry = move |accepted| json!({"workspace": workspace, "accepted": accepted});
@@ -125,7 +125,7 @@
 
     fn config(&self, workspace: &str) -> Result<Value, OperatorError> {
         let view = self.cx.current_view();
-        let mut records = view.workspaces.values().map(|held| &held.record);
+        let mut records = view.workspaces.values().map(|versioned| &versioned.record);
         let found = records.find(|record| record.config.workspace.as_str() == workspace);
         let found = found.ok_or_else(|| unknown("workspace", workspace))?;
         Ok(json!({"generation": found.generation, "config": found.config}))
--- a/crates/cherrystandd/src/operator/status.rs
+++ b/crates/cherrystandd/src/operator/status.rs
@@ -7,7 +7,7 @@
 
 /// Describes the groups, replicas, boxes and daemons in this daemon's view.
 pub(crate) fn status_of(view: &View) -> Value {
-    let workspaces = view.workspaces.values().map(|held| workspace(view, &held.record));
+    let workspaces = view.workspaces.values().map(|versioned| workspace(view, &versioned.record));
     json!({
         "node": node(view),
         "workspaces": workspaces.collect::<Vec<_>>(),
@@ -56,7 +56,7 @@
 }
 
 fn replicas(view: &View) -> Vec<Value> {
-    let records = view.domains.values().map(|held| &held.record);
+    let records = view.domains.values().map(|versioned| &versioned.record);
     let all = records.flat_map(|record| replicas_of(view, record));
     all.collect()
 }
@@ -113,7 +113,7 @@
 
 /// Lists the decisions on a replica, oldest first, or returns `None` if there is none.
 pub(crate) fn explain_replica(view: &View, replica: &ReplicaId) -> Option<Value> {
-    let records = view.domains.values().map(|held| &held.record);
+    let records = view.domains.values().map(|versioned| &versioned.record);
     let decisions: Vec<Value> = records
         .flat_map(|record| &record.explanations)
         .filter(|explanation| &explanation.replica == replica)
