--- a/crates/cherrystandd/benches/latency.rs
+++ b/crates/cherrystandd/benches/latency.rs
@@ -1,5 +1,6 @@
-//! What a daemon adds between a caller and an endpoint, and how many requests a second it takes
-//! on its one relaying thread. Real processes on one machine; read the ratios.
+//! The latency that a daemon adds between a caller and an endpoint, and how many requests per
+//! second it relays on its single relay thread. All processes run on one machine, so only the
+//! ratios count.
 #![allow(clippy::disallowed_methods, reason = "the machine of a test is not suspended")]
 
 #[path = "../tests/support/mod.rs"]
@@ -13,26 +14,26 @@
 /// How many requests each latency is taken from.
 const SAMPLES: usize = 4_000;
 
-/// How many callers send at once for the rate.
+/// How many callers send concurrently to measure the rate.
 const CALLERS: usize = 64;
 
-/// For how long the rate is taken.
-const RATE_FOR: Duration = Duration::from_secs(4);
+/// For how long the rate is measured.
+const RATE_DURATION: Duration = Duration::from_secs(4);
 
 async fn latencies(cluster: &Cluster, to: std::net::SocketAddr) -> Vec<Duration> {
-    let mut taken = Vec::with_capacity(SAMPLES);
+    let mut samples = Vec::with_capacity(SAMPLES);
     for _ in 0..SAMPLES {
-        let began = Instant::now();
+        let started = Instant::now();
         let answer = cluster.send(to, Method::GET, "/consent/1", &[], "").await;
         assert_eq!(answer.expect("an answer").status, StatusCode::OK);
-        taken.push(began.elapsed());
+        samples.push(started.elapsed());
     }
-    taken.sort_unstable();
-    taken
+    samples.sort_unstable();
+    samples
 }
 
 async fn rate(cluster: &Cluster, to: std::net::SocketAddr) -> f64 {
-    let until = Instant::now() + RATE_FOR;
+    let until = Instant::now() + RATE_DURATION;
     let caller = |_| async move {
         let mut done = 0_u32;
         while Instant::now() < until {
@@ -42,7 +43,7 @@
         done
     };
     let done = futures_util::future::join_all((0..CALLERS).map(caller)).await;
-    f64::from(done.iter().sum::<u32>()) / RATE_FOR.as_secs_f64()
+    f64::from(done.iter().sum::<u32>()) / RATE_DURATION.as_secs_f64()
 }
 
 fn main() {
@@ -53,8 +54,8 @@
         let (direct, through) =
             (latencies(&cluster, service).await, latencies(&cluster, daemon).await);
         for percent in [50, 99] {
-            let at = |taken: &[Duration]| taken[(SAMPLES - 1) * percent / 100];
-            let (direct, through) = (at(&direct), at(&through));
+            let percentile = |samples: &[Duration]| samples[(SAMPLES - 1) * percent / 100];
+            let (direct, through) = (percentile(&direct), percentile(&through));
             let ratio = through.as_secs_f64() / direct.as_secs_f64();
             println!(
                 "latency p{percent}: direct {direct:?}, through the daemon {through:?}, ratio {ratio:.2}"
--- a/crates/cherrystandd/benches/slopes.rs
+++ b/crates/cherrystandd/benches/slopes.rs
@@ -1,5 +1,5 @@
-//! The slopes that docs/CAPACITY.md is worked out from: bytes, steps and microseconds as things
-//! grow.
+//! How bytes and computing time grow with the size of the system; docs/CAPACITY.md is calculated
+//! from these figures.
 #![allow(clippy::disallowed_methods, reason = "the machine of a test is not suspended")]
 
 use std::hint::black_box;
@@ -15,7 +15,7 @@
 };
 use cherrystand_peer::{BatchSpan, ChangeBatches, News, PackedBatch, Reply, encode};
 
-const SPAN: u32 = 8;
+const BOXES_PER_REPLICA: u32 = 8;
 
 fn load() -> LoadSpec {
     LoadSpec {
@@ -66,7 +66,7 @@
     for slot in 0..replicas {
         let assignment = Assignment {
             epoch: Epoch(u64::from(slot) + 1),
-            boxes: (slot * SPAN..(slot + 1) * SPAN).map(box_id).collect(),
+            boxes: (slot * BOXES_PER_REPLICA..(slot + 1) * BOXES_PER_REPLICA).map(box_id).collect(),
             load: load(),
             phase: Phase::Ready,
         };
@@ -79,15 +79,15 @@
     serde_json::to_string(value).map(|text| text.len()).unwrap_or(0)
 }
 
-fn micros(rounds: u32, mut work: impl FnMut()) -> f64 {
-    let began = Instant::now();
+fn average_micros(rounds: u32, mut work: impl FnMut()) -> f64 {
+    let started = Instant::now();
     for _ in 0..rounds {
         work();
     }
-    began.elapsed().as_secs_f64() * 1e6 / f64::from(rounds)
+    started.elapsed().as_secs_f64() * 1e6 / f64::from(rounds)
 }
 
-fn news(members: usize, replicas: u32) -> usize {
+fn news_bytes(members: usize, replicas: u32) -> usize {
     let news = News {
         from: heartbeat(0),
         members: Digest::Whole(
@@ -116,47 +116,56 @@
     }
 }
 
-fn changes_passed_on() {
+fn measure_change_batches() {
     for count in [30, 1_107, 5_000] {
         let records: Vec<Document> = (0..count).map(box_entry).collect();
         let batch = ChangesSince { records, gone: Vec::new() };
         let packed = PackedBatch::new(&batch).expect("it has an encoding");
         let rounds = 20;
-        let pack = micros(rounds, || {
+        let pack = average_micros(rounds, || {
             black_box(PackedBatch::new(&batch).is_ok());
         });
-        let unpack = micros(rounds, || {
+        let unpack = average_micros(rounds, || {
             black_box(packed.unpack().is_ok());
         });
         let mut batches = ChangeBatches::default();
         let span = BatchSpan { after: Some(1), until: 2 };
-        let again = micros(rounds, || {
+        let reuse = average_micros(rounds, || {
             black_box(batches.get_or_pack(span, || batch.clone()).is_ok());
         });
         println!(
-            "{count} changes: {pack:.1} us to pack, {again:.1} us each for {rounds} askers, {unpack:.1} us to unpack"
+            "{count} changes: {pack:.1} us to pack, {reuse:.1} us each for {rounds} askers, {unpack:.1} us to unpack"
         );
     }
 }
 
-fn bytes() {
-    let per = |small: usize, large: usize, count: usize| (large - small) as f64 / count as f64;
-    println!("bytes on the wire: {:.1} a heartbeat", per(news(0, 0), news(100, 0), 100));
-    println!("bytes on the wire: {:.1} a replica's evidence", per(news(0, 0), news(0, 100), 100));
-    println!("bytes on the wire: {} for news without either", news(0, 0));
+fn measure_bytes() {
+    let average = |small: usize, large: usize, count: usize| (large - small) as f64 / count as f64;
+    println!(
+        "bytes on the wire: {:.1} a heartbeat",
+        average(news_bytes(0, 0), news_bytes(100, 0), 100)
+    );
+    println!(
+        "bytes on the wire: {:.1} a replica's evidence",
+        average(news_bytes(0, 0), news_bytes(0, 100), 100)
+    );
+    println!("bytes on the wire: {} for news without either", news_bytes(0, 0));
     let (small, large) = (json_bytes(&domain(10)), json_bytes(&domain(110)));
-    println!("bytes in a domain's record: {:.0} a replica of {SPAN} boxes", per(small, large, 100));
+    println!(
+        "bytes in a domain's record: {:.0} a replica of {BOXES_PER_REPLICA} boxes",
+        average(small, large, 100)
+    );
     let mut workspace = WorkspaceRecord::empty(WorkspaceId::new("photo"));
     let small = json_bytes(&workspace);
     workspace.slots = (0..100)
         .map(|slot| Slot {
             replica: replica(slot),
             domain: DomainId::new("hall-1-d07"),
-            planned: (0..SPAN).map(box_id).collect(),
+            planned: (0..BOXES_PER_REPLICA).map(box_id).collect(),
         })
         .collect();
     let large = json_bytes(&workspace);
-    println!("bytes in a workspace's record: {:.0} a replica", per(small, large, 100));
+    println!("bytes in a workspace's record: {:.0} a replica", average(small, large, 100));
     let info = BoxInfo {
         id: box_id(1),
         domain: DomainId::new("hall-1-d07"),
@@ -169,9 +178,9 @@
     println!("bytes in the box list: {} a box", json_bytes(&info) + 1);
 }
 
-fn step(replicas: u32) -> f64 {
+fn controller_step_micros(replicas: u32) -> f64 {
     let record = domain(replicas);
-    let boxes = replicas * SPAN;
+    let boxes = replicas * BOXES_PER_REPLICA;
     let fleet = Fleet::new((0..boxes).map(|number| BoxInfo {
         id: box_id(number),
         domain: record.domain.clone(),
@@ -185,16 +194,16 @@
         .map(|slot| DesiredReplica {
             replica: replica(slot),
             load: load(),
-            span: SPAN,
+            span: BOXES_PER_REPLICA,
             planned: Vec::new(),
             may_reload: false,
             downtime_weight: 1.0,
             stranded_weight: 1.0,
         })
         .collect();
-    let mut seen = Observations::new();
-    for (slot, held) in record.replicas.values().enumerate() {
-        for id in &held.boxes {
+    let mut observations = Observations::new();
+    for (slot, assignment) in record.replicas.values().enumerate() {
+        for id in &assignment.boxes {
             let report = EngineReport {
                 epoch: Epoch(slot as u64 + 1),
                 state: EngineState::Ready,
@@ -202,19 +211,19 @@
                 in_flight: 3,
                 waiting: 0,
             };
-            seen.insert(
+            observations.insert(
                 id.clone(),
                 Observation { last_heard: Millis(1_000), report: Some(report) },
             );
         }
     }
     let mut controller = Controller::new(RepairPolicy::default());
-    micros(50, || {
+    average_micros(50, || {
         let step = controller.step(ControllerInput {
             record: &record,
             desired: &desired,
             fleet: &fleet,
-            observations: &seen,
+            observations: &observations,
             now: Millis(1_500),
             unix_secs: 1,
         });
@@ -222,30 +231,33 @@
     })
 }
 
-fn times() {
+fn measure_times() {
     for replicas in [4, 16, 64] {
-        let took = step(replicas);
+        let micros = controller_step_micros(replicas);
         println!(
-            "controller: {took:.0} us a step with {replicas} replicas, {:.1} us each",
-            took / f64::from(replicas)
+            "controller: {micros:.0} us a step with {replicas} replicas, {:.1} us each",
+            micros / f64::from(replicas)
         );
     }
     for members in [50, 400] {
         let mut membership = Membership::new(heartbeat(0), Millis(0));
         let mut beat = 0;
-        let took = micros(50, || {
+        let micros = average_micros(50, || {
             beat += 1;
             for number in 1..members {
                 let news = Heartbeat { beat, ..heartbeat(number) };
                 membership.merge_heartbeat(news, Millis(0), Millis(beat));
             }
         });
-        println!("membership: {:.2} us a heartbeat with {members} daemons", took / members as f64);
+        println!(
+            "membership: {:.2} us a heartbeat with {members} daemons",
+            micros / members as f64
+        );
     }
     for replicas in [600, 4_700] {
         let mut table = EvidenceTable::default();
         let mut now = Millis(0);
-        let took = micros(20, || {
+        let micros = average_micros(20, || {
             now = now + Millis(1_000);
             for slot in 0..replicas {
                 table.merge(&ReplicaEvidence { age: Millis(0), ..evidence(slot) }, now);
@@ -253,21 +265,21 @@
         });
         println!(
             "evidence: {:.2} us a report with {replicas} replicas",
-            took / f64::from(replicas)
+            micros / f64::from(replicas)
         );
     }
     let body: Arc<str> = Arc::from(serde_json::to_string(&domain(64)).unwrap_or_default());
-    let took = micros(50, || {
+    let micros = average_micros(50, || {
         let document =
             Document { key: Arc::from("k"), revision: Revision::new(1), body: body.clone() };
         let read: Result<DomainRecord, _> = serde_json::from_str(&document.body);
         assert!(black_box(read).is_ok());
     });
-    println!("records: {took:.0} us to read a domain's record of {} bytes", body.len());
+    println!("records: {micros:.0} us to read a domain's record of {} bytes", body.len());
 }
 
 fn main() {
-    changes_passed_on();
-    bytes();
-    times();
+    measure_change_batches();
+    measure_bytes();
+    measure_times();
 }
--- a/crates/cherrystandd/tests/failures.rs
+++ b/crates/cherrystandd/tests/failures.rs
@@ -1,4 +1,4 @@
-//! Kills, freezes, outages and planned stops on real processes.
+//! Crashes, freezes, outages and planned stops of real processes.
 #![allow(clippy::disallowed_methods, reason = "the machine of a test is not suspended")]
 
 mod support;
@@ -12,14 +12,14 @@
 use serde_json::json;
 use support::{Cluster, Setup, model_body, run};
 
-/// Longer than a node serves on news of this age.
-const LONGER_THAN_FRESH: Duration = Duration::from_millis(10_500);
+/// Longer than a daemon serves without contact to the platform or a majority.
+const BEYOND_FRESHNESS: Duration = Duration::from_millis(10_500);
 
-/// How long an endpoint that is gone may still get requests.
-const OUT_WITHIN: Duration = Duration::from_secs(5);
+/// How long an endpoint that is gone may still be routed to.
+const REMOVAL_TIMEOUT: Duration = Duration::from_secs(5);
 
 #[test]
-fn a_lost_box_ends_its_stream_openly_and_the_replica_is_mended() {
+fn a_lost_box_ends_its_stream_with_an_error_and_the_replica_is_repaired() {
     run(async {
         let mut cluster =
             Cluster::serving(Setup { replicas: 1, boxes: 3, ..Setup::default() }).await;
@@ -34,25 +34,25 @@
         assert!(text.contains("event: error"), "{text}");
         assert!(!text.contains("[DONE]"), "{text}");
         for daemon in 0..3 {
-            let mended = || async {
+            let is_repaired = || async {
                 let answer = cluster.ask_model(daemon, "again", 2, false).await.expect("an answer");
                 let told = answer.headers()["cherrystand-outcome"].clone();
                 assert!(told == "ran" || told == "not-run", "{told:?}");
                 answer.status() == StatusCode::OK
             };
-            cluster.until("the replica is mended", mended).await;
+            cluster.until("the replica is repaired", is_repaired).await;
         }
     });
 }
 
 #[test]
-fn a_replica_that_lost_a_box_leaves_every_daemons_choice_within_seconds() {
+fn every_daemon_stops_routing_to_a_replica_that_lost_a_box_within_seconds() {
     run(async {
-        // Without a spare it cannot come back.
+        // Without a spare box the replica can't be formed again.
         let mut cluster =
             Cluster::serving(Setup { replicas: 1, boxes: 2, ..Setup::default() }).await;
         drop(cluster.boxes.remove(1));
-        tokio::time::sleep(OUT_WITHIN).await;
+        tokio::time::sleep(REMOVAL_TIMEOUT).await;
         for daemon in &cluster.daemons {
             assert_eq!(cluster.serving_replicas(daemon.operators).await, 0);
         }
@@ -63,14 +63,14 @@
         let answer = answer.expect("an answer");
         assert_eq!(answer.told(), ("not-run".to_owned(), "none-serving".to_owned()));
         assert_eq!(answer.header("retry-after"), "1");
-        assert!(began.elapsed() < Duration::from_secs(1), "a refusal is given at once");
+        assert!(began.elapsed() < Duration::from_secs(1), "the refusal took too long");
     });
 }
 
-/// Story: a stream that had brought nothing for 10 s ended with an error event though its replica was
-/// in service and working; silence of a replica gives no reason to end an answer.
+/// Guards against a stream that is ended with an error event after 10 s of silence although its
+/// replica is in service and working. Silence alone is no reason to end an answer.
 #[test]
-fn a_stream_that_pauses_for_long_goes_on_while_its_replica_serves() {
+fn a_long_pause_does_not_end_a_stream_while_its_replica_serves() {
     run(async {
         let cluster = Cluster::serving(Setup { replicas: 1, boxes: 2, ..Setup::default() }).await;
         cluster.set(cluster.boxes[0].address, json!({"token_us": 11_000_000})).await;
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn a_planned_stop_cuts_no_request_off() {
+fn a_planned_stop_interrupts_no_request() {
     run(async {
         let mut cluster = Cluster::serving(Setup::default()).await;
         for stand_in in &cluster.boxes {
@@ -93,13 +93,13 @@
         cluster.daemons[0].process.signal("TERM");
         let not_ready = || async { !cluster.is_ready(stopping).await };
         cluster.until("the daemon is not ready", not_ready).await;
-        let late =
+        let late_answer =
             cluster.ask_model(0, "late", 2, false).await.expect("an answer while it lingers");
-        assert_eq!(late.status(), StatusCode::OK);
+        assert_eq!(late_answer.status(), StatusCode::OK);
         let body = stream.into_body().collect().await.expect("a whole stream").to_bytes();
         let text = "slow".to_owned();
-        let asked = Prompt { text, tokens: 40, stream: true, model: "m".to_owned(), chat: true };
-        assert_eq!(judge_stream(&asked, &body), Verdict::Whole);
+        let prompt = Prompt { text, tokens: 40, stream: true, model: "m".to_owned(), chat: true };
+        assert_eq!(judge_stream(&prompt, &body), Verdict::Whole);
         let ended = Instant::now() + Duration::from_secs(10);
         while !cluster.daemons[0].process.has_ended() {
             assert!(Instant::now() < ended, "the daemon does not end");
@@ -108,52 +108,54 @@
     });
 }
 
-/// Asks for streams of over four seconds through a daemon until told to stop, and returns how many came whole.
-async fn keep_asking(cluster: &Cluster, daemon: usize, stop: &Cell<bool>) -> u32 {
-    let mut asked = 0;
+/// Requests streams of over four seconds each through a daemon until `stop` is set.
+///
+/// Returns how many there were; each has to be complete.
+async fn keep_requesting(cluster: &Cluster, daemon: usize, stop: &Cell<bool>) -> u32 {
+    let mut requests = 0;
     while !stop.get() {
-        asked += 1;
-        let text = format!("daemon {daemon} asks {asked}");
+        requests += 1;
+        let text = format!("daemon {daemon} asks {requests}");
         let stream = cluster.ask_model(daemon, &text, 30, true).await.expect("a stream");
         assert_eq!(stream.status(), StatusCode::OK, "{text}");
         let body = stream.into_body().collect().await.expect("a whole stream").to_bytes();
         let prompt = Prompt { text, tokens: 30, stream: true, model: "m".to_owned(), chat: true };
         assert_eq!(judge_stream(&prompt, &body), Verdict::Whole, "{}", prompt.text);
     }
-    asked
+    requests
 }
 
 #[test]
-fn a_rollout_cuts_no_request_off_and_every_answer_is_whole() {
+fn a_rollout_interrupts_no_request_and_every_answer_is_complete() {
     run(async {
         let cluster = Cluster::serving(Setup::default()).await;
         for stand_in in &cluster.boxes {
             cluster.set(stand_in.address, json!({"token_us": 150_000})).await;
         }
         let stop = Cell::new(false);
-        let asking = |daemon| keep_asking(&cluster, daemon, &stop);
+        let start_requests = |daemon| keep_requesting(&cluster, daemon, &stop);
         let rollout = async {
             cluster.put_in_force(&cluster.usual_config(2, "2", "/consent")).await;
-            let done = || async {
+            let is_done = || async {
                 let status = cluster.cli(&["status"]).stdout;
                 String::from_utf8_lossy(&status).matches("true     m@2").count() == 2
             };
-            cluster.until("the rollout is done", done).await;
+            cluster.until("the rollout is done", is_done).await;
             stop.set(true);
         };
-        let askers = [0, 1, 2, 0, 1, 2].map(asking);
-        let (asked, ()) = tokio::join!(futures_util::future::join_all(askers), rollout);
-        assert!(asked.iter().sum::<u32>() > 20, "{asked:?}");
+        let streams = [0, 1, 2, 0, 1, 2].map(start_requests);
+        let (requests, ()) = tokio::join!(futures_util::future::join_all(streams), rollout);
+        assert!(requests.iter().sum::<u32>() > 20, "{requests:?}");
     });
 }
 
 #[test]
-fn an_outage_of_the_platform_stops_no_answer_and_lets_no_change_in() {
+fn a_platform_outage_interrupts_no_answer_and_no_change_is_accepted() {
     run(async {
         let cluster = Cluster::serving(Setup::default()).await;
         let plan = cluster.plan(&cluster.usual_config(2, "2", "/consent"));
         cluster.set(cluster.platform.address, json!({"down": true})).await;
-        tokio::time::sleep(LONGER_THAN_FRESH).await;
+        tokio::time::sleep(BEYOND_FRESHNESS).await;
         for daemon in 0..3 {
             let to = cluster.daemons[daemon].callers;
             let checked = cluster.send(to, Method::GET, "/consent/1", &[], "").await;
@@ -177,7 +179,7 @@
 }
 
 #[test]
-fn a_daemon_cut_off_from_all_stops_taking_requests() {
+fn an_isolated_daemon_stops_accepting_requests() {
     run(async {
         let mut cluster = Cluster::serving(Setup::default()).await;
         cluster.set(cluster.platform.address, json!({"down": true})).await;
@@ -191,25 +193,25 @@
 }
 
 #[test]
-fn a_daemon_that_was_paused_does_not_serve_by_what_it_knew_before() {
+fn a_daemon_that_was_paused_does_not_serve_from_its_old_state() {
     run(async {
         let cluster = Cluster::serving(Setup::default()).await;
         let paused = &cluster.daemons[2];
         paused.process.signal("STOP");
         tokio::time::sleep(Duration::from_secs(1)).await;
         cluster.put_in_force(&cluster.usual_config(2, "1", "/moved")).await;
-        tokio::time::sleep(LONGER_THAN_FRESH).await;
+        tokio::time::sleep(BEYOND_FRESHNESS).await;
         paused.process.signal("CONT");
         let mut served = 0;
         let until = Instant::now() + Duration::from_secs(5);
         while Instant::now() < until && served < 20 {
             let old = cluster.send(paused.callers, Method::GET, "/consent/1", &[], "").await;
             let old = old.expect("an answer");
-            assert_ne!(old.status, StatusCode::OK, "the old configuration is in force");
+            assert_ne!(old.status, StatusCode::OK, "the old configuration is still used");
             let new = cluster.send(paused.callers, Method::GET, "/moved/1", &[], "").await;
             served += u32::from(new.expect("an answer").status == StatusCode::OK);
         }
-        assert_eq!(served, 20, "the new configuration is not in force");
+        assert_eq!(served, 20, "the new configuration is not used");
     });
 }
 
@@ -247,7 +249,7 @@
         let to = cluster.daemons[0].callers;
         let sent = cluster.open(to, Method::POST, "/consent/d", &key, "once");
         let cut = tokio::time::timeout(Duration::from_millis(600), sent).await;
-        assert!(cut.is_err(), "it still runs");
+        assert!(cut.is_err(), "the call should still be running");
         drop(cluster.daemons.remove(0));
         for daemon in &cluster.daemons {
             let again =
@@ -284,7 +286,7 @@
 }
 
 #[test]
-fn a_second_sending_that_times_out_does_not_free_the_key_of_the_first() {
+fn a_retry_that_times_out_does_not_release_the_key_of_the_first_call() {
     run(async {
         let cluster = Cluster::serving(Setup::default()).await;
         for service in &cluster.services {
@@ -292,19 +294,21 @@
         }
         let key = ("idempotency-key", "twice");
         let to = cluster.daemons[0].callers;
-        let patient = [key, ("cherrystand-deadline-ms", "20000")];
-        let first = cluster.send(to, Method::POST, "/consent/t", &patient, "once");
+        let long_deadline = [key, ("cherrystand-deadline-ms", "20000")];
+        let first = cluster.send(to, Method::POST, "/consent/t", &long_deadline, "once");
         let others = async {
             tokio::time::sleep(Duration::from_millis(600)).await;
             cluster.set(cluster.platform.address, json!({"down": true})).await;
-            let hasty = [key, ("cherrystand-deadline-ms", "500")];
-            let second = cluster.send(to, Method::POST, "/consent/t", &hasty, "once").await;
+            let short_deadline = [key, ("cherrystand-deadline-ms", "500")];
+            let second =
+                cluster.send(to, Method::POST, "/consent/t", &short_deadline, "once").await;
             let told = second.expect("an answer").told();
             assert_eq!(told, ("not-run".to_owned(), "keys-out-of-reach".to_owned()));
             cluster.set(cluster.platform.address, json!({"down": false})).await;
             tokio::time::sleep(Duration::from_secs(3)).await;
             let elsewhere = cluster.daemons[1].callers;
-            let third = cluster.send(elsewhere, Method::POST, "/consent/t", &hasty, "once").await;
+            let third =
+                cluster.send(elsewhere, Method::POST, "/consent/t", &short_deadline, "once").await;
             let told = third.expect("an answer").told();
             assert_eq!(told, ("unknown".to_owned(), "key-in-use".to_owned()));
         };
@@ -314,10 +318,10 @@
     });
 }
 
-/// Story: the same as of replicas before routes: an endpoint of a service that turned calls away and asked for
-/// rest got them all the same, since the relay read the refusal and not the wish.
+/// Guards against calls to an endpoint of a service that refused calls and asked for a backoff: the
+/// relay read the refusal and ignored the backoff, as it once did for replicas.
 #[test]
-fn an_endpoint_of_a_service_that_asked_for_rest_is_left_alone() {
+fn a_service_endpoint_that_asked_for_backoff_gets_no_requests() {
     run(async {
         let cluster = Cluster::serving(Setup { daemons: 1, ..Setup::default() }).await;
         let to = cluster.daemons[0].callers;
@@ -325,8 +329,8 @@
             let path = format!("/consent/{number}");
             cluster.send(to, Method::GET, &path, &[], "").await.expect("an answer")
         };
-        let resting = cluster.services[0].address;
-        cluster.set(resting, json!({"rest": "60"})).await;
+        let backing_off = cluster.services[0].address;
+        cluster.set(backing_off, json!({"rest": "60"})).await;
         for number in 0..60 {
             assert_eq!(check(number).await.status, StatusCode::OK, "check {number}");
         }
@@ -334,9 +338,9 @@
             let told = cluster.send(at, Method::GET, "/control/turned-away", &[], "").await;
             serde_json::from_slice::<u32>(&told.expect("a count").body).expect("a count")
         };
-        // Two at once may be on their way as it says so.
-        assert!(turned_away(resting).await <= 2, "{}", turned_away(resting).await);
-        // Where all rest, callers are told so at once and until when.
+        // Two calls may already be on their way when it asks.
+        assert!(turned_away(backing_off).await <= 2, "{}", turned_away(backing_off).await);
+        // If all endpoints back off, callers are refused at once and told when to retry.
         for service in &cluster.services {
             cluster.set(service.address, json!({"rest": "60"})).await;
         }
--- a/crates/cherrystandd/tests/operators.rs
+++ b/crates/cherrystandd/tests/operators.rs
@@ -1,4 +1,4 @@
-//! Operators who race, over a platform that loses answers.
+//! Concurrent changes by operators, through a store that loses calls and answers.
 
 mod support;
 
@@ -11,7 +11,7 @@
 use proptest::prelude::*;
 use support::run_on_virtual_time as run;
 
-const RECORD: &str = "cherrystand/shared/workspace/w";
+const RECORD_KEY: &str = "cherrystand/shared/workspace/w";
 
 fn config(number: u32) -> WorkspaceConfig {
     let text = format!(
@@ -19,7 +19,7 @@
          endpoints = [{{ zone = \"z\", address = \"127.0.0.1:9\" }}]\n",
         number + 1
     );
-    WorkspaceConfig::from_toml(&text).expect("a sound configuration")
+    WorkspaceConfig::from_toml(&text).expect("a valid configuration")
 }
 
 fn fault() -> impl Strategy<Value = CallFault> {
@@ -31,56 +31,56 @@
     ]
 }
 
-/// What an operator was told of one change.
+/// The outcome of one change as reported to its operator.
 #[derive(Debug)]
-enum Told {
+enum ChangeOutcome {
     Accepted(PlanId, Generation),
-    NotDone(PlanId),
-    MayBeDone,
+    Rejected(PlanId),
+    Unknown,
 }
 
-async fn change(service: &FakeKeyValue, operator: usize, number: u64) -> Told {
-    let (fleet, held) = (Fleet::default(), BoxesByReplica::new());
-    let write = |sequence| WriteId {
+async fn make_change(store: &FakeKeyValue, operator: usize, number: u64) -> ChangeOutcome {
+    let (fleet, current_boxes) = (Fleet::default(), BoxesByReplica::new());
+    let write_id = |sequence| WriteId {
         node: NodeId::new(format!("n{operator}")),
         incarnation: Incarnation(1),
         sequence,
     };
-    let make = |sequence| WorkspaceChange {
-        store: service,
-        write_id: write(sequence),
+    let new_change = |sequence| WorkspaceChange {
+        store,
+        write_id: write_id(sequence),
         fleet: &fleet,
-        current_boxes: &held,
+        current_boxes: &current_boxes,
     };
-    let wanted = config(operator as u32 * 100 + number as u32);
-    let Ok(planned) = make(number * 2).plan(wanted).await else {
-        return Told::MayBeDone;
+    let config = config(operator as u32 * 100 + number as u32);
+    let Ok(planned) = new_change(number * 2).plan(config).await else {
+        return ChangeOutcome::Unknown;
     };
     let id = planned.result.id;
-    match make(number * 2 + 1).confirm(&id, &format!("operator-{operator}")).await {
-        Ok(written) => Told::Accepted(id, written.result.generation),
-        Err(OperatorError::Confirm(_)) => Told::NotDone(id),
-        Err(_) => Told::MayBeDone,
+    match new_change(number * 2 + 1).confirm(&id, &format!("operator-{operator}")).await {
+        Ok(written) => ChangeOutcome::Accepted(id, written.result.generation),
+        Err(OperatorError::Confirm(_)) => ChangeOutcome::Rejected(id),
+        Err(_) => ChangeOutcome::Unknown,
     }
 }
 
-async fn race(service: &FakeKeyValue, operators: usize, changes: u64) -> Vec<Told> {
+async fn race(store: &FakeKeyValue, operators: usize, changes: u64) -> Vec<ChangeOutcome> {
     let mut tasks = tokio::task::JoinSet::new();
     for operator in 0..operators {
-        let service = service.clone();
+        let store = store.clone();
         tasks.spawn_local(async move {
-            let mut told = Vec::new();
+            let mut outcomes = Vec::new();
             for number in 0..changes {
-                told.push(change(&service, operator, number).await);
+                outcomes.push(make_change(&store, operator, number).await);
             }
-            told
+            outcomes
         });
     }
     tasks.join_all().await.into_iter().flatten().collect()
 }
 
-fn stored(service: &FakeKeyValue) -> Option<WorkspaceRecord> {
-    let text = service.peek(RECORD)?;
+fn stored(store: &FakeKeyValue) -> Option<WorkspaceRecord> {
+    let text = store.peek(RECORD_KEY)?;
     Some(serde_json::from_str(&text).expect("a record"))
 }
 
@@ -88,52 +88,52 @@
     #![proptest_config(ProptestConfig { cases: 256, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn what_operators_are_told_is_what_happened(
+    fn outcomes_reported_to_operators_match_the_stored_record(
         faults in prop::collection::vec(fault(), 0..40),
         operators in 1_usize..4,
         changes in 1_u64..4,
     ) {
-        let service = FakeKeyValue::with_faults(faults);
-        let told = run(race(&service, operators, changes));
-        let Some(record) = stored(&service) else {
-            prop_assert!(told.iter().all(|told| !matches!(told, Told::Accepted(..))));
+        let store = FakeKeyValue::with_faults(faults);
+        let outcomes = run(race(&store, operators, changes));
+        let Some(record) = stored(&store) else {
+            prop_assert!(outcomes.iter().all(|outcome| !matches!(outcome, ChangeOutcome::Accepted(..))));
             return Ok(());
         };
-        let history: Vec<_> = record.history.iter().map(|past| past.generation.0).collect();
+        let history: Vec<_> = record.history.iter().map(|accepted| accepted.generation.0).collect();
         let expected: Vec<u64> = (1..=record.generation.0).collect();
-        prop_assert_eq!(history, expected, "generations do not follow each other");
-        for told in &told {
-            match told {
-                Told::Accepted(id, generation) => {
-                    let found = record.history.iter().filter(|past| &past.plan == id);
-                    let found: Vec<_> = found.map(|past| past.generation).collect();
-                    prop_assert_eq!(found, vec![*generation], "{} was accepted otherwise", id);
+        prop_assert_eq!(history, expected, "generations are not consecutive");
+        for outcome in &outcomes {
+            match outcome {
+                ChangeOutcome::Accepted(id, generation) => {
+                    let found = record.history.iter().filter(|accepted| &accepted.plan == id);
+                    let found: Vec<_> = found.map(|accepted| accepted.generation).collect();
+                    prop_assert_eq!(found, vec![*generation], "{} is otherwise in the history", id);
                 }
-                Told::NotDone(id) => {
-                    let found = record.history.iter().any(|past| &past.plan == id);
-                    prop_assert!(!found, "{} was refused and is in force", id);
+                ChangeOutcome::Rejected(id) => {
+                    let found = record.history.iter().any(|accepted| &accepted.plan == id);
+                    prop_assert!(!found, "{} was rejected but is in the history", id);
                 }
-                Told::MayBeDone => {}
+                ChangeOutcome::Unknown => {}
             }
         }
     }
 }
 
 #[test]
-fn of_two_who_race_one_wins_and_the_other_is_told_who() {
-    let service = FakeKeyValue::default();
-    let (fleet, held) = (Fleet::default(), BoxesByReplica::new());
-    let make = |sequence| WorkspaceChange {
-        store: &service,
+fn a_conflicting_change_fails_and_the_error_names_the_winner() {
+    let store = FakeKeyValue::default();
+    let (fleet, current_boxes) = (Fleet::default(), BoxesByReplica::new());
+    let new_change = |sequence| WorkspaceChange {
+        store: &store,
         write_id: WriteId { node: NodeId::new("n"), incarnation: Incarnation(1), sequence },
         fleet: &fleet,
-        current_boxes: &held,
+        current_boxes: &current_boxes,
     };
     let outcome = run(async {
-        let first = make(0).plan(config(1)).await.expect("a plan").result.id;
-        let second = make(1).plan(config(2)).await.expect("a plan").result.id;
-        make(2).confirm(&second, "huda").await.expect("accepted");
-        make(3).confirm(&first, "omar").await.map(|written| written.result)
+        let first = new_change(0).plan(config(1)).await.expect("a plan").result.id;
+        let second = new_change(1).plan(config(2)).await.expect("a plan").result.id;
+        new_change(2).confirm(&second, "huda").await.expect("accepted");
+        new_change(3).confirm(&first, "omar").await.map(|written| written.result)
     });
     let err = outcome.expect_err("a conflict");
     assert_eq!(err.kind(), "conflict");
--- a/crates/cherrystandd/tests/whole_path.rs
+++ b/crates/cherrystandd/tests/whole_path.rs
@@ -1,4 +1,4 @@
-//! The whole path through real processes: answers, refusals, bad input and the command.
+//! End-to-end tests with real processes: answers, refusals, invalid input and the command line.
 
 mod support;
 
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn a_request_is_answered_whole_through_every_daemon() {
+fn every_daemon_relays_complete_answers() {
     run(async {
         let cluster = Cluster::serving(Setup::default()).await;
         for daemon in 0..cluster.daemons.len() {
@@ -25,16 +25,19 @@
                 let answer = cluster.ask_model(daemon, &text, 5, stream).await.expect("an answer");
                 assert_eq!(answer.headers()["cherrystand-outcome"], "ran");
                 let body = answer.into_body().collect().await.expect("a body").to_bytes();
-                let asked = prompt(&text, 5, stream);
-                let verdict =
-                    if stream { judge_stream(&asked, &body) } else { judge_whole(&asked, &body) };
+                let expected = prompt(&text, 5, stream);
+                let verdict = if stream {
+                    judge_stream(&expected, &body)
+                } else {
+                    judge_whole(&expected, &body)
+                };
                 assert_eq!(verdict, Verdict::Whole);
             }
         }
     });
 }
 
-struct BadInput {
+struct InvalidInput {
     name: &'static str,
     method: Method,
     path: &'static str,
@@ -44,9 +47,9 @@
     reason: &'static str,
 }
 
-fn bad_inputs() -> Vec<BadInput> {
+fn invalid_inputs() -> Vec<InvalidInput> {
     let chat = "/v1/chat/completions";
-    let case = |name, path, headers, body: &str, status, reason| BadInput {
+    let case = |name, path, headers, body: &str, status, reason| InvalidInput {
         name,
         method: Method::POST,
         path,
@@ -68,9 +71,16 @@
             "unknown-target",
         ),
         case("unknown path", "/nowhere", &[], "", 404, "unknown-target"),
-        case("a prefix only in letters", "/consentient", &[], "", 404, "unknown-target"),
         case(
-            "a deadline that is no number",
+            "a path that starts with the same letters",
+            "/consentient",
+            &[],
+            "",
+            404,
+            "unknown-target",
+        ),
+        case(
+            "a deadline that isn't a number",
             "/consent/1",
             &[("cherrystand-deadline-ms", "soon")],
             "",
@@ -87,8 +97,8 @@
             504,
             "deadline-passed",
         ),
-        BadInput {
-            name: "a model asked with GET",
+        InvalidInput {
+            name: "a request to a model with GET",
             method: Method::GET,
             path: chat,
             headers: &[],
@@ -96,7 +106,7 @@
             status: 400,
             reason: "bad-request",
         },
-        BadInput {
+        InvalidInput {
             name: "a body over the limit",
             method: Method::POST,
             path: "/consent/1",
@@ -109,11 +119,11 @@
 }
 
 #[test]
-fn bad_input_gets_a_typed_refusal_and_nothing_is_run() {
+fn invalid_input_is_refused_with_a_reason_and_nothing_is_run() {
     run(async {
         let cluster = Cluster::serving(Setup { daemons: 1, ..Setup::default() }).await;
         let daemon = cluster.daemons[0].callers;
-        for case in bad_inputs() {
+        for case in invalid_inputs() {
             let answer =
                 cluster.send(daemon, case.method, case.path, case.headers, &case.body).await;
             let answer = answer.expect(case.name);
@@ -126,17 +136,17 @@
 }
 
 #[test]
-fn garbage_on_any_port_harms_nobody() {
+fn garbage_on_any_port_does_not_affect_other_connections() {
     run(async {
         let cluster = Cluster::serving(Setup { daemons: 2, ..Setup::default() }).await;
         let daemon = &cluster.daemons[0];
-        // An SP header that announces a request, then a message that is none.
+        // An SP header that announces a request, then a message that isn't one.
         let sp_header = [0, b'S', b'P', 0, 0, 0x30, 0, 0];
         let message = [&8_u64.to_be_bytes()[..], &[0x80, 0, 0, 1, 0xff, 0xff, 0xff, 0xff]].concat();
         for port in [daemon.callers, daemon.operators, daemon.peers] {
             for bytes in [&[0_u8; 4096][..], b"GET / HTTP/9.9\r\n\r\n", &sp_header, &message] {
                 let mut stream = TcpStream::connect(port).expect("a connection");
-                // The other side may close at once.
+                // The daemon may close the connection at once.
                 let _ = stream.write_all(bytes);
             }
         }
@@ -153,74 +163,74 @@
 }
 
 #[test]
-fn a_claimed_key_answers_everywhere_as_it_ended() {
+fn every_daemon_answers_a_claimed_key_with_its_outcome() {
     run(async {
         let cluster = Cluster::serving(Setup::default()).await;
         let key = [("idempotency-key", "story-1")];
         let first = cluster.daemons[0].callers;
         let sent = cluster.send(first, Method::POST, "/consent/story", &key, "once").await;
         assert_eq!(sent.expect("an answer").status, StatusCode::OK);
-        let again = |daemon: usize| {
+        let resend = |daemon: usize| {
             let at = cluster.daemons[daemon].callers;
             cluster.send(at, Method::POST, "/consent/story", &key, "once")
         };
         for daemon in 0..3 {
-            let answered = || async {
-                let told = again(daemon).await.expect("an answer").told();
+            let is_recorded = || async {
+                let told = resend(daemon).await.expect("an answer").told();
                 told == ("ran".to_owned(), "key-in-use".to_owned())
             };
-            cluster.until("the key tells that it ran", answered).await;
+            cluster.until("the claim says that the call ran", is_recorded).await;
         }
         assert_eq!(cluster.service_executions().await["story-1"], 1);
     });
 }
 
 #[test]
-fn the_command_says_by_its_exit_code_what_became_of_it() {
+fn the_exit_code_of_the_command_tells_its_outcome() {
     run(async {
         let cluster = Cluster::serving(Setup::default()).await;
-        let one = cluster.plan(&cluster.usual_config(2, "2", "/consent"));
-        let two = cluster.plan(&cluster.usual_config(2, "3", "/consent"));
+        let first = cluster.plan(&cluster.usual_config(2, "2", "/consent"));
+        let second = cluster.plan(&cluster.usual_config(2, "3", "/consent"));
         struct Case<'a> {
             args: Vec<&'a str>,
             code: i32,
-            says: &'a str,
+            output: &'a str,
         }
         let bad = cluster.write_file("bad.toml", "workspace = \"w\"\nworkspaces = 2\n");
         let big = cluster.write_file("big.toml", &cluster.usual_config(9, "1", "/consent"));
         let cases = [
-            Case { args: vec!["status"], code: 0, says: "w/g" },
-            Case { args: vec!["plan", "/no/such/file"], code: 1, says: "cannot be read" },
+            Case { args: vec!["status"], code: 0, output: "w/g" },
+            Case { args: vec!["plan", "/no/such/file"], code: 1, output: "cannot be read" },
             Case {
                 args: vec!["plan", &bad],
                 code: 2,
-                says: "line 2: key `workspaces`: unknown field",
+                output: "line 2: key `workspaces`: unknown field",
             },
-            Case { args: vec!["plan", &big], code: 2, says: "needs 2 free boxes in one domain" },
-            Case { args: vec!["confirm", "w.00000000"], code: 2, says: "is not pending" },
-            Case { args: vec!["confirm", &one], code: 0, says: "accepted as generation 2" },
-            Case { args: vec!["confirm", &two], code: 3, says: "made it 2 first" },
-            Case { args: vec!["explain", "w/g/0"], code: 0, says: "every member acknowledged" },
+            Case { args: vec!["plan", &big], code: 2, output: "needs 2 free boxes in one domain" },
+            Case { args: vec!["confirm", "w.00000000"], code: 2, output: "is not pending" },
+            Case { args: vec!["confirm", &first], code: 0, output: "accepted as generation 2" },
+            Case { args: vec!["confirm", &second], code: 3, output: "made it 2 first" },
+            Case { args: vec!["explain", "w/g/0"], code: 0, output: "every member acknowledged" },
             Case {
                 args: vec!["explain", "nothing"],
                 code: 2,
-                says: "there is no replica or request",
+                output: "there is no replica or request",
             },
-            Case { args: vec!["history"], code: 0, says: "w generation 2" },
+            Case { args: vec!["history"], code: 0, output: "w generation 2" },
         ];
         for case in cases {
             let out = cluster.cli(&case.args);
             let text = String::from_utf8_lossy(&[out.stdout, out.stderr].concat()).into_owned();
             assert_eq!(out.status.code(), Some(case.code), "{:?}: {text}", case.args);
-            assert!(text.contains(case.says), "{:?}: {text}", case.args);
+            assert!(text.contains(case.output), "{:?}: {text}", case.args);
         }
-        let nobody = "127.0.0.1:1".parse().expect("an address");
-        assert_eq!(cluster.cli_at(nobody, &["status"]).status.code(), Some(4));
+        let unused = "127.0.0.1:1".parse().expect("an address");
+        assert_eq!(cluster.cli_at(unused, &["status"]).status.code(), Some(4));
     });
 }
 
 #[test]
-fn an_operator_can_ask_why_a_request_was_decided_so() {
+fn an_operator_can_look_up_the_decisions_on_a_request() {
     run(async {
         let cluster = Cluster::serving(Setup { daemons: 1, ..Setup::default() }).await;
         let daemon = cluster.daemons[0].callers;
