--- a/crates/cherrystand_core/src/requests/outcome.rs
+++ b/crates/cherrystand_core/src/requests/outcome.rs
@@ -47,7 +47,7 @@
     /// Another attempt for the same request was faster.
     Overtaken,
     /// The caller disconnected before the answer was complete.
-    CallerLeft,
+    CallerDisconnected,
     /// The whole answer arrived.
     Answered,
 }
@@ -64,7 +64,7 @@
         Self::AnswerCut,
         Self::ReplicaLost,
         Self::Overtaken,
-        Self::CallerLeft,
+        Self::CallerDisconnected,
         Self::Answered,
     ];
 
@@ -82,7 +82,7 @@
             | Self::AnswerCut
             | Self::ReplicaLost
             | Self::Overtaken
-            | Self::CallerLeft => Outcome::Unknown,
+            | Self::CallerDisconnected => Outcome::Unknown,
             Self::Answered => Outcome::Ran,
         }
     }
@@ -99,13 +99,13 @@
             Self::AnswerCut => "answer-cut",
             Self::ReplicaLost => "replica-lost",
             Self::Overtaken => "overtaken",
-            Self::CallerLeft => "caller-left",
+            Self::CallerDisconnected => "caller-left",
             Self::Answered => "answered",
         }
     }
 
     /// Tells whether the end counts as a failure of the endpoint.
     pub fn is_endpoint_failure(self) -> bool {
-        !matches!(self, Self::CallerLeft | Self::Answered | Self::Refused)
+        !matches!(self, Self::CallerDisconnected | Self::Answered | Self::Refused)
     }
 }
--- a/crates/cherrystand_core/src/requests/retry.rs
+++ b/crates/cherrystand_core/src/requests/retry.rs
@@ -76,7 +76,7 @@
     /// The request's body was not kept.
     NotReplayable,
     /// The caller disconnected.
-    CallerLeft,
+    CallerDisconnected,
     /// The request has used all its attempts.
     AttemptsSpent,
     /// The time left is too short for another attempt.
@@ -91,7 +91,7 @@
         Self::NotRepeatable,
         Self::AnswerBegun,
         Self::NotReplayable,
-        Self::CallerLeft,
+        Self::CallerDisconnected,
         Self::AttemptsSpent,
         Self::NoTime,
         Self::BudgetSpent,
@@ -103,7 +103,7 @@
             Self::NotRepeatable => "not-repeatable",
             Self::AnswerBegun => "answer-begun",
             Self::NotReplayable => "not-replayable",
-            Self::CallerLeft => "caller-left",
+            Self::CallerDisconnected => "caller-left",
             Self::AttemptsSpent => "attempts-spent",
             Self::NoTime => "no-time",
             Self::BudgetSpent => "budget-spent",
@@ -117,8 +117,8 @@
 ///
 /// Returns the reason why the attempt is not retried.
 pub fn decide_retry(failed: &FailedAttempt, budget: &mut RetryBudget) -> Result<(), NoRetry> {
-    if failed.end == AttemptEnd::CallerLeft {
-        return Err(NoRetry::CallerLeft);
+    if failed.end == AttemptEnd::CallerDisconnected {
+        return Err(NoRetry::CallerDisconnected);
     }
     if failed.answer_started {
         return Err(NoRetry::AnswerBegun);
--- a/crates/cherrystand_core/src/site/stream_end.rs
+++ b/crates/cherrystand_core/src/site/stream_end.rs
@@ -16,7 +16,7 @@
     /// The deadline of the caller or of the route passed.
     DeadlinePassed,
     /// The caller disconnected, or the connection to it failed.
-    CallerLeft,
+    CallerDisconnected,
     /// The caller didn't read for so long that the endpoint broke the stream off.
     CallerSlow,
     /// Endpoints broke it off, and no other one could continue it.
@@ -30,7 +30,7 @@
     pub const ALL: [Self; 6] = [
         Self::Whole,
         Self::DeadlinePassed,
-        Self::CallerLeft,
+        Self::CallerDisconnected,
         Self::CallerSlow,
         Self::BrokenOff,
         Self::ReplicaLost,
@@ -57,7 +57,7 @@
         match self {
             Self::Whole => "whole",
             Self::DeadlinePassed => "deadline-passed",
-            Self::CallerLeft => "caller-left",
+            Self::CallerDisconnected => "caller-left",
             Self::CallerSlow => "caller-slow",
             Self::BrokenOff => "broken-off",
             Self::ReplicaLost => "replica-lost",
--- a/crates/cherrystand_core/tests/outcomes.rs
+++ b/crates/cherrystand_core/tests/outcomes.rs
@@ -24,7 +24,7 @@
         case(AttemptEnd::AnswerCut, Outcome::Unknown, true),
         case(AttemptEnd::ReplicaLost, Outcome::Unknown, true),
         case(AttemptEnd::Overtaken, Outcome::Unknown, true),
-        case(AttemptEnd::CallerLeft, Outcome::Unknown, false),
+        case(AttemptEnd::CallerDisconnected, Outcome::Unknown, false),
         case(AttemptEnd::Answered, Outcome::Ran, false),
     ];
     assert_eq!(cases.len(), AttemptEnd::ALL.len(), "a case for every end");
@@ -79,8 +79,8 @@
         },
         Case {
             name: "the caller disconnected",
-            failed: failed(AttemptEnd::CallerLeft),
-            expected: Err(NoRetry::CallerLeft),
+            failed: failed(AttemptEnd::CallerDisconnected),
+            expected: Err(NoRetry::CallerDisconnected),
         },
         Case {
             name: "all attempts made",
--- a/crates/cherrystand_platform/src/named_limit.rs
+++ b/crates/cherrystand_platform/src/advertised_limit.rs
@@ -4,7 +4,7 @@
 
 /// Says what the head of an answer names of the requests that an endpoint takes from all nodes together.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum NamedLimit {
+pub enum AdvertisedLimit {
     /// It names no limit.
     #[default]
     None,
@@ -14,10 +14,10 @@
     Unreadable,
 }
 
-impl NamedLimit {
+impl AdvertisedLimit {
     /// Reads the texts of all limits in a head, in requests a second; of several the lowest one counts.
     pub fn read<'a>(texts: impl IntoIterator<Item = Option<&'a str>>) -> Self {
-        texts.into_iter().map(read_one).reduce(Self::lower).unwrap_or_default()
+        texts.into_iter().map(parse_limit).reduce(Self::lower).unwrap_or_default()
     }
 
     fn lower(self, other: Self) -> Self {
@@ -29,8 +29,8 @@
     }
 }
 
-fn read_one(text: Option<&str>) -> NamedLimit {
+fn parse_limit(text: Option<&str>) -> AdvertisedLimit {
     let number = text.and_then(|text| text.trim().parse::<f64>().ok());
     let rate = number.and_then(RequestRate::per_second);
-    rate.map_or(NamedLimit::Unreadable, NamedLimit::PerSecond)
+    rate.map_or(AdvertisedLimit::Unreadable, AdvertisedLimit::PerSecond)
 }
--- a/crates/cherrystand_platform/src/boot_time.rs
+++ b/crates/cherrystand_platform/src/boot_time.rs
@@ -6,7 +6,7 @@
 use rustix::time::{ClockId, clock_gettime};
 
 /// By how much the clock runs ahead of the machine's, in milliseconds; only tests set it.
-static AHEAD_MS: AtomicU64 = AtomicU64::new(0);
+static OFFSET_MS: AtomicU64 = AtomicU64::new(0);
 
 /// Returns the time since the machine's start, the time for which it was suspended included.
 ///
@@ -14,11 +14,11 @@
 /// the deadlines of its callers, would count as fresh for as long again.
 pub fn since_boot() -> Duration {
     let now = clock_gettime(ClockId::Boottime);
-    let ahead = Duration::from_millis(AHEAD_MS.load(Ordering::Relaxed));
-    Duration::new(now.tv_sec as u64, now.tv_nsec as u32) + ahead
+    let offset = Duration::from_millis(OFFSET_MS.load(Ordering::Relaxed));
+    Duration::new(now.tv_sec as u64, now.tv_nsec as u32) + offset
 }
 
 /// Moves the clock on as a suspension does, which no timer counts; for tests.
-pub fn jump_ahead(span: Duration) {
-    AHEAD_MS.fetch_add(span.as_millis() as u64, Ordering::Relaxed);
+pub fn advance_clock(span: Duration) {
+    OFFSET_MS.fetch_add(span.as_millis() as u64, Ordering::Relaxed);
 }
--- a/crates/cherrystand_platform/src/caller_body.rs
+++ b/crates/cherrystand_platform/src/caller_body.rs
@@ -8,34 +8,34 @@
 use hyper::body::{Body, Frame, SizeHint};
 use tokio::sync::{OwnedSemaphorePermit, Semaphore, mpsc};
 
-use crate::{HeldBytes, HeldShare};
+use crate::{BufferBudget, BufferReservation};
 
 /// Tells that an answer ends before it is whole.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("the answer broke off")]
-pub struct BrokeOff;
+pub struct IncompleteAnswer;
 
 /// Tells that the caller takes nothing more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("the caller has left")]
-pub struct CallerLeft;
+pub struct CallerDisconnected;
 
 /// How many parts of a stream wait for a caller that reads slowly, at the most.
-const PARTS_WAITING: usize = 16;
+const MAX_QUEUED_CHUNKS: usize = 16;
 
-/// How many bytes of them wait, at the most; a larger part waits alone.
-const BYTES_WAITING: usize = 16 << 10;
+/// How many bytes of them wait, at the most; a larger chunk waits alone.
+const MAX_QUEUED_BYTES: usize = 16 << 10;
 
 /// In how large pieces an answer that is held whole goes out: what is written of it is held no more.
-const PIECE: usize = 16 << 10;
+const MAX_FRAME_BYTES: usize = 16 << 10;
 
 /// What is passed on to a caller.
-enum Part {
+enum Chunk {
     /// Events, and the room that they take while they wait.
     Events {
         bytes: Bytes,
-        _room: OwnedSemaphorePermit,
-        _held: HeldShare,
+        _queue_permit: OwnedSemaphorePermit,
+        _reservation: BufferReservation,
     },
     End,
 }
@@ -46,11 +46,11 @@
 /// that, whatever the reason, the caller's connection is cut: a stream whose task had panicked ended
 /// as if it were whole.
 pub struct EventSender {
-    tx: mpsc::Sender<Part>,
+    tx: mpsc::Sender<Chunk>,
     /// The bytes that may wait beside those that do.
-    room: Arc<Semaphore>,
+    queue_space: Arc<Semaphore>,
     /// Counts those that do.
-    held: HeldBytes,
+    budget: BufferBudget,
 }
 
 impl EventSender {
@@ -58,23 +58,31 @@
     ///
     /// # Errors
     ///
-    /// Returns [`CallerLeft`] where nobody takes them.
-    pub async fn pass(&self, events: Bytes) -> Result<(), CallerLeft> {
-        let size = events.len().min(BYTES_WAITING) as u32;
+    /// Returns [`CallerDisconnected`] where nobody takes them.
+    pub async fn send(&self, events: Bytes) -> Result<(), CallerDisconnected> {
+        let size = events.len().min(MAX_QUEUED_BYTES) as u32;
         // Events that wait are dropped with their caller, and so their room is free again.
-        let room = self.room.clone().acquire_many_owned(size).await.map_err(|_| CallerLeft)?;
-        let part =
-            Part::Events { _held: self.held.count(events.len()), bytes: events, _room: room };
-        self.tx.send(part).await.map_err(|_| CallerLeft)
+        let permit = self
+            .queue_space
+            .clone()
+            .acquire_many_owned(size)
+            .await
+            .map_err(|_| CallerDisconnected)?;
+        let chunk = Chunk::Events {
+            _reservation: self.budget.reserve_unchecked(events.len()),
+            bytes: events,
+            _queue_permit: permit,
+        };
+        self.tx.send(chunk).await.map_err(|_| CallerDisconnected)
     }
 
     /// Ends the answer, which is whole.
     ///
     /// # Errors
     ///
-    /// Returns [`CallerLeft`] where nobody takes the end.
-    pub async fn end(&self) -> Result<(), CallerLeft> {
-        self.tx.send(Part::End).await.map_err(|_| CallerLeft)
+    /// Returns [`CallerDisconnected`] where nobody takes the end.
+    pub async fn end(&self) -> Result<(), CallerDisconnected> {
+        self.tx.send(Chunk::End).await.map_err(|_| CallerDisconnected)
     }
 
     /// Waits until the caller takes nothing more.
@@ -87,13 +95,13 @@
 pub struct CallerBody(Kind);
 
 enum Kind {
-    /// What is left of an answer, and the room that it takes until it is written.
+    /// What is remaining of an answer, and the room that it takes until it is written.
     Whole {
-        left: Bytes,
-        _held: Option<HeldShare>,
+        remaining: Bytes,
+        _reservation: Option<BufferReservation>,
     },
-    Passed {
-        rx: mpsc::Receiver<Part>,
+    Stream {
+        rx: mpsc::Receiver<Chunk>,
         ended: bool,
     },
 }
@@ -101,48 +109,48 @@
 impl CallerBody {
     /// Makes a body out of bytes.
     pub fn whole(bytes: impl Into<Bytes>) -> Self {
-        Self(Kind::Whole { left: bytes.into(), _held: None })
+        Self(Kind::Whole { remaining: bytes.into(), _reservation: None })
     }
 
     /// Makes a body out of bytes that take up room until they are written.
-    pub fn held(bytes: Bytes, share: HeldShare) -> Self {
-        Self(Kind::Whole { left: bytes, _held: Some(share) })
+    pub fn reserved(bytes: Bytes, reservation: BufferReservation) -> Self {
+        Self(Kind::Whole { remaining: bytes, _reservation: Some(reservation) })
     }
 
     /// Makes a body that is passed on event by event.
     ///
-    /// What waits for its caller is counted in `held`.
-    pub fn events(held: HeldBytes) -> (EventSender, Self) {
-        let (tx, rx) = mpsc::channel(PARTS_WAITING);
-        let room = Arc::new(Semaphore::new(BYTES_WAITING));
-        (EventSender { tx, room, held }, Self(Kind::Passed { rx, ended: false }))
+    /// What waits for its caller is counted in `budget`.
+    pub fn event_stream(budget: BufferBudget) -> (EventSender, Self) {
+        let (tx, rx) = mpsc::channel(MAX_QUEUED_CHUNKS);
+        let queue_space = Arc::new(Semaphore::new(MAX_QUEUED_BYTES));
+        (EventSender { tx, queue_space, budget }, Self(Kind::Stream { rx, ended: false }))
     }
 }
 
 impl Body for CallerBody {
     type Data = Bytes;
-    type Error = BrokeOff;
+    type Error = IncompleteAnswer;
 
     fn poll_frame(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, BrokeOff>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, IncompleteAnswer>>> {
         match &mut self.get_mut().0 {
-            Kind::Whole { left, .. } if left.is_empty() => Poll::Ready(None),
-            Kind::Whole { left, .. } => {
-                let piece = left.split_to(PIECE.min(left.len()));
-                Poll::Ready(Some(Ok(Frame::data(piece))))
+            Kind::Whole { remaining, .. } if remaining.is_empty() => Poll::Ready(None),
+            Kind::Whole { remaining, .. } => {
+                let frame = remaining.split_to(MAX_FRAME_BYTES.min(remaining.len()));
+                Poll::Ready(Some(Ok(Frame::data(frame))))
             }
-            Kind::Passed { ended: true, .. } => Poll::Ready(None),
-            Kind::Passed { rx, ended } => rx.poll_recv(cx).map(|part| match part {
-                Some(Part::Events { bytes, .. }) => Some(Ok(Frame::data(bytes))),
-                Some(Part::End) => {
+            Kind::Stream { ended: true, .. } => Poll::Ready(None),
+            Kind::Stream { rx, ended } => rx.poll_recv(cx).map(|chunk| match chunk {
+                Some(Chunk::Events { bytes, .. }) => Some(Ok(Frame::data(bytes))),
+                Some(Chunk::End) => {
                     *ended = true;
                     None
                 }
                 None => {
                     *ended = true;
-                    Some(Err(BrokeOff))
+                    Some(Err(IncompleteAnswer))
                 }
             }),
         }
@@ -150,15 +158,15 @@
 
     fn is_end_stream(&self) -> bool {
         match &self.0 {
-            Kind::Whole { left, .. } => left.is_empty(),
-            Kind::Passed { ended, .. } => *ended,
+            Kind::Whole { remaining, .. } => remaining.is_empty(),
+            Kind::Stream { ended, .. } => *ended,
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match &self.0 {
-            Kind::Whole { left, .. } => SizeHint::with_exact(left.len() as u64),
-            Kind::Passed { .. } => SizeHint::default(),
+            Kind::Whole { remaining, .. } => SizeHint::with_exact(remaining.len() as u64),
+            Kind::Stream { .. } => SizeHint::default(),
         }
     }
 }
--- a/crates/cherrystand_platform/src/endpoint_pool.rs
+++ b/crates/cherrystand_platform/src/endpoint_pool.rs
@@ -17,7 +17,7 @@
 }
 
 impl EndpointPool {
-    /// Sends a request and returns the answer once its head is there; `keep` idle connections are kept to the address
+    /// Sends a request and returns the answer once its head is there; `max_idle` idle connections are kept to the address
     /// at the most.
     ///
     /// # Errors
@@ -26,11 +26,11 @@
     pub async fn send(
         &self,
         _permit: SendPermit,
-        keep: usize,
+        max_idle: usize,
         address: SocketAddr,
         req: Request<Full<Bytes>>,
-        connect_within: Duration,
+        connect_timeout: Duration,
     ) -> Result<Response<PooledBody>, SendError> {
-        self.connections.send_keeping(keep, address, req, connect_within).await
+        self.connections.send_with_max_idle(max_idle, address, req, connect_timeout).await
     }
 }
--- a/crates/cherrystand_platform/src/engine_client.rs
+++ b/crates/cherrystand_platform/src/engine_client.rs
@@ -10,7 +10,7 @@
 use crate::{CallError, HttpPool, call, to_json};
 
 /// How long an engine may take to answer.
-const CALL_WITHIN: Duration = Duration::from_millis(800);
+const CALL_TIMEOUT: Duration = Duration::from_millis(800);
 
 /// The header that names the epoch a request is meant for.
 pub const EPOCH_HEADER: &str = "cherrystand-epoch";
@@ -46,7 +46,7 @@
     /// Returns an [`EngineError`] when it does not answer in time.
     pub async fn report(&self, address: SocketAddr) -> Result<EngineReport, EngineError> {
         let answer =
-            call(&self.pool, address, Method::GET, "/engine/report", Bytes::new(), CALL_WITHIN)
+            call(&self.pool, address, Method::GET, "/engine/report", Bytes::new(), CALL_TIMEOUT)
                 .await?;
         match answer.status {
             StatusCode::OK => Ok(answer.json()?),
@@ -62,7 +62,7 @@
     pub async fn order(&self, address: SocketAddr, order: &Order) -> Result<(), EngineError> {
         let body = to_json(order)?;
         let answer =
-            call(&self.pool, address, Method::POST, "/engine/order", body, CALL_WITHIN).await?;
+            call(&self.pool, address, Method::POST, "/engine/order", body, CALL_TIMEOUT).await?;
         match answer.status {
             StatusCode::OK => Ok(()),
             StatusCode::CONFLICT => Err(EngineError::Fenced(order.epoch)),
--- a/crates/cherrystand_platform/src/http_pool.rs
+++ b/crates/cherrystand_platform/src/http_pool.rs
@@ -41,28 +41,28 @@
     NotSent(#[source] hyper::Error),
     /// The connection failed after a byte of the request may have been written.
     #[error("the connection failed before the answer began")]
-    Cut(#[source] hyper::Error),
+    ConnectionLost(#[source] hyper::Error),
 }
 
 /// How long an idle connection is kept at the longest; endpoints commonly close theirs after five seconds, and
 /// a request that meets the closing has an unknown outcome.
-const IDLE_LIFE: Duration = Duration::from_secs(4);
+const MAX_IDLE_TIME: Duration = Duration::from_secs(4);
 
 /// The part of the time that the other end gives a connection for which it is kept.
-const KEPT_PART: f64 = 0.8;
+const KEEP_ALIVE_FRACTION: f64 = 0.8;
 
 /// Returns for how long a connection is kept idle after an answer with this head.
-fn idle_life(head: &HeaderMap) -> Duration {
+fn idle_timeout(head: &HeaderMap) -> Duration {
     const KEEP_ALIVE: &str = "keep-alive";
     let values = head.get_all(KEEP_ALIVE).into_iter().filter_map(|value| value.to_str().ok());
     let mut params = values.flat_map(|value| value.split(','));
     let secs: Option<u32> = params.find_map(|param| {
         let (name, value) = param.split_once('=')?;
-        let is_time = name.trim().eq_ignore_ascii_case("timeout");
-        is_time.then(|| value.trim().parse().ok()).flatten()
+        let is_timeout = name.trim().eq_ignore_ascii_case("timeout");
+        is_timeout.then(|| value.trim().parse().ok()).flatten()
     });
-    let told = secs.map(|secs| Duration::from_secs(secs.into()).mul_f64(KEPT_PART));
-    told.map_or(IDLE_LIFE, |told| told.min(IDLE_LIFE))
+    let requested = secs.map(|secs| Duration::from_secs(secs.into()).mul_f64(KEEP_ALIVE_FRACTION));
+    requested.map_or(MAX_IDLE_TIME, |requested| requested.min(MAX_IDLE_TIME))
 }
 
 struct Connection {
@@ -72,9 +72,9 @@
     /// On the clock that counts suspended time: peers close what rests meanwhile.
     idle_since: Duration,
     /// For how long it may rest.
-    rests_for: Duration,
+    idle_timeout: Duration,
     /// How many idle ones are kept to its address.
-    keep: usize,
+    max_idle: usize,
 }
 
 impl Drop for Connection {
@@ -104,38 +104,38 @@
         &self,
         address: SocketAddr,
         req: Request<Full<Bytes>>,
-        connect_within: Duration,
+        connect_timeout: Duration,
     ) -> Result<Response<PooledBody>, SendError> {
-        self.send_keeping(DEFAULT_IDLE_CONNECTIONS, address, req, connect_within).await
+        self.send_with_max_idle(DEFAULT_IDLE_CONNECTIONS, address, req, connect_timeout).await
     }
 
-    /// The same to an address to which `keep` idle connections are kept at the most.
+    /// The same to an address to which `max_idle` idle connections are kept at the most.
     ///
     /// # Errors
     ///
     /// Those of [`HttpPool::send`].
-    pub async fn send_keeping(
+    pub async fn send_with_max_idle(
         &self,
-        keep: usize,
+        max_idle: usize,
         address: SocketAddr,
         req: Request<Full<Bytes>>,
-        connect_within: Duration,
+        connect_timeout: Duration,
     ) -> Result<Response<PooledBody>, SendError> {
         let mut req = req;
         while let Some(mut conn) = self.take_idle(address) {
-            conn.keep = keep;
+            conn.max_idle = max_idle;
             match self.exchange(conn, req).await {
                 Ok(answer) => return Ok(answer),
                 Err((SendError::NotSent(_), Some(unsent))) => req = unsent,
                 Err((err, _)) => return Err(err),
             }
         }
-        let conn = connect(keep, address, connect_within).await?;
+        let conn = connect(max_idle, address, connect_timeout).await?;
         self.exchange(conn, req).await.map_err(|(err, _)| err)
     }
 
     /// Closes all idle connections.
-    pub fn forget_idle(&self) {
+    pub fn close_idle(&self) {
         self.idle.borrow_mut().clear();
     }
 
@@ -143,7 +143,8 @@
         let mut idle = self.idle.borrow_mut();
         let list = idle.get_mut(&address)?;
         while let Some(conn) = list.pop() {
-            if conn.send.is_ready() && since_boot().saturating_sub(conn.idle_since) < conn.rests_for
+            if conn.send.is_ready()
+                && since_boot().saturating_sub(conn.idle_since) < conn.idle_timeout
             {
                 return Some(conn);
             }
@@ -151,11 +152,11 @@
         None
     }
 
-    fn give_back(&self, mut conn: Connection) {
+    fn release(&self, mut conn: Connection) {
         conn.idle_since = since_boot();
         let mut idle = self.idle.borrow_mut();
         let list = idle.entry(conn.address).or_default();
-        if list.len() < conn.keep {
+        if list.len() < conn.max_idle {
             list.push(conn);
         }
     }
@@ -167,23 +168,23 @@
     ) -> Result<Response<PooledBody>, (SendError, Option<Request<Full<Bytes>>>)> {
         match conn.send.try_send_request(req).await {
             Ok(answer) => {
-                conn.rests_for = idle_life(answer.headers());
+                conn.idle_timeout = idle_timeout(answer.headers());
                 Ok(answer.map(|body| PooledBody { body, conn: Some(conn), pool: self.clone() }))
             }
-            Err(mut failed) => match failed.take_message() {
-                Some(unsent) => Err((SendError::NotSent(failed.into_error()), Some(unsent))),
-                None => Err((SendError::Cut(failed.into_error()), None)),
+            Err(mut failure) => match failure.take_message() {
+                Some(unsent) => Err((SendError::NotSent(failure.into_error()), Some(unsent))),
+                None => Err((SendError::ConnectionLost(failure.into_error()), None)),
             },
         }
     }
 }
 
 async fn connect(
-    keep: usize,
+    max_idle: usize,
     address: SocketAddr,
-    within: Duration,
+    timeout: Duration,
 ) -> Result<Connection, SendError> {
-    let stream = tokio::time::timeout(within, TcpStream::connect(address))
+    let stream = tokio::time::timeout(timeout, TcpStream::connect(address))
         .await
         .map_err(|_| SendError::ConnectTimedOut(address))?
         .map_err(|source| SendError::Connect { address, source })?;
@@ -196,7 +197,14 @@
         // The request's own future reports the failure.
         let _ = conn.await;
     });
-    Ok(Connection { address, send, driver, idle_since: since_boot(), rests_for: IDLE_LIFE, keep })
+    Ok(Connection {
+        address,
+        send,
+        driver,
+        idle_since: since_boot(),
+        idle_timeout: MAX_IDLE_TIME,
+        max_idle,
+    })
 }
 
 /// The body of an answer; it gives its connection back when it has been read to the end.
@@ -224,7 +232,7 @@
         let polled = Pin::new(&mut self.body).poll_frame(cx);
         let ended = matches!(polled, Poll::Ready(None)) || self.body.is_end_stream();
         if ended && let Some(conn) = self.conn.take() {
-            self.pool.give_back(conn);
+            self.pool.release(conn);
         }
         polled
     }
@@ -244,7 +252,7 @@
         if self.body.is_end_stream()
             && let Some(conn) = self.conn.take()
         {
-            self.pool.give_back(conn);
+            self.pool.release(conn);
         }
     }
 }
--- a/crates/cherrystand_platform/src/http_server.rs
+++ b/crates/cherrystand_platform/src/http_server.rs
@@ -20,14 +20,14 @@
 ///
 /// It has to exceed the time for which balancers keep idle connections, or they would meet
 /// connections that have just been closed.
-const HEAD_WITHIN: Duration = Duration::from_secs(75);
+const HEAD_READ_TIMEOUT: Duration = Duration::from_secs(75);
 
 /// The largest head of a request or of an answer, in bytes, and what is held for one connection beside it; a
 /// request with a larger head is answered with status 431.
 pub const MAX_HEAD_BYTES: usize = 64 << 10;
 
 /// How long accepting pauses after the system refused a connection, as when descriptors run out.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// Serves connections until `stop` turns true, then finishes the requests in flight.
 ///
@@ -46,10 +46,10 @@
         tokio::select! {
             accepted = listener.accept() => match accepted {
                 Ok((stream, _)) => {
-                    let served = serve_connection(stream, handle.clone(), stop.clone());
-                    connections.spawn_local(served);
+                    let connection = serve_connection(stream, handle.clone(), stop.clone());
+                    connections.spawn_local(connection);
                 }
-                Err(_) => tokio::time::sleep(ACCEPT_PAUSE).await,
+                Err(_) => tokio::time::sleep(ACCEPT_RETRY_DELAY).await,
             },
             _ = stopping.wait_for(|stop| *stop) => break,
             Some(_) = connections.join_next() => {}
@@ -77,7 +77,7 @@
     });
     let conn = http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(HEAD_WITHIN)
+        .header_read_timeout(HEAD_READ_TIMEOUT)
         .max_buf_size(MAX_HEAD_BYTES)
         .serve_connection(TokioIo::new(stream), service);
     let mut conn = std::pin::pin!(conn);
--- a/crates/cherrystand_platform/src/json_call.rs
+++ b/crates/cherrystand_platform/src/json_call.rs
@@ -12,11 +12,11 @@
 use crate::{BoxCall, HttpPool, SendError};
 
 /// The largest answer that is read, in bytes; the platform's lists are the largest.
-const LARGEST_ANSWER: usize = 32 << 20;
+const MAX_ANSWER_BYTES: usize = 32 << 20;
 
 /// A connection may take this part of a call's time, so that one that does not come about is told
 /// from an answer that does not come.
-const CONNECT_PART: u32 = 2;
+const CONNECT_TIMEOUT_DIVISOR: u32 = 2;
 
 /// Tells why a call brought no usable answer.
 #[derive(Debug, thiserror::Error)]
@@ -29,13 +29,13 @@
     TimedOut(Duration),
     /// The answer broke off; the call may have taken effect.
     #[error("the answer broke off: {0}")]
-    AnswerCut(String),
+    AnswerInterrupted(String),
     /// The answer is not what the protocol says.
     #[error("the answer is malformed")]
     Malformed(#[source] serde_json::Error),
     /// The request itself cannot be put into HTTP.
     #[error("the request cannot be sent")]
-    BadRequest(#[source] hyper::http::Error),
+    InvalidRequest(#[source] hyper::http::Error),
 }
 
 /// Holds the answer to a short call.
@@ -72,10 +72,10 @@
     method: Method,
     path: &str,
     body: Bytes,
-    within: Duration,
+    timeout: Duration,
 ) -> Result<Answer, CallError> {
-    let out = BoxCall { method, path: path.to_owned(), headers: HeaderMap::new(), body };
-    call_with(pool, address, out, within).await
+    let request = BoxCall { method, path: path.to_owned(), headers: HeaderMap::new(), body };
+    call_with(pool, address, request, timeout).await
 }
 
 /// Makes a call with headers of its own, as [`call`] does.
@@ -86,29 +86,29 @@
 pub async fn call_with(
     pool: &HttpPool,
     address: SocketAddr,
-    out: BoxCall,
-    within: Duration,
+    request: BoxCall,
+    timeout: Duration,
 ) -> Result<Answer, CallError> {
     let mut req = Request::builder()
-        .method(out.method)
-        .uri(out.path)
+        .method(request.method)
+        .uri(request.path)
         .header("host", address.to_string())
         .header("content-type", "application/json")
-        .body(Full::new(out.body))
-        .map_err(CallError::BadRequest)?;
-    req.headers_mut().extend(out.headers);
+        .body(Full::new(request.body))
+        .map_err(CallError::InvalidRequest)?;
+    req.headers_mut().extend(request.headers);
     let exchange = async {
-        let answer = pool.send(address, req, within / CONNECT_PART).await?;
+        let answer = pool.send(address, req, timeout / CONNECT_TIMEOUT_DIVISOR).await?;
         let (head, body) = answer.into_parts();
-        let body = Limited::new(body, LARGEST_ANSWER)
+        let body = Limited::new(body, MAX_ANSWER_BYTES)
             .collect()
             .await
-            .map_err(|err| CallError::AnswerCut(err.to_string()))?
+            .map_err(|err| CallError::AnswerInterrupted(err.to_string()))?
             .to_bytes();
         Ok(Answer { status: head.status, headers: head.headers, body })
     };
-    let outcome = tokio::time::timeout(within, exchange).await;
-    outcome.unwrap_or(Err(CallError::TimedOut(within)))
+    let outcome = tokio::time::timeout(timeout, exchange).await;
+    outcome.unwrap_or(Err(CallError::TimedOut(timeout)))
 }
 
 /// Writes a value as JSON.
--- a/crates/cherrystand_platform/src/key_value.rs
+++ b/crates/cherrystand_platform/src/key_value.rs
@@ -32,13 +32,13 @@
     },
     /// The service does not remember what changed since the revision asked for.
     #[error("the platform has forgotten its changes since then; read everything anew")]
-    Forgotten,
+    HistoryLost,
     /// The service came back from a copy meanwhile, and gives revisions out again.
     #[error("the platform came back from a copy; read everything anew")]
-    OtherEra,
+    EraChanged,
     /// A page of the service's list does not go on where the one before ended.
     #[error("the platform's list does not go on after `{after}`; read it anew")]
-    ListStuck {
+    ListNotAdvancing {
         /// The last key of the page before.
         after: String,
     },
@@ -53,10 +53,10 @@
     /// # Errors
     ///
     /// Returns the [`PlatformError`] that the status stands for.
-    pub fn check(answer: Answer) -> Result<Answer, Self> {
+    pub fn check_status(answer: Answer) -> Result<Answer, Self> {
         match answer.status {
             StatusCode::TOO_MANY_REQUESTS => Err(Self::RateLimited),
-            StatusCode::GONE => Err(Self::Forgotten),
+            StatusCode::GONE => Err(Self::HistoryLost),
             status if status.is_server_error() => Err(Self::Status(status.as_u16())),
             _ => Ok(answer),
         }
@@ -89,7 +89,7 @@
     /// The records, as they are now.
     pub records: Vec<Document>,
     /// The keys that are gone, where the service tells of these.
-    pub gone: Vec<String>,
+    pub removed: Vec<String>,
 }
 
 /// Reads and writes records that all daemons share.
@@ -130,18 +130,17 @@
     async fn swap(&self, key: &str, expected: Revision, body: &str) -> Result<Swap, PlatformError>;
 
     /// Returns how many answers told an era of the service that could not be used since the last call.
-    fn take_refused_eras(&self) -> u64 {
+    fn take_rejected_era_count(&self) -> u64 {
         0
     }
 
     /// Closes the connections that rest, so that the next calls open new ones.
-    fn forget_connections(&self);
+    fn close_idle_connections(&self);
 
     /// Takes or renews a lease for `holder`.
     ///
     /// # Errors
     ///
     /// Returns a [`PlatformError`] when the service does not answer.
-    async fn lease(&self, name: &str, holder: &str, life: Duration)
-    -> Result<Lease, PlatformError>;
+    async fn lease(&self, name: &str, holder: &str, ttl: Duration) -> Result<Lease, PlatformError>;
 }
--- a/crates/cherrystand_platform/src/lib.rs
+++ b/crates/cherrystand_platform/src/lib.rs
@@ -4,34 +4,36 @@
 //! The traits [`KeyValue`] and [`BoxList`] are what the daemon's duties are written against; the
 //! clients speak HTTP with JSON.
 
-mod asked_rest;
+mod advertised_limit;
+mod body_buffer;
 mod boot_time;
+mod buffer_budget;
 mod caller_body;
 mod endpoint_pool;
 mod engine_client;
-mod held_buf;
-mod held_bytes;
 mod http_pool;
 mod http_server;
-mod inventory_list;
+mod inventory;
 mod json_call;
 mod key_value;
-mod named_limit;
 mod platform_client;
+mod requested_backoff;
 mod site_driver;
 
-pub use asked_rest::AskedRest;
-pub use boot_time::{jump_ahead, since_boot};
-pub use caller_body::{BrokeOff, CallerBody, CallerLeft, EventSender};
+pub use advertised_limit::AdvertisedLimit;
+pub use body_buffer::BodyBuffer;
+pub use boot_time::{advance_clock, since_boot};
+pub use buffer_budget::{BufferBudget, BufferReservation};
+pub use caller_body::{CallerBody, CallerDisconnected, EventSender, IncompleteAnswer};
 pub use endpoint_pool::EndpointPool;
 pub use engine_client::{EPOCH_HEADER, EngineClient, EngineError, NOT_RUN_HEADER};
-pub use held_buf::HeldBuf;
-pub use held_bytes::{HeldBytes, HeldShare};
 pub use http_pool::{HttpPool, PooledBody, SendError};
 pub use http_server::{MAX_HEAD_BYTES, serve_http};
-pub use inventory_list::{BoxList, Inventory};
+pub use inventory::{BoxList, Inventory};
 pub use json_call::{Answer, CallError, call, call_with, to_json};
 pub use key_value::{Changes, KeyValue, Lease, MAX_VALUE_BYTES, PlatformError, Swap};
-pub use named_limit::NamedLimit;
 pub use platform_client::{PlatformClient, WireLease, WireRecord, WireRecords, WireRevision};
-pub use site_driver::{AnswerFacts, AttemptFacts, BoxCall, FormatError, RequestFacts, SiteDriver};
+pub use requested_backoff::RequestedBackoff;
+pub use site_driver::{
+    AnswerHeaders, AttemptHeaders, BoxCall, FormatError, RequestHeaders, SiteDriver,
+};
--- a/crates/cherrystand_platform/src/platform_client.rs
+++ b/crates/cherrystand_platform/src/platform_client.rs
@@ -15,7 +15,7 @@
 };
 
 /// How long a call other than a watch may take.
-const CALL_WITHIN: Duration = Duration::from_millis(1_500);
+const CALL_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 /// One record as the service's protocol carries it.
 #[derive(Clone, Debug, Serialize, Deserialize)]
@@ -69,14 +69,14 @@
         method: Method,
         path: &str,
         body: Bytes,
-        within: Duration,
+        timeout: Duration,
     ) -> Result<Answer, PlatformError> {
-        let answer = call(&self.pool, self.address, method, path, body, within).await?;
-        PlatformError::check(answer)
+        let answer = call(&self.pool, self.address, method, path, body, timeout).await?;
+        PlatformError::check_status(answer)
     }
 
-    async fn read(&self, path: &str, within: Duration) -> Result<Answer, PlatformError> {
-        self.call(Method::GET, path, Bytes::new(), within).await
+    async fn read(&self, path: &str, timeout: Duration) -> Result<Answer, PlatformError> {
+        self.call(Method::GET, path, Bytes::new(), timeout).await
     }
 }
 
@@ -90,18 +90,18 @@
     }
 }
 
-fn changes(answer: &Answer) -> Result<Changes, PlatformError> {
+fn parse_changes(answer: &Answer) -> Result<Changes, PlatformError> {
     let wire: WireRecords = answer.json()?;
     Ok(Changes {
         revision: Revision::new(wire.revision),
         records: wire.records.into_iter().map(Document::from).collect(),
-        gone: Vec::new(),
+        removed: Vec::new(),
     })
 }
 
 impl KeyValue for PlatformClient {
     async fn get(&self, key: &str) -> Result<Option<Document>, PlatformError> {
-        let answer = self.read(&format!("/v1/kv/{key}"), CALL_WITHIN).await?;
+        let answer = self.read(&format!("/v1/kv/{key}"), CALL_TIMEOUT).await?;
         if answer.status == StatusCode::NOT_FOUND {
             return Ok(None);
         }
@@ -110,8 +110,8 @@
     }
 
     async fn list(&self, prefix: &str) -> Result<Changes, PlatformError> {
-        let answer = self.read(&format!("/v1/list/{prefix}"), CALL_WITHIN).await?;
-        changes(&answer)
+        let answer = self.read(&format!("/v1/list/{prefix}"), CALL_TIMEOUT).await?;
+        parse_changes(&answer)
     }
 
     async fn watch(
@@ -122,8 +122,8 @@
     ) -> Result<Changes, PlatformError> {
         let path =
             format!("/v1/watch/{prefix}?after={}&wait-ms={}", after.number(), wait.as_millis());
-        let answer = self.read(&path, wait + CALL_WITHIN).await?;
-        changes(&answer)
+        let answer = self.read(&path, wait + CALL_TIMEOUT).await?;
+        parse_changes(&answer)
     }
 
     async fn swap(&self, key: &str, expected: Revision, body: &str) -> Result<Swap, PlatformError> {
@@ -133,7 +133,7 @@
         }
         let path = format!("/v1/kv/{key}?if-revision={}", expected.number());
         let body = Bytes::copy_from_slice(body.as_bytes());
-        let answer = self.call(Method::PUT, &path, body, CALL_WITHIN).await?;
+        let answer = self.call(Method::PUT, &path, body, CALL_TIMEOUT).await?;
         let wire: WireRevision = answer.json()?;
         match answer.status {
             StatusCode::OK => Ok(Swap::Done(Revision::new(wire.revision))),
@@ -142,18 +142,13 @@
         }
     }
 
-    fn forget_connections(&self) {
-        self.pool.forget_idle();
+    fn close_idle_connections(&self) {
+        self.pool.close_idle();
     }
 
-    async fn lease(
-        &self,
-        name: &str,
-        holder: &str,
-        life: Duration,
-    ) -> Result<Lease, PlatformError> {
-        let path = format!("/v1/lease/{name}?holder={holder}&life-ms={}", life.as_millis());
-        let answer = self.call(Method::PUT, &path, Bytes::new(), CALL_WITHIN).await?;
+    async fn lease(&self, name: &str, holder: &str, ttl: Duration) -> Result<Lease, PlatformError> {
+        let path = format!("/v1/lease/{name}?holder={holder}&life-ms={}", ttl.as_millis());
+        let answer = self.call(Method::PUT, &path, Bytes::new(), CALL_TIMEOUT).await?;
         let wire: WireLease = answer.json()?;
         Ok(if wire.held { Lease::Held } else { Lease::HeldByOther })
     }
@@ -161,7 +156,7 @@
 
 impl BoxList for PlatformClient {
     async fn inventory(&self) -> Result<Inventory, PlatformError> {
-        let answer = self.read("/v1/boxes", CALL_WITHIN).await?;
+        let answer = self.read("/v1/boxes", CALL_TIMEOUT).await?;
         Ok(answer.json()?)
     }
 }
--- a/crates/cherrystand_platform/src/asked_rest.rs
+++ b/crates/cherrystand_platform/src/requested_backoff.rs
@@ -5,40 +5,40 @@
 
 /// Says what the head of an answer asks of rest.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum AskedRest {
+pub enum RequestedBackoff {
     /// It asks for none.
     #[default]
     None,
     /// It wants nothing for so long.
-    For(Millis),
+    After(Millis),
     /// What it asks for is no time.
     Unreadable,
 }
 
-impl AskedRest {
+impl RequestedBackoff {
     /// Reads it from a head, in seconds with fractions; of several the longest one counts.
     ///
     /// A date is not read: whose clock it goes by is not known.
     pub fn read(headers: &HeaderMap) -> Self {
-        let asked = headers.get_all(RETRY_AFTER).into_iter().map(read_one);
-        asked.reduce(Self::longer).unwrap_or_default()
+        let values = headers.get_all(RETRY_AFTER).into_iter().map(parse_header);
+        values.reduce(Self::longer).unwrap_or_default()
     }
 
     fn longer(self, other: Self) -> Self {
         match (self, other) {
-            (Self::For(one), Self::For(two)) => Self::For(one.max(two)),
-            (Self::For(_), _) | (_, Self::None) => self,
+            (Self::After(one), Self::After(two)) => Self::After(one.max(two)),
+            (Self::After(_), _) | (_, Self::None) => self,
             _ => other,
         }
     }
 }
 
-fn read_one(value: &HeaderValue) -> AskedRest {
+fn parse_header(value: &HeaderValue) -> RequestedBackoff {
     let secs = value.to_str().ok().and_then(|text| text.trim().parse::<f64>().ok());
     match secs {
         // Huge values saturate.
-        Some(secs) if secs > 0.0 => AskedRest::For(Millis((secs * 1_000.0).ceil() as u64)),
-        Some(0.0) => AskedRest::None,
-        _ => AskedRest::Unreadable,
+        Some(secs) if secs > 0.0 => RequestedBackoff::After(Millis((secs * 1_000.0).ceil() as u64)),
+        Some(0.0) => RequestedBackoff::None,
+        _ => RequestedBackoff::Unreadable,
     }
 }
--- a/crates/cherrystand_platform/src/site_driver.rs
+++ b/crates/cherrystand_platform/src/site_driver.rs
@@ -8,7 +8,7 @@
 use hyper::header::{HeaderMap, HeaderValue};
 use hyper::{Method, StatusCode};
 
-use crate::{AskedRest, KeyValue, NamedLimit};
+use crate::{AdvertisedLimit, KeyValue, RequestedBackoff};
 
 /// Tells that a value is not what the platform's protocol says.
 #[derive(Debug, thiserror::Error)]
@@ -22,39 +22,39 @@
 
 /// What a caller's head says of its request.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct RequestFacts {
+pub struct RequestHeaders {
     /// The request's id.
     pub id: Option<String>,
     /// How long its caller will wait.
-    pub wait: Option<Millis>,
+    pub timeout: Option<Millis>,
     /// The key that it brings.
-    pub key: Option<String>,
+    pub api_key: Option<String>,
     /// The model that it asks for.
     pub model: Option<String>,
     /// The tokens of its prompt.
-    pub prompt: Option<u32>,
+    pub prompt_tokens: Option<u32>,
     /// The id of the event after which its stream is to go on.
-    pub last_event: Option<u64>,
+    pub last_event_id: Option<u64>,
 }
 
 /// What an attempt at an endpoint says beyond the caller's own head.
 #[derive(Clone, Debug, PartialEq)]
-pub struct AttemptFacts<'a> {
+pub struct AttemptHeaders<'a> {
     /// The box that is meant.
     pub target: &'a BoxId,
     /// How long the caller still waits.
-    pub left: Millis,
+    pub time_left: Millis,
     /// The tenant that the caller's key stands for.
     pub tenant: Option<&'a str>,
     /// The id of the last event that the caller has.
-    pub last_event: Option<u64>,
+    pub last_event_id: Option<u64>,
     /// Its priority among those that wait at the engine, 0 the most urgent of ten.
     pub priority: Option<u8>,
 }
 
 /// What the head of an endpoint's answer says.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct AnswerFacts {
+pub struct AnswerHeaders {
     /// The id of the request that it answers.
     pub request: Option<String>,
     /// Whether the endpoint says that it did not run the request.
@@ -62,13 +62,13 @@
     /// Whether the answer is the endpoint's own word, sealed.
     pub sealed: bool,
     /// How long the endpoint asks this node to leave it alone.
-    pub asked_rest: AskedRest,
+    pub requested_backoff: RequestedBackoff,
     /// How many requests a second the endpoint takes from all nodes together, where it says so.
-    pub limit: NamedLimit,
+    pub limit: AdvertisedLimit,
     /// Whether the endpoint says that it leaves.
     pub leaving: bool,
     /// How much longer the endpoint is cold, where it says so.
-    pub cold_left: Option<Millis>,
+    pub cold_remaining: Option<Millis>,
 }
 
 /// A call to a box.
@@ -93,14 +93,14 @@
     const CONFIG_KEY: &'static str;
 
     /// The prefix of all keys that operators write, the configuration's among them.
-    const OPERATORS: &'static str;
+    const OPERATOR_PREFIX: &'static str;
 
     /// The prefix of the keys that stand for emptied availability zones, whatever their values; the zone's name
     /// follows.
-    const EVACUATED: &'static str;
+    const EVACUATED_PREFIX: &'static str;
 
     /// The prefix of the keys that boxes tell of themselves under.
-    const BOXES: &'static str;
+    const BOX_PREFIX: &'static str;
 
     /// The path at which the balancer asks whether a node is ready.
     const READY_PATH: &'static str;
@@ -126,13 +126,13 @@
     fn box_key(id: &BoxId) -> String;
 
     /// Reads the head of a caller's request.
-    fn read_request(headers: &HeaderMap) -> RequestFacts;
+    fn read_request(headers: &HeaderMap) -> RequestHeaders;
 
     /// Turns a caller's head into that of an attempt.
-    fn write_attempt(headers: &mut HeaderMap, facts: &AttemptFacts<'_>);
+    fn write_attempt(headers: &mut HeaderMap, values: &AttemptHeaders<'_>);
 
     /// Reads the head of an endpoint's answer.
-    fn read_answer(status: StatusCode, headers: &HeaderMap) -> AnswerFacts;
+    fn read_answer(status: StatusCode, headers: &HeaderMap) -> AnswerHeaders;
 
     /// Writes when to come back into a refusal's head.
     fn write_retry_after(headers: &mut HeaderMap, after: Millis);
@@ -148,7 +148,7 @@
 
     /// Reads when a box started from its answer to that question, in Unix milliseconds, where it
     /// tells.
-    fn report_start(body: &[u8]) -> Option<u64>;
+    fn read_start_time(body: &[u8]) -> Option<u64>;
 
     /// Returns the call that asks a box how it is.
     fn report_call(target: &BoxId) -> BoxCall;
--- a/crates/cherrystand_platform/tests/http_pool.rs
+++ b/crates/cherrystand_platform/tests/http_pool.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use cherrystand_platform::{HttpPool, jump_ahead};
+use cherrystand_platform::{HttpPool, advance_clock};
 use http_body_util::{BodyExt, Full};
 use hyper::Request;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -40,7 +40,7 @@
         let asked = async {
             let mut told = Vec::new();
             for suspended in suspended {
-                jump_ahead(*suspended);
+                advance_clock(*suspended);
                 let req = Request::new(Full::new(Bytes::new()));
                 let answer = pool.send(address, req, Duration::from_secs(1)).await;
                 let body = answer.expect("an answer").into_body().collect().await;
--- a/crates/cherrystand_testkit/src/platform/fake_key_value.rs
+++ b/crates/cherrystand_testkit/src/platform/fake_key_value.rs
@@ -122,7 +122,7 @@
         Ok(Changes {
             revision: state.store.revision(),
             records: records.collect(),
-            gone: Vec::new(),
+            removed: Vec::new(),
         })
     }
 
@@ -145,7 +145,7 @@
         }
     }
 
-    fn forget_connections(&self) {}
+    fn close_idle_connections(&self) {}
 
     async fn lease(
         &self,
--- a/crates/cherrystand_testkit/src/soak/callers.rs
+++ b/crates/cherrystand_testkit/src/soak/callers.rs
@@ -148,7 +148,7 @@
         let Ok(req) = req else { return Answered::NotSent };
         let answer = match self.pool.send(at, req, CONNECT_WITHIN).await {
             Ok(answer) => answer,
-            Err(SendError::Cut(_)) => return Answered::Broken,
+            Err(SendError::ConnectionLost(_)) => return Answered::Broken,
             Err(_) => return Answered::NotSent,
         };
         let status = answer.status();
--- a/crates/cherrystandd/src/counting_client.rs
+++ b/crates/cherrystandd/src/counting_client.rs
@@ -65,12 +65,12 @@
         self.count(self.inner.swap(key, expected, body).await)
     }
 
-    fn take_refused_eras(&self) -> u64 {
-        self.inner.take_refused_eras()
+    fn take_rejected_era_count(&self) -> u64 {
+        self.inner.take_rejected_era_count()
     }
 
-    fn forget_connections(&self) {
-        self.inner.forget_connections();
+    fn close_idle_connections(&self) {
+        self.inner.close_idle_connections();
     }
 
     async fn lease(
--- a/crates/cherrystandd/src/main.rs
+++ b/crates/cherrystandd/src/main.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use argh::FromArgs;
-use cherrystand_platform::jump_ahead;
+use cherrystand_platform::advance_clock;
 use cherrystandd::{DutyContext, Kernel, Metrics, Settings, start_logging};
 use eyre::WrapErr;
 use tokio::signal::unix::{Signal, SignalKind, signal};
@@ -67,7 +67,7 @@
                 tokio::select! {
                     _ = terminate.recv() => return,
                     _ = interrupt.recv() => return,
-                    () = received(suspend.as_mut()) => jump_ahead(suspended),
+                    () = received(suspend.as_mut()) => advance_clock(suspended),
                     _ = hang_up.recv() => log::info!(
                         "received SIGHUP; changed settings take effect at the next start"
                     ),
--- a/crates/cherrystandd/src/relay/active_attempt.rs
+++ b/crates/cherrystandd/src/relay/active_attempt.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use cherrystand_core::{AttemptEnd, DEFAULT_IDLE_CONNECTIONS, EndpointKey, Millis, SendPermit};
-use cherrystand_platform::{AskedRest, NOT_RUN_HEADER, PooledBody, SendError};
+use cherrystand_platform::{NOT_RUN_HEADER, PooledBody, RequestedBackoff, SendError};
 use http_body_util::{BodyExt, Full};
 use hyper::body::Body;
 use hyper::header::{CONTENT_TYPE, HeaderValue};
@@ -52,22 +52,22 @@
             permit: Some(permit),
             started_at,
             first_byte: None,
-            end_if_dropped: AttemptEnd::CallerLeft,
+            end_if_dropped: AttemptEnd::CallerDisconnected,
             ended: false,
         }
     }
 
     /// Records the backoff that the endpoint asked for when it refused the request.
-    fn record_backoff(&self, requested: AskedRest) {
+    fn record_backoff(&self, requested: RequestedBackoff) {
         let now = self.relay.now();
         match requested {
-            AskedRest::For(delay) => {
+            RequestedBackoff::After(delay) => {
                 self.relay.core.borrow_mut().record_backoff(self.endpoint, delay, now);
             }
-            AskedRest::Unreadable => {
+            RequestedBackoff::Unreadable => {
                 log::debug!("invalid backoff in the answer of endpoint {}", self.target.address);
             }
-            AskedRest::None => {}
+            RequestedBackoff::None => {}
         }
     }
 
@@ -142,7 +142,7 @@
     }
     match send_request(&mut attempt).await {
         Ok((head, buffered, remaining_body)) => {
-            attempt.end_if_dropped = AttemptEnd::CallerLeft;
+            attempt.end_if_dropped = AttemptEnd::CallerDisconnected;
             if remaining_body.is_none() {
                 attempt.end(AttemptEnd::Answered);
             }
@@ -174,7 +174,7 @@
         relay.cx.clock.timeout_at(call.deadline, send).await.ok_or(AttemptEnd::TimedOut)?;
     let answer = answer.map_err(|err| attempt_end(&err))?;
     if answer.headers().contains_key(NOT_RUN_HEADER) {
-        attempt.record_backoff(AskedRest::read(answer.headers()));
+        attempt.record_backoff(RequestedBackoff::read(answer.headers()));
         return Err(match answer.status() {
             StatusCode::TOO_MANY_REQUESTS => AttemptEnd::Refused,
             _ => AttemptEnd::NotServing,
@@ -205,7 +205,7 @@
     match err {
         SendError::Connect { .. } | SendError::ConnectTimedOut(_) => AttemptEnd::ConnectFailed,
         SendError::NotSent(_) => AttemptEnd::NotSent,
-        SendError::Cut(_) => AttemptEnd::CutBeforeAnswer,
+        SendError::ConnectionLost(_) => AttemptEnd::CutBeforeAnswer,
     }
 }
 
--- a/crates/cherrystandd/src/site/box_calls.rs
+++ b/crates/cherrystandd/src/site/box_calls.rs
@@ -257,7 +257,7 @@
 /// Returns whether an answer comes from another box that has the address now, or from another
 /// incarnation of the box.
 fn is_other_box(site_box: &SiteBox, answer: &Answer) -> bool {
-    let start = site_box.id.start().zip(Driver::report_start(&answer.body));
+    let start = site_box.id.start().zip(Driver::read_start_time(&answer.body));
     Driver::order_end(answer.status) == OrderEnd::OtherBox
         || start.is_some_and(|(expected, reported)| expected != reported)
 }
--- a/crates/cherrystandd/src/site/box_entries.rs
+++ b/crates/cherrystandd/src/site/box_entries.rs
@@ -16,7 +16,7 @@
 impl SiteState {
     /// Applies a box's entry, unless a later entry or tombstone is held.
     pub(super) fn apply_entry(&mut self, entry: &Document, now: Millis) {
-        let name = BoxId::new(entry.key.strip_prefix(Driver::BOXES).unwrap_or_default());
+        let name = BoxId::new(entry.key.strip_prefix(Driver::BOX_PREFIX).unwrap_or_default());
         if let Some(held) =
             self.entries.get(&name).filter(|held| self.is_stale_restored_entry(held, entry))
         {
--- a/crates/cherrystandd/src/site/control.rs
+++ b/crates/cherrystandd/src/site/control.rs
@@ -339,7 +339,7 @@
 
     /// Adds the values from the store that could not be used to the metrics.
     fn count_refused_values(&self) {
-        let eras = self.store.take_refused_eras();
+        let eras = self.store.take_rejected_era_count();
         if eras > 0 {
             log::warn!(answers = eras; "the store answered with invalid or outdated eras");
             self.cx
--- a/crates/cherrystandd/src/site/domain_control.rs
+++ b/crates/cherrystandd/src/site/domain_control.rs
@@ -180,8 +180,11 @@
     async fn reread_record(&self, key: &str) {
         match self.store.get(key).await {
             Ok(Some(record)) => {
-                let changes =
-                    Changes { revision: Revision::NONE, records: vec![record], gone: Vec::new() };
+                let changes = Changes {
+                    revision: Revision::NONE,
+                    records: vec![record],
+                    removed: Vec::new(),
+                };
                 self.state.borrow_mut().apply_changes(&changes, self.now());
             }
             Ok(None) => self.state.borrow_mut().mark_record_lost(key),
--- a/crates/cherrystandd/src/site/endpoint_call.rs
+++ b/crates/cherrystandd/src/site/endpoint_call.rs
@@ -6,7 +6,9 @@
 
 use bytes::Bytes;
 use cherrystand_core::{AttemptEnd, Outcome, SendPermit};
-use cherrystand_platform::{HeldBuf, HeldBytes, HeldShare, PooledBody, SendError, SiteDriver};
+use cherrystand_platform::{
+    BodyBuffer, BufferBudget, BufferReservation, PooledBody, SendError, SiteDriver,
+};
 use http_body_util::BodyExt;
 use hyper::body::Body;
 use hyper::http::response::Parts;
@@ -82,7 +84,7 @@
                 attempt.failed();
                 attempt.eject();
             }
-            SendError::Cut(_) => {
+            SendError::ConnectionLost(_) => {
                 attempt.interrupted();
                 attempt.eject();
             }
@@ -96,7 +98,7 @@
     match err {
         SendError::Connect { .. } | SendError::ConnectTimedOut(_) => AttemptEnd::ConnectFailed,
         SendError::NotSent(_) => AttemptEnd::NotSent,
-        SendError::Cut(_) => AttemptEnd::CutBeforeAnswer,
+        SendError::ConnectionLost(_) => AttemptEnd::CutBeforeAnswer,
     }
 }
 
@@ -149,14 +151,15 @@
 /// never fit.
 pub(crate) async fn read_to_end(
     mut body: PooledBody,
-    held_bytes: &HeldBytes,
-) -> Result<(Bytes, HeldShare), AttemptEnd> {
+    held_bytes: &BufferBudget,
+) -> Result<(Bytes, BufferReservation), AttemptEnd> {
     let announced = usize::try_from(body.size_hint().lower()).unwrap_or(usize::MAX);
-    let mut read = HeldBuf::new(reserve(held_bytes, announced, announced).await?);
+    let mut read = BodyBuffer::new(reserve(held_bytes, announced, announced).await?);
     while let Some(frame) = body.frame().await {
         let frame = frame.map_err(|_| AttemptEnd::AnswerCut)?;
         let Ok(data) = frame.into_data() else { continue };
-        let more = reserve(held_bytes, read.beyond(&data), read.len() + data.len()).await?;
+        let more =
+            reserve(held_bytes, read.additional_needed(&data), read.len() + data.len()).await?;
         read.push(&data, more);
     }
     Ok(read.finish())
@@ -164,13 +167,13 @@
 
 /// Waits for memory for `more` bytes of an answer that has `total` bytes with them.
 async fn reserve(
-    held_bytes: &HeldBytes,
+    held_bytes: &BufferBudget,
     more: usize,
     total: usize,
-) -> Result<HeldShare, AttemptEnd> {
-    if !held_bytes.may_fit(total) {
+) -> Result<BufferReservation, AttemptEnd> {
+    if !held_bytes.fits_when_empty(total) {
         log::warn!(bytes = total as u64; "an answer exceeds the memory limit for buffered bodies");
         return Err(AttemptEnd::AnswerCut);
     }
-    Ok(held_bytes.hold(more).await)
+    Ok(held_bytes.reserve(more).await)
 }
--- a/crates/cherrystandd/src/site/endpoint_signals.rs
+++ b/crates/cherrystandd/src/site/endpoint_signals.rs
@@ -4,7 +4,7 @@
 
 use cherrystand_core::{BoxId, ColdPeriodUpdate, Millis, ObservedRateLimit};
 use cherrystand_peer::LoadNews;
-use cherrystand_platform::{AnswerFacts, AskedRest, NamedLimit};
+use cherrystand_platform::{AdvertisedLimit, AnswerHeaders, RequestedBackoff};
 use hyper::StatusCode;
 
 use crate::site::Hint;
@@ -25,7 +25,7 @@
 const PERMIT_WAIT_DIVISOR: u64 = 8;
 
 /// Returns whether an answer names the request that it was given to.
-fn is_answer_to(req: &SiteRequest, facts: &AnswerFacts) -> bool {
+fn is_answer_to(req: &SiteRequest, facts: &AnswerHeaders) -> bool {
     facts.request.is_some() && facts.request == req.facts.id
 }
 
@@ -37,7 +37,7 @@
         &self,
         attempt: &ActiveAttempt,
         req: &SiteRequest,
-        facts: &AnswerFacts,
+        facts: &AnswerHeaders,
     ) {
         if facts.request.is_some() && facts.request != req.facts.id {
             return;
@@ -49,8 +49,8 @@
             self.loads.broadcast(LoadNews::Leaves(attempt.target.clone()));
         }
         if facts.not_run {
-            let until = match facts.asked_rest {
-                AskedRest::For(backoff) => {
+            let until = match facts.requested_backoff {
+                RequestedBackoff::After(backoff) => {
                     Some(balancer.record_backoff(&attempt.target, backoff, self.now()))
                 }
                 _ => None,
@@ -69,16 +69,16 @@
         attempt: &ActiveAttempt,
         req: &SiteRequest,
         status: StatusCode,
-        facts: &AnswerFacts,
+        facts: &AnswerHeaders,
     ) {
         if !is_answer_to(req, facts) {
             return;
         }
         let limit = match facts.limit {
-            NamedLimit::None if facts.not_run || !status.is_success() => return,
-            NamedLimit::None => None,
-            NamedLimit::PerSecond(limit) => Some(limit),
-            NamedLimit::Unreadable => return self.signal_log.invalid_limit(&attempt.target),
+            AdvertisedLimit::None if facts.not_run || !status.is_success() => return,
+            AdvertisedLimit::None => None,
+            AdvertisedLimit::PerSecond(limit) => Some(limit),
+            AdvertisedLimit::Unreadable => return self.signal_log.invalid_limit(&attempt.target),
         };
         let heard = ObservedRateLimit { limit, request_sent_at: attempt.started_at };
         let mut balancer = self.balancer.borrow_mut();
@@ -95,9 +95,9 @@
         &self,
         attempt: &ActiveAttempt,
         req: &SiteRequest,
-        facts: &AnswerFacts,
+        facts: &AnswerHeaders,
     ) {
-        let cold_left = facts.cold_left.filter(|_| is_answer_to(req, facts));
+        let cold_left = facts.cold_remaining.filter(|_| is_answer_to(req, facts));
         let Some(left) = cold_left.filter(|left| *left > Millis(0)) else { return };
         let view = self.view.borrow();
         let service = view.routes.as_ref().and_then(|table| table.config().service(&req.service));
--- a/crates/cherrystandd/src/site/evacuation_state.rs
+++ b/crates/cherrystandd/src/site/evacuation_state.rs
@@ -70,7 +70,7 @@
 
 /// Returns the zone that a key names.
 fn zone_of(key: &str) -> Option<ZoneId> {
-    let zone = key.strip_prefix(Driver::EVACUATED)?;
+    let zone = key.strip_prefix(Driver::EVACUATED_PREFIX)?;
     (!zone.is_empty()).then(|| ZoneId::new(zone))
 }
 
@@ -118,7 +118,7 @@
     /// A zone is evacuated by the presence of its key, whatever the value holds.
     pub(super) fn apply_zone_changes(&mut self, changes: &Changes, now: Millis) -> bool {
         let evacuated = self.evacuated_zones_in(changes);
-        let returned = changes.gone.iter().filter_map(|key| zone_of(key));
+        let returned = changes.removed.iter().filter_map(|key| zone_of(key));
         let is_new = self.evacuations.current.apply_changes(evacuated, returned, changes.revision);
         if is_new {
             self.sync_zones(now);
@@ -128,7 +128,7 @@
 
     fn evacuated_zones_in(&mut self, changes: &Changes) -> BTreeSet<ZoneId> {
         let mut zones = BTreeSet::new();
-        let is_evacuation = |record: &&Document| record.key.starts_with(Driver::EVACUATED);
+        let is_evacuation = |record: &&Document| record.key.starts_with(Driver::EVACUATED_PREFIX);
         for record in changes.records.iter().filter(is_evacuation) {
             match zone_of(&record.key) {
                 Some(zone) => _ = zones.insert(zone),
--- a/crates/cherrystandd/src/site/event_stream.rs
+++ b/crates/cherrystandd/src/site/event_stream.rs
@@ -117,7 +117,7 @@
                         StreamStep::Broken(end)
                     }
                 },
-                () = self.tx.closed() => return StreamOutcome::new(StreamEnd::CallerLeft),
+                () = self.tx.closed() => return StreamOutcome::new(StreamEnd::CallerDisconnected),
                 () = tokio::time::sleep(CHECK_INTERVAL.min(left)) => {
                     // Everything that arrived before the deadline has been forwarded already.
                     if left.is_zero() {
@@ -182,9 +182,9 @@
 
     /// Sends events to the caller, who may read slowly, but only until the deadline.
     async fn send_events(&self, events: Bytes) -> Option<StreamEnd> {
-        match self.frontend.timeout_at(self.req.deadline, self.tx.pass(events)).await {
+        match self.frontend.timeout_at(self.req.deadline, self.tx.send(events)).await {
             Some(Ok(())) => None,
-            Some(Err(_)) => Some(StreamEnd::CallerLeft),
+            Some(Err(_)) => Some(StreamEnd::CallerDisconnected),
             None => Some(StreamEnd::DeadlinePassed),
         }
     }
--- a/crates/cherrystandd/src/site/failure_log.rs
+++ b/crates/cherrystandd/src/site/failure_log.rs
@@ -95,7 +95,7 @@
         let result = match stream.end {
             StreamEnd::Whole => return,
             StreamEnd::DeadlinePassed => "its time was over before the stream was whole",
-            StreamEnd::CallerLeft => "its caller left, or the connection to it failed",
+            StreamEnd::CallerDisconnected => "its caller left, or the connection to it failed",
             StreamEnd::CallerSlow => {
                 "its caller took nothing for seconds, and the endpoint broke it off"
             }
--- a/crates/cherrystandd/src/site/frontend.rs
+++ b/crates/cherrystandd/src/site/frontend.rs
@@ -13,7 +13,7 @@
     Prediction, Route, STALL_MARGIN, SeededRng, ServiceName, SiteView, StallEvidence, StreamEnd,
     engine_priority, max_idle_connections,
 };
-use cherrystand_platform::{EndpointPool, HeldBytes};
+use cherrystand_platform::{BufferBudget, EndpointPool};
 
 use crate::site::Hint;
 use crate::site::active_attempt::ActiveAttempt;
@@ -74,7 +74,7 @@
     /// Connections to endpoints.
     pub(crate) pool: EndpointPool,
     /// Memory budget of bodies that are buffered whole.
-    pub(crate) held_bytes: HeldBytes,
+    pub(crate) held_bytes: BufferBudget,
     pub(super) view: RefCell<Arc<SiteView>>,
     addresses: RefCell<BTreeMap<BoxId, SocketAddr>>,
     pub(super) rng: Cell<SeededRng>,
@@ -102,7 +102,7 @@
         Self {
             balancer,
             pool: EndpointPool::default(),
-            held_bytes: HeldBytes::new(
+            held_bytes: BufferBudget::new(
                 cx.settings.limits.max_held_bytes(),
                 cx.metrics.bytes_held.clone(),
             ),
--- a/crates/cherrystandd/src/site/request.rs
+++ b/crates/cherrystandd/src/site/request.rs
@@ -7,7 +7,9 @@
     AllowedRegions, BoxId, EngineSpec, Fingerprint, Millis, RegionId, RequestSpec, Route,
     RouteError, RouteTable, ServiceName, hash_bytes,
 };
-use cherrystand_platform::{AttemptFacts, HeldBuf, HeldBytes, HeldShare, RequestFacts, SiteDriver};
+use cherrystand_platform::{
+    AttemptHeaders, BodyBuffer, BufferBudget, BufferReservation, RequestHeaders, SiteDriver,
+};
 use http_body_util::{BodyExt, Full};
 use hyper::body::{Body, Incoming};
 use hyper::header::{CONTENT_LENGTH, HOST};
@@ -21,12 +23,12 @@
 /// A caller's request while it is being served.
 pub(crate) struct SiteRequest {
     /// What its headers say.
-    pub(crate) facts: RequestFacts,
+    pub(crate) facts: RequestHeaders,
     pub(crate) head: Parts,
     /// The complete body.
     pub(crate) body: Bytes,
     /// The memory reserved for the body.
-    pub(crate) _held: HeldShare,
+    pub(crate) _held: BufferReservation,
     pub(crate) route: Route,
     /// The tenant that its API key belongs to.
     pub(crate) tenant: Option<String>,
@@ -91,14 +93,14 @@
 
     /// Returns the number of tokens of its prompt.
     pub(crate) fn prompt_tokens(&self) -> f64 {
-        f64::from(self.facts.prompt.unwrap_or_default())
+        f64::from(self.facts.prompt_tokens.unwrap_or_default())
     }
 
     /// Builds the request that is sent to a box.
     pub(crate) fn endpoint_request<D: SiteDriver>(
         &self,
         target: &BoxId,
-        last_event: Option<u64>,
+        last_event_id: Option<u64>,
         priority: Option<u8>,
         now: Millis,
     ) -> Request<Full<Bytes>> {
@@ -109,11 +111,11 @@
         let mut headers = self.head.headers.clone();
         remove_hop_by_hop_headers(&mut headers);
         headers.remove(CONTENT_LENGTH);
-        let left = self.deadline.since(now);
+        let time_left = self.deadline.since(now);
         let tenant = self.tenant.as_deref();
         D::write_attempt(
             &mut headers,
-            &AttemptFacts { target, left, tenant, last_event, priority },
+            &AttemptHeaders { target, time_left, tenant, last_event_id, priority },
         );
         *req.headers_mut() = headers;
         req
@@ -151,9 +153,9 @@
 pub(crate) fn authorize(
     table: &RouteTable,
     head: &Parts,
-    facts: &RequestFacts,
+    facts: &RequestHeaders,
 ) -> Result<Authorization, StatusCode> {
-    let found = table.find(host_of(head), head.uri.path(), facts.key.as_deref());
+    let found = table.find(host_of(head), head.uri.path(), facts.api_key.as_deref());
     let allowed = found.map_err(|reason| match reason {
         RouteError::NoRoute => StatusCode::NOT_FOUND,
         RouteError::UnknownKey => StatusCode::UNAUTHORIZED,
@@ -188,14 +190,14 @@
 pub(crate) async fn read_body(
     mut body: Incoming,
     max_bytes: usize,
-    held_bytes: &HeldBytes,
-) -> Result<(Bytes, HeldShare), StatusCode> {
+    held_bytes: &BufferBudget,
+) -> Result<(Bytes, BufferReservation), StatusCode> {
     let announced = usize::try_from(body.size_hint().lower()).unwrap_or(usize::MAX);
     if announced > max_bytes {
         return Err(StatusCode::PAYLOAD_TOO_LARGE);
     }
     let no_memory = StatusCode::SERVICE_UNAVAILABLE;
-    let mut read = HeldBuf::new(held_bytes.try_hold(announced).ok_or(no_memory)?);
+    let mut read = BodyBuffer::new(held_bytes.try_reserve(announced).ok_or(no_memory)?);
     while let Some(frame) = body.frame().await {
         let frame = frame.map_err(|_| StatusCode::BAD_REQUEST)?;
         let Ok(data) = frame.into_data() else {
@@ -204,7 +206,7 @@
         if read.len() + data.len() > max_bytes {
             return Err(StatusCode::PAYLOAD_TOO_LARGE);
         }
-        let more = held_bytes.try_hold(read.beyond(&data)).ok_or(no_memory)?;
+        let more = held_bytes.try_reserve(read.additional_needed(&data)).ok_or(no_memory)?;
         read.push(&data, more);
     }
     Ok(read.finish())
--- a/crates/cherrystandd/src/site/request_handler.rs
+++ b/crates/cherrystandd/src/site/request_handler.rs
@@ -121,7 +121,7 @@
     let Authorization { route, tenant, tenant_regions, service } = authorize(table, &head, &facts)?;
     let max_bytes = table.config().limits.body_bytes;
     let (body, held) = read_body(body, max_bytes, &frontend.held_bytes).await?;
-    let wait = facts.wait.unwrap_or(DEFAULT_TIMEOUT).min(route.timeout);
+    let wait = facts.timeout.unwrap_or(DEFAULT_TIMEOUT).min(route.timeout);
     let deadline = arrived + wait;
     let (fingerprint, trial) = (OnceCell::new(), OnceCell::new());
     let req = SiteRequest {
@@ -169,11 +169,11 @@
             attempts.log_failure(frontend, &req, end)
         });
     }
-    let (tx, body) = CallerBody::events(frontend.held_bytes.clone());
+    let (tx, body) = CallerBody::event_stream(frontend.held_bytes.clone());
     let mut head = started.head.clone();
     remove_hop_by_hop_headers(&mut head.headers);
     head.headers.remove(hyper::header::CONTENT_LENGTH);
-    let last_event = req.facts.last_event;
+    let last_event = req.facts.last_event_id;
     let stream = EventStream { frontend: frontend.clone(), req, tx, attempts, last_event };
     tokio::task::spawn_local(stream.run(started));
     Ok(Response::from_parts(head, body))
@@ -191,7 +191,7 @@
     let send = |attempt: Rc<ActiveAttempt>| {
         let (frontend, req) = (frontend.clone(), req.clone());
         async move {
-            let last_event = req.facts.last_event;
+            let last_event = req.facts.last_event_id;
             (attempt.clone(), endpoint_call::send(frontend, req, attempt, last_event).await)
         }
     };
@@ -302,5 +302,5 @@
         attempt.succeeded();
     }
     remove_hop_by_hop_headers(&mut head.headers);
-    Ok(Response::from_parts(head, CallerBody::held(bytes, share)))
+    Ok(Response::from_parts(head, CallerBody::reserved(bytes, share)))
 }
--- a/crates/cherrystandd/src/site/signal_log.rs
+++ b/crates/cherrystandd/src/site/signal_log.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use cherrystand_core::{BoxId, LogLimiter, Millis, RequestRate};
-use cherrystand_platform::{AnswerFacts, AskedRest};
+use cherrystand_platform::{AnswerHeaders, RequestedBackoff};
 
 use crate::{Clock, Metrics};
 
@@ -25,15 +25,15 @@
     }
 
     /// Logs that a replica refused a request, and which backoff it asked for.
-    pub(crate) fn refused(&self, id: &BoxId, facts: &AnswerFacts, until: Option<Millis>) {
-        let rest = match facts.asked_rest {
-            AskedRest::None => "none",
-            AskedRest::For(_) => "asked",
-            AskedRest::Unreadable => "unreadable",
+    pub(crate) fn refused(&self, id: &BoxId, facts: &AnswerHeaders, until: Option<Millis>) {
+        let rest = match facts.requested_backoff {
+            RequestedBackoff::None => "none",
+            RequestedBackoff::After(_) => "asked",
+            RequestedBackoff::Unreadable => "unreadable",
         };
         self.metrics.endpoint_refusals.with_label_values(&[rest]).inc();
         let now = self.clock.now();
-        if facts.asked_rest == AskedRest::None {
+        if facts.requested_backoff == RequestedBackoff::None {
             return;
         }
         let Some(left_out) = self.admit() else { return };
--- a/crates/cherrystandd/src/site/site_state.rs
+++ b/crates/cherrystandd/src/site/site_state.rs
@@ -146,8 +146,8 @@
         for record in &changes.records {
             self.apply_record(record, now);
         }
-        for key in &changes.gone {
-            if let Some(name) = key.strip_prefix(Driver::BOXES) {
+        for key in &changes.removed {
+            if let Some(name) = key.strip_prefix(Driver::BOX_PREFIX) {
                 self.delist(&BoxId::new(name), changes.revision, now);
             }
         }
@@ -216,7 +216,7 @@
     fn apply_record(&mut self, record: &Document, now: Millis) {
         if &*record.key == Driver::CONFIG_KEY {
             self.apply_stored_config(record);
-        } else if record.key.starts_with(Driver::BOXES) {
+        } else if record.key.starts_with(Driver::BOX_PREFIX) {
             self.apply_entry(record, now);
         } else if record.key.starts_with(keys::DOMAINS) {
             self.apply_domain_record(record);
--- a/crates/cherrystandd/src/site/site_state_tests.rs
+++ b/crates/cherrystandd/src/site/site_state_tests.rs
@@ -95,12 +95,12 @@
                 Listed(all, at) => state.apply_list(&entries(all), Revision::new(*at), now),
                 Changed(one) => {
                     let (revision, records) = (Revision::new(one.1), vec![entry(one)]);
-                    state.apply_changes(&Changes { revision, records, gone: Vec::new() }, now);
+                    state.apply_changes(&Changes { revision, records, removed: Vec::new() }, now);
                 }
                 Removed(id, at) => {
-                    let gone = vec![Driver::box_key(&BoxId::new(*id))];
+                    let removed = vec![Driver::box_key(&BoxId::new(*id))];
                     let revision = Revision::new(*at);
-                    state.apply_changes(&Changes { revision, records: Vec::new(), gone }, now);
+                    state.apply_changes(&Changes { revision, records: Vec::new(), removed }, now);
                 }
                 Snapshot(all, at) => {
                     state.apply_snapshot(peer.clone(), &entries(all), Revision::new(*at), now);
@@ -190,11 +190,14 @@
         let now = Millis(10_000);
         let leaving = |entry: &Entry| leaving_entry(&self::entry(entry));
         state.apply_list(&entries(&[("stays", 50), ("gone", 52)]), Revision::new(52), now);
-        let changes =
-            |records, gone, number| Changes { revision: Revision::new(number), records, gone };
+        let changes = |records, removed, number| Changes {
+            revision: Revision::new(number),
+            records,
+            removed,
+        };
         state.apply_changes(&changes(vec![leaving(&("leaves", 55))], Vec::new(), 55), now);
-        let gone = vec![Driver::box_key(&BoxId::new("gone"))];
-        state.apply_changes(&changes(Vec::new(), gone, 60), now);
+        let removed = vec![Driver::box_key(&BoxId::new("gone"))];
+        state.apply_changes(&changes(Vec::new(), removed, 60), now);
         let backup = case.backup.iter().map(|one| match case.leaving_in_backup.contains(&one.0) {
             true => leaving(one),
             false => entry(one),
@@ -203,7 +206,10 @@
         for one in case.rewritten {
             let revision = Revision::in_era(Era(1), one.1);
             let records = vec![Document { revision, ..entry(one) }];
-            state.apply_changes(&Changes { revision, records, gone: Vec::new() }, now + Millis(5));
+            state.apply_changes(
+                &Changes { revision, records, removed: Vec::new() },
+                now + Millis(5),
+            );
         }
         state.remove_expired(now + Millis(case.after_ms));
         let listed: BTreeSet<&str> = state.boxes.keys().map(BoxId::as_str).collect();
@@ -258,8 +264,11 @@
         state.apply_domain_record(&document(5, Revision::new(50)));
         let as_of = Revision::in_era(Era(1), 40);
         let records = case.backup.map(|epoch| document(epoch, Revision::in_era(Era(1), 30)));
-        let listed =
-            Changes { revision: as_of, records: records.into_iter().collect(), gone: Vec::new() };
+        let listed = Changes {
+            revision: as_of,
+            records: records.into_iter().collect(),
+            removed: Vec::new(),
+        };
         state.enter_era(as_of, now);
         state.mark_missing_records_lost(&listed);
         state.apply_changes(&listed, now);
--- a/crates/cherrystandd/src/site/store_watch.rs
+++ b/crates/cherrystandd/src/site/store_watch.rs
@@ -140,7 +140,7 @@
                 }
                 tokio::time::sleep(control.read_pause(interval)).await;
             }
-            Err(PlatformError::Forgotten | PlatformError::OtherEra) => self.position = None,
+            Err(PlatformError::HistoryLost | PlatformError::EraChanged) => self.position = None,
             Err(err) => {
                 if !control.record_store_failure() {
                     log::info!("this daemon was paused while it read the store: {err}");
@@ -274,7 +274,7 @@
 }
 
 async fn watch_operator_keys_once(control: &Control, after: Revision, wait: Duration) {
-    match control.store.watch(Driver::OPERATORS, after, wait).await {
+    match control.store.watch(Driver::OPERATOR_PREFIX, after, wait).await {
         Ok(changes) => {
             control.record_store_answer();
             let has_changes =
@@ -284,7 +284,7 @@
             }
         }
         // The tasks that read the whole store detect this themselves.
-        Err(PlatformError::Forgotten | PlatformError::OtherEra) => {}
+        Err(PlatformError::HistoryLost | PlatformError::EraChanged) => {}
         Err(err) => {
             log::warn!("the operators' keys could not be watched: {err}");
             control.record_store_miss();
@@ -294,15 +294,15 @@
 
 async fn list_all(control: &Control) -> Result<Revision, PlatformError> {
     let records = control.store.list(keys::SHARED).await?;
-    let boxes = control.store.list(Driver::BOXES);
-    let operators = control.store.list(Driver::OPERATORS);
+    let boxes = control.store.list(Driver::BOX_PREFIX);
+    let operators = control.store.list(Driver::OPERATOR_PREFIX);
     let (boxes, operators) = tokio::join!(boxes, operators);
     let (boxes, operators) = (boxes?, operators?);
     let now = control.now();
     if operators.revision.era() != records.revision.era()
         || boxes.revision.era() != records.revision.era()
     {
-        return Err(PlatformError::OtherEra);
+        return Err(PlatformError::EraChanged);
     }
     let mut state = control.state.borrow_mut();
     state.enter_era(boxes.revision, now);
@@ -328,7 +328,7 @@
         Either::Right(((), first)) => first,
     };
     // Idle connections may have stalled together with that one.
-    control.store.forget_connections();
+    control.store.close_idle_connections();
     let mut second = pin!(control.store.watch("", after, HEDGED_WATCH_WAIT));
     match select(&mut first, &mut second).await {
         Either::Left((Ok(changes), _)) | Either::Right((Ok(changes), _)) => Ok(changes),
