--- a/crates/cherrystandd/src/claim_writer.rs
+++ b/crates/cherrystandd/src/claim_writer.rs
@@ -91,7 +91,7 @@
                 found
             }
             Err(err) => {
-                log::error!(key = self.key.as_str(); "a claim record is malformed: {err}");
+                log::error!(key = self.key.as_str(); "malformed claim record: {err}");
                 false
             }
         }
--- a/crates/cherrystandd/src/config_versions.rs
+++ b/crates/cherrystandd/src/config_versions.rs
@@ -7,7 +7,7 @@
 
 use crate::Metrics;
 
-/// Shares the versions between the duties of one daemon, so that each version is compressed once.
+/// Shares the versions between the duties of one daemon, so that each version is packed only once.
 #[derive(Clone)]
 pub(crate) struct ConfigVersions {
     versions: Arc<Mutex<Versions>>,
--- a/crates/cherrystandd/src/main.rs
+++ b/crates/cherrystandd/src/main.rs
@@ -40,7 +40,7 @@
 }
 
 /// Waits for a signal, or forever if there is none to wait for.
-async fn received(signal: Option<&mut Signal>) {
+async fn wait_for(signal: Option<&mut Signal>) {
     match signal {
         Some(signal) => _ = signal.recv().await,
         None => std::future::pending().await,
@@ -53,7 +53,7 @@
     let guard = runtime.enter();
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
-    let mut hang_up = signal(SignalKind::hangup())?;
+    let mut hangup = signal(SignalKind::hangup())?;
     let suspended = Duration::from_millis(cx.settings.testing.suspended_ms);
     // Without the setting SIGUSR1 keeps its default action, which ends the process.
     let mut suspend = match suspended.is_zero() {
@@ -67,8 +67,8 @@
                 tokio::select! {
                     _ = terminate.recv() => return,
                     _ = interrupt.recv() => return,
-                    () = received(suspend.as_mut()) => advance_clock(suspended),
-                    _ = hang_up.recv() => log::info!(
+                    () = wait_for(suspend.as_mut()) => advance_clock(suspended),
+                    _ = hangup.recv() => log::info!(
                         "received SIGHUP; changed settings take effect at the next start"
                     ),
                 }
--- a/crates/cherrystandd/src/settings.rs
+++ b/crates/cherrystandd/src/settings.rs
@@ -11,11 +11,11 @@
 use serde::Deserialize;
 
 /// The bytes of bodies that a daemon buffers at most if its memory size is not set.
-const DEFAULT_HELD_BYTES: usize = 32 << 20;
+const DEFAULT_BUFFER_BYTES: usize = 32 << 20;
 
 /// The daemon buffers bodies in at most this fraction (1/n) of its memory. Its state and the buffers of
 /// connections each need as much.
-const HELD_MEMORY_DIVISOR: usize = 4;
+const BUFFER_MEMORY_DIVISOR: usize = 4;
 
 /// The highest bandwidth accepted for a box's link, in Mbit/s.
 const MAX_LINK_MBPS: f64 = 1_000_000.0;
@@ -187,10 +187,10 @@
 
 impl Limits {
     /// Returns how many bytes of bodies the daemon buffers at most.
-    pub fn max_held_bytes(&self) -> usize {
+    pub fn max_buffer_bytes(&self) -> usize {
         match self.memory_mb {
-            0 => DEFAULT_HELD_BYTES,
-            memory => (memory << 20) / HELD_MEMORY_DIVISOR,
+            0 => DEFAULT_BUFFER_BYTES,
+            memory => (memory << 20) / BUFFER_MEMORY_DIVISOR,
         }
     }
 
--- a/crates/cherrystandd/src/site/frontend.rs
+++ b/crates/cherrystandd/src/site/frontend.rs
@@ -103,7 +103,7 @@
             balancer,
             pool: EndpointPool::default(),
             held_bytes: BufferBudget::new(
-                cx.settings.limits.max_held_bytes(),
+                cx.settings.limits.max_buffer_bytes(),
                 cx.metrics.bytes_held.clone(),
             ),
             view: RefCell::default(),
--- a/crates/cherrystandd/src/state/node_state.rs
+++ b/crates/cherrystandd/src/state/node_state.rs
@@ -28,8 +28,8 @@
     workspaces: BTreeMap<Arc<str>, Arc<Versioned<WorkspaceRecord>>>,
     domains: BTreeMap<Arc<str>, Arc<Versioned<DomainRecord>>>,
     config_versions: ConfigVersions,
-    /// Whether to request the configuration as a full text, because the last difference from a peer did
-    /// not apply to the version held here.
+    /// Whether to request the full text of the configuration, because the last packed version from a
+    /// peer could not be unpacked.
     request_full_config: bool,
     /// Whether anything changed that has to be published at once instead of at the next tick.
     changed: bool,
@@ -326,6 +326,7 @@
     }
 }
 
+/// Returns the first records, up to the size of one message.
 fn limit_to_message(records: impl Iterator<Item = Document>) -> Vec<Document> {
     let mut bytes = 0;
     let mut records_to_send = Vec::new();
--- a/crates/cherrystandd/src/store_freshness.rs
+++ b/crates/cherrystandd/src/store_freshness.rs
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Returns the time since which the copy may be outdated.
+    /// Returns for how long the copy may have been out of date.
     pub(crate) fn age(&self, now: Millis) -> Millis {
         now.since(Millis(self.as_of.load(Ordering::Relaxed)))
     }
