--- a/crates/cherrystand_testkit/src/engine/answer.rs
+++ b/crates/cherrystand_testkit/src/engine/answer.rs
@@ -3,7 +3,7 @@
 use serde_json::{Value, json};
 
 /// The most tokens in one answer.
-const MOST_TOKENS: u64 = 256;
+const MAX_TOKENS: u64 = 256;
 
 /// Describes a call as far as the stand-in cares.
 #[derive(Clone, Debug)]
@@ -22,7 +22,7 @@
 
 impl Prompt {
     /// Reads a call's body.
-    pub fn read(path: &str, body: &[u8]) -> Option<Self> {
+    pub fn parse(path: &str, body: &[u8]) -> Option<Self> {
         let value: Value = serde_json::from_slice(body).ok()?;
         let chat = path.ends_with("/chat/completions");
         let text = if chat {
@@ -34,7 +34,7 @@
         let tokens = value.get("max_tokens").and_then(Value::as_u64).unwrap_or(16);
         Some(Self {
             text: text.to_owned(),
-            tokens: tokens.clamp(1, MOST_TOKENS),
+            tokens: tokens.clamp(1, MAX_TOKENS),
             stream: value.get("stream").and_then(Value::as_bool).unwrap_or(false),
             model: value.get("model")?.as_str()?.to_owned(),
             chat,
@@ -47,13 +47,13 @@
     }
 
     /// Returns the whole text of the answer, which follows from the prompt alone.
-    pub fn whole_text(&self) -> String {
+    pub fn full_text(&self) -> String {
         (0..self.tokens).map(|number| self.token(number)).collect()
     }
 
     /// Returns the body of a whole answer.
-    pub fn whole_body(&self) -> Value {
-        let text = self.whole_text();
+    pub fn response_body(&self) -> Value {
+        let text = self.full_text();
         let choice = if self.chat {
             json!({"index": 0, "finish_reason": "stop",
                    "message": {"role": "assistant", "content": text}})
--- a/crates/cherrystand_testkit/src/engine/run.rs
+++ b/crates/cherrystand_testkit/src/engine/running_request.rs
@@ -15,77 +15,77 @@
 const BUFFERED_TOKENS: usize = 16;
 
 /// One request being run; counted as in flight for as long as it lives.
-pub(crate) struct Run {
+pub(crate) struct RunningRequest {
     engine: EngineStandIn,
     epoch: Epoch,
     prompt: Prompt,
-    done: bool,
+    completed: bool,
 }
 
-impl Drop for Run {
+impl Drop for RunningRequest {
     fn drop(&mut self) {
-        self.engine.count_end(self.done);
+        self.engine.record_end(self.completed);
     }
 }
 
-impl Run {
+impl RunningRequest {
     /// Begins a request that the engine has admitted.
     pub(crate) fn new(engine: EngineStandIn, epoch: Epoch, prompt: Prompt) -> Self {
-        Self { engine, epoch, prompt, done: false }
+        Self { engine, epoch, prompt, completed: false }
     }
 
     /// Answers it, whole or as a stream.
     pub(crate) async fn answer(self) -> Response<EngineBody> {
-        if self.prompt.stream { self.stream() } else { self.whole().await }
+        if self.prompt.stream { self.answer_stream() } else { self.answer_complete().await }
     }
 
     /// Makes the tokens one by one; fails when the replica comes apart or is told to cut.
-    async fn make(&self, number: u64) -> Result<(), std::io::Error> {
+    async fn generate_token(&self, number: u64) -> Result<(), std::io::Error> {
         let time = match number {
-            0 => self.engine.prefill(&self.prompt.text),
+            0 => self.engine.prefill_time(&self.prompt.text),
             _ => self.engine.token_time(),
         };
         tokio::time::sleep(time).await;
-        self.engine.thaw().await;
-        if self.engine.is_told_to_cut(number) || !self.engine.serves(self.epoch) {
+        self.engine.wait_while_frozen().await;
+        if self.engine.should_interrupt(number) || !self.engine.is_serving(self.epoch) {
             return Err(std::io::ErrorKind::ConnectionAborted.into());
         }
         Ok(())
     }
 
-    async fn whole(mut self) -> Response<EngineBody> {
+    async fn answer_complete(mut self) -> Response<EngineBody> {
         for number in 0..self.prompt.tokens {
-            if let Err(err) = self.make(number).await {
-                return cut_answer(err);
+            if let Err(err) = self.generate_token(number).await {
+                return interrupted_answer(err);
             }
         }
-        self.done = true;
-        boxed(json(StatusCode::OK, &self.prompt.whole_body()))
+        self.completed = true;
+        boxed(json(StatusCode::OK, &self.prompt.response_body()))
     }
 
-    fn stream(self) -> Response<EngineBody> {
+    fn answer_stream(self) -> Response<EngineBody> {
         let (tx, rx) = mpsc::channel(BUFFERED_TOKENS);
-        tokio::task::spawn_local(self.feed(tx));
+        tokio::task::spawn_local(self.send_events(tx));
         let mut answer = Response::new(receiver_body(rx));
         let kind = hyper::header::HeaderValue::from_static("text/event-stream");
         answer.headers_mut().insert(hyper::header::CONTENT_TYPE, kind);
         answer
     }
 
-    async fn feed(mut self, tx: mpsc::Sender<Result<Bytes, std::io::Error>>) {
+    async fn send_events(mut self, tx: mpsc::Sender<Result<Bytes, std::io::Error>>) {
         for number in 0..self.prompt.tokens {
-            let made = tokio::select! {
-                made = self.make(number) => made,
+            let generated = tokio::select! {
+                generated = self.generate_token(number) => generated,
                 () = tx.closed() => return,
             };
-            let event = made.map(|()| Bytes::from(self.prompt.event(number)));
+            let event = generated.map(|()| Bytes::from(self.prompt.event(number)));
             let failed = event.is_err();
             if tx.send(event).await.is_err() || failed {
                 return;
             }
         }
-        let last = Bytes::from_static(b"data: [DONE]\n\n");
-        self.done = tx.send(Ok(last)).await.is_ok();
+        let end_event = Bytes::from_static(b"data: [DONE]\n\n");
+        self.completed = tx.send(Ok(end_event)).await.is_ok();
     }
 }
 
@@ -97,7 +97,7 @@
 }
 
 /// An answer that breaks off after its head.
-fn cut_answer(err: std::io::Error) -> Response<EngineBody> {
+fn interrupted_answer(err: std::io::Error) -> Response<EngineBody> {
     let (tx, rx) = mpsc::channel(1);
     // The channel has room for this one item.
     let _ = tx.try_send(Err(err));
--- a/crates/cherrystand_testkit/src/engine/stand_in.rs
+++ b/crates/cherrystand_testkit/src/engine/stand_in.rs
@@ -16,20 +16,20 @@
 use serde::{Deserialize, Serialize};
 
 use crate::engine::answer::Prompt;
-use crate::engine::run::Run;
+use crate::engine::running_request::RunningRequest;
 use crate::http::{empty, json, read_body, read_json};
 
 /// How often a leader looks after its members.
-const LOOK_EVERY: Duration = Duration::from_millis(150);
+const MEMBER_CHECK_INTERVAL: Duration = Duration::from_millis(150);
 
 /// After this long without an answer a leader takes a member for dead.
-const MEMBER_WITHIN: Duration = Duration::from_millis(400);
+const MEMBER_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// How many requests run in one batch where no knob says otherwise.
-const USUAL_BATCH: u32 = 32;
+const DEFAULT_BATCH: u32 = 32;
 
 /// How old reported loads may be where no knob says otherwise, in milliseconds.
-const USUAL_LAG_MS: u64 = 500;
+const DEFAULT_REPORT_LAG_MS: u64 = 500;
 
 /// The length of the prefix that the cache goes by, in bytes.
 const PREFIX_BYTES: usize = 32;
@@ -89,7 +89,7 @@
 struct State {
     setup: EngineSetup,
     knobs: EngineKnobs,
-    highest: Epoch,
+    highest_epoch: Epoch,
     epoch: Epoch,
     state: EngineState,
     loaded: Option<LoadSpec>,
@@ -114,7 +114,7 @@
         let state = State {
             setup,
             knobs: EngineKnobs::default(),
-            highest: Epoch(0),
+            highest_epoch: Epoch(0),
             epoch: Epoch(0),
             state: EngineState::Idle,
             loaded: None,
@@ -134,23 +134,23 @@
         if path == "/control/set" {
             return boxed(self.set(req).await);
         }
-        self.thaw().await;
+        self.wait_while_frozen().await;
         match (req.method(), path.as_str()) {
             (&Method::GET, "/engine/report") => boxed(json(StatusCode::OK, &self.report())),
-            (&Method::GET, "/engine/epoch") => boxed(self.tell_epoch()),
+            (&Method::GET, "/engine/epoch") => boxed(self.ready_epoch()),
             (&Method::POST, "/engine/order") => boxed(self.order(req).await),
             (&Method::GET, "/control/executions") => {
                 boxed(json(StatusCode::OK, &self.state.borrow().executions))
             }
             (&Method::POST, "/v1/chat/completions" | "/v1/completions") => {
-                self.complete(&path, req).await
+                self.handle_completion(&path, req).await
             }
             _ => boxed(empty(StatusCode::NOT_FOUND)),
         }
     }
 
     /// Waits until the engine is no longer frozen.
-    pub(crate) async fn thaw(&self) {
+    pub(crate) async fn wait_while_frozen(&self) {
         loop {
             let until = self.state.borrow().frozen_until;
             match until {
@@ -165,10 +165,11 @@
     /// Reports the state as it is and the load as it was a while ago.
     fn report(&self) -> EngineReport {
         let mut state = self.state.borrow_mut();
-        let batch = state.knobs.batch.unwrap_or(USUAL_BATCH);
-        let lag = Duration::from_millis(state.knobs.report_lag_ms.unwrap_or(USUAL_LAG_MS));
+        let batch = state.knobs.batch.unwrap_or(DEFAULT_BATCH);
+        let max_age =
+            Duration::from_millis(state.knobs.report_lag_ms.unwrap_or(DEFAULT_REPORT_LAG_MS));
         let now = tokio::time::Instant::now();
-        let last = state.reported.filter(|(at, _)| now.duration_since(*at) < lag);
+        let last = state.reported.filter(|(at, _)| now.duration_since(*at) < max_age);
         let (at, load) = last.unwrap_or((now, state.in_flight));
         state.reported = Some((at, load));
         EngineReport {
@@ -181,7 +182,7 @@
     }
 
     /// Tells a leader which epoch this member is ready for.
-    fn tell_epoch(&self) -> Response<crate::http::Whole> {
+    fn ready_epoch(&self) -> Response<crate::http::Whole> {
         let state = self.state.borrow();
         let ready = state.state == EngineState::Ready;
         json(StatusCode::OK, &if ready { state.epoch } else { Epoch(0) })
@@ -213,7 +214,7 @@
         let Some(order) = read_json::<Order>(req).await else {
             return empty(StatusCode::BAD_REQUEST);
         };
-        if !self.passes_fence(order.epoch) {
+        if !self.accepts_epoch(order.epoch) {
             return empty(StatusCode::CONFLICT);
         }
         match order.task {
@@ -228,12 +229,12 @@
         empty(StatusCode::OK)
     }
 
-    fn passes_fence(&self, epoch: Epoch) -> bool {
+    fn accepts_epoch(&self, epoch: Epoch) -> bool {
         let mut state = self.state.borrow_mut();
-        if state.setup.checks_orders && epoch < state.highest {
+        if state.setup.checks_orders && epoch < state.highest_epoch {
             return false;
         }
-        state.highest = state.highest.max(epoch);
+        state.highest_epoch = state.highest_epoch.max(epoch);
         true
     }
 
@@ -252,8 +253,8 @@
     }
 
     async fn load_and_lead(&self, epoch: Epoch, members: Vec<SocketAddr>, load: LoadSpec) {
-        let has_it = self.state.borrow().loaded.as_ref() == Some(&load);
-        if !has_it && !self.fetch(&load).await {
+        let is_loaded = self.state.borrow().loaded.as_ref() == Some(&load);
+        if !is_loaded && !self.fetch_weights(&load).await {
             return self.set_state(epoch, EngineState::Broken);
         }
         {
@@ -265,23 +266,23 @@
             state.state = EngineState::Ready;
         }
         if self.state.borrow().rank == 0 {
-            self.look_after(epoch, &members[1..]).await;
+            self.monitor_members(epoch, &members[1..]).await;
         }
     }
 
-    async fn fetch(&self, load: &LoadSpec) -> bool {
+    async fn fetch_weights(&self, load: &LoadSpec) -> bool {
         let platform = self.state.borrow().setup.platform;
         let path = format!("/v1/weights/{}@{}", load.model, load.version);
-        let within = Duration::from_secs(600);
-        let answer = call(&self.pool, platform, Method::GET, &path, Bytes::new(), within).await;
+        let timeout = Duration::from_secs(600);
+        let answer = call(&self.pool, platform, Method::GET, &path, Bytes::new(), timeout).await;
         answer.is_ok_and(|answer| answer.status == StatusCode::OK)
     }
 
     /// Breaks the replica as soon as a member that was ready is gone.
-    async fn look_after(&self, epoch: Epoch, members: &[SocketAddr]) {
+    async fn monitor_members(&self, epoch: Epoch, members: &[SocketAddr]) {
         let mut joined = vec![false; members.len()];
         loop {
-            tokio::time::sleep(LOOK_EVERY).await;
+            tokio::time::sleep(MEMBER_CHECK_INTERVAL).await;
             if self.state.borrow().epoch != epoch {
                 return;
             }
@@ -297,7 +298,8 @@
 
     async fn member_epoch(&self, member: SocketAddr) -> Option<Epoch> {
         let path = "/engine/epoch";
-        let answer = call(&self.pool, member, Method::GET, path, Bytes::new(), MEMBER_WITHIN).await;
+        let answer =
+            call(&self.pool, member, Method::GET, path, Bytes::new(), MEMBER_TIMEOUT).await;
         answer.ok()?.json().ok()
     }
 
@@ -308,58 +310,60 @@
         }
     }
 
-    async fn complete(&self, path: &str, req: Request<Incoming>) -> Response<EngineBody> {
+    async fn handle_completion(&self, path: &str, req: Request<Incoming>) -> Response<EngineBody> {
         let header = |name: &str| {
             let value = req.headers().get(name)?;
             value.to_str().ok().map(str::to_owned)
         };
         let id = header("x-request-id").unwrap_or_default();
-        let meant = header(EPOCH_HEADER).and_then(|epoch| epoch.parse().ok()).map(Epoch);
+        let expected_epoch = header(EPOCH_HEADER).and_then(|epoch| epoch.parse().ok()).map(Epoch);
         let Some(body) = read_body(req).await else {
             return not_run(StatusCode::BAD_REQUEST);
         };
-        let Some(prompt) = Prompt::read(path, &body) else {
+        let Some(prompt) = Prompt::parse(path, &body) else {
             return not_run(StatusCode::BAD_REQUEST);
         };
-        if let Err(status) = self.admit(meant) {
+        if let Err(status) = self.admit(expected_epoch) {
             return not_run(status);
         }
         let epoch = self.state.borrow().epoch;
-        self.count(&id);
-        Run::new(self.clone(), epoch, prompt).answer().await
+        self.record_start(&id);
+        RunningRequest::new(self.clone(), epoch, prompt).answer().await
     }
 
-    fn admit(&self, meant: Option<Epoch>) -> Result<(), StatusCode> {
+    fn admit(&self, expected_epoch: Option<Epoch>) -> Result<(), StatusCode> {
         let mut state = self.state.borrow_mut();
-        let wrong_epoch = meant.is_some_and(|meant| meant != state.epoch);
+        let wrong_epoch =
+            expected_epoch.is_some_and(|expected| expected != state.epoch);
         if state.state != EngineState::Ready || state.rank != 0 || wrong_epoch {
             return Err(StatusCode::CONFLICT);
         }
-        let most = state.knobs.batch.unwrap_or(USUAL_BATCH) + state.knobs.queue.unwrap_or(32);
-        if state.in_flight >= most {
+        let max_in_flight =
+            state.knobs.batch.unwrap_or(DEFAULT_BATCH) + state.knobs.queue.unwrap_or(32);
+        if state.in_flight >= max_in_flight {
             return Err(StatusCode::TOO_MANY_REQUESTS);
         }
         state.in_flight += 1;
         Ok(())
     }
 
-    fn count(&self, id: &str) {
+    fn record_start(&self, id: &str) {
         let executions = &mut self.state.borrow_mut().executions;
         executions.begun += 1;
         *executions.by_request.entry(id.to_owned()).or_default() += 1;
     }
 
     /// Tells whether answers are to be cut before their `number`th token.
-    pub(crate) fn is_told_to_cut(&self, number: u64) -> bool {
-        let cut = self.state.borrow().knobs.cut_after.unwrap_or(0);
-        cut > 0 && number >= cut
+    pub(crate) fn should_interrupt(&self, number: u64) -> bool {
+        let limit = self.state.borrow().knobs.cut_after.unwrap_or(0);
+        limit > 0 && number >= limit
     }
 
     /// Counts a request as ended, whole or not.
-    pub(crate) fn count_end(&self, whole: bool) {
+    pub(crate) fn record_end(&self, completed: bool) {
         let mut state = self.state.borrow_mut();
         state.in_flight -= 1;
-        if whole {
+        if completed {
             state.executions.whole += 1;
         } else {
             state.executions.cancelled += 1;
@@ -367,7 +371,7 @@
     }
 
     /// Returns the time until the first token, less for a prefix that was seen lately.
-    pub(crate) fn prefill(&self, text: &str) -> Duration {
+    pub(crate) fn prefill_time(&self, text: &str) -> Duration {
         let mut state = self.state.borrow_mut();
         let end = text.len().min(PREFIX_BYTES);
         let prefix = hash_bytes(&text.as_bytes()[..end]);
@@ -378,30 +382,30 @@
                 state.prefixes.pop_front();
             }
         }
-        let whole = state.knobs.prefill_ms.unwrap_or(20);
-        Duration::from_millis(if cached { whole / 4 } else { whole })
+        let uncached_ms = state.knobs.prefill_ms.unwrap_or(20);
+        Duration::from_millis(if cached { uncached_ms / 4 } else { uncached_ms })
     }
 
     /// Returns the time until the next token, which grows with the batch.
     pub(crate) fn token_time(&self) -> Duration {
         let state = self.state.borrow();
-        let lone = state.knobs.token_us.unwrap_or(2_000);
-        let batch = u64::from(state.knobs.batch.unwrap_or(USUAL_BATCH));
-        Duration::from_micros(lone + lone * u64::from(state.in_flight) / batch.max(1))
+        let base_time = state.knobs.token_us.unwrap_or(2_000);
+        let batch = u64::from(state.knobs.batch.unwrap_or(DEFAULT_BATCH));
+        Duration::from_micros(base_time + base_time * u64::from(state.in_flight) / batch.max(1))
     }
 
     /// Tells whether the engine still runs requests of an epoch.
-    pub(crate) fn serves(&self, epoch: Epoch) -> bool {
+    pub(crate) fn is_serving(&self, epoch: Epoch) -> bool {
         let state = self.state.borrow();
-        let able = matches!(state.state, EngineState::Ready | EngineState::Draining);
-        state.epoch == epoch && able
+        let can_run = matches!(state.state, EngineState::Ready | EngineState::Draining);
+        state.epoch == epoch && can_run
     }
 }
 
 fn not_run(status: StatusCode) -> Response<EngineBody> {
     let mut answer = boxed(empty(status));
-    let yes = hyper::header::HeaderValue::from_static("true");
-    answer.headers_mut().insert(NOT_RUN_HEADER, yes);
+    let value = hyper::header::HeaderValue::from_static("true");
+    answer.headers_mut().insert(NOT_RUN_HEADER, value);
     answer
 }
 
--- a/crates/cherrystand_testkit/src/lib.rs
+++ b/crates/cherrystand_testkit/src/lib.rs
@@ -13,7 +13,7 @@
 }
 mod engine {
     pub(crate) mod answer;
-    pub(crate) mod run;
+    pub(crate) mod running_request;
     pub(crate) mod stand_in;
 }
 mod http;
--- a/crates/cherrystand_testkit/src/load/verdict.rs
+++ b/crates/cherrystand_testkit/src/load/verdict.rs
@@ -87,7 +87,7 @@
 pub fn judge_whole(prompt: &Prompt, body: &[u8]) -> Verdict {
     let value: Value = serde_json::from_slice(body).unwrap_or_default();
     let text = value["choices"][0]["message"]["content"].as_str().unwrap_or_default();
-    if text == prompt.whole_text() {
+    if text == prompt.full_text() {
         return Verdict::Whole;
     }
     Verdict::Wrong(format!("asked `{}` and got `{text}`", prompt.text))
