--- a/crates/cherrystand_testkit/src/engine/answer.rs
+++ b/crates/cherrystand_testkit/src/engine/answer.rs
@@ -1,27 +1,27 @@
-//! The answers that the engine stand-in makes up.
+//! Requests to the engine stand-in and the deterministic answers to them.
 
 use serde_json::{Value, json};
 
-/// The most tokens in one answer.
+/// The maximum number of tokens in one answer.
 const MAX_TOKENS: u64 = 256;
 
-/// Describes a call as far as the stand-in cares.
+/// Holds the parts of a completion request that the stand-in uses.
 #[derive(Clone, Debug)]
 pub struct Prompt {
-    /// The text asked.
+    /// The prompt's text; of a chat, that of the last message.
     pub text: String,
-    /// How many tokens to answer with.
+    /// The number of tokens in the answer.
     pub tokens: u64,
-    /// Whether the answer is a stream of events.
+    /// Whether the answer is sent as a stream of server-sent events.
     pub stream: bool,
-    /// The model asked for.
+    /// The name of the requested model.
     pub model: String,
-    /// Whether the call is a chat.
+    /// Whether the request is a chat completion.
     pub chat: bool,
 }
 
 impl Prompt {
-    /// Reads a call's body.
+    /// Parses a request's body, or returns `None` if it isn't a valid request.
     pub fn parse(path: &str, body: &[u8]) -> Option<Self> {
         let value: Value = serde_json::from_slice(body).ok()?;
         let chat = path.ends_with("/chat/completions");
@@ -41,17 +41,18 @@
         })
     }
 
-    /// Returns the `number`th token of the answer.
+    /// Returns token `number` of the answer, counted from 0.
     pub fn token(&self, number: u64) -> String {
         format!("{}:{number} ", self.text)
     }
 
-    /// Returns the whole text of the answer, which follows from the prompt alone.
+    /// Returns the full text of the answer, which depends on the prompt only, so that a caller can
+    /// check it.
     pub fn full_text(&self) -> String {
         (0..self.tokens).map(|number| self.token(number)).collect()
     }
 
-    /// Returns the body of a whole answer.
+    /// Returns the body of an answer that is not streamed.
     pub fn response_body(&self) -> Value {
         let text = self.full_text();
         let choice = if self.chat {
@@ -64,7 +65,7 @@
                "usage": {"completion_tokens": self.tokens}})
     }
 
-    /// Returns one event of a streamed answer.
+    /// Returns the event that carries token `number` of a streamed answer.
     pub fn event(&self, number: u64) -> String {
         let text = self.token(number);
         let choice = if self.chat {
--- a/crates/cherrystand_testkit/src/engine/running_request.rs
+++ b/crates/cherrystand_testkit/src/engine/running_request.rs
@@ -1,4 +1,4 @@
-//! One request being run by the engine stand-in.
+//! A request that the engine stand-in is running.
 
 use bytes::Bytes;
 use cherrystand_core::Epoch;
@@ -11,10 +11,10 @@
 use crate::engine::stand_in::{EngineBody, EngineStandIn, boxed};
 use crate::http::json;
 
-/// How many tokens of an answer may wait for a slow reader.
+/// How many events of a streamed answer are buffered for a slow reader.
 const BUFFERED_TOKENS: usize = 16;
 
-/// One request being run; counted as in flight for as long as it lives.
+/// A request that the engine is running; it counts as in flight until it is dropped.
 pub(crate) struct RunningRequest {
     engine: EngineStandIn,
     epoch: Epoch,
@@ -29,17 +29,19 @@
 }
 
 impl RunningRequest {
-    /// Begins a request that the engine has admitted.
+    /// Starts a request that the engine has admitted.
     pub(crate) fn new(engine: EngineStandIn, epoch: Epoch, prompt: Prompt) -> Self {
         Self { engine, epoch, prompt, completed: false }
     }
 
-    /// Answers it, whole or as a stream.
+    /// Answers the request, in one body or as a stream.
     pub(crate) async fn answer(self) -> Response<EngineBody> {
         if self.prompt.stream { self.answer_stream() } else { self.answer_complete().await }
     }
 
-    /// Makes the tokens one by one; fails when the replica comes apart or is told to cut.
+    /// Waits for the time that token `number` takes.
+    ///
+    /// Fails if the replica has broken up or if `cut_after` ends the answer before this token.
     async fn generate_token(&self, number: u64) -> Result<(), std::io::Error> {
         let time = match number {
             0 => self.engine.prefill_time(&self.prompt.text),
@@ -96,10 +98,10 @@
     BodyExt::boxed_unsync(StreamBody::new(frames))
 }
 
-/// An answer that breaks off after its head.
+/// Returns an answer whose body fails after the headers were sent.
 fn interrupted_answer(err: std::io::Error) -> Response<EngineBody> {
     let (tx, rx) = mpsc::channel(1);
-    // The channel has room for this one item.
+    // Cannot fail: the channel is empty and has a capacity of one.
     let _ = tx.try_send(Err(err));
     Response::new(receiver_body(rx))
 }
--- a/crates/cherrystand_testkit/src/engine/stand_in.rs
+++ b/crates/cherrystand_testkit/src/engine/stand_in.rs
@@ -1,4 +1,4 @@
-//! A model engine's stand-in: one box of a replica.
+//! A stand-in for the model engine of one box of a replica.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, VecDeque};
@@ -19,70 +19,71 @@
 use crate::engine::running_request::RunningRequest;
 use crate::http::{empty, json, read_body, read_json};
 
-/// How often a leader looks after its members.
+/// How often a leader checks the members of its replica.
 const MEMBER_CHECK_INTERVAL: Duration = Duration::from_millis(150);
 
-/// After this long without an answer a leader takes a member for dead.
+/// How long a leader waits for a member's answer before it regards the member as lost.
 const MEMBER_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// How many requests run in one batch where no knob says otherwise.
+/// The default of [`EngineKnobs::batch`].
 const DEFAULT_BATCH: u32 = 32;
 
-/// How old reported loads may be where no knob says otherwise, in milliseconds.
+/// The default of [`EngineKnobs::report_lag_ms`].
 const DEFAULT_REPORT_LAG_MS: u64 = 500;
 
-/// The length of the prefix that the cache goes by, in bytes.
+/// The length of the prompt prefix that is the key of the prefix cache, in bytes.
 const PREFIX_BYTES: usize = 32;
 
-/// The body of an engine's answers.
+/// The body type of the engine's answers.
 pub type EngineBody = UnsyncBoxBody<Bytes, std::io::Error>;
 
-/// Sets how an engine behaves; what is left out stays as it is.
+/// Settings of the engine's behavior, sent to `/control/set`; those left out stay unchanged.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct EngineKnobs {
-    /// For how long the engine answers nothing from now on, in milliseconds.
+    /// How long the engine answers no request, from now on, in milliseconds.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub freeze_ms: Option<u64>,
-    /// The time between tokens of a lone request, in microseconds.
+    /// The time between two tokens of a request that runs alone, in microseconds.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub token_us: Option<u64>,
     /// The time until the first token of an uncached prompt, in milliseconds.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub prefill_ms: Option<u64>,
-    /// After how many tokens the next answers are cut; 0 for never.
+    /// The number of tokens after which answers are interrupted; 0 to disable.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub cut_after: Option<u64>,
-    /// How old reported loads may be, in milliseconds.
+    /// How old a reported load may be before it is measured again, in milliseconds.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub report_lag_ms: Option<u64>,
-    /// How many requests run in one batch.
+    /// The maximum number of requests in one batch.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub batch: Option<u32>,
-    /// How many requests wait for the batch before others are refused.
+    /// The maximum number of requests that wait for the batch; further ones are refused.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub queue: Option<u32>,
 }
 
-/// Describes an engine's stand-in.
+/// The setup of an engine stand-in.
 #[derive(Clone, Debug)]
 pub struct EngineSetup {
-    /// Where the platform's stand-in serves weights.
+    /// The address of the platform stand-in, which serves the weights.
     pub platform: SocketAddr,
-    /// Whether the engine refuses orders of an old epoch.
+    /// Whether the engine refuses orders with an epoch lower than the highest that it has seen.
     pub checks_orders: bool,
 }
 
-/// Counts what an engine ran.
+/// Counts the requests that an engine has run.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Executions {
-    /// Requests begun.
+    /// Requests started.
     pub begun: u64,
-    /// Requests answered whole.
+    /// Requests answered completely.
     pub whole: u64,
-    /// Requests whose caller left.
+    /// Requests that ended before their answer was complete, for instance because the caller
+    /// disconnected.
     pub cancelled: u64,
-    /// How often each request id was begun.
+    /// How often a request was started, by request id.
     pub by_request: BTreeMap<String, u32>,
 }
 
@@ -109,7 +110,7 @@
 }
 
 impl EngineStandIn {
-    /// Creates an idle engine without weights.
+    /// Creates an idle engine that has no weights loaded.
     pub fn new(setup: EngineSetup) -> Self {
         let state = State {
             setup,
@@ -128,7 +129,7 @@
         Self { state: Rc::new(RefCell::new(state)), pool: HttpPool::default() }
     }
 
-    /// Answers one call.
+    /// Answers one HTTP request.
     pub async fn handle(self, req: Request<Incoming>) -> Response<EngineBody> {
         let path = req.uri().path().to_owned();
         if path == "/control/set" {
@@ -162,7 +163,7 @@
         }
     }
 
-    /// Reports the state as it is and the load as it was a while ago.
+    /// Reports the current state and a load that may be as old as `report_lag_ms`.
     fn report(&self) -> EngineReport {
         let mut state = self.state.borrow_mut();
         let batch = state.knobs.batch.unwrap_or(DEFAULT_BATCH);
@@ -181,7 +182,7 @@
         }
     }
 
-    /// Tells a leader which epoch this member is ready for.
+    /// Answers a leader with the epoch that this member is ready for, or 0.
     fn ready_epoch(&self) -> Response<crate::http::Whole> {
         let state = self.state.borrow();
         let ready = state.state == EngineState::Ready;
@@ -278,7 +279,7 @@
         answer.is_ok_and(|answer| answer.status == StatusCode::OK)
     }
 
-    /// Breaks the replica as soon as a member that was ready is gone.
+    /// Marks the replica as broken once a member that was ready for the epoch no longer is.
     async fn monitor_members(&self, epoch: Epoch, members: &[SocketAddr]) {
         let mut joined = vec![false; members.len()];
         loop {
@@ -333,8 +334,7 @@
 
     fn admit(&self, expected_epoch: Option<Epoch>) -> Result<(), StatusCode> {
         let mut state = self.state.borrow_mut();
-        let wrong_epoch =
-            expected_epoch.is_some_and(|expected| expected != state.epoch);
+        let wrong_epoch = expected_epoch.is_some_and(|expected| expected != state.epoch);
         if state.state != EngineState::Ready || state.rank != 0 || wrong_epoch {
             return Err(StatusCode::CONFLICT);
         }
@@ -353,13 +353,13 @@
         *executions.by_request.entry(id.to_owned()).or_default() += 1;
     }
 
-    /// Tells whether answers are to be cut before their `number`th token.
+    /// Returns whether `cut_after` ends an answer before its token `number`.
     pub(crate) fn should_interrupt(&self, number: u64) -> bool {
         let limit = self.state.borrow().knobs.cut_after.unwrap_or(0);
         limit > 0 && number >= limit
     }
 
-    /// Counts a request as ended, whole or not.
+    /// Counts a request as ended, completed or not.
     pub(crate) fn record_end(&self, completed: bool) {
         let mut state = self.state.borrow_mut();
         state.in_flight -= 1;
@@ -370,7 +370,7 @@
         }
     }
 
-    /// Returns the time until the first token, less for a prefix that was seen lately.
+    /// Returns the time until the first token, which is shorter if the prefix is cached.
     pub(crate) fn prefill_time(&self, text: &str) -> Duration {
         let mut state = self.state.borrow_mut();
         let end = text.len().min(PREFIX_BYTES);
@@ -386,7 +386,7 @@
         Duration::from_millis(if cached { uncached_ms / 4 } else { uncached_ms })
     }
 
-    /// Returns the time until the next token, which grows with the batch.
+    /// Returns the time until the next token, which grows with the load of the batch.
     pub(crate) fn token_time(&self) -> Duration {
         let state = self.state.borrow();
         let base_time = state.knobs.token_us.unwrap_or(2_000);
@@ -394,7 +394,7 @@
         Duration::from_micros(base_time + base_time * u64::from(state.in_flight) / batch.max(1))
     }
 
-    /// Tells whether the engine still runs requests of an epoch.
+    /// Returns whether the engine still runs requests of an epoch.
     pub(crate) fn is_serving(&self, epoch: Epoch) -> bool {
         let state = self.state.borrow();
         let can_run = matches!(state.state, EngineState::Ready | EngineState::Draining);
@@ -409,7 +409,7 @@
     answer
 }
 
-/// Gives a whole answer the type of all answers.
+/// Converts an answer with a full body to the type of the engine's answers.
 pub(crate) fn boxed(answer: Response<crate::http::Whole>) -> Response<EngineBody> {
     answer.map(|body| BodyExt::boxed_unsync(body.map_err(|never| match never {})))
 }
