--- a/crates/cherrystandd/tests/connections.rs
+++ b/crates/cherrystandd/tests/connections.rs
@@ -8,9 +8,9 @@
 
 use futures_util::future::join_all;
 use serde_json::json;
-use support::asking::{ask, is_served};
+use support::caller_requests::{ask, is_served};
 use support::site::{CALL, Site, config};
-use support::until;
+use support::wait_until;
 
 /// How many requests each daemon gets at once.
 const REQUESTS_PER_DAEMON: usize = 40;
@@ -45,7 +45,7 @@
         bounded["routes"][1]["path_prefix"] = json!("/bounded/");
         site.site.configure(&bounded);
         for node in &site.nodes {
-            until("the configuration is in force", async || {
+            wait_until("the configuration is in force", async || {
                 ask(node, CALL, "n0-early".to_owned()).await.answer.status == 404
             })
             .await;
--- a/crates/cherrystandd/tests/costs.rs
+++ b/crates/cherrystandd/tests/costs.rs
@@ -70,7 +70,7 @@
     run(async {
         let cluster = Cluster::serving(Setup::default()).await;
         let before = counts(&cluster).await;
-        cluster.put_in_force(&cluster.usual_config(2, "1", "/moved")).await;
+        cluster.apply_config(&cluster.default_config(2, "1", "/moved")).await;
         let after = counts(&cluster).await;
         let leases = after.leases - before.leases;
         assert_eq!(after.writes - before.writes - leases, WRITES_PER_CHANGE);
--- a/crates/cherrystandd/tests/crashing_requests.rs
+++ b/crates/cherrystandd/tests/crashing_requests.rs
@@ -8,7 +8,7 @@
 use cherrystand_testkit::{CRASHES, whole_stream};
 use hyper::StatusCode;
 use support::site::{Node, STREAM, Site, send};
-use support::{Answer, until};
+use support::{Answer, wait_until};
 
 /// How long daemons have to learn of the third crash.
 const PROPAGATION_TIME: Duration = Duration::from_secs(3);
@@ -113,7 +113,7 @@
     ];
     support::run(async {
         let all = cases.into_iter().map(|case| async move {
-            let mut site = Site::serving_with_starts(case.daemons).await;
+            let mut site = Site::serving_with_start_times(case.daemons).await;
             let bodies = case.after.iter().map(|events| format!("{CRASHES}{events}"));
             let bodies: Vec<String> = bodies.collect();
             let sending = bodies.iter().map(|body| send_repeatedly(&site, body));
@@ -139,9 +139,9 @@
             }
             // A daemon that starts later knows of it as well.
             let seed = site.nodes[0].peers;
-            site.start_again(seed).await;
+            site.add_daemon(seed).await;
             let later = site.nodes.last().expect("a daemon");
-            until("the new daemon serves", async || {
+            wait_until("the new daemon serves", async || {
                 stream(later, "warm", "warm").await.status == StatusCode::OK
             })
             .await;
@@ -179,11 +179,11 @@
     const CANCELLATION_TIME: Duration = Duration::from_millis(120);
     const COPIES: usize = 12;
     support::run(async {
-        let site = Site::serving_with_starts(3).await;
+        let site = Site::serving_with_start_times(3).await;
         for id in ["i-6", "i-7", "i-8", "i-9", "i-10", "i-11", "i-12"] {
             site.site.add_box(id, "models").await.expect("a box");
         }
-        until("six replicas serve", async || site.site.leaders().len() == 6).await;
+        wait_until("six replicas serve", async || site.site.leaders().len() == 6).await;
         let body = format!("{CRASHES}{CRASHES_AFTER_EVENTS}");
         let copies = (0..COPIES).map(|number| {
             let (node, body) = (&site.nodes[number % site.nodes.len()], body.as_str());
--- a/crates/cherrystandd/tests/evacuations.rs
+++ b/crates/cherrystandd/tests/evacuations.rs
@@ -8,7 +8,9 @@
 use cherrystand_testkit::{ColdTold, Door};
 use futures_util::future::join_all;
 use serde_json::json;
-use support::asking::{Asked, ask, ask_all, in_case, is_served, not_served, played};
+use support::caller_requests::{
+    CallerRequest, ask, describe_failures, is_served, prefix_with_case, run_cases, send_to_all,
+};
 use support::site::{CALL, STREAM, Site, config};
 
 /// How often each daemon gets a request.
@@ -73,7 +75,7 @@
             if let Condition::NodeRejected = case.condition {
                 site.site.set_door(1, Door::Busy);
             }
-            let asking = ask_all(&site.nodes, case.path, REQUEST_INTERVAL, REQUESTS_FOR);
+            let asking = send_to_all(&site.nodes, case.path, REQUEST_INTERVAL, REQUESTS_FOR);
             let evacuating = async {
                 tokio::time::sleep(EVACUATED_AFTER).await;
                 if let Condition::UnknownZones = case.condition {
@@ -90,7 +92,7 @@
             let before = before.filter(|arrival| boxes.contains(&arrival.target)).count();
             if let Condition::NodeStarts = case.condition {
                 let seed = site.nodes[0].peers;
-                site.start_again(seed).await;
+                site.add_daemon(seed).await;
                 let node = site.nodes.last().expect("a node");
                 let first = (0..40).map(|number| ask(node, case.path, format!("n3-{number}")));
                 let first = join_all(first).await;
@@ -102,10 +104,10 @@
             if before == 0 || late > 0 {
                 wrong.push(format!("{before} sent to the zone before, {late} after"));
             }
-            wrong.extend(not_served(&asked));
-            in_case(case.name, wrong)
+            wrong.extend(describe_failures(&asked));
+            prefix_with_case(case.name, wrong)
         });
-        let wrong = played(all).await.concat();
+        let wrong = run_cases(all).await.concat();
         assert!(wrong.is_empty(), "{} wrong: {wrong:#?}", wrong.len());
     });
 }
@@ -122,8 +124,9 @@
         tokio::time::sleep(PROPAGATION_LIMIT).await;
         let from = Instant::now();
         for path in [STREAM, CALL] {
-            let asked = ask_all(&site.nodes, path, REQUEST_INTERVAL, Duration::from_secs(1)).await;
-            let wrong: Vec<&Asked> = asked
+            let asked =
+                send_to_all(&site.nodes, path, REQUEST_INTERVAL, Duration::from_secs(1)).await;
+            let wrong: Vec<&CallerRequest> = asked
                 .iter()
                 .filter(|asked| {
                     let after: Option<f64> = asked.answer.header("retry-after").parse().ok();
@@ -138,8 +141,9 @@
         // The zone serves at once, because its replicas were kept.
         site.site.take_back("z1");
         tokio::time::sleep(PROPAGATION_LIMIT).await;
-        let asked = ask_all(&site.nodes, STREAM, REQUEST_INTERVAL, Duration::from_secs(1)).await;
-        assert_eq!(not_served(&asked), None);
+        let asked =
+            send_to_all(&site.nodes, STREAM, REQUEST_INTERVAL, Duration::from_secs(1)).await;
+        assert_eq!(describe_failures(&asked), None);
     });
 }
 
@@ -198,7 +202,7 @@
                 config["services"][service]["cold_start_s"] = json!(COLD_S);
             }
             let site = Site::in_two_zones(3, &config).await;
-            let asking = ask_all(&site.nodes, CALL, REQUEST_INTERVAL, Duration::from_secs(8));
+            let asking = send_to_all(&site.nodes, CALL, REQUEST_INTERVAL, Duration::from_secs(8));
             let turning_cold = async {
                 tokio::time::sleep(EVACUATED_AFTER).await;
                 let ColdCause::Cold(reported) = case.cause else {
@@ -221,10 +225,10 @@
             if most > COLD_PER_S + 2 || most == 0 {
                 wrong.push(format!("{most} requests in a second, the limit is {COLD_PER_S}"));
             }
-            wrong.extend(not_served(&asked));
-            in_case(case.name, wrong)
+            wrong.extend(describe_failures(&asked));
+            prefix_with_case(case.name, wrong)
         });
-        let wrong = played(all).await.concat();
+        let wrong = run_cases(all).await.concat();
         assert!(wrong.is_empty(), "{} wrong: {wrong:#?}", wrong.len());
     });
 }
--- a/crates/cherrystandd/tests/failures.rs
+++ b/crates/cherrystandd/tests/failures.rs
@@ -40,7 +40,7 @@
                 assert!(told == "ran" || told == "not-run", "{told:?}");
                 answer.status() == StatusCode::OK
             };
-            cluster.until("the replica is repaired", is_repaired).await;
+            cluster.wait_until("the replica is repaired", is_repaired).await;
         }
     });
 }
@@ -61,7 +61,7 @@
         let to = cluster.daemons[0].callers;
         let answer = cluster.send(to, Method::POST, "/v1/chat/completions", &[], &body).await;
         let answer = answer.expect("an answer");
-        assert_eq!(answer.told(), ("not-run".to_owned(), "none-serving".to_owned()));
+        assert_eq!(answer.outcome_and_reason(), ("not-run".to_owned(), "none-serving".to_owned()));
         assert_eq!(answer.header("retry-after"), "1");
         assert!(began.elapsed() < Duration::from_secs(1), "the refusal took too long");
     });
@@ -92,7 +92,7 @@
         let stream = cluster.ask_model(0, "slow", 40, true).await.expect("a stream");
         cluster.daemons[0].process.signal("TERM");
         let not_ready = || async { !cluster.is_ready(stopping).await };
-        cluster.until("the daemon is not ready", not_ready).await;
+        cluster.wait_until("the daemon is not ready", not_ready).await;
         let late_answer =
             cluster.ask_model(0, "late", 2, false).await.expect("an answer while it lingers");
         assert_eq!(late_answer.status(), StatusCode::OK);
@@ -135,12 +135,12 @@
         let stop = Cell::new(false);
         let start_requests = |daemon| keep_requesting(&cluster, daemon, &stop);
         let rollout = async {
-            cluster.put_in_force(&cluster.usual_config(2, "2", "/consent")).await;
+            cluster.apply_config(&cluster.default_config(2, "2", "/consent")).await;
             let is_done = || async {
                 let status = cluster.cli(&["status"]).stdout;
                 String::from_utf8_lossy(&status).matches("true     m@2").count() == 2
             };
-            cluster.until("the rollout is done", is_done).await;
+            cluster.wait_until("the rollout is done", is_done).await;
             stop.set(true);
         };
         let streams = [0, 1, 2, 0, 1, 2].map(start_requests);
@@ -153,7 +153,7 @@
 fn a_platform_outage_interrupts_no_answer_and_no_change_is_accepted() {
     run(async {
         let cluster = Cluster::serving(Setup::default()).await;
-        let plan = cluster.plan(&cluster.usual_config(2, "2", "/consent"));
+        let plan = cluster.plan(&cluster.default_config(2, "2", "/consent"));
         cluster.set(cluster.platform.address, json!({"down": true})).await;
         tokio::time::sleep(BEYOND_FRESHNESS).await;
         for daemon in 0..3 {
@@ -168,13 +168,16 @@
         let began = Instant::now();
         let keyed =
             cluster.send(to, Method::POST, "/consent/1", &key, "").await.expect("an answer");
-        assert_eq!(keyed.told(), ("not-run".to_owned(), "keys-out-of-reach".to_owned()));
+        assert_eq!(
+            keyed.outcome_and_reason(),
+            ("not-run".to_owned(), "keys-out-of-reach".to_owned())
+        );
         assert!(began.elapsed() < Duration::from_secs(2), "{:?}", began.elapsed());
         assert!(!cluster.service_executions().await.contains_key("k"));
         assert_eq!(cluster.cli(&["confirm", &plan]).status.code(), Some(4));
         cluster.set(cluster.platform.address, json!({"down": false})).await;
         let confirmed = || async { cluster.cli(&["confirm", &plan]).status.success() };
-        cluster.until("the plan is confirmed after the outage", confirmed).await;
+        cluster.wait_until("the plan is confirmed after the outage", confirmed).await;
     });
 }
 
@@ -186,9 +189,12 @@
         cluster.daemons.truncate(1);
         let to = cluster.daemons[0].callers;
         let cut_off = || async { !cluster.is_ready(to).await };
-        cluster.until("the daemon is not ready", cut_off).await;
+        cluster.wait_until("the daemon is not ready", cut_off).await;
         let answer = cluster.send(to, Method::GET, "/consent/1", &[], "").await.expect("an answer");
-        assert_eq!(answer.told(), ("not-run".to_owned(), "configuration-old".to_owned()));
+        assert_eq!(
+            answer.outcome_and_reason(),
+            ("not-run".to_owned(), "configuration-old".to_owned())
+        );
     });
 }
 
@@ -199,7 +205,7 @@
         let paused = &cluster.daemons[2];
         paused.process.signal("STOP");
         tokio::time::sleep(Duration::from_secs(1)).await;
-        cluster.put_in_force(&cluster.usual_config(2, "1", "/moved")).await;
+        cluster.apply_config(&cluster.default_config(2, "1", "/moved")).await;
         tokio::time::sleep(BEYOND_FRESHNESS).await;
         paused.process.signal("CONT");
         let mut served = 0;
@@ -226,10 +232,13 @@
         let to = cluster.daemons[0].callers;
         let first = cluster.send(to, Method::POST, "/consent/s", &headers, "once").await;
         let first = first.expect("an answer");
-        assert_eq!(first.told(), ("unknown".to_owned(), "deadline-passed".to_owned()));
+        assert_eq!(
+            first.outcome_and_reason(),
+            ("unknown".to_owned(), "deadline-passed".to_owned())
+        );
         for daemon in &cluster.daemons {
             let again = cluster.send(daemon.callers, Method::POST, "/consent/s", &headers, "once");
-            let told = again.await.expect("an answer").told();
+            let told = again.await.expect("an answer").outcome_and_reason();
             assert_eq!(told, ("unknown".to_owned(), "key-in-use".to_owned()));
         }
         tokio::time::sleep(Duration::from_secs(3)).await;
@@ -254,7 +263,7 @@
         for daemon in &cluster.daemons {
             let again =
                 cluster.send(daemon.callers, Method::POST, "/consent/d", &key, "once").await;
-            let told = again.expect("an answer").told();
+            let told = again.expect("an answer").outcome_and_reason();
             assert_eq!(told, ("unknown".to_owned(), "key-in-use".to_owned()));
         }
         tokio::time::sleep(Duration::from_secs(2)).await;
@@ -302,14 +311,14 @@
             let short_deadline = [key, ("cherrystand-deadline-ms", "500")];
             let second =
                 cluster.send(to, Method::POST, "/consent/t", &short_deadline, "once").await;
-            let told = second.expect("an answer").told();
+            let told = second.expect("an answer").outcome_and_reason();
             assert_eq!(told, ("not-run".to_owned(), "keys-out-of-reach".to_owned()));
             cluster.set(cluster.platform.address, json!({"down": false})).await;
             tokio::time::sleep(Duration::from_secs(3)).await;
             let elsewhere = cluster.daemons[1].callers;
             let third =
                 cluster.send(elsewhere, Method::POST, "/consent/t", &short_deadline, "once").await;
-            let told = third.expect("an answer").told();
+            let told = third.expect("an answer").outcome_and_reason();
             assert_eq!(told, ("unknown".to_owned(), "key-in-use".to_owned()));
         };
         let (first, ()) = tokio::join!(first, others);
--- a/crates/cherrystandd/tests/homes.rs
+++ b/crates/cherrystandd/tests/homes.rs
@@ -7,7 +7,9 @@
 use std::time::Duration;
 
 use serde_json::{Value, json};
-use support::asking::{ask_all, first_failed, in_case, is_served, played};
+use support::caller_requests::{
+    CallerRequest, describe_first_failure, is_served, prefix_with_case, run_cases, send_to_all,
+};
 use support::site::{CALL, STREAM, Site, config};
 
 /// How often each daemon gets a request, and for how long requests are sent.
@@ -69,7 +71,7 @@
             let mut wrong = Vec::new();
             for path in [STREAM, CALL] {
                 let before = site.site.arrivals().len();
-                let asked = ask_all(&site.nodes, path, REQUEST_INTERVAL, REQUEST_PERIOD).await;
+                let asked = send_to_all(&site.nodes, path, REQUEST_INTERVAL, REQUEST_PERIOD).await;
                 let arrivals = site.site.arrivals().split_off(before);
                 let reached = ["z1", "z2"].into_iter().filter(|zone| {
                     let boxes = site.site.boxes_in(zone);
@@ -85,18 +87,22 @@
                 if !is_right {
                     wrong.push(format!("{path} reached {reached:?}"));
                 }
-                let is_right = |asked: &&support::asking::Asked| match case.zones.is_empty() {
+                let is_right = |asked: &&CallerRequest| match case.zones.is_empty() {
                     true => asked.answer.status == 503 && asked.took < REFUSAL_TIMEOUT,
                     false => is_served(asked),
                 };
                 let right = asked.iter().filter(is_right).count();
                 if right < asked.len() {
-                    wrong.push(format!("{right} of {}; {}", asked.len(), first_failed(&asked)));
+                    wrong.push(format!(
+                        "{right} of {}; {}",
+                        asked.len(),
+                        describe_first_failure(&asked)
+                    ));
                 }
             }
-            in_case(case.name, wrong)
+            prefix_with_case(case.name, wrong)
         });
-        let wrong = played(all).await.concat();
+        let wrong = run_cases(all).await.concat();
         assert!(wrong.is_empty(), "{} wrong: {wrong:#?}", wrong.len());
     });
 }
--- a/crates/cherrystandd/tests/large_configuration.rs
+++ b/crates/cherrystandd/tests/large_configuration.rs
@@ -16,7 +16,7 @@
 use hyper::{Method, StatusCode};
 use serde_json::{Value, json};
 use support::site::{CALL, Node, Site, call, config, six_streams};
-use support::{call_at, peer_bytes, until};
+use support::{call_at, peer_bytes, wait_until};
 
 /// The number of routes that the configuration grows by.
 const MORE_ROUTES: usize = 1_400;
@@ -61,7 +61,7 @@
             let key = format!("k{version}");
             site.site.configure(&large_config(version, &key));
             for node in &site.nodes {
-                until("a node has the new key", async || {
+                wait_until("a node has the new key", async || {
                     let id = format!("v{version}-{}", node.callers.port());
                     call(node, "POST", CALL, &id, &key).await.status == StatusCode::OK
                 })
--- a/crates/cherrystandd/tests/leaving.rs
+++ b/crates/cherrystandd/tests/leaving.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use cherrystand_testkit::{Door, LinkMode};
-use support::asking::{ask_all, daemon_of, in_case, played};
+use support::caller_requests::{daemon_of, prefix_with_case, run_cases, send_to_all};
 use support::site::{CALL, Site};
 
 /// How often each daemon gets a request.
@@ -121,8 +121,9 @@
     support::run(async {
         let all = cases.into_iter().map(|case| async move {
             let site = Site::serving(3).await;
-            let reader = site.reader().await;
-            let asking = ask_all(&site.nodes, CALL, REQUEST_INTERVAL, Duration::from_millis(3_800));
+            let reader = site.store_reader().await;
+            let asking =
+                send_to_all(&site.nodes, CALL, REQUEST_INTERVAL, Duration::from_millis(3_800));
             let leaving = async {
                 tokio::time::sleep(Duration::from_millis(500)).await;
                 // A watch starts right after a change, so that it has long to wait.
@@ -140,9 +141,9 @@
             let faulty = format!("n{reader}");
             let is_counted = |daemon: &str| daemon != faulty || case.fault.stays_in_contact();
             let late = sent_after(&site, left + PROPAGATION_LIMIT, is_counted);
-            in_case(case.name, late)
+            prefix_with_case(case.name, late)
         });
-        let late = played(all).await.concat();
+        let late = run_cases(all).await.concat();
         assert!(late.is_empty(), "{} sent too late: {late:#?}", late.len());
     });
 }
@@ -160,7 +161,8 @@
 fn a_resumed_daemon_does_not_keep_boxes_that_left_during_its_pause() {
     support::run(async {
         let site = Site::serving(1).await;
-        let asking = ask_all(&site.nodes, CALL, REQUEST_INTERVAL, PAUSE + Duration::from_secs(3));
+        let asking =
+            send_to_all(&site.nodes, CALL, REQUEST_INTERVAL, PAUSE + Duration::from_secs(3));
         let leaving = async {
             ReaderFault::Paused.begin(&site, 0);
             tokio::time::sleep(Duration::from_millis(300)).await;
--- a/crates/cherrystandd/tests/limits.rs
+++ b/crates/cherrystandd/tests/limits.rs
@@ -7,7 +7,10 @@
 
 use cherrystand_testkit::{BoxWishes, LimitBound, LimitIn, Sheds, broken_limits};
 use futures_util::future::join_all;
-use support::asking::{Asked, ask_all, daemon_of, first_failed, in_case, is_served, played};
+use support::caller_requests::{
+    CallerRequest, daemon_of, describe_first_failure, is_served, prefix_with_case, run_cases,
+    send_to_all,
+};
 use support::site::{CALL, STREAM, Site};
 
 /// How often each daemon gets a request.
@@ -36,7 +39,7 @@
 }
 
 /// Checks refusals: each must come at once and name a time to retry.
-fn invalid_refusals(asked: &[Asked]) -> Vec<String> {
+fn invalid_refusals(asked: &[CallerRequest]) -> Vec<String> {
     let refused = asked.iter().filter(|asked| !is_served(asked));
     let wrong = refused.filter(|asked| {
         let after: Option<f64> = asked.answer.header("retry-after").parse().ok();
@@ -111,7 +114,7 @@
     ];
     support::run(async {
         let all = cases.into_iter().map(|case| async move {
-            let site = Site::serving_with_starts(3).await;
+            let site = Site::serving_with_start_times(3).await;
             for (id, wishes) in boxes_of(&site, case.path).iter().zip(case.wishes) {
                 site.site.set_wishes(id, wishes);
             }
@@ -119,21 +122,21 @@
                 let nodes = &site.nodes;
                 async move {
                     let Some(every) = case.every[number] else { return Vec::new() };
-                    ask_all(&nodes[number..=number], case.path, every, REQUEST_PERIOD).await
+                    send_to_all(&nodes[number..=number], case.path, every, REQUEST_PERIOD).await
                 }
             };
             let asked = join_all([0, 1, 2].map(of)).await;
-            let asked: Vec<Asked> = asked.into_iter().flatten().collect();
+            let asked: Vec<CallerRequest> = asked.into_iter().flatten().collect();
             let mut wrong = violations(&site);
             let served = asked.iter().filter(|asked| is_served(asked)).count();
             if (served as f64) < asked.len() as f64 * case.min_served {
-                let (all, failed) = (asked.len(), first_failed(&asked));
+                let (all, failed) = (asked.len(), describe_first_failure(&asked));
                 wrong.push(format!("{served} of {all} served; {failed}"));
             }
             wrong.extend(invalid_refusals(&asked));
-            in_case(case.name, wrong)
+            prefix_with_case(case.name, wrong)
         });
-        let wrong = played(all).await.concat();
+        let wrong = run_cases(all).await.concat();
         assert!(wrong.is_empty(), "{} wrong: {wrong:#?}", wrong.len());
     });
 }
@@ -196,9 +199,9 @@
     ];
     support::run(async {
         let all = cases.into_iter().map(|case| async move {
-            let site = Site::serving_with_starts(3).await;
+            let site = Site::serving_with_start_times(3).await;
             site.site.set_wishes("a-1", BoxWishes::limit(case.first));
-            let asking = ask_all(&site.nodes, CALL, REQUEST_INTERVAL, REQUEST_PERIOD);
+            let asking = send_to_all(&site.nodes, CALL, REQUEST_INTERVAL, REQUEST_PERIOD);
             let changing = async {
                 tokio::time::sleep(CHANGE_AFTER).await;
                 match case.change {
@@ -224,15 +227,16 @@
                 _ => None,
             };
             let killed = killed.map(|number| format!("n{number}-"));
-            let counts =
-                |asked: &&Asked| killed.as_ref().is_none_or(|own| !asked.id.starts_with(own));
+            let counts = |asked: &&CallerRequest| {
+                killed.as_ref().is_none_or(|own| !asked.id.starts_with(own))
+            };
             let failed = asked.iter().filter(counts).filter(|asked| !is_served(asked)).count();
             if failed > 0 {
-                wrong.push(format!("{failed} were not served; {}", first_failed(&asked)));
+                wrong.push(format!("{failed} were not served; {}", describe_first_failure(&asked)));
             }
-            in_case(case.name, wrong)
+            prefix_with_case(case.name, wrong)
         });
-        let wrong = played(all).await.concat();
+        let wrong = run_cases(all).await.concat();
         assert!(wrong.is_empty(), "{} wrong: {wrong:#?}", wrong.len());
     });
 }
--- a/crates/cherrystandd/tests/site.rs
+++ b/crates/cherrystandd/tests/site.rs
@@ -8,14 +8,14 @@
 use cherrystand_testkit::{BoxMood, Door, whole_stream};
 use hyper::StatusCode;
 use support::site::{CALL, Node, STREAM, Site, call, config, is_ready, send, six_streams};
-use support::{call_at, until};
+use support::{call_at, wait_until};
 
 #[test]
 fn requests_are_served_by_route_key_and_model() {
     support::run(async {
         let site = Site::start(1).await;
         let node = &site.nodes[0];
-        until("the node listens", async || {
+        wait_until("the node listens", async || {
             call_at(node.ready, "GET", "/ready", &[], "").await.status != StatusCode::BAD_GATEWAY
         })
         .await;
@@ -25,9 +25,9 @@
         assert_eq!(early.status, StatusCode::SERVICE_UNAVAILABLE);
         assert!(!early.header("retry-after").is_empty());
         site.site.configure(&config(1, "/calls/", &["k1"]));
-        until("the node is ready", async || is_ready(node).await).await;
-        until("two replicas serve", async || site.site.leaders().len() == 2).await;
-        until("models answer", async || {
+        wait_until("the node is ready", async || is_ready(node).await).await;
+        wait_until("two replicas serve", async || site.site.leaders().len() == 2).await;
+        wait_until("models answer", async || {
             call(node, "GET", STREAM, "warm", "k1").await.status == StatusCode::OK
         })
         .await;
@@ -161,7 +161,7 @@
         }
         assert!(resumed > 0, "no stream was at the stalled replica");
         // The spare replaces the dark member.
-        until("both replicas serve", async || {
+        wait_until("both replicas serve", async || {
             let leaders = site.site.leaders();
             leaders.len() == 2
                 && leaders.values().any(|members| members.contains(&"i-5".to_owned()))
@@ -381,13 +381,13 @@
     support::run(async {
         let site = Site::serving(1).await;
         site.site.add_box("i-6", "models").await.expect("a box");
-        until("the new box is staged", async || site.site.staged("i-6")).await;
+        wait_until("the new box is staged", async || site.site.staged("i-6")).await;
         site.site.start_again_as("i-5", "i-95");
         let (_, members) = site.site.leaders().pop_first().expect("a leader");
         site.site.set_mood(&members[1], BoxMood::Dark);
         let ended = six_streams(&site.nodes[0]).await;
         assert!(ended.iter().all(|(answer, id)| answer.text() == whole_stream(id)));
-        until("the other spare took the place", async || {
+        wait_until("the other spare took the place", async || {
             let leaders = site.site.leaders();
             leaders.values().any(|members| members.contains(&"i-6".to_owned()))
         })
@@ -417,7 +417,7 @@
     ];
     support::run(async {
         let all = cases.into_iter().map(|case| async move {
-            let site = Site::serving_with_starts(2).await;
+            let site = Site::serving_with_start_times(2).await;
             // Boxes report their starts from now on, so that incarnations can be told apart, and
             // keep serving.
             assert_eq!(site.site.whole_replicas(), 2, "{}", case.name);
@@ -426,7 +426,8 @@
                 tokio::time::sleep(Duration::from_millis(250)).await;
                 site.site.restart(&members[case.rank], case.joins_again);
                 let restarted = std::time::Instant::now();
-                until("two whole replicas serve", async || site.site.whole_replicas() == 2).await;
+                wait_until("two whole replicas serve", async || site.site.whole_replicas() == 2)
+                    .await;
                 restarted
             };
             let (answers, restarted) = tokio::join!(six_streams(&site.nodes[0]), restart);
@@ -482,7 +483,7 @@
         // invalid one.
         site.site.list("a-1");
         site.site.store.put("op/config", "not base64!".to_owned());
-        until("a-1 is chosen again", async || {
+        wait_until("a-1 is chosen again", async || {
             let _ = call(node, "POST", CALL, "again", "k1").await;
             site.site.runs_of("again").iter().any(|(id, _)| id == "a-1")
         })
@@ -495,7 +496,7 @@
     support::run(async {
         let site = Site::serving(1).await;
         site.site.add_box("i-6", "models").await.expect("a box");
-        until("the new box is staged", async || site.site.staged("i-6")).await;
+        wait_until("the new box is staged", async || site.site.staged("i-6")).await;
         // It is still listed, as a box is for some seconds after it lost power.
         site.site.set_mood("i-5", BoxMood::Dark);
         let (_, members) = site.site.leaders().pop_first().expect("a leader");
@@ -508,7 +509,7 @@
         });
         let answers = futures_util::future::join_all(calls).await;
         assert!(answers.iter().all(|status| *status == StatusCode::OK), "{answers:?}");
-        until("the other spare took the place", async || {
+        wait_until("the other spare took the place", async || {
             let leaders = site.site.leaders();
             leaders.values().any(|members| members.contains(&"i-6".to_owned()))
         })
@@ -651,7 +652,7 @@
         tokio::time::sleep(Duration::from_millis(300)).await;
         site.site.configure(&config(2, "/moved/", &["k2"]));
         for node in &site.nodes {
-            until("the new key is in force", async || {
+            wait_until("the new key is in force", async || {
                 call(node, "POST", "/moved/1", "m", "k2").await.status == StatusCode::OK
             })
             .await;
@@ -676,7 +677,7 @@
         site.site.store.forget();
         site.site.configure(&config(2, "/moved/", &["k1"]));
         site.site.set_door(0, Door::Open);
-        until("the change is in force", async || {
+        wait_until("the change is in force", async || {
             call(node, "POST", "/moved/1", "m", "k1").await.status == StatusCode::OK
         })
         .await;
@@ -720,7 +721,7 @@
         };
         let (story, ()) = tokio::join!(call(node, "POST", STREAM, "s1", "k1"), stop);
         assert_eq!((story.status, story.text()), (StatusCode::OK, whole_stream("s1")));
-        until("the daemon exits", || {
+        wait_until("the daemon exits", || {
             let ended = site.nodes[0].process.has_ended();
             async move { ended }
         })
@@ -734,7 +735,7 @@
         let site = Site::start(1).await;
         site.site.configure_once_missed(&config(1, "/calls/", &["k1"]));
         let node = &site.nodes[0];
-        until("the node is ready", async || is_ready(node).await).await;
+        wait_until("the node is ready", async || is_ready(node).await).await;
     });
 }
 
@@ -762,7 +763,7 @@
             let key = format!("k{version}");
             site.site.configure(&config(version, "/calls/", &[&key]));
             for (number, node) in site.nodes.iter().enumerate() {
-                until("a node has the new key", async || {
+                wait_until("a node has the new key", async || {
                     let id = format!("v{version}-{number}");
                     call(node, "POST", CALL, &id, &key).await.status == StatusCode::OK
                 })
@@ -801,7 +802,7 @@
             let known = site.nodes.len();
             let no_peer = site.nodes[0].ready;
             let seed = if case.door == Door::Open { site.nodes[0].peers } else { no_peer };
-            site.start_again(seed).await;
+            site.add_daemon(seed).await;
             site.site.set_door(known, case.door);
             let began = std::time::Instant::now();
             let answer = loop {
@@ -834,17 +835,19 @@
     ];
     support::run(async {
         let mut site = Site::serving(2).await;
-        until("the readers are noted", async || site.site.store.holds("cherrystand/readers/z1"))
-            .await;
+        wait_until("the readers are noted", async || {
+            site.site.store.holds("cherrystand/readers/z1")
+        })
+        .await;
         for case in cases {
             if !case.readers_run {
                 site.nodes.clear();
             }
             // Nothing listens at this address, so the node knows no peer.
             let no_peer = support::free_addresses(1)[0];
-            site.start_again(no_peer).await;
+            site.add_daemon(no_peer).await;
             let node = site.nodes.last().expect("just started");
-            until(case.name, async || {
+            wait_until(case.name, async || {
                 call(node, "GET", STREAM, case.name, "k1").await.status == StatusCode::OK
             })
             .await;
--- a/crates/cherrystandd/tests/slow_readers.rs
+++ b/crates/cherrystandd/tests/slow_readers.rs
@@ -7,9 +7,9 @@
 
 use cherrystand_testkit::BoxWishes;
 use futures_util::future::join_all;
-use support::asking::{ask, ask_all, is_served, not_served};
+use support::caller_requests::{ask, describe_failures, is_served, send_to_all};
 use support::site::{CALL, Node, STREAM, Site};
-use support::{call_at, until};
+use support::{call_at, wait_until};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 
@@ -47,7 +47,7 @@
     const CUT_AFTER: Duration = Duration::from_millis(1_200);
     const PAUSE: Duration = Duration::from_millis(3_500);
     support::run(async {
-        let site = Site::serving_with_starts(1).await;
+        let site = Site::serving_with_start_times(1).await;
         let node = &site.nodes[0];
         for leader in site.site.leaders().into_keys() {
             site.site.set_wishes(&leader, BoxWishes::large_events(EVENT_BYTES, Some(CUT_AFTER)));
@@ -83,9 +83,10 @@
         for leader in site.site.leaders().into_keys() {
             site.site.set_wishes(&leader, BoxWishes::default());
         }
-        let asked = ask_all(&site.nodes, STREAM, Duration::from_millis(50), Duration::from_secs(1));
+        let asked =
+            send_to_all(&site.nodes, STREAM, Duration::from_millis(50), Duration::from_secs(1));
         let asked = asked.await;
-        assert_eq!(not_served(&asked), None);
+        assert_eq!(describe_failures(&asked), None);
     });
 }
 
@@ -113,17 +114,18 @@
             (0..SLOW_CALLERS)
                 .filter(|number| !site.site.runs_of(&format!("slow-{number}")).is_empty())
         };
-        until("all slow streams have begun", async || begun().count() == SLOW_CALLERS).await;
+        wait_until("all slow streams have begun", async || begun().count() == SLOW_CALLERS).await;
         for leader in &leaders {
             site.site.set_wishes(leader, BoxWishes::default());
         }
-        let asked = ask_all(&site.nodes, STREAM, Duration::from_millis(40), Duration::from_secs(2));
+        let asked =
+            send_to_all(&site.nodes, STREAM, Duration::from_millis(40), Duration::from_secs(2));
         let asked = asked.await;
-        assert_eq!(not_served(&asked), None);
+        assert_eq!(describe_failures(&asked), None);
         let peak = node.process.peak_kb();
         assert!(peak < MAX_MEMORY_KB, "{peak} KB");
         drop(slow);
-        until("no memory is held", async || {
+        wait_until("no memory is held", async || {
             metrics(node).await.contains("cherrystand_bytes_held 0")
         })
         .await;
--- a/crates/cherrystandd/tests/store_drills.rs
+++ b/crates/cherrystandd/tests/store_drills.rs
@@ -9,9 +9,9 @@
 use cherrystand_testkit::Door;
 use futures_util::future::join_all;
 use hyper::StatusCode;
-use support::asking::{ask_all, not_served, played};
+use support::caller_requests::{describe_failures, run_cases, send_to_all};
 use support::site::{CALL, Node, STREAM, Site, call, config};
-use support::until;
+use support::wait_until;
 
 /// The length of each step: the outage of the store, the time until keys are rewritten, and the
 /// requests of a check.
@@ -78,11 +78,11 @@
         }
         Change::Leaving | Change::EntryRemoved => {
             let from = Instant::now();
-            let asked = ask_all(&site.nodes, CALL, Duration::from_millis(50), STEP).await;
+            let asked = send_to_all(&site.nodes, CALL, Duration::from_millis(50), STEP).await;
             let arrivals = site.site.arrivals().into_iter();
             let late = arrivals.filter(|got| got.target == "a-1" && got.at > from).count();
-            let is_right = late == 0 && not_served(&asked).is_none();
-            (!is_right).then(|| format!("{late} sent to it, {:?}", not_served(&asked)))
+            let is_right = late == 0 && describe_failures(&asked).is_none();
+            (!is_right).then(|| format!("{late} sent to it, {:?}", describe_failures(&asked)))
         }
     }
 }
@@ -111,7 +111,7 @@
             let wrong: Vec<String> = join_all(wrong).await.into_iter().flatten().collect();
             (!wrong.is_empty()).then(|| format!("case {number}: {wrong:?}"))
         });
-        let wrong: Vec<String> = played(all).await.into_iter().flatten().collect();
+        let wrong: Vec<String> = run_cases(all).await.into_iter().flatten().collect();
         assert!(wrong.is_empty(), "{wrong:#?}");
     });
 }
@@ -128,7 +128,7 @@
         let (leader, members) = leaders.first_key_value().expect("a replica");
         let member = members.iter().find(|member| *member != leader).expect("a member");
         site.site.restart(member, false);
-        until("both replicas are whole again", async || site.site.whole_replicas() == 2).await;
+        wait_until("both replicas are whole again", async || site.site.whole_replicas() == 2).await;
         assert_eq!(site.site.faults(), Vec::<String>::new());
         let fenced = site.site.refused_orders().into_iter().filter(|(_, _, status)| *status == 412);
         assert_eq!(fenced.collect::<Vec<_>>(), Vec::new());
--- a/crates/cherrystandd/tests/support/mod.rs
+++ b/crates/cherrystandd/tests/support/mod.rs
@@ -2,7 +2,7 @@
 #![allow(clippy::disallowed_methods, reason = "the machine of a test is not suspended")]
 #![allow(dead_code, reason = "each area of tests uses its own part")]
 
-pub(crate) mod asking;
+pub(crate) mod caller_requests;
 pub(crate) mod site;
 
 use std::net::SocketAddr;
@@ -17,7 +17,7 @@
 use serde_json::{Value, json};
 
 /// How long tests wait for what should come about.
-pub(crate) const PATIENCE: Duration = Duration::from_secs(30);
+pub(crate) const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// A process that ends with the test.
 pub(crate) struct Process {
@@ -113,7 +113,7 @@
     }
 
     /// Returns the outcome told and the reason for having no answer.
-    pub(crate) fn told(&self) -> (String, String) {
+    pub(crate) fn outcome_and_reason(&self) -> (String, String) {
         let value: Value = serde_json::from_slice(&self.body).unwrap_or_default();
         let reason = value["error"]["reason"].as_str().unwrap_or_default().to_owned();
         (self.header("cherrystand-outcome").to_owned(), reason)
@@ -186,7 +186,7 @@
             dir,
         };
         for daemon in &cluster.daemons {
-            cluster.until("a daemon is ready", || cluster.is_ready(daemon.callers)).await;
+            cluster.wait_until("a daemon is ready", || cluster.is_ready(daemon.callers)).await;
         }
         cluster
     }
@@ -194,18 +194,18 @@
     /// Starts everything, puts the usual groups in force and waits until they serve everywhere.
     pub(crate) async fn serving(setup: Setup) -> Self {
         let cluster = Self::start(setup).await;
-        cluster.put_in_force(&cluster.usual_config(setup.replicas, "1", "/consent")).await;
+        cluster.apply_config(&cluster.default_config(setup.replicas, "1", "/consent")).await;
         for daemon in &cluster.daemons {
             let all = || async {
                 cluster.serving_replicas(daemon.operators).await == setup.replicas as u64
             };
-            cluster.until("all replicas serve", all).await;
+            cluster.wait_until("all replicas serve", all).await;
         }
         cluster
     }
 
     /// Returns the configuration that most tests use.
-    pub(crate) fn usual_config(&self, replicas: u32, version: &str, prefix: &str) -> String {
+    pub(crate) fn default_config(&self, replicas: u32, version: &str, prefix: &str) -> String {
         let endpoints: Vec<String> = self
             .services
             .iter()
@@ -251,20 +251,20 @@
     }
 
     /// Plans and confirms a configuration.
-    pub(crate) async fn put_in_force(&self, config: &str) {
+    pub(crate) async fn apply_config(&self, config: &str) {
         let plan = self.plan(config);
         let confirmed = || async { self.cli(&["confirm", &plan]).status.success() };
-        self.until("the plan is confirmed", confirmed).await;
+        self.wait_until("the plan is confirmed", confirmed).await;
     }
 
     /// Waits until something is so.
-    pub(crate) async fn until<F, B>(&self, what: &str, mut is_so: F)
+    pub(crate) async fn wait_until<F, B>(&self, what: &str, mut condition: F)
     where
         F: FnMut() -> B,
         B: Future<Output = bool>,
     {
         let at = format!("{what}; see {:?}", self.dir);
-        until(&at, &mut is_so).await;
+        wait_until(&at, &mut condition).await;
     }
 
     pub(crate) async fn is_ready(&self, daemon: SocketAddr) -> bool {
@@ -287,7 +287,7 @@
     }
 
     /// Returns how many daemons one of them hears, itself included.
-    pub(crate) async fn daemons_heard(&self, daemon: usize) -> u64 {
+    pub(crate) async fn reachable_daemons(&self, daemon: usize) -> u64 {
         let status = self.status(self.daemons[daemon].operators).await;
         status["node"]["heard"].as_u64().unwrap_or(0)
     }
@@ -430,14 +430,14 @@
 }
 
 /// Waits until something is so.
-pub(crate) async fn until<F, B>(what: &str, mut is_so: F)
+pub(crate) async fn wait_until<F, B>(what: &str, mut condition: F)
 where
     F: FnMut() -> B,
     B: Future<Output = bool>,
 {
-    let until = Instant::now() + PATIENCE;
-    while !is_so().await {
-        assert!(Instant::now() < until, "gave up waiting until {what}");
+    let deadline = Instant::now() + WAIT_TIMEOUT;
+    while !condition().await {
+        assert!(Instant::now() < deadline, "gave up waiting until {what}");
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
 }
--- a/crates/cherrystandd/tests/support/site.rs
+++ b/crates/cherrystandd/tests/support/site.rs
@@ -7,7 +7,7 @@
 use hyper::StatusCode;
 use serde_json::Value;
 
-use super::{Answer, Process, call_at, free_addresses, start_in, until};
+use super::{Answer, Process, call_at, free_addresses, start_in, wait_until};
 
 pub(crate) const CALL: &str = "/calls/1";
 pub(crate) const STREAM: &str = "/stories/1";
@@ -22,10 +22,10 @@
 pub(crate) const SUSPENDED_MS: u64 = 6_000;
 
 /// How long a daemon is waited for until it serves.
-const WARM_WITHIN: Duration = Duration::from_secs(2);
+const WARM_UP_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Within this time a daemon that reads the store asks it more often than any other one.
-const READS_WITHIN: Duration = Duration::from_millis(1_200);
+const READER_SAMPLE_TIME: Duration = Duration::from_millis(1_200);
 
 /// How long a request may be held, in milliseconds.
 const TIMEOUT_MS: u64 = 6_000;
@@ -86,14 +86,14 @@
         }
         site.site.add_box_in("z2", "b-1", "app").await.expect("an endpoint");
         site.site.configure(config);
-        until("five replicas serve", async || site.site.leaders().len() == 5).await;
+        wait_until("five replicas serve", async || site.site.leaders().len() == 5).await;
         for node in &site.nodes {
-            until("a node is ready", async || is_ready(node).await).await;
+            wait_until("a node is ready", async || is_ready(node).await).await;
             // Where no zone may serve there is nothing to wait for.
             let served = async || call(node, "GET", STREAM, "warm", "k1").await.status;
             let _ = tokio::time::timeout(
-                WARM_WITHIN,
-                until("a node serves", async || served().await == StatusCode::OK),
+                WARM_UP_TIMEOUT,
+                wait_until("a node serves", async || served().await == StatusCode::OK),
             )
             .await;
         }
@@ -101,11 +101,11 @@
     }
 
     /// The same with boxes that tell when they started.
-    pub(crate) async fn serving_with_starts(daemons: usize) -> Self {
+    pub(crate) async fn serving_with_start_times(daemons: usize) -> Self {
         let site = Self::serving(daemons).await;
         site.site.tell_starts();
         // The records name the boxes' lives once a daemon has seen these.
-        until("the records name lives", async || {
+        wait_until("the records name lives", async || {
             let record = site.site.store.read("cherrystand/shared/domain/z1-d0");
             record.is_some_and(|record| record.contains("i-1@"))
         })
@@ -114,7 +114,7 @@
     }
 
     /// Starts one more daemon, as after a loss of its power; it knows of nobody but a seed.
-    pub(crate) async fn start_again(&mut self, seed: SocketAddr) {
+    pub(crate) async fn add_daemon(&mut self, seed: SocketAddr) {
         let own = free_addresses(NODE_ADDRESSES);
         let door = self.site.open_door().await.expect("a door");
         let link = Link::open(door).await.expect("a link");
@@ -124,9 +124,9 @@
     }
 
     /// Returns the daemon that reads the store for the others: it alone asks all the while.
-    pub(crate) async fn reader(&self) -> usize {
+    pub(crate) async fn store_reader(&self) -> usize {
         let before = self.store_calls().await;
-        tokio::time::sleep(READS_WITHIN).await;
+        tokio::time::sleep(READER_SAMPLE_TIME).await;
         let after = self.store_calls().await;
         let calls = |number: &usize| after[*number] - before[*number];
         (0..self.nodes.len()).max_by_key(calls).expect("a daemon")
@@ -153,10 +153,10 @@
     pub(crate) async fn serving_with(daemons: usize, retry_slack: f64) -> Self {
         let site = Self::start_with(daemons, retry_slack).await;
         site.site.configure(&config(1, "/calls/", &["k1"]));
-        until("two replicas serve", async || site.site.leaders().len() == 2).await;
+        wait_until("two replicas serve", async || site.site.leaders().len() == 2).await;
         for node in &site.nodes {
-            until("a node is ready", async || is_ready(node).await).await;
-            until("a node serves", async || {
+            wait_until("a node is ready", async || is_ready(node).await).await;
+            wait_until("a node serves", async || {
                 call(node, "GET", STREAM, "warm", "k1").await.status == StatusCode::OK
             })
             .await;
--- a/crates/cherrystandd/tests/suspensions.rs
+++ b/crates/cherrystandd/tests/suspensions.rs
@@ -8,7 +8,7 @@
 use cherrystand_testkit::{BoxMood, whole_stream};
 use hyper::StatusCode;
 use support::site::{CALL, STREAM, Site, call, is_ready};
-use support::{call_at, until};
+use support::{call_at, wait_until};
 
 /// How long after the request arrived the machine is suspended.
 const SUSPENDED_AFTER: Duration = Duration::from_millis(300);
@@ -60,7 +60,7 @@
             node.process.signal("USR1");
         }
         let node = &site.nodes[0];
-        until("the pause is noticed", async || {
+        wait_until("the pause is noticed", async || {
             let metrics = call_at(node.operators, "GET", "/metrics", &[], "").await.text();
             metrics.contains("cherrystand_pauses_total 1")
         })
--- a/crates/cherrystandd/tests/unsealed_answers.rs
+++ b/crates/cherrystandd/tests/unsealed_answers.rs
@@ -4,7 +4,7 @@
 mod support;
 
 use cherrystand_testkit::BoxWishes;
-use support::asking::{ask, is_served};
+use support::caller_requests::{ask, is_served};
 use support::site::{CALL, STREAM, Site, call};
 
 /// A success that its endpoint did not seal reaches no caller. An idempotent request is retried at
--- a/crates/cherrystandd/tests/whole_path.rs
+++ b/crates/cherrystandd/tests/whole_path.rs
@@ -129,7 +129,7 @@
             let answer = answer.expect(case.name);
             assert_eq!(answer.status.as_u16(), case.status, "{}: {answer:?}", case.name);
             let told = (String::from("not-run"), case.reason.to_owned());
-            assert_eq!(answer.told(), told, "{}", case.name);
+            assert_eq!(answer.outcome_and_reason(), told, "{}", case.name);
         }
         assert!(cluster.service_executions().await.is_empty());
     });
@@ -157,8 +157,8 @@
             let answer = cluster.ask_model(number, "still there", 2, false).await;
             assert_eq!(answer.expect("an answer").status(), StatusCode::OK);
         }
-        let hears_both = || async { cluster.daemons_heard(0).await == 2 };
-        cluster.until("the daemons hear each other", hears_both).await;
+        let hears_both = || async { cluster.reachable_daemons(0).await == 2 };
+        cluster.wait_until("the daemons hear each other", hears_both).await;
     });
 }
 
@@ -176,10 +176,10 @@
         };
         for daemon in 0..3 {
             let is_recorded = || async {
-                let told = resend(daemon).await.expect("an answer").told();
+                let told = resend(daemon).await.expect("an answer").outcome_and_reason();
                 told == ("ran".to_owned(), "key-in-use".to_owned())
             };
-            cluster.until("the claim says that the call ran", is_recorded).await;
+            cluster.wait_until("the claim says that the call ran", is_recorded).await;
         }
         assert_eq!(cluster.service_executions().await["story-1"], 1);
     });
@@ -189,15 +189,15 @@
 fn the_exit_code_of_the_command_tells_its_outcome() {
     run(async {
         let cluster = Cluster::serving(Setup::default()).await;
-        let first = cluster.plan(&cluster.usual_config(2, "2", "/consent"));
-        let second = cluster.plan(&cluster.usual_config(2, "3", "/consent"));
+        let first = cluster.plan(&cluster.default_config(2, "2", "/consent"));
+        let second = cluster.plan(&cluster.default_config(2, "3", "/consent"));
         struct Case<'a> {
             args: Vec<&'a str>,
             code: i32,
             output: &'a str,
         }
         let bad = cluster.write_file("bad.toml", "workspace = \"w\"\nworkspaces = 2\n");
-        let big = cluster.write_file("big.toml", &cluster.usual_config(9, "1", "/consent"));
+        let big = cluster.write_file("big.toml", &cluster.default_config(9, "1", "/consent"));
         let cases = [
             Case { args: vec!["status"], code: 0, output: "w/g" },
             Case { args: vec!["plan", "/no/such/file"], code: 1, output: "cannot be read" },
--- a/crates/cherrystandd/tests/wishes.rs
+++ b/crates/cherrystandd/tests/wishes.rs
@@ -7,11 +7,12 @@
 
 use cherrystand_testkit::{BoxWishes, Door, Sheds, Wish, broken_wishes};
 use hyper::StatusCode;
-use support::asking::{
-    Asked, ask, ask_all, daemon_of, first_failed, in_case, is_served, not_served, played,
+use support::caller_requests::{
+    CallerRequest, ask, daemon_of, describe_failures, describe_first_failure, is_served,
+    prefix_with_case, run_cases, send_to_all,
 };
 use support::site::{CALL, Node, STREAM, Site, call};
-use support::until;
+use support::wait_until;
 
 /// How often each daemon gets a request of each kind.
 ///
@@ -24,8 +25,8 @@
 const REQUEST_PERIOD: Duration = Duration::from_millis(4_500);
 
 /// Sends requests of one kind to all daemons for a while.
-async fn send_requests(nodes: &[Node], path: &str) -> Vec<Asked> {
-    ask_all(nodes, path, REQUEST_INTERVAL, REQUEST_PERIOD).await
+async fn send_requests(nodes: &[Node], path: &str) -> Vec<CallerRequest> {
+    send_to_all(nodes, path, REQUEST_INTERVAL, REQUEST_PERIOD).await
 }
 
 /// Lists the requests that daemons sent during a backoff or to boxes that are leaving.
@@ -82,7 +83,7 @@
     ];
     support::run(async {
         let all = cases.into_iter().map(|case| async move {
-            let site = Site::serving_with_starts(3).await;
+            let site = Site::serving_with_start_times(3).await;
             let boxes: Vec<String> = match case.path {
                 CALL => ["a-1", "a-2"].map(str::to_owned).to_vec(),
                 _ => site.site.leaders().into_keys().collect(),
@@ -95,14 +96,14 @@
             let served = asked.iter().filter(|asked| is_served(asked)).count();
             let min_count = (asked.len() as f64 * case.min_served) as usize;
             if served < min_count {
-                let (all, failed) = (asked.len(), first_failed(&asked));
+                let (all, failed) = (asked.len(), describe_first_failure(&asked));
                 wrong.push(format!(
                     "{served} of {all} served, {min_count} expected at least; {failed}"
                 ));
             }
-            in_case(case.name, wrong)
+            prefix_with_case(case.name, wrong)
         });
-        let wrong = played(all).await.concat();
+        let wrong = run_cases(all).await.concat();
         assert!(wrong.is_empty(), "{} wrong: {wrong:#?}", wrong.len());
     });
 }
@@ -127,7 +128,7 @@
     ];
     support::run(async {
         let all = cases.into_iter().map(|case| async move {
-            let site = Site::serving_with_starts(1).await;
+            let site = Site::serving_with_start_times(1).await;
             let leaders = site.site.leaders().into_keys().collect::<Vec<_>>();
             let sheds = if case.path == CALL { "a-1" } else { &leaders[0] };
             let wishes = BoxWishes { sheds: case.sheds, ..BoxWishes::default() };
@@ -141,11 +142,11 @@
             let is_right = arrived <= max_arrivals && arrived > 0 && served == asked.len();
             (!is_right).then(|| {
                 let (name, all) = (case.name, asked.len());
-                let failed = first_failed(&asked);
+                let failed = describe_first_failure(&asked);
                 format!("{name}: {arrived} of {all} sent to it, {served} served; {failed}")
             })
         });
-        let wrong: Vec<String> = played(all).await.into_iter().flatten().collect();
+        let wrong: Vec<String> = run_cases(all).await.into_iter().flatten().collect();
         assert!(wrong.is_empty(), "{wrong:#?}");
     });
 }
@@ -155,14 +156,14 @@
 #[test]
 fn callers_are_refused_at_once_with_a_retry_after_while_all_replicas_are_in_backoff() {
     support::run(async {
-        let site = Site::serving_with_starts(2).await;
+        let site = Site::serving_with_start_times(2).await;
         let leaders: Vec<String> = site.site.leaders().into_keys().collect();
         for leader in &leaders {
             site.site.set_wishes(leader, BoxWishes::rest(Sheds::All, "2"));
         }
         let asked = send_requests(&site.nodes, STREAM).await;
         let told = site.site.told();
-        let backoff_end = |target: &String, asked: &Asked| {
+        let backoff_end = |target: &String, asked: &CallerRequest| {
             let own = told.iter().filter(|told| &told.target == target);
             let own = own.filter(|told| {
                 daemon_of(&told.request, told.at) == daemon_of(&asked.id, asked.sent)
@@ -201,7 +202,7 @@
 #[test]
 fn signals_in_an_answer_to_another_request_are_ignored() {
     support::run(async {
-        let site = Site::serving_with_starts(1).await;
+        let site = Site::serving_with_start_times(1).await;
         let node = &site.nodes[0];
         let foreign_signals = BoxWishes {
             leaves: true,
@@ -209,7 +210,7 @@
             ..BoxWishes::rest(Sheds::All, "600")
         };
         site.site.set_wishes("a-1", foreign_signals);
-        until("a-1 has answered with signals for another request", async || {
+        wait_until("a-1 has answered with signals for another request", async || {
             ask(node, CALL, "n0-lied".to_owned()).await;
             site.site.told().iter().any(|told| told.target == "a-1")
         })
@@ -217,7 +218,7 @@
         site.site.set_wishes("a-1", BoxWishes::default());
         // No other endpoint serves now.
         site.site.set_wishes("a-2", BoxWishes { sheds: Sheds::All, ..BoxWishes::default() });
-        until("a-1 gets requests again", async || {
+        wait_until("a-1 gets requests again", async || {
             let id = format!("n0-{}", site.site.arrivals().len());
             ask(node, CALL, id.clone()).await;
             site.site.runs_of(&id).iter().any(|(target, _)| target == "a-1")
@@ -231,18 +232,18 @@
 #[test]
 fn a_backoff_ends_with_the_incarnation_of_its_box() {
     support::run(async {
-        let site = Site::serving_with_starts(1).await;
+        let site = Site::serving_with_start_times(1).await;
         for id in ["a-1", "a-2"] {
             site.site.set_wishes(id, BoxWishes::rest(Sheds::All, "60"));
         }
         let node = &site.nodes[0];
-        until("both are in backoff", async || {
+        wait_until("both are in backoff", async || {
             ask(node, CALL, "n0-rest".to_owned()).await;
             site.site.told().len() >= 2
         })
         .await;
         site.site.restart("a-1", false);
-        until("the new incarnation serves", async || {
+        wait_until("the new incarnation serves", async || {
             is_served(&ask(node, CALL, "n0-again".to_owned()).await)
         })
         .await;
@@ -272,7 +273,7 @@
     ];
     support::run(async {
         let all = cases.into_iter().map(|case| async move {
-            let site = Site::serving_with_starts(2).await;
+            let site = Site::serving_with_start_times(2).await;
             let leaders = site.site.leaders().into_keys().collect::<Vec<_>>();
             let leaving = if case.path == CALL { "a-1" } else { &leaders[0] };
             site.site.set_door(0, case.door);
@@ -284,10 +285,10 @@
                 wrong.push("it never announced that it leaves".to_owned());
             }
             // A stop that a box announces costs callers nothing.
-            wrong.extend(not_served(&asked));
-            in_case(case.name, wrong)
+            wrong.extend(describe_failures(&asked));
+            prefix_with_case(case.name, wrong)
         });
-        let wrong = played(all).await.concat();
+        let wrong = run_cases(all).await.concat();
         assert!(wrong.is_empty(), "{} wrong: {wrong:#?}", wrong.len());
     });
 }
@@ -297,10 +298,10 @@
 #[test]
 fn a_leaving_replica_is_replaced_while_its_entry_remains() {
     support::run(async {
-        let site = Site::serving_with_starts(2).await;
+        let site = Site::serving_with_start_times(2).await;
         let leaving = site.site.leaders().into_keys().next().expect("a leader");
         site.site.set_wishes(&leaving, BoxWishes::leaving());
-        until("a replica without it serves in its place", async || {
+        wait_until("a replica without it serves in its place", async || {
             call(&site.nodes[0], "POST", STREAM, "n0-s", "k1").await;
             let leaders = site.site.leaders();
             leaders.len() == 2 && !leaders.values().flatten().any(|member| member == &leaving)
