--- a/crates/cherrystand_core/src/nodes/change_log.rs
+++ b/crates/cherrystand_core/src/nodes/change_log.rs
@@ -15,7 +15,7 @@
 enum Change {
     /// A record was written.
     Record(Document),
-    /// A box is gone.
+    /// A box was removed.
     Removed(BoxId),
 }
 
--- a/crates/cherrystand_core/src/nodes/store_outage.rs
+++ b/crates/cherrystand_core/src/nodes/store_outage.rs
@@ -56,7 +56,7 @@
     }
 
     /// Records a peer's report that the store answered it at `at`, and has done so without
-    /// interruption since `steady_since`. The peer has decided itself what to retain.
+    /// interruption since `answering_since`. The peer has decided itself what to retain.
     pub fn record_peer_answer(&mut self, at: Millis, answering_since: Millis, now: Millis) {
         self.running_time.record(now);
         self.is_failing = false;
--- a/crates/cherrystand_core/src/requests/endpoint_backpressure.rs
+++ b/crates/cherrystand_core/src/requests/endpoint_backpressure.rs
@@ -9,7 +9,7 @@
 ///
 /// A backoff lets a queue drain, which takes seconds. An endpoint that will be away for longer
 /// announces a shutdown instead. One that asks for more than this is sent a request again after
-/// this time, and can then repeat its wish.
+/// this time, and can then ask for another backoff.
 pub const MAX_BACKOFF: Millis = Millis(600_000);
 
 /// How many requests may be in flight to an endpoint whose backoff has just ended, until it answers
@@ -45,7 +45,7 @@
     RateLimited(Millis),
     /// It has asked not to be sent requests until the given time.
     BackingOff(Millis),
-    /// Operators have evacuated its availability zone at the given time.
+    /// Operators evacuated its availability zone at the given time.
     Evacuated(Millis),
     /// It has announced that it is shutting down.
     Draining,
--- a/crates/cherrystand_core/src/requests/endpoint_rate_limits.rs
+++ b/crates/cherrystand_core/src/requests/endpoint_rate_limits.rs
@@ -91,7 +91,7 @@
 
 impl<K: Ord + Clone> EndpointRateLimits<K> {
     /// Creates rate limits whose ledgers start with this many permits and may grant them all at
-    /// once: the capacity behind them is at its full while nobody asks.
+    /// once, since the capacity behind them is full while nobody uses it.
     pub fn with_burst(permits: f64) -> Self {
         Self { burst: Some(permits), ..Self::default() }
     }
