--- a/crates/cherrystand_testkit/src/bin/cherrystand_soak.rs
+++ b/crates/cherrystand_testkit/src/bin/cherrystand_soak.rs
@@ -6,8 +6,8 @@
 use argh::FromArgs;
 use cherrystand_core::Millis;
 use cherrystand_testkit::{
-    Fault, SoakSetup, USUAL_SPAN, daemon_program, draw_drills, draw_limits, draw_lives,
-    draw_schedule, draw_wishes, draw_zones, play_soak,
+    DEFAULT_SPAN, Fault, SoakSetup, daemon_program, draw_box_signals, draw_rate_limits,
+    draw_restarts, draw_schedule, draw_store_restores, draw_zone_faults, run_soak,
 };
 use eyre::WrapErr;
 
@@ -24,7 +24,7 @@
     #[argh(option)]
     seed: u64,
     /// milliseconds in which faults strike
-    #[argh(option, default = "USUAL_SPAN.0")]
+    #[argh(option, default = "DEFAULT_SPAN.0")]
     span_ms: u64,
     /// how many daemons run
     #[argh(option, default = "3")]
@@ -69,26 +69,29 @@
     let lives = args.lives || args.crashes || args.wishes || args.limits || args.zones;
     let crashes = args.crashes;
     let zones = args.zones;
-    let setup = SoakSetup { program, dir, seed, daemons, lives, crashes, zones };
+    let setup = SoakSetup { program, dir, seed, daemons, report_starts: lives, crashes, zones };
     let mut faults = draw_schedule(args.seed, setup.targets(), Millis(args.span_ms));
     if args.limits {
         // Beside all faults each daemon would be excused at each moment.
         faults.retain(|fault| fault.number % KEPT_BESIDE_LIMITS == 0);
-        let limits = draw_limits(args.seed, setup.targets(), Millis(args.span_ms), USUAL_NUMBERS);
+        let limits =
+            draw_rate_limits(args.seed, setup.targets(), Millis(args.span_ms), USUAL_NUMBERS);
         faults.extend(limits);
     } else if lives {
-        let lives = draw_lives(args.seed, setup.targets(), Millis(args.span_ms), faults.len());
+        let lives = draw_restarts(args.seed, setup.targets(), Millis(args.span_ms), faults.len());
         faults.extend(lives);
     }
     if args.wishes {
-        let wishes = draw_wishes(args.seed, setup.targets(), Millis(args.span_ms), faults.len());
+        let wishes =
+            draw_box_signals(args.seed, setup.targets(), Millis(args.span_ms), faults.len());
         faults.extend(wishes);
     }
     if args.drills {
-        faults.extend(draw_drills(args.seed, Millis(args.span_ms), faults.len()));
+        faults.extend(draw_store_restores(args.seed, Millis(args.span_ms), faults.len()));
     }
     if args.zones {
-        let zones = draw_zones(args.seed, setup.targets(), Millis(args.span_ms), faults.len());
+        let zones =
+            draw_zone_faults(args.seed, setup.targets(), Millis(args.span_ms), faults.len());
         faults.extend(zones);
     }
     if !args.only.is_empty() {
@@ -110,11 +113,11 @@
         .wrap_err("starting the runtime")?;
     let local = tokio::task::LocalSet::new();
     let outcome =
-        local.block_on(&runtime, play_soak(setup, faults)).wrap_err("playing the faults")?;
-    outcome.ends.iter().for_each(|(end, count)| println!("  {count:>5} {end}"));
-    outcome.broken.iter().for_each(|broken| println!("BROKEN {broken}"));
-    println!("seed {}: {} broken", setup.seed, outcome.broken.len());
-    if outcome.broken.is_empty() {
+        local.block_on(&runtime, run_soak(setup, faults)).wrap_err("playing the faults")?;
+    outcome.outcome_counts.iter().for_each(|(outcome, count)| println!("  {count:>5} {outcome}"));
+    outcome.violations.iter().for_each(|violation| println!("BROKEN {violation}"));
+    println!("seed {}: {} broken", setup.seed, outcome.violations.len());
+    if outcome.violations.is_empty() {
         std::fs::remove_dir_all(&setup.dir).wrap_err("removing the logs")?;
         return Ok(ExitCode::SUCCESS);
     }
--- a/crates/cherrystand_testkit/src/lib.rs
+++ b/crates/cherrystand_testkit/src/lib.rs
@@ -42,11 +42,11 @@
 }
 mod soak {
     pub(crate) mod callers;
-    pub(crate) mod daemons;
+    pub(crate) mod daemon;
     pub(crate) mod link;
     pub(crate) mod run;
+    pub(crate) mod run_record;
     pub(crate) mod schedule;
-    pub(crate) mod seen;
 }
 
 pub use domain::fake_box::FakeBox;
@@ -73,9 +73,11 @@
 pub use site::site_setup::{NodeSettings, site_config, whole_stream};
 pub use site::site_stand_in::SiteStandIn;
 pub use soak::link::{Link, LinkMode};
-pub use soak::run::{SoakOutcome, SoakSetup, USUAL_SPAN, daemon_program, play_soak};
+pub use soak::run::{DEFAULT_SPAN, SoakOutcome, SoakSetup, daemon_program, run_soak};
+pub use soak::run_record::{
+    CallKind, CallOutcome, CallRecord, ColdInterval, Disturbance, RunRecord, UnlistedInterval,
+};
 pub use soak::schedule::{
-    Fault, FaultKind, OtherValue, Targets, draw_drills, draw_limits, draw_lives, draw_schedule,
-    draw_wishes, draw_zones,
+    CorruptEntry, Fault, FaultKind, Targets, draw_box_signals, draw_rate_limits, draw_restarts,
+    draw_schedule, draw_store_restores, draw_zone_faults,
 };
-pub use soak::seen::{Answered, Call, ColdTime, Disturbed, Gone, Record, Seen};
--- a/crates/cherrystand_testkit/src/soak/daemons.rs
+++ b/crates/cherrystand_testkit/src/soak/daemon.rs
@@ -4,11 +4,11 @@
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
 
-use crate::soak::seen::RETRY_SLACK;
+use crate::soak::run_record::RETRY_SLACK;
 use crate::{NodeSettings, free_addresses, spawn};
 
 /// How many addresses one daemon listens at.
-const ADDRESSES: usize = 5;
+const ADDRESSES_PER_DAEMON: usize = 5;
 
 /// One daemon, which ends with this value.
 pub(crate) struct Daemon {
@@ -16,7 +16,7 @@
     dir: PathBuf,
     program: PathBuf,
     child: Option<Child>,
-    lives: u32,
+    incarnation: u32,
 }
 
 impl Daemon {
@@ -27,31 +27,31 @@
         dir: &Path,
         store: SocketAddr,
     ) -> std::io::Result<Self> {
-        let own = free_addresses(ADDRESSES)?;
+        let addresses = free_addresses(ADDRESSES_PER_DAEMON)?;
         let settings = NodeSettings {
             name: format!("n{number}"),
             seeds: Vec::new(),
-            callers: own[0],
-            ready: own[1],
-            operators: own[2],
-            peers: own[3],
-            changes: own[4],
+            callers: addresses[0],
+            ready: addresses[1],
+            operators: addresses[2],
+            peers: addresses[3],
+            changes: addresses[4],
             store,
             first_start: true,
             retry_slack: RETRY_SLACK,
             suspended_ms: 0,
         };
         let (program, dir) = (program.to_owned(), dir.to_owned());
-        Ok(Self { settings, dir, program, child: None, lives: 0 })
+        Ok(Self { settings, dir, program, child: None, incarnation: 0 })
     }
 
     /// Returns where callers reach it.
-    pub(crate) fn callers(&self) -> SocketAddr {
+    pub(crate) fn caller_address(&self) -> SocketAddr {
         self.settings.callers
     }
 
     /// Returns where peers reach it.
-    pub(crate) fn peers(&self) -> SocketAddr {
+    pub(crate) fn peer_address(&self) -> SocketAddr {
         self.settings.peers
     }
 
@@ -62,12 +62,12 @@
 
     /// Starts the process, with a log of its own for each life.
     pub(crate) fn start(&mut self) -> std::io::Result<()> {
-        self.lives += 1;
-        self.settings.first_start = self.lives == 1;
+        self.incarnation += 1;
+        self.settings.first_start = self.incarnation == 1;
         let name = &self.settings.name;
         let file = self.dir.join(format!("{name}.toml"));
         std::fs::write(&file, self.settings.to_string())?;
-        let log = self.dir.join(format!("{name}-{}.log", self.lives));
+        let log = self.dir.join(format!("{name}-{}.log", self.incarnation));
         let mut command = Command::new(&self.program);
         command.arg("--settings").arg(&file).stdout(Stdio::null());
         self.child = Some(spawn(command.stderr(std::fs::File::create(log)?))?);
@@ -75,8 +75,8 @@
     }
 
     /// Returns the number of its life: how often it was started.
-    pub(crate) fn life(&self) -> u32 {
-        self.lives
+    pub(crate) fn incarnation(&self) -> u32 {
+        self.incarnation
     }
 
     /// Sends the process a signal, where it runs.
--- a/crates/cherrystand_testkit/src/soak/link.rs
+++ b/crates/cherrystand_testkit/src/soak/link.rs
@@ -11,10 +11,10 @@
 use tokio::task::JoinHandle;
 
 /// How often bytes that are held up look whether they may go on.
-const LOOK_EVERY: Duration = Duration::from_millis(5);
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// How many bytes are passed on at a time.
-const CHUNK: usize = 16 << 10;
+const CHUNK_BYTES: usize = 16 << 10;
 
 /// What a link does with bytes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -37,13 +37,13 @@
     /// How many connections there have been.
     opened: Cell<u64>,
     /// The first connections, up to this one, carry nothing any more.
-    hushed: Cell<u64>,
+    silenced: Cell<u64>,
 }
 
 impl LinkState {
     /// Tells whether a connection carries nothing one way for now.
-    fn is_silent(&self, number: u64, way: LinkMode) -> bool {
-        number <= self.hushed.get() || self.mode.get() == way
+    fn is_silent(&self, number: u64, direction: LinkMode) -> bool {
+        number <= self.silenced.get() || self.mode.get() == direction
     }
 }
 
@@ -80,20 +80,20 @@
     }
 
     /// Has all connections that it carries now say nothing for good, without an end; new ones work.
-    pub fn hush(&self) {
-        self.state.hushed.set(self.state.opened.get());
+    pub fn silence_open_connections(&self) {
+        self.state.silenced.set(self.state.opened.get());
     }
 
     /// Breaks all its connections.
-    pub fn cut(&self) {
+    pub fn reset_connections(&self) {
         self.conns.borrow_mut().drain(..).for_each(|conn| conn.abort());
     }
 
     async fn accept(self, listener: TcpListener, target: SocketAddr) {
-        while let Ok((near, _)) = listener.accept().await {
+        while let Ok((client, _)) = listener.accept().await {
             let state = self.state.clone();
             state.opened.set(state.opened.get() + 1);
-            let conn = tokio::task::spawn_local(carry(near, target, state));
+            let conn = tokio::task::spawn_local(proxy(client, target, state));
             let mut conns = self.conns.borrow_mut();
             conns.retain(|conn| !conn.is_finished());
             conns.push(conn);
@@ -101,34 +101,34 @@
     }
 }
 
-async fn carry(near: TcpStream, target: SocketAddr, state: Rc<LinkState>) {
+async fn proxy(client: TcpStream, target: SocketAddr, state: Rc<LinkState>) {
     let number = state.opened.get();
-    let Ok(far) = TcpStream::connect(target).await else {
+    let Ok(server) = TcpStream::connect(target).await else {
         return;
     };
-    let (near_read, near_write) = near.into_split();
-    let (far_read, far_write) = far.into_split();
-    let there = pass(near_read, far_write, &state, number, LinkMode::SilentThere);
-    let back = pass(far_read, near_write, &state, number, LinkMode::SilentBack);
-    tokio::join!(there, back);
+    let (client_read, client_write) = client.into_split();
+    let (server_read, server_write) = server.into_split();
+    let requests = forward(client_read, server_write, &state, number, LinkMode::SilentThere);
+    let answers = forward(server_read, client_write, &state, number, LinkMode::SilentBack);
+    tokio::join!(requests, answers);
 }
 
 /// Passes bytes on one way until either side ends.
-async fn pass(
+async fn forward(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
     state: &LinkState,
     number: u64,
-    way: LinkMode,
+    direction: LinkMode,
 ) {
-    let mut buf = vec![0; CHUNK];
+    let mut buf = vec![0; CHUNK_BYTES];
     loop {
         let read = from.read(&mut buf).await.unwrap_or(0);
-        while state.is_silent(number, way) {
-            tokio::time::sleep(LOOK_EVERY).await;
+        while state.is_silent(number, direction) {
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
-        if let LinkMode::Slow(by) = state.mode.get() {
-            tokio::time::sleep(by).await;
+        if let LinkMode::Slow(delay) = state.mode.get() {
+            tokio::time::sleep(delay).await;
         }
         if read == 0 || to.write_all(&buf[..read]).await.is_err() {
             // The other side learns of the end by its own read.
--- a/crates/cherrystand_testkit/src/soak/run.rs
+++ b/crates/cherrystand_testkit/src/soak/run.rs
@@ -10,36 +10,38 @@
 use hyper::StatusCode;
 use serde_json::{Value, json};
 
-use crate::soak::callers::{Callers, Keys};
-use crate::soak::daemons::Daemon;
+use crate::soak::callers::{ApiKeys, Callers};
+use crate::soak::daemon::Daemon;
 use crate::soak::link::{Link, LinkMode};
+use crate::soak::run_record::{
+    CallKind, CallOutcome, ColdInterval, Disturbance, RunRecord, UnlistedInterval,
+};
 use crate::soak::schedule::{Fault, FaultKind, Targets};
-use crate::soak::seen::{Answered, Call, ColdTime, Disturbed, Gone, Record};
 use crate::{BoxMood, BoxWishes, ColdTold, Door, SiteStandIn, site_config};
 
 /// Boxes that replicas of two are formed of.
 const MODEL_BOXES: usize = 9;
 
 /// Plain endpoints.
-const PLAIN: usize = 3;
+const PLAIN_ENDPOINTS: usize = 3;
 
 /// Callers at each daemon.
-const CALLERS: usize = 3;
+const CALLERS_PER_DAEMON: usize = 3;
 
 /// How long everything may take to serve, at first and after the last fault.
-const SERVES_WITHIN: Duration = Duration::from_secs(15);
+const SERVING_TIMEOUT: Duration = Duration::from_secs(15);
 
 /// How long what was sent last may take to end.
-const SETTLE: Duration = Duration::from_millis(6_500);
+const SETTLE_TIME: Duration = Duration::from_millis(6_500);
 
-/// How long requests of a planned stop may take until its process is gone.
-const STOPS_WITHIN: Duration = Duration::from_secs(9);
+/// How long requests of a is_planned stop may take until its process is gone.
+const STOP_TIMEOUT: Duration = Duration::from_secs(9);
 
 /// How long a request may be held, in milliseconds.
-const TIMEOUT_MS: u64 = 5_000;
+const REQUEST_TIMEOUT_MS: u64 = 5_000;
 
 /// The availability zone that operators empty.
-const EMPTIED: &str = "z2";
+const EVACUATED_ZONE: &str = "z2";
 
 /// The requests a second that a cold box bears: far fewer than the two to five that it gets here.
 const COLD_PER_S: f64 = 0.2;
@@ -48,17 +50,17 @@
 ///
 /// Shown by seed 506: the store's link of one daemon was silent and another one killed as the box turned cold; what
 /// came to it came within 0.69 s, until the third had read the entry.
-const COLD_KNOWN_WITHIN: Duration = Duration::from_secs(1);
+const COLD_PROPAGATION_TIME: Duration = Duration::from_secs(1);
 
 /// How long boxes are cold as their zone is taken back.
-const COLD: Duration = Duration::from_secs(2);
+const COLD_DURATION: Duration = Duration::from_secs(2);
 
 /// How long the store is away in a drill, and how long after it operators and boxes have written theirs again.
-const AWAY_IN_DRILL: Duration = Duration::from_millis(300);
-const WRITTEN_AGAIN_AFTER: Duration = Duration::from_millis(700);
+const RESTORE_OUTAGE: Duration = Duration::from_millis(300);
+const REWRITE_DELAY: Duration = Duration::from_millis(700);
 
 /// For how long faults strike where nothing else is said.
-pub const USUAL_SPAN: Millis = Millis(12_000);
+pub const DEFAULT_SPAN: Millis = Millis(12_000);
 
 /// What is played.
 #[derive(Clone, Debug)]
@@ -72,7 +74,7 @@
     /// How many daemons there are.
     pub daemons: usize,
     /// Whether boxes tell when they started.
-    pub lives: bool,
+    pub report_starts: bool,
     /// Whether a request comes all the while that ends each box that runs it.
     pub crashes: bool,
     /// Whether boxes lie in two availability zones, and bear little while they are cold.
@@ -82,7 +84,7 @@
 impl SoakSetup {
     /// Returns what there is to strike.
     pub fn targets(&self) -> Targets {
-        Targets { daemons: self.daemons, boxes: MODEL_BOXES + PLAIN }
+        Targets { daemons: self.daemons, boxes: MODEL_BOXES + PLAIN_ENDPOINTS }
     }
 }
 
@@ -90,22 +92,22 @@
 #[derive(Clone, Debug)]
 pub struct SoakOutcome {
     /// How many requests ended how, by what they asked for.
-    pub ends: BTreeMap<String, usize>,
+    pub outcome_counts: BTreeMap<String, usize>,
     /// The promises that were broken, in words.
-    pub broken: Vec<String>,
+    pub violations: Vec<String>,
 }
 
 struct Soak {
     site: SiteStandIn,
     boxes: Vec<(String, Link)>,
-    doors: Vec<Link>,
+    store_links: Vec<Link>,
     daemons: RefCell<Vec<Daemon>>,
     callers: Callers,
-    disturbed: RefCell<Vec<Disturbed>>,
-    gone: RefCell<Vec<Gone>>,
-    cold: RefCell<Vec<ColdTime>>,
+    disturbances: RefCell<Vec<Disturbance>>,
+    unlisted: RefCell<Vec<UnlistedInterval>>,
+    cold_intervals: RefCell<Vec<ColdInterval>>,
     /// The last configuration that operators wrote.
-    in_force: RefCell<Value>,
+    config: RefCell<Value>,
     /// What cold boxes bear, where they bear less.
     cold_per_s: Option<f64>,
 }
@@ -115,79 +117,81 @@
 /// # Errors
 ///
 /// Returns an error where a process or a listener cannot be started.
-pub async fn play_soak(setup: &SoakSetup, faults: &[Fault]) -> std::io::Result<SoakOutcome> {
+pub async fn run_soak(setup: &SoakSetup, faults: &[Fault]) -> std::io::Result<SoakOutcome> {
     let soak = Rc::new(Soak::start(setup).await?);
-    let mut broken = Vec::new();
-    if !soak.serves().await {
-        broken.push("nothing served before the first fault".to_owned());
+    let mut violations = Vec::new();
+    if !soak.wait_until_serving().await {
+        violations.push("nothing served before the first fault".to_owned());
     }
     let stop = Rc::new(Cell::new(false));
-    for number in 0..setup.daemons * CALLERS {
+    for number in 0..setup.daemons * CALLERS_PER_DAEMON {
         let daemon = number % setup.daemons;
-        let at = soak.daemons.borrow()[daemon].callers();
+        let at = soak.daemons.borrow()[daemon].caller_address();
         let seed = setup.seed ^ (number as u64 + 1);
         tokio::task::spawn_local(soak.callers.clone().run(daemon, at, seed, stop.clone()));
     }
     if setup.crashes {
-        let all = soak.daemons.borrow().iter().map(Daemon::callers).collect();
-        tokio::task::spawn_local(soak.callers.clone().run_crashing(all, stop.clone()));
+        let all = soak.daemons.borrow().iter().map(Daemon::caller_address).collect();
+        tokio::task::spawn_local(soak.callers.clone().run_crashing_requests(all, stop.clone()));
     }
     let began = Instant::now();
-    let strikes: Vec<_> = faults
+    let injections: Vec<_> = faults
         .iter()
-        .map(|fault| tokio::task::spawn_local(soak.clone().strike(*fault, began)))
+        .map(|fault| tokio::task::spawn_local(soak.clone().inject(*fault, began)))
         .collect();
-    for strike in strikes {
-        strike.await.map_err(std::io::Error::other)??;
+    for injection in injections {
+        injection.await.map_err(std::io::Error::other)??;
     }
-    if !soak.serves().await {
-        broken.push("service did not come back after the last fault".to_owned());
+    if !soak.wait_until_serving().await {
+        violations.push("service did not come back after the last fault".to_owned());
     }
     stop.set(true);
-    tokio::time::sleep(SETTLE).await;
+    tokio::time::sleep(SETTLE_TIME).await;
     let record = soak.record();
-    broken.extend(record.broken_promises());
-    Ok(SoakOutcome { ends: record.ends(), broken })
+    violations.extend(record.violations());
+    Ok(SoakOutcome { outcome_counts: record.outcome_counts(), violations })
 }
 
 impl Soak {
     async fn start(setup: &SoakSetup) -> std::io::Result<Self> {
         let site = SiteStandIn::new();
-        if setup.lives {
+        if setup.report_starts {
             site.tell_starts();
         }
         let mut boxes = Vec::new();
         let models = (0..MODEL_BOXES).map(|number| (format!("i-{number}"), "models"));
-        for (id, service) in models.chain((0..PLAIN).map(|number| (format!("a-{number}"), "app"))) {
-            let zone = if setup.zones && boxes.len() % 2 == 1 { EMPTIED } else { "z1" };
+        for (id, service) in
+            models.chain((0..PLAIN_ENDPOINTS).map(|number| (format!("a-{number}"), "app")))
+        {
+            let zone = if setup.zones && boxes.len() % 2 == 1 { EVACUATED_ZONE } else { "z1" };
             site.add_box_in(zone, &id, service).await?;
             let address = site.address_of(&id).ok_or(std::io::ErrorKind::NotFound)?;
             let link = Link::open(address).await?;
             site.set_address(&id, link.address());
             boxes.push((id, link));
         }
-        let (mut doors, mut daemons) = (Vec::new(), Vec::new());
+        let (mut store_links, mut daemons) = (Vec::new(), Vec::new());
         for number in 0..setup.daemons {
-            let door = Link::open(site.open_door().await?).await?;
-            daemons.push(Daemon::new(number, &setup.program, &setup.dir, door.address())?);
-            doors.push(door);
+            let link = Link::open(site.open_door().await?).await?;
+            daemons.push(Daemon::new(number, &setup.program, &setup.dir, link.address())?);
+            store_links.push(link);
         }
-        let seeds: Vec<_> = daemons.iter().take(3).map(Daemon::peers).collect();
+        let seeds: Vec<_> = daemons.iter().take(3).map(Daemon::peer_address).collect();
         for daemon in &mut daemons {
             daemon.set_seeds(seeds.clone());
             daemon.start()?;
         }
-        let callers = Callers::new(Keys::default());
+        let callers = Callers::new(ApiKeys::default());
         let soak = Self {
             site,
             boxes,
-            doors,
+            store_links,
             daemons: RefCell::new(daemons),
             callers,
-            disturbed: RefCell::default(),
-            gone: RefCell::default(),
-            cold: RefCell::default(),
-            in_force: RefCell::default(),
+            disturbances: RefCell::default(),
+            unlisted: RefCell::default(),
+            cold_intervals: RefCell::default(),
+            config: RefCell::default(),
             cold_per_s: setup.zones.then_some(COLD_PER_S),
         };
         soak.configure(0);
@@ -195,17 +199,17 @@
     }
 
     /// Has the store come back from a copy of a while before; operators and boxes write theirs again soon after.
-    async fn drill(&self, copy_age: Duration) {
+    async fn restore_store(&self, backup_age: Duration) {
         self.site.store.keep_copy();
-        tokio::time::sleep(copy_age).await;
-        let doors = || 0..self.doors.len();
-        doors().for_each(|door| self.site.set_door(door, Door::Silent));
-        tokio::time::sleep(AWAY_IN_DRILL).await;
+        tokio::time::sleep(backup_age).await;
+        let numbers = || 0..self.store_links.len();
+        numbers().for_each(|number| self.site.set_door(number, Door::Silent));
+        tokio::time::sleep(RESTORE_OUTAGE).await;
         let listed = self.site.listed();
         self.site.store.drill();
-        doors().for_each(|door| self.site.set_door(door, Door::Open));
-        tokio::time::sleep(WRITTEN_AGAIN_AFTER).await;
-        self.site.configure(&self.in_force.borrow());
+        numbers().for_each(|number| self.site.set_door(number, Door::Open));
+        tokio::time::sleep(REWRITE_DELAY).await;
+        self.site.configure(&self.config.borrow());
         for (id, _) in &self.boxes {
             match listed.contains(id) {
                 true => self.site.list(id),
@@ -215,28 +219,28 @@
     }
 
     /// Writes the next version of the configuration.
-    fn configure(&self, more: usize) {
+    fn configure(&self, extra_routes: usize) {
         let (version, keys) = self.callers.keys.next_version();
-        let mut config = config(version, &keys, more);
+        let mut config = config(version, &keys, extra_routes);
         if let Some(rate) = self.cold_per_s {
             for service in [0, 1] {
                 config["services"][service]["cold_per_s"] = json!(rate);
-                config["services"][service]["cold_start_s"] = json!(COLD.as_secs_f64());
+                config["services"][service]["cold_start_s"] = json!(COLD_DURATION.as_secs_f64());
             }
         }
         self.site.configure(&config);
-        self.in_force.replace(config);
+        self.config.replace(config);
     }
 
     /// Waits until every daemon answers every kind of call.
-    async fn serves(&self) -> bool {
-        let until = Instant::now() + SERVES_WITHIN;
-        let addresses: Vec<_> = self.daemons.borrow().iter().map(Daemon::callers).collect();
+    async fn wait_until_serving(&self) -> bool {
+        let until = Instant::now() + SERVING_TIMEOUT;
+        let addresses: Vec<_> = self.daemons.borrow().iter().map(Daemon::caller_address).collect();
         for (daemon, at) in addresses.into_iter().enumerate() {
-            for call in [Call::Once, Call::Repeatable, Call::Stream] {
+            for call in [CallKind::Once, CallKind::Repeatable, CallKind::Stream] {
                 loop {
-                    let answered = self.callers.send(daemon, at, call).await;
-                    if answered == Some(Answered::Whole(StatusCode::OK)) {
+                    let outcome = self.callers.send(daemon, at, call).await;
+                    if outcome == Some(CallOutcome::Whole(StatusCode::OK)) {
                         break;
                     }
                     if Instant::now() > until {
@@ -249,29 +253,31 @@
         true
     }
 
-    async fn strike(self: Rc<Self>, fault: Fault, began: Instant) -> std::io::Result<()> {
+    async fn inject(self: Rc<Self>, fault: Fault, began: Instant) -> std::io::Result<()> {
         let at = began + Duration::from_millis(fault.at.0);
         tokio::time::sleep_until(at.into()).await;
-        let lasts = Duration::from_millis(fault.lasts.0);
-        let harm = self.disturb(fault.kind);
+        let duration = Duration::from_millis(fault.duration.0);
+        let disturbance = self.begin_disturbance(fault.kind);
         match fault.kind {
             FaultKind::Box(number, mood) => {
                 let id = &self.boxes[number].0;
                 self.site.set_mood(id, mood);
-                tokio::time::sleep(lasts).await;
+                tokio::time::sleep(duration).await;
                 self.site.set_mood(id, BoxMood::Well);
             }
-            FaultKind::BoxLink(number, mode) => harm_link(&self.boxes[number].1, mode, lasts).await,
-            FaultKind::BoxCut(number) => self.boxes[number].1.cut(),
-            FaultKind::Unlisted(number) => self.unlist(&self.boxes[number].0, lasts).await,
+            FaultKind::BoxLink(number, mode) => {
+                disturb_link(&self.boxes[number].1, mode, duration).await
+            }
+            FaultKind::BoxCut(number) => self.boxes[number].1.reset_connections(),
+            FaultKind::Unlisted(number) => self.unlist(&self.boxes[number].0, duration).await,
             FaultKind::Restarted(number, joins_again) => {
                 self.site.restart(&self.boxes[number].0, joins_again);
-                tokio::time::sleep(lasts).await;
+                tokio::time::sleep(duration).await;
             }
             FaultKind::Wishes(number, wishes) => {
                 let id = &self.boxes[number].0;
                 self.site.set_wishes(id, wishes);
-                tokio::time::sleep(lasts).await;
+                tokio::time::sleep(duration).await;
                 match wishes.leaves {
                     true => self.site.restart(id, false),
                     false => self.site.set_wishes(id, BoxWishes::default()),
@@ -280,57 +286,60 @@
             FaultKind::Limited(limit, limit_in) => {
                 let wishes = BoxWishes { limit_in, ..BoxWishes::limit(limit) };
                 self.boxes.iter().for_each(|(id, _)| self.site.set_wishes(id, wishes));
-                tokio::time::sleep(lasts).await;
+                tokio::time::sleep(duration).await;
                 let none = BoxWishes::default();
                 self.boxes.iter().for_each(|(id, _)| self.site.set_wishes(id, none));
             }
-            FaultKind::Evacuated => self.evacuate(lasts).await,
+            FaultKind::Evacuated => self.evacuate(duration).await,
             FaultKind::Cold(number) => {
-                self.turn_cold(&self.boxes[number].0, lasts, COLD_KNOWN_WITHIN);
-                tokio::time::sleep(lasts).await;
+                self.turn_cold(&self.boxes[number].0, duration, COLD_PROPAGATION_TIME);
+                tokio::time::sleep(duration).await;
             }
             FaultKind::Overwritten(number, value) => {
                 let id = &self.boxes[number].0;
                 self.site.write_entry(id, &value.bytes());
-                tokio::time::sleep(lasts).await;
+                tokio::time::sleep(duration).await;
                 self.site.list(id);
             }
             FaultKind::Door(number, door) => {
                 self.site.set_door(number, door);
-                tokio::time::sleep(lasts).await;
+                tokio::time::sleep(duration).await;
                 self.site.set_door(number, Door::Open);
             }
-            FaultKind::StoreLink(number, mode) => harm_link(&self.doors[number], mode, lasts).await,
+            FaultKind::StoreLink(number, mode) => {
+                disturb_link(&self.store_links[number], mode, duration).await
+            }
             FaultKind::StoreOut(door) => {
-                (0..self.doors.len()).for_each(|number| self.site.set_door(number, door));
-                tokio::time::sleep(lasts).await;
-                (0..self.doors.len()).for_each(|number| self.site.set_door(number, Door::Open));
+                (0..self.store_links.len()).for_each(|number| self.site.set_door(number, door));
+                tokio::time::sleep(duration).await;
+                (0..self.store_links.len())
+                    .for_each(|number| self.site.set_door(number, Door::Open));
             }
-            FaultKind::Drill => self.drill(lasts).await,
+            FaultKind::Drill => self.restore_store(duration).await,
             FaultKind::StoreForgets => self.site.store.forget(),
             FaultKind::StoreLosesAnswers(count) => self.site.store.lose_answers(count),
             FaultKind::Paused(number) => {
                 self.daemons.borrow()[number].signal("STOP");
-                tokio::time::sleep(lasts).await;
+                tokio::time::sleep(duration).await;
                 self.daemons.borrow()[number].signal("CONT");
             }
-            FaultKind::Killed(number) => self.kill(&[number], lasts).await?,
+            FaultKind::Killed(number) => self.kill(&[number], duration).await?,
             FaultKind::AllKilled => {
-                let all: Vec<usize> = (0..self.doors.len()).collect();
-                self.kill(&all, lasts).await?;
+                let all: Vec<usize> = (0..self.store_links.len()).collect();
+                self.kill(&all, duration).await?;
             }
             FaultKind::Stopped(number) => self.stop(number).await?,
             FaultKind::Configured { more } => self.configure(more),
         }
-        if let Some(harm) = harm {
-            self.disturbed.borrow_mut()[harm].until = Instant::now();
+        if let Some(index) = disturbance {
+            self.disturbances.borrow_mut()[index].until = Instant::now();
         }
         Ok(())
     }
 
     /// Notes that something is harmed from now on, and returns the note's place.
-    fn disturb(&self, kind: FaultKind) -> Option<usize> {
-        let (daemon, planned) = match kind {
+    fn begin_disturbance(&self, kind: FaultKind) -> Option<usize> {
+        let (daemon, is_planned) = match kind {
             FaultKind::Configured { .. }
             | FaultKind::Unlisted(_)
             | FaultKind::Overwritten(..)
@@ -350,7 +359,7 @@
         let from = Instant::now();
         // Until it ends, it has no end.
         let until = from + Duration::from_secs(3_600);
-        let mut disturbed = self.disturbed.borrow_mut();
+        let mut disturbances = self.disturbances.borrow_mut();
         let is_store = matches!(
             kind,
             FaultKind::StoreOut(_)
@@ -365,97 +374,103 @@
                 | FaultKind::Stopped(_)
                 | FaultKind::AllKilled
         );
-        let harms_answers = matches!(kind, FaultKind::BoxLink(..) | FaultKind::BoxCut(_));
+        let affects_answers = matches!(kind, FaultKind::BoxLink(..) | FaultKind::BoxCut(_));
         let target = match kind {
             FaultKind::BoxLink(number, _) | FaultKind::BoxCut(number) => {
                 Some(self.boxes[number].0.clone())
             }
             _ => None,
         };
-        let harm = Disturbed {
+        let disturbance = Disturbance {
             daemon,
-            planned,
+            is_planned,
             is_store,
             ends_processes,
-            harms_answers,
+            affects_answers,
             target,
             from,
             until,
         };
-        disturbed.push(harm);
-        Some(disturbed.len() - 1)
+        disturbances.push(disturbance);
+        Some(disturbances.len() - 1)
     }
 
-    async fn unlist(&self, id: &str, lasts: Duration) {
+    async fn unlist(&self, id: &str, duration: Duration) {
         self.site.unlist(id);
         let from = Instant::now();
-        tokio::time::sleep(lasts).await;
+        tokio::time::sleep(duration).await;
         let until = Instant::now();
         self.site.list(id);
-        self.gone.borrow_mut().push(Gone { target: id.to_owned(), from, until });
+        self.unlisted.borrow_mut().push(UnlistedInterval { target: id.to_owned(), from, until });
     }
 
     /// Has a zone emptied for a while; its boxes are cold as it is taken back.
-    async fn evacuate(&self, lasts: Duration) {
-        self.site.evacuate(EMPTIED, b"{}");
+    async fn evacuate(&self, duration: Duration) {
+        self.site.evacuate(EVACUATED_ZONE, b"{}");
         let from = Instant::now();
-        tokio::time::sleep(lasts).await;
-        let boxes = self.site.boxes_in(EMPTIED);
-        boxes.iter().for_each(|id| self.turn_cold(id, COLD, Duration::ZERO));
-        self.site.take_back(EMPTIED);
+        tokio::time::sleep(duration).await;
+        let boxes = self.site.boxes_in(EVACUATED_ZONE);
+        boxes.iter().for_each(|id| self.turn_cold(id, COLD_DURATION, Duration::ZERO));
+        self.site.take_back(EVACUATED_ZONE);
         let until = Instant::now();
-        let gone = boxes.into_iter().map(|target| Gone { target, from, until });
-        self.gone.borrow_mut().extend(gone);
+        let intervals = boxes.into_iter().map(|target| UnlistedInterval { target, from, until });
+        self.unlisted.borrow_mut().extend(intervals);
     }
 
-    fn turn_cold(&self, id: &str, lasts: Duration, known_within: Duration) {
-        let (from, until) = (Instant::now() + known_within, Instant::now() + lasts);
-        self.site.turn_cold(id, lasts, ColdTold::Entry);
-        let per_s = self.cold_per_s.unwrap_or(f64::INFINITY);
-        let (target, life) = (id.to_owned(), self.site.start_of(id));
-        self.cold.borrow_mut().push(ColdTime { target, life, per_s, from, until });
+    fn turn_cold(&self, id: &str, duration: Duration, propagation: Duration) {
+        let (from, until) = (Instant::now() + propagation, Instant::now() + duration);
+        self.site.turn_cold(id, duration, ColdTold::Entry);
+        let requests_per_s = self.cold_per_s.unwrap_or(f64::INFINITY);
+        let (target, incarnation) = (id.to_owned(), self.site.start_of(id));
+        self.cold_intervals.borrow_mut().push(ColdInterval {
+            target,
+            incarnation,
+            requests_per_s,
+            from,
+            until,
+        });
     }
 
-    async fn kill(&self, numbers: &[usize], lasts: Duration) -> std::io::Result<()> {
+    async fn kill(&self, numbers: &[usize], duration: Duration) -> std::io::Result<()> {
         numbers.iter().for_each(|number| self.daemons.borrow_mut()[*number].kill());
-        tokio::time::sleep(lasts).await;
-        numbers.iter().try_for_each(|number| self.start_again(*number))
+        tokio::time::sleep(duration).await;
+        numbers.iter().try_for_each(|number| self.restart_if_ended(*number))
     }
 
     /// Starts a daemon that has ended; another fault may have started it meanwhile.
-    fn start_again(&self, number: usize) -> std::io::Result<()> {
+    fn restart_if_ended(&self, number: usize) -> std::io::Result<()> {
         let daemon = &mut self.daemons.borrow_mut()[number];
         if daemon.has_ended() { daemon.start() } else { Ok(()) }
     }
 
     async fn stop(&self, number: usize) -> std::io::Result<()> {
         // Another fault may start it again before this one looks: its life tells them apart.
-        let life = self.daemons.borrow()[number].life();
+        let incarnation = self.daemons.borrow()[number].incarnation();
         self.daemons.borrow()[number].signal("TERM");
-        let until = Instant::now() + STOPS_WITHIN;
-        let goes_on = || {
+        let until = Instant::now() + STOP_TIMEOUT;
+        let is_running = || {
             let daemon = &mut self.daemons.borrow_mut()[number];
-            daemon.life() == life && !daemon.has_ended()
+            daemon.incarnation() == incarnation && !daemon.has_ended()
         };
-        while goes_on() {
+        while is_running() {
             if Instant::now() > until {
                 self.daemons.borrow_mut()[number].kill();
             }
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
-        self.start_again(number)
+        self.restart_if_ended(number)
     }
 
-    fn record(&self) -> Record {
-        let seen = self.callers.seen.borrow().clone();
-        let runs = seen.iter().map(|seen| (seen.id.clone(), self.site.runs_of(&seen.id).len()));
-        Record {
+    fn record(&self) -> RunRecord {
+        let calls = self.callers.records.borrow().clone();
+        let runs = calls.iter().map(|call| (call.id.clone(), self.site.runs_of(&call.id).len()));
+        RunRecord {
             runs: runs.collect(),
-            seen,
+            calls,
             arrivals: self.site.arrivals(),
-            disturbed: self.disturbed.borrow().clone(),
-            gone: self.gone.borrow().clone(),
-            cold: self.cold.borrow().clone(),
+            disturbances: self.disturbances.borrow().clone(),
+            unlisted: self.unlisted.borrow().clone(),
+            cold_intervals: self.cold_intervals.borrow().clone(),
             box_faults: self.site.faults(),
             crashes: self.site.crashes(),
             told: self.site.told(),
@@ -463,9 +478,9 @@
     }
 }
 
-async fn harm_link(link: &Link, mode: LinkMode, lasts: Duration) {
+async fn disturb_link(link: &Link, mode: LinkMode, duration: Duration) {
     link.set(mode);
-    tokio::time::sleep(lasts).await;
+    tokio::time::sleep(duration).await;
     link.set(LinkMode::Open);
 }
 
@@ -484,9 +499,9 @@
 }
 
 /// Makes the usual configuration with some routes more.
-fn config(version: u64, keys: &[String], more: usize) -> Value {
-    let mut config = site_config(version, "/calls/", keys, TIMEOUT_MS);
-    let added = (0..more).map(|number| {
+fn config(version: u64, keys: &[String], extra_routes: usize) -> Value {
+    let mut config = site_config(version, "/calls/", keys, REQUEST_TIMEOUT_MS);
+    let added = (0..extra_routes).map(|number| {
         let mut route = config["routes"][2].clone();
         route["name"] = json!("more");
         route["path_prefix"] = json!(format!("/more-{number}/"));
--- a/crates/cherrystand_testkit/tests/soak_checks.rs
+++ b/crates/cherrystand_testkit/tests/soak_checks.rs
@@ -5,41 +5,42 @@
 
 use cherrystand_core::Millis;
 use cherrystand_testkit::{
-    Answered, Arrival, Call, ColdTime, Crash, Disturbed, FaultKind, Gone, Record, Seen, Targets,
-    Told, Wish, draw_schedule,
+    Arrival, CallKind, CallOutcome, CallRecord, ColdInterval, Crash, Disturbance, FaultKind,
+    RunRecord, Targets, Told, UnlistedInterval, Wish, draw_schedule,
 };
 use hyper::StatusCode;
 
 const TARGETS: Targets = Targets { daemons: 3, boxes: 12 };
 
 /// What was seen of one request: by default one that was answered well and run once.
-fn record(change: impl FnOnce(&mut Record, Instant)) -> Record {
+fn record(change: impl FnOnce(&mut RunRecord, Instant)) -> RunRecord {
     let began = Instant::now();
     let sent = began + Duration::from_secs(60);
-    let seen = Seen {
+    let call = CallRecord {
         id: "r1".to_owned(),
         daemon: 0,
-        call: Call::Once,
+        kind: CallKind::Once,
         sent,
         ended: sent + Duration::from_millis(20),
-        answered: Answered::Whole(StatusCode::OK),
+        outcome: CallOutcome::Whole(StatusCode::OK),
     };
     let (request, body) = ("r1".to_owned(), String::new());
     let arrival = Arrival { request, body, target: "a-0".to_owned(), life: Some(1), at: sent };
-    let mut record = Record { seen: vec![seen], arrivals: vec![arrival], ..Record::default() };
+    let mut record =
+        RunRecord { calls: vec![call], arrivals: vec![arrival], ..RunRecord::default() };
     record.runs.insert("r1".to_owned(), 1);
     change(&mut record, began);
     record
 }
 
-fn harmed(daemon: Option<usize>, planned: bool, from: Instant, secs: u64) -> Disturbed {
+fn disturbance(daemon: Option<usize>, is_planned: bool, from: Instant, secs: u64) -> Disturbance {
     let until = from + Duration::from_secs(secs);
-    Disturbed {
+    Disturbance {
         daemon,
-        planned,
+        is_planned,
         is_store: false,
-        ends_processes: planned,
-        harms_answers: false,
+        ends_processes: is_planned,
+        affects_answers: false,
         target: None,
         from,
         until,
@@ -48,16 +49,16 @@
 
 /// Notes that a box told one daemon what it asks for, five seconds before three requests of that daemon
 /// reach it.
-fn told(record: &mut Record, wish: Wish) {
-    let at = record.seen[0].sent - Duration::from_secs(5);
+fn told(record: &mut RunRecord, wish: Wish) {
+    let at = record.calls[0].sent - Duration::from_secs(5);
     let (request, target) = ("r1".to_owned(), "a-0".to_owned());
     record.told = vec![Told { request, target, life: 1, at, wish }];
     record.arrivals = vec![record.arrivals[0].clone(); 3];
 }
 
 /// Notes that a box named a limit for a while, and what reached it in the last four seconds of that.
-fn limited(record: &mut Record, limit: f64, arrivals: usize) {
-    let (last, sent) = (Duration::from_secs(10), record.seen[0].sent);
+fn limited(record: &mut RunRecord, limit: f64, arrivals: usize) {
+    let (last, sent) = (Duration::from_secs(10), record.calls[0].sent);
     let told = |at| {
         let (request, target) = ("r1".to_owned(), "a-0".to_owned());
         Told { request, target, life: 1, at, wish: Wish::Limit(limit) }
@@ -67,7 +68,7 @@
 }
 
 /// Notes that a request ended three boxes at the beginning, and reached some again later.
-fn crashes(record: &mut Record, began: Instant, again: usize) {
+fn crashes(record: &mut RunRecord, began: Instant, again: usize) {
     let (body, target) = ("crashes".to_owned(), "i-0".to_owned());
     let crash = Crash { body: body.clone(), target, at: began };
     record.crashes = vec![crash; 3];
@@ -76,11 +77,12 @@
 }
 
 /// Notes that a box was cold around a time, and what reached it then.
-fn cold(record: &mut Record, arrivals: usize) {
-    let sent = record.seen[0].sent;
+fn cold(record: &mut RunRecord, arrivals: usize) {
+    let sent = record.calls[0].sent;
     let (from, until) = (sent - Duration::from_secs(1), sent + Duration::from_secs(1));
-    let (target, life) = ("a-0".to_owned(), Some(1));
-    record.cold = vec![ColdTime { target, life, per_s: 2.0, from, until }];
+    let (target, incarnation) = ("a-0".to_owned(), Some(1));
+    record.cold_intervals =
+        vec![ColdInterval { target, incarnation, requests_per_s: 2.0, from, until }];
     record.arrivals = vec![record.arrivals[0].clone(); arrivals];
 }
 
@@ -88,37 +90,37 @@
 fn each_promise_that_is_broken_is_seen() {
     struct Case {
         name: &'static str,
-        record: Record,
-        broken: Option<&'static str>,
+        record: RunRecord,
+        violation: Option<&'static str>,
     }
-    let not_run = Answered::Whole(StatusCode::SERVICE_UNAVAILABLE);
-    let unknown_key = Answered::Whole(StatusCode::UNAUTHORIZED);
-    let case = |name, broken, change: &dyn Fn(&mut Record, Instant)| Case {
+    let unavailable = CallOutcome::Whole(StatusCode::SERVICE_UNAVAILABLE);
+    let unauthorized = CallOutcome::Whole(StatusCode::UNAUTHORIZED);
+    let case = |name, violation, change: &dyn Fn(&mut RunRecord, Instant)| Case {
         name,
-        broken,
+        violation,
         record: record(|record, began| change(record, began)),
     };
     let cases = [
         case("in order", None, &|_, _| {}),
         case("another's answer", Some("not this request's"), &|record, _| {
-            record.seen[0].answered = Answered::Wrong;
+            record.calls[0].outcome = CallOutcome::Wrong;
         }),
         case("said not to have run", Some("said not to have run"), &|record, _| {
-            record.seen[0].answered = not_run;
+            record.calls[0].outcome = unavailable;
         }),
         case("said so, and so it was", None, &|record, _| {
-            record.seen[0].answered = not_run;
+            record.calls[0].outcome = unavailable;
             record.runs.clear();
         }),
         case("run twice", Some("run more than once"), &|record, _| {
             record.runs.insert("r1".to_owned(), 2);
         }),
         case("run twice where it may be", None, &|record, _| {
-            record.seen[0].call = Call::Repeatable;
+            record.calls[0].kind = CallKind::Repeatable;
             record.runs.insert("r1".to_owned(), 2);
         }),
         case("run on three boxes", Some("more boxes"), &|record, _| {
-            record.seen[0].call = Call::Stream;
+            record.calls[0].kind = CallKind::Stream;
             record.runs.insert("r1".to_owned(), 3);
         }),
         case("a cold box got too much", Some("was cold"), &|record, _| cold(record, 9)),
@@ -132,49 +134,49 @@
         }),
         case("sent again by a daemon that was harmed", None, &|record, began| {
             crashes(record, began, 4);
-            record.disturbed = vec![harmed(Some(0), false, began, 60)];
+            record.disturbances = vec![disturbance(Some(0), false, began, 60)];
         }),
         case("sent again thrice", None, &|record, began| crashes(record, began, 3)),
         case("a good key refused", Some("refused though"), &|record, _| {
-            record.seen[0].answered = unknown_key;
+            record.calls[0].outcome = unauthorized;
         }),
         case("a good key refused by one that was cut off", None, &|record, began| {
-            record.seen[0].answered = unknown_key;
-            record.disturbed.push(harmed(Some(0), false, began, 58));
+            record.calls[0].outcome = unauthorized;
+            record.disturbances.push(disturbance(Some(0), false, began, 58));
         }),
         case("a good key refused by another one", Some("refused though"), &|record, began| {
-            record.seen[0].answered = unknown_key;
-            record.disturbed.push(harmed(Some(1), false, began, 58));
+            record.calls[0].outcome = unauthorized;
+            record.disturbances.push(disturbance(Some(1), false, began, 58));
         }),
         case("an old key served", Some("a key that was taken away"), &|record, _| {
-            record.seen[0].call = Call::OldKey;
+            record.calls[0].kind = CallKind::OldKey;
         }),
         case("an old key refused", None, &|record, _| {
-            record.seen[0].call = Call::OldKey;
-            record.seen[0].answered = unknown_key;
+            record.calls[0].kind = CallKind::OldKey;
+            record.calls[0].outcome = unauthorized;
         }),
         case("cut by a planned stop", Some("a planned stop"), &|record, began| {
-            record.seen[0].answered = Answered::Broken;
-            record.disturbed.push(harmed(Some(0), true, began, 62));
+            record.calls[0].outcome = CallOutcome::Broken;
+            record.disturbances.push(disturbance(Some(0), true, began, 62));
         }),
         case("cut by a planned stop while a box fails", None, &|record, began| {
-            record.seen[0].answered = Answered::Broken;
-            record.disturbed.push(harmed(Some(0), true, began, 62));
-            record.disturbed.push(harmed(None, false, began, 61));
+            record.calls[0].outcome = CallOutcome::Broken;
+            record.disturbances.push(disturbance(Some(0), true, began, 62));
+            record.disturbances.push(disturbance(None, false, began, 61));
         }),
         case("cut by a planned stop as its box was ended by a request", None, &|record, began| {
-            record.seen[0].answered = Answered::Broken;
-            record.disturbed.push(harmed(Some(0), true, began, 62));
-            let (at, target) = (record.seen[0].ended, "a-0".to_owned());
+            record.calls[0].outcome = CallOutcome::Broken;
+            record.disturbances.push(disturbance(Some(0), true, began, 62));
+            let (at, target) = (record.calls[0].ended, "a-0".to_owned());
             record.crashes.push(Crash { body: "crashes".to_owned(), target, at });
         }),
         case(
             "cut by a planned stop as another box was ended",
             Some("a planned stop"),
             &|record, began| {
-                record.seen[0].answered = Answered::Broken;
-                record.disturbed.push(harmed(Some(0), true, began, 62));
-                let (at, target) = (record.seen[0].ended, "a-1".to_owned());
+                record.calls[0].outcome = CallOutcome::Broken;
+                record.disturbances.push(disturbance(Some(0), true, began, 62));
+                let (at, target) = (record.calls[0].ended, "a-1".to_owned());
                 record.crashes.push(Crash { body: "crashes".to_owned(), target, at });
             },
         ),
@@ -182,21 +184,21 @@
             "cut by a planned stop before its box was ended",
             Some("a planned stop"),
             &|record, began| {
-                record.seen[0].answered = Answered::Broken;
-                record.disturbed.push(harmed(Some(0), true, began, 62));
-                let at = record.seen[0].ended + Duration::from_millis(1);
+                record.calls[0].outcome = CallOutcome::Broken;
+                record.disturbances.push(disturbance(Some(0), true, began, 62));
+                let at = record.calls[0].ended + Duration::from_millis(1);
                 let target = "a-0".to_owned();
                 record.crashes.push(Crash { body: "crashes".to_owned(), target, at });
             },
         ),
         case("sent to a box that is gone", Some("its box was gone"), &|record, began| {
             let until = began + Duration::from_secs(90);
-            record.gone.push(Gone { target: "a-0".to_owned(), from: began, until });
+            record.unlisted.push(UnlistedInterval { target: "a-0".to_owned(), from: began, until });
         }),
         case("sent to a box that has just gone", None, &|record, began| {
             let from = began + Duration::from_secs(58);
             let until = began + Duration::from_secs(90);
-            record.gone.push(Gone { target: "a-0".to_owned(), from, until });
+            record.unlisted.push(UnlistedInterval { target: "a-0".to_owned(), from, until });
         }),
         case("too many repeats", Some("repeats"), &|record, _| {
             let arrival = record.arrivals[0].clone();
@@ -209,9 +211,10 @@
         case("more than a box takes, by one that stood still", None, &|record, began| {
             limited(record, 3.5, 27);
             let since = began + Duration::from_secs(57);
-            record
-                .disturbed
-                .push(Disturbed { ends_processes: true, ..harmed(Some(0), false, since, 1) });
+            record.disturbances.push(Disturbance {
+                ends_processes: true,
+                ..disturbance(Some(0), false, since, 1)
+            });
         }),
         case(
             "more than a box takes, while another one is cut",
@@ -220,9 +223,12 @@
                 limited(record, 3.5, 27);
                 let target = Some("a-1".to_owned());
                 let since = began + Duration::from_secs(57);
-                let harm =
-                    Disturbed { harms_answers: true, target, ..harmed(None, false, since, 1) };
-                record.disturbed.push(harm);
+                let interval = Disturbance {
+                    affects_answers: true,
+                    target,
+                    ..disturbance(None, false, since, 1)
+                };
+                record.disturbances.push(interval);
             },
         ),
         case("sent into a rest", Some("Rest(10s), and got 3"), &|record, _| {
@@ -242,9 +248,10 @@
         case("sent by a daemon that has started again", None, &|record, began| {
             told(record, Wish::Rest(Duration::from_secs(10)));
             let since = began + Duration::from_secs(57);
-            record
-                .disturbed
-                .push(Disturbed { ends_processes: true, ..harmed(Some(0), false, since, 1) });
+            record.disturbances.push(Disturbance {
+                ends_processes: true,
+                ..disturbance(Some(0), false, since, 1)
+            });
         }),
         case(
             "sent by one while another has started again",
@@ -252,16 +259,17 @@
             &|record, began| {
                 told(record, Wish::Leaves);
                 let since = began + Duration::from_secs(57);
-                record
-                    .disturbed
-                    .push(Disturbed { ends_processes: true, ..harmed(Some(1), false, since, 1) });
+                record.disturbances.push(Disturbance {
+                    ends_processes: true,
+                    ..disturbance(Some(1), false, since, 1)
+                });
             },
         ),
         case("a wish that was lost on its way", None, &|record, began| {
             told(record, Wish::Leaves);
-            record.disturbed.push(Disturbed {
-                harms_answers: true,
-                ..harmed(None, false, began + Duration::from_secs(54), 2)
+            record.disturbances.push(Disturbance {
+                affects_answers: true,
+                ..disturbance(None, false, began + Duration::from_secs(54), 2)
             });
         }),
         case("a box's own note", Some("joined"), &|record, _| {
@@ -269,12 +277,12 @@
         }),
     ];
     for case in cases {
-        let broken = case.record.broken_promises();
-        match case.broken {
-            None => assert_eq!(broken, Vec::<String>::new(), "{}", case.name),
-            Some(words) => {
-                let seen = broken.iter().any(|line| line.contains(words));
-                assert!(seen, "{}: {broken:?}", case.name);
+        let violations = case.record.violations();
+        match case.violation {
+            None => assert_eq!(violations, Vec::<String>::new(), "{}", case.name),
+            Some(text) => {
+                let found = violations.iter().any(|line| line.contains(text));
+                assert!(found, "{}: {violations:?}", case.name);
             }
         }
     }
--- a/crates/cherrystandd/tests/leaving.rs
+++ b/crates/cherrystandd/tests/leaving.rs
@@ -47,7 +47,7 @@
 impl ReaderFault {
     fn begin(self, site: &Site, reader: usize) {
         match self {
-            Self::StalledConnections => site.store_links[reader].hush(),
+            Self::StalledConnections => site.store_links[reader].silence_open_connections(),
             Self::Partitioned => site.store_links[reader].set(LinkMode::SilentBack),
             Self::Rejected => site.site.set_door(reader, Door::Busy),
             Self::Paused => site.nodes[reader].process.signal("STOP"),
