--- a/crates/cherrystandd/tests/claims.rs
+++ b/crates/cherrystandd/tests/claims.rs
@@ -1,4 +1,4 @@
-//! Claims on calls that must not be repeated, against a platform that loses answers.
+//! Claims on calls that must not be retried, tested against a platform that loses answers.
 
 mod support;
 
@@ -33,7 +33,8 @@
     ]
 }
 
-/// Has each daemon claim its keys, a batch at a time, all daemons at once.
+/// Lets all daemons claim their keys concurrently, each one batch after another, and returns the
+/// daemons that each key was granted to.
 async fn claim_all(
     service: &FakeKeyValue,
     daemons: &[Vec<Vec<u8>>],
@@ -49,8 +50,10 @@
                 let requests: Vec<_> = keys.iter().copied().map(ClaimRequest::Acquire).collect();
                 let answers = writer.write(&requests, &write_id(node, number as u64)).await;
                 let answers = answers.into_iter().flatten();
-                let won =
-                    keys.iter().zip(answers).filter(|(_, told)| *told == ClaimResponse::Granted);
+                let won = keys
+                    .iter()
+                    .zip(answers)
+                    .filter(|(_, response)| *response == ClaimResponse::Granted);
                 granted.extend(won.map(|(key, _)| *key));
             }
             (node, granted)
@@ -92,51 +95,51 @@
         expected: fn(&ClaimResponse) -> bool,
     }
     let one = key("one");
-    let give_up: &'static [ClaimRequest] = Box::leak(Box::new([ClaimRequest::Release(one)]));
-    let ran: &'static [ClaimRequest] =
+    let release: &'static [ClaimRequest] = Box::leak(Box::new([ClaimRequest::Release(one)]));
+    let complete: &'static [ClaimRequest] =
         Box::leak(Box::new([ClaimRequest::Complete(one, Outcome::Ran)]));
     let cases = [
         Case {
-            name: "held by another life it is taken",
+            name: "a claim held by another writer is already claimed",
             before: &[],
             by_holder: true,
-            expected: |told| matches!(told, ClaimResponse::AlreadyClaimed(claim) if claim.outcome.is_none()),
+            expected: |response| matches!(response, ClaimResponse::AlreadyClaimed(claim) if claim.outcome.is_none()),
         },
         Case {
-            name: "given up by its holder it can be had again",
-            before: give_up,
+            name: "a claim released by its holder can be acquired again",
+            before: release,
             by_holder: true,
-            expected: |told| *told == ClaimResponse::Granted,
+            expected: |response| *response == ClaimResponse::Granted,
         },
         Case {
-            name: "only its holder can give it up",
-            before: give_up,
+            name: "only the holder can release a claim",
+            before: release,
             by_holder: false,
-            expected: |told| matches!(told, ClaimResponse::AlreadyClaimed(_)),
+            expected: |response| matches!(response, ClaimResponse::AlreadyClaimed(_)),
         },
         Case {
-            name: "once run it tells so",
-            before: ran,
+            name: "a completed claim reports its outcome",
+            before: complete,
             by_holder: true,
-            expected: |told| matches!(told, ClaimResponse::AlreadyClaimed(claim) if claim.outcome == Some(Outcome::Ran)),
+            expected: |response| matches!(response, ClaimResponse::AlreadyClaimed(claim) if claim.outcome == Some(Outcome::Ran)),
         },
         Case {
-            name: "only its holder can say that it ran",
-            before: ran,
+            name: "only the holder can complete a claim",
+            before: complete,
             by_holder: false,
-            expected: |told| matches!(told, ClaimResponse::AlreadyClaimed(claim) if claim.outcome.is_none()),
+            expected: |response| matches!(response, ClaimResponse::AlreadyClaimed(claim) if claim.outcome.is_none()),
         },
     ];
     for case in cases {
         let holder = write_id(0, 0);
         let other = write_id(1, 0);
-        let take = [ClaimRequest::Acquire(one)];
-        let (record, first) = ClaimRecord::default().apply(&take, &holder, 100);
+        let acquire = [ClaimRequest::Acquire(one)];
+        let (record, first) = ClaimRecord::default().apply(&acquire, &holder, 100);
         assert_eq!(first, [ClaimResponse::Granted]);
         let by = if case.by_holder { &holder } else { &other };
         let (record, _) = record.apply(case.before, by, 101);
-        let (_, told) = record.apply(&take, &other, 102);
-        assert!((case.expected)(&told[0]), "{}: {told:?}", case.name);
+        let (_, response) = record.apply(&acquire, &other, 102);
+        assert!((case.expected)(&response[0]), "{}: {response:?}", case.name);
     }
 }
 
@@ -157,7 +160,7 @@
         let requests: Vec<_> =
             (0..case.calls).map(|number| ClaimRequest::Acquire(key(&number.to_string()))).collect();
         let answers = run(writer.write(&requests, &write_id(0, 0))).expect("an answer");
-        assert!(answers.iter().all(|told| *told == ClaimResponse::Granted));
+        assert!(answers.iter().all(|response| *response == ClaimResponse::Granted));
         assert_eq!(service.calls(), case.platform_calls, "{} calls", case.calls);
     }
 }
--- a/crates/cherrystandd/tests/evacuations.rs
+++ b/crates/cherrystandd/tests/evacuations.rs
@@ -130,11 +130,11 @@
                 .iter()
                 .filter(|asked| {
                     let after: Option<f64> = asked.answer.header("retry-after").parse().ok();
-                    let is_refused = asked.answer.status == 503 && asked.took < REFUSAL_LIMIT;
+                    let is_refused = asked.answer.status == 503 && asked.elapsed < REFUSAL_LIMIT;
                     !is_refused || after.is_none_or(|after| after < 0.5)
                 })
                 .collect();
-            let first = wrong.first().map(|asked| (asked.answer.status, asked.took));
+            let first = wrong.first().map(|asked| (asked.answer.status, asked.elapsed));
             assert!(wrong.is_empty(), "{path}: {} wrong, first {first:?}", wrong.len());
         }
         assert_eq!(sent_to(&site, "z1", from) + sent_to(&site, "z2", from), 0);
--- a/crates/cherrystandd/tests/homes.rs
+++ b/crates/cherrystandd/tests/homes.rs
@@ -88,7 +88,7 @@
                     wrong.push(format!("{path} reached {reached:?}"));
                 }
                 let is_right = |asked: &&CallerRequest| match case.zones.is_empty() {
-                    true => asked.answer.status == 503 && asked.took < REFUSAL_TIMEOUT,
+                    true => asked.answer.status == 503 && asked.elapsed < REFUSAL_TIMEOUT,
                     false => is_served(asked),
                 };
                 let right = asked.iter().filter(is_right).count();
--- a/crates/cherrystandd/tests/limits.rs
+++ b/crates/cherrystandd/tests/limits.rs
@@ -43,10 +43,10 @@
     let refused = asked.iter().filter(|asked| !is_served(asked));
     let wrong = refused.filter(|asked| {
         let after: Option<f64> = asked.answer.header("retry-after").parse().ok();
-        asked.answer.status != 503 || asked.took > REFUSAL_TIMEOUT || after.is_none()
+        asked.answer.status != 503 || asked.elapsed > REFUSAL_TIMEOUT || after.is_none()
     });
     wrong
-        .map(|asked| format!("{}: {} after {:?}", asked.id, asked.answer.status, asked.took))
+        .map(|asked| format!("{}: {} after {:?}", asked.id, asked.answer.status, asked.elapsed))
         .collect()
 }
 
--- a/crates/cherrystandd/tests/settings.rs
+++ b/crates/cherrystandd/tests/settings.rs
@@ -1,35 +1,35 @@
-//! The daemon's settings, and the page that explains them.
+//! The daemon's settings, and the operators' pages that document settings and metrics.
 
 use std::process::Command;
 
 use cherrystandd::Settings;
 
-const SOUND: &str = "node = \"n\"\nzone = \"z\"\n[listen]\ncallers = \"127.0.0.1:1\"\n\
+const VALID: &str = "node = \"n\"\nzone = \"z\"\n[listen]\ncallers = \"127.0.0.1:1\"\n\
     operators = \"127.0.0.1:2\"\npeers = \"127.0.0.1:3\"\n[platform]\naddress = \"127.0.0.1:4\"\n";
 
 fn site(more: &str) -> String {
-    format!("{SOUND}[site]\ngrace_ms = 8000\nretry_slack = 136.0\nretry_window_s = 10\n{more}\n")
+    format!("{VALID}[site]\ngrace_ms = 8000\nretry_slack = 136.0\nretry_window_s = 10\n{more}\n")
 }
 
 #[test]
 fn faults_name_the_line_the_key_and_what_is_allowed() {
     let cases = [
-        SOUND.replace("node = \"n\"\n", ""),
-        SOUND.replace("\"n\"", "\"a/b\""),
-        SOUND.replace("zone", "zones"),
-        SOUND.replace("\"127.0.0.1:4\"", "4"),
-        SOUND.replace("127.0.0.1:4", "platform.example:80"),
-        SOUND.replace("127.0.0.1:2", "127.0.0.1:1"),
-        format!("{SOUND}[limits]\nrequests = 0\n"),
-        format!("{SOUND}[limits]\nrequests = 10\nconsent_requests = 10\n"),
-        format!("{SOUND}[limits]\nbatch_percent = 101\n"),
-        format!("{SOUND}[limits]\nrequest = 10\n"),
-        format!("{SOUND}[repair]\nload_seconds = 0.0\n"),
-        format!("{SOUND}[repair]\nrestart_share = 1.5\n"),
-        format!("{SOUND}[repair]\nprobe_ms = 5000\n"),
-        format!("{SOUND}[stop]\nlinger_ms = \"long\"\n"),
-        format!("{SOUND}[policy]\nchoice = \"best\"\n"),
-        format!("{SOUND}[policy]\nfar_cost = 1.5\n"),
+        VALID.replace("node = \"n\"\n", ""),
+        VALID.replace("\"n\"", "\"a/b\""),
+        VALID.replace("zone", "zones"),
+        VALID.replace("\"127.0.0.1:4\"", "4"),
+        VALID.replace("127.0.0.1:4", "platform.example:80"),
+        VALID.replace("127.0.0.1:2", "127.0.0.1:1"),
+        format!("{VALID}[limits]\nrequests = 0\n"),
+        format!("{VALID}[limits]\nrequests = 10\nconsent_requests = 10\n"),
+        format!("{VALID}[limits]\nbatch_percent = 101\n"),
+        format!("{VALID}[limits]\nrequest = 10\n"),
+        format!("{VALID}[repair]\nload_seconds = 0.0\n"),
+        format!("{VALID}[repair]\nrestart_share = 1.5\n"),
+        format!("{VALID}[repair]\nprobe_ms = 5000\n"),
+        format!("{VALID}[stop]\nlinger_ms = \"long\"\n"),
+        format!("{VALID}[policy]\nchoice = \"best\"\n"),
+        format!("{VALID}[policy]\nfar_cost = 1.5\n"),
         site(""),
         site("ready = \"ready.example\""),
         site("ready = \"127.0.0.1:5\"\nchanges = \"127.0.0.1:6\"\nretry_ratio = 2.0"),
@@ -47,11 +47,11 @@
     struct Case {
         text: String,
         code: i32,
-        says: &'static str,
+        message: &'static str,
     }
     let cases = [
-        Case { text: SOUND.to_owned(), code: 0, says: "the settings are valid" },
-        Case { text: format!("{SOUND}port = 1\n"), code: 1, says: "line 9: key `port`" },
+        Case { text: VALID.to_owned(), code: 0, message: "the settings are valid" },
+        Case { text: format!("{VALID}port = 1\n"), code: 1, message: "line 9: key `port`" },
     ];
     let file = std::env::temp_dir().join(format!("cherrystand-check-{}.toml", std::process::id()));
     for case in cases {
@@ -63,13 +63,13 @@
             .expect("the daemon");
         let text = String::from_utf8_lossy(&[out.stdout, out.stderr].concat()).into_owned();
         assert_eq!(out.status.code(), Some(case.code), "{text}");
-        assert!(text.contains(case.says), "{text}");
+        assert!(text.contains(case.message), "{text}");
         assert!(text.contains(&file.display().to_string()), "{text}");
     }
     std::fs::remove_file(&file).expect("removed");
 }
 
-/// Lists the keys that a page documents: the first cell of each table row, in backticks.
+/// Lists the keys that a page documents, which are in backticks in the first cell of each table row.
 fn documented(page: &str) -> Vec<String> {
     let rows = page.lines().filter_map(|line| line.strip_prefix("| `"));
     rows.filter_map(|row| row.split('`').next()).map(str::to_owned).collect()
@@ -81,15 +81,15 @@
     let (daemon, groups) = page.split_once("## Serving groups").expect("two parts");
     let unknown = "no_such_key = 1\n";
     let tables = [
-        ("", format!("{unknown}{SOUND}")),
-        ("listen.", SOUND.replace("[platform]", &format!("{unknown}[platform]"))),
-        ("platform.", format!("{SOUND}{unknown}")),
-        ("limits.", format!("{SOUND}[limits]\n{unknown}")),
-        ("repair.", format!("{SOUND}[repair]\n{unknown}")),
-        ("stop.", format!("{SOUND}[stop]\n{unknown}")),
-        ("site.", format!("{SOUND}[site]\n{unknown}")),
-        ("policy.", format!("{SOUND}[policy]\n{unknown}")),
-        ("testing.", format!("{SOUND}[testing]\n{unknown}")),
+        ("", format!("{unknown}{VALID}")),
+        ("listen.", VALID.replace("[platform]", &format!("{unknown}[platform]"))),
+        ("platform.", format!("{VALID}{unknown}")),
+        ("limits.", format!("{VALID}[limits]\n{unknown}")),
+        ("repair.", format!("{VALID}[repair]\n{unknown}")),
+        ("stop.", format!("{VALID}[stop]\n{unknown}")),
+        ("site.", format!("{VALID}[site]\n{unknown}")),
+        ("policy.", format!("{VALID}[policy]\n{unknown}")),
+        ("testing.", format!("{VALID}[testing]\n{unknown}")),
     ];
     let mut keys: Vec<String> = Vec::new();
     for (table, text) in tables {
@@ -112,14 +112,14 @@
     ];
     for (table, text) in tables {
         let err = cherrystand_core::WorkspaceConfig::from_toml(&text).expect_err("an unknown key");
-        let known = expected_keys(&err.to_string());
-        keys.extend(known.into_iter().map(|key| format!("{table}{key}")));
+        let expected = expected_keys(&err.to_string());
+        keys.extend(expected.into_iter().map(|key| format!("{table}{key}")));
     }
     keys.retain(|key| key != "model" && key != "service");
     assert_eq!(sorted(documented(groups)), sorted(keys));
 }
 
-/// Reads the keys that an error about an unknown one names.
+/// Returns the keys that an error about an unknown key lists as expected.
 fn expected_keys(message: &str) -> Vec<String> {
     let (_, list) = message.split_once("expected").expect("a list of keys");
     list.split('`').skip(1).step_by(2).map(str::to_owned).collect()
--- a/crates/cherrystandd/tests/slow_readers.rs
+++ b/crates/cherrystandd/tests/slow_readers.rs
@@ -163,7 +163,7 @@
             };
             let (asked, _held) = tokio::join!(asking, answering);
             assert_eq!(asked.answer.status, 502, "{}", case.name);
-            assert!(asked.took < ANSWER_TIMEOUT, "{}: {:?}", case.name, asked.took);
+            assert!(asked.elapsed < ANSWER_TIMEOUT, "{}: {:?}", case.name, asked.elapsed);
             assert!(!site.nodes[0].process.has_ended(), "{}", case.name);
         }
         let asked = ask(&site.nodes[0], STREAM, "n0-1".to_owned()).await;
--- a/crates/cherrystandd/tests/support/caller_requests.rs
+++ b/crates/cherrystandd/tests/support/caller_requests.rs
@@ -1,4 +1,4 @@
-//! Callers that keep asking daemons before a site, and what they got.
+//! Callers that send requests to daemons of a site at a steady rate, and the answers that they get.
 
 use std::time::{Duration, Instant};
 
@@ -9,74 +9,75 @@
 use super::Answer;
 use super::site::{Node, call};
 
-/// How many cases are played at once.
-const CASES_AT_ONCE: usize = 3;
+/// The number of cases that run at the same time.
+const CONCURRENT_CASES: usize = 3;
 
-/// A request as its caller saw it.
+/// A request and its answer as the caller saw them.
 pub(crate) struct CallerRequest {
     pub(crate) id: String,
-    pub(crate) sent: Instant,
-    pub(crate) took: Duration,
+    pub(crate) sent_at: Instant,
+    pub(crate) elapsed: Duration,
     pub(crate) answer: Answer,
 }
 
-/// The id of a request begins with the daemon that it is sent to.
+/// Returns the daemon that a request was sent to, with which its id begins.
 pub(crate) fn daemon_of(request: &str, _: Instant) -> Option<String> {
     request.split_once('-').map(|(daemon, _)| daemon.to_owned())
 }
 
 pub(crate) async fn ask(node: &Node, path: &str, id: String) -> CallerRequest {
-    let sent = Instant::now();
+    let sent_at = Instant::now();
     let answer = call(node, "POST", path, &id, "k1").await;
-    CallerRequest { id, sent, took: sent.elapsed(), answer }
+    CallerRequest { id, sent_at, elapsed: sent_at.elapsed(), answer }
 }
 
-/// Sends each daemon requests of one kind, one each time, for a while.
+/// Sends requests to one path of every daemon, one per interval to each daemon, for a given time.
 pub(crate) async fn send_to_all(
     nodes: &[Node],
     path: &str,
-    every: Duration,
-    lasts: Duration,
+    interval: Duration,
+    total: Duration,
 ) -> Vec<CallerRequest> {
-    let rounds = lasts.as_millis() / every.as_millis();
+    let rounds = total.as_millis() / interval.as_millis();
     let all = (0..rounds as u32).flat_map(|round| {
         nodes.iter().map(move |node| async move {
-            tokio::time::sleep(every * round).await;
+            tokio::time::sleep(interval * round).await;
             ask(node, path, format!("n{}-{round}{}", node.number, path.replace('/', "-"))).await
         })
     });
     futures_util::future::join_all(all).await
 }
 
-/// Plays cases, a few at once.
+/// Runs cases, a few of them at the same time.
 pub(crate) async fn run_cases<T>(cases: impl Iterator<Item = impl Future<Output = T>>) -> Vec<T> {
-    futures_util::stream::iter(cases).buffered(CASES_AT_ONCE).collect().await
+    futures_util::stream::iter(cases).buffered(CONCURRENT_CASES).collect().await
 }
 
-/// Names the case in each line that says what is wrong in it.
+/// Prefixes each failure with the name of the case that it occurred in.
 pub(crate) fn prefix_with_case(name: &str, wrong: Vec<String>) -> Vec<String> {
     wrong.into_iter().map(|wrong| format!("{name}: {wrong}")).collect()
 }
 
-/// Says how the first request ended that was not served.
+/// Describes the first request that was not served.
 pub(crate) fn describe_first_failure(asked: &[CallerRequest]) -> String {
     let failed = asked.iter().find(|asked| !is_served(asked));
-    let said = failed.map(|asked| {
+    let description = failed.map(|asked| {
         let length = asked.answer.text().len();
-        format!("{}: {}, {length} bytes, after {:?}", asked.id, asked.answer.status, asked.took)
+        format!("{}: {}, {length} bytes, after {:?}", asked.id, asked.answer.status, asked.elapsed)
     });
-    said.unwrap_or_default()
+    description.unwrap_or_default()
 }
 
-/// Says how many requests were not served, and how the first of them ended; nothing where all were.
+/// Returns how many requests were not served and describes the first of them, or `None` if all were
+/// served.
 pub(crate) fn describe_failures(asked: &[CallerRequest]) -> Option<String> {
     let failed = asked.iter().filter(|asked| !is_served(asked)).count();
-    let said =
+    let describe =
         || format!("{failed} of {} not served; {}", asked.len(), describe_first_failure(asked));
-    (failed > 0).then(said)
+    (failed > 0).then(describe)
 }
 
 pub(crate) fn is_served(asked: &CallerRequest) -> bool {
-    let whole = [whole_stream(&asked.id), format!("answer to {}", asked.id)];
-    asked.answer.status == StatusCode::OK && whole.contains(&asked.answer.text())
+    let complete_answers = [whole_stream(&asked.id), format!("answer to {}", asked.id)];
+    asked.answer.status == StatusCode::OK && complete_answers.contains(&asked.answer.text())
 }
--- a/crates/cherrystandd/tests/support/mod.rs
+++ b/crates/cherrystandd/tests/support/mod.rs
@@ -1,6 +1,6 @@
-//! Starts real processes and talks to them.
+//! Starts processes of a cluster and sends requests to them.
 #![allow(clippy::disallowed_methods, reason = "the machine of a test is not suspended")]
-#![allow(dead_code, reason = "each area of tests uses its own part")]
+#![allow(dead_code, reason = "each test file uses only a part of this module")]
 
 pub(crate) mod caller_requests;
 pub(crate) mod site;
@@ -16,10 +16,10 @@
 use hyper::{HeaderMap, Method, Request, Response, StatusCode};
 use serde_json::{Value, json};
 
-/// How long tests wait for what should come about.
+/// How long tests wait for an expected condition.
 pub(crate) const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A process that ends with the test.
+/// A process that is killed at the end of the test.
 pub(crate) struct Process {
     child: Child,
     pub(crate) address: SocketAddr,
@@ -32,7 +32,7 @@
         assert!(kill.wait().expect("kill").success());
     }
 
-    /// Returns the most memory that it has used, in KB.
+    /// Returns the peak memory use of the process, in KB.
     pub(crate) fn peak_kb(&self) -> u64 {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id()));
         let status = status.expect("its status");
@@ -48,7 +48,7 @@
 
 impl Drop for Process {
     fn drop(&mut self) {
-        // It may have ended by itself.
+        // Both fail if the process has already ended.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
@@ -62,7 +62,7 @@
     pub(crate) peers: SocketAddr,
 }
 
-/// Says what a cluster consists of.
+/// The composition of a cluster.
 #[derive(Clone, Copy)]
 pub(crate) struct Setup {
     pub(crate) daemons: usize,
@@ -95,7 +95,7 @@
     }
 }
 
-/// An answer, read whole.
+/// A complete answer.
 #[derive(Debug)]
 pub(crate) struct Answer {
     pub(crate) status: StatusCode,
@@ -112,7 +112,7 @@
         self.headers.get(name).and_then(|value| value.to_str().ok()).unwrap_or_default()
     }
 
-    /// Returns the outcome told and the reason for having no answer.
+    /// Returns the outcome header, and the reason in the error body.
     pub(crate) fn outcome_and_reason(&self) -> (String, String) {
         let value: Value = serde_json::from_slice(&self.body).unwrap_or_default();
         let reason = value["error"]["reason"].as_str().unwrap_or_default().to_owned();
@@ -126,7 +126,7 @@
     tokio::task::LocalSet::new().block_on(&runtime.expect("a runtime"), test)
 }
 
-/// Runs a test on one thread and virtual time, without processes.
+/// Runs a test that starts no processes on one thread and with virtual time.
 pub(crate) fn run_on_virtual_time<F: Future>(test: F) -> F::Output {
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_all().start_paused(true).build();
@@ -144,12 +144,12 @@
     cherrystand_testkit::spawn(command).expect("a process")
 }
 
-/// Returns addresses that no other test of this process was given and that nobody listens at.
+/// Returns addresses that are not in use and that no other test of this process was given.
 pub(crate) fn free_addresses(count: usize) -> Vec<SocketAddr> {
     cherrystand_testkit::free_addresses(count).expect("free addresses")
 }
 
-/// Sums the bytes between daemons that a page of metrics tells, of the series that have a label.
+/// Sums the bytes between daemons in a page of metrics, over the series that contain a label.
 pub(crate) fn peer_bytes(metrics: &str, label: &str) -> f64 {
     let lines = metrics.lines().filter(|line| line.starts_with("cherrystand_peer_bytes_total{"));
     let lines = lines.filter(|line| line.contains(label));
@@ -165,7 +165,7 @@
 }
 
 impl Cluster {
-    /// Starts everything and waits until the daemons are ready.
+    /// Starts all processes and waits until the daemons are ready.
     pub(crate) async fn start(setup: Setup) -> Self {
         let addresses = free_addresses(1 + setup.boxes + setup.services + 3 * setup.daemons);
         let (platform, rest) = addresses.split_first().expect("an address");
@@ -191,7 +191,8 @@
         cluster
     }
 
-    /// Starts everything, puts the usual groups in force and waits until they serve everywhere.
+    /// Starts all processes, applies the default configuration and waits until all daemons route to all
+    /// replicas.
     pub(crate) async fn serving(setup: Setup) -> Self {
         let cluster = Self::start(setup).await;
         cluster.apply_config(&cluster.default_config(setup.replicas, "1", "/consent")).await;
@@ -219,18 +220,18 @@
         )
     }
 
-    /// Runs the operators' command against the first daemon.
+    /// Runs the operators' command `cherrystand` against the first daemon.
     pub(crate) fn cli(&self, args: &[&str]) -> Output {
         self.cli_at(self.daemons[0].operators, args)
     }
 
-    /// Runs the operators' command against a daemon.
+    /// Runs the operators' command `cherrystand` against a daemon.
     pub(crate) fn cli_at(&self, at: SocketAddr, args: &[&str]) -> Output {
         let at = at.to_string();
-        let mut all = vec!["--at", &at];
-        all.extend(args);
+        let mut arguments = vec!["--at", &at];
+        arguments.extend(args);
         let mut command = Command::new(program("cherrystand"));
-        command.args(all).stdout(Stdio::piped()).stderr(Stdio::piped());
+        command.args(arguments).stdout(Stdio::piped()).stderr(Stdio::piped());
         spawn(&mut command).wait_with_output().expect("the command")
     }
 
@@ -241,12 +242,12 @@
         path.display().to_string()
     }
 
-    /// Makes a plan and returns its name.
+    /// Creates a plan and returns its id.
     pub(crate) fn plan(&self, config: &str) -> String {
         let file = self.write_file("config.toml", config);
-        let made = self.cli(&["--json", "plan", &file]);
-        assert!(made.status.success(), "{}", String::from_utf8_lossy(&made.stderr));
-        let plan: Value = serde_json::from_slice(&made.stdout).expect("a plan");
+        let output = self.cli(&["--json", "plan", &file]);
+        assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
+        let plan: Value = serde_json::from_slice(&output.stdout).expect("a plan");
         plan["id"].as_str().expect("an id").to_owned()
     }
 
@@ -257,7 +258,7 @@
         self.wait_until("the plan is confirmed", confirmed).await;
     }
 
-    /// Waits until something is so.
+    /// Waits until a condition holds; panics after [`WAIT_TIMEOUT`].
     pub(crate) async fn wait_until<F, B>(&self, what: &str, mut condition: F)
     where
         F: FnMut() -> B,
@@ -268,15 +269,15 @@
     }
 
     pub(crate) async fn is_ready(&self, daemon: SocketAddr) -> bool {
-        let asked = self.send(daemon, Method::GET, "/readyz", &[], "").await;
-        asked.is_ok_and(|answer| answer.status == StatusCode::OK)
+        let answer = self.send(daemon, Method::GET, "/readyz", &[], "").await;
+        answer.is_ok_and(|answer| answer.status == StatusCode::OK)
     }
 
-    /// Returns what a daemon tells operators; nothing while it does not answer.
+    /// Returns a daemon's status page for operators, or null if it does not answer.
     async fn status(&self, operators: SocketAddr) -> Value {
-        let told = self.send(operators, Method::GET, "/operator/status", &[], "").await;
-        let told = told.ok().and_then(|answer| serde_json::from_slice(&answer.body).ok());
-        told.unwrap_or_default()
+        let answer = self.send(operators, Method::GET, "/operator/status", &[], "").await;
+        let answer = answer.ok().and_then(|answer| serde_json::from_slice(&answer.body).ok());
+        answer.unwrap_or_default()
     }
 
     /// Returns how many replicas a daemon routes to.
@@ -286,13 +287,13 @@
         replicas.filter(|replica| replica["serving"] == json!(true)).count() as u64
     }
 
-    /// Returns how many daemons one of them hears, itself included.
+    /// Returns how many daemons one of them has heard from recently, itself included.
     pub(crate) async fn reachable_daemons(&self, daemon: usize) -> u64 {
         let status = self.status(self.daemons[daemon].operators).await;
         status["node"]["heard"].as_u64().unwrap_or(0)
     }
 
-    /// Sends a request and reads its whole answer.
+    /// Sends a request and reads the complete answer.
     pub(crate) async fn send(
         &self,
         to: SocketAddr,
@@ -307,7 +308,7 @@
         Ok(Answer { status: head.status, headers: head.headers, body })
     }
 
-    /// Sends a request and returns once its answer begins.
+    /// Sends a request and returns when the headers of its answer arrive.
     pub(crate) async fn open(
         &self,
         to: SocketAddr,
@@ -324,7 +325,7 @@
         self.pool.send(to, req, Duration::from_secs(1)).await
     }
 
-    /// Asks the model through a daemon.
+    /// Sends a model request to a daemon.
     pub(crate) async fn ask_model(
         &self,
         daemon: usize,
@@ -337,21 +338,21 @@
         self.open(to, Method::POST, "/v1/chat/completions", &[], &body).await
     }
 
-    /// Sets how a stand-in behaves.
+    /// Sets the behaviour of a stand-in.
     pub(crate) async fn set(&self, stand_in: SocketAddr, knobs: Value) {
         let set = self.send(stand_in, Method::POST, "/control/set", &[], &knobs.to_string()).await;
         assert_eq!(set.expect("set").status, StatusCode::OK);
     }
 
-    /// Returns how often the services ran calls, by key or id.
+    /// Returns how often the services ran each call, by key or id.
     pub(crate) async fn service_executions(&self) -> std::collections::BTreeMap<String, u32> {
         let mut all = std::collections::BTreeMap::new();
         for service in &self.services {
             let path = "/control/executions";
-            let told = self.send(service.address, Method::GET, path, &[], "").await;
-            let told: std::collections::BTreeMap<String, u32> =
-                serde_json::from_slice(&told.expect("counts").body).expect("counts");
-            for (key, count) in told {
+            let answer = self.send(service.address, Method::GET, path, &[], "").await;
+            let answer: std::collections::BTreeMap<String, u32> =
+                serde_json::from_slice(&answer.expect("counts").body).expect("counts");
+            for (key, count) in answer {
                 *all.entry(key).or_default() += count;
             }
         }
@@ -359,7 +360,7 @@
     }
 }
 
-/// Returns the body of a model call.
+/// Returns the body of a model request.
 pub(crate) fn model_body(text: &str, tokens: u64, stream: bool) -> String {
     json!({
         "model": "m", "max_tokens": tokens, "stream": stream,
@@ -429,7 +430,7 @@
     }
 }
 
-/// Waits until something is so.
+/// Waits until a condition holds; panics after [`WAIT_TIMEOUT`].
 pub(crate) async fn wait_until<F, B>(what: &str, mut condition: F)
 where
     F: FnMut() -> B,
@@ -442,7 +443,7 @@
     }
 }
 
-/// Starts a program with settings of its own.
+/// Starts a program with the given settings.
 pub(crate) fn start_in(name: &str, settings: &str, address: SocketAddr) -> Process {
     let dir = std::env::temp_dir().join(format!("cherrystand-test-{}", address.port()));
     std::fs::create_dir_all(&dir).expect("a directory");
@@ -452,8 +453,8 @@
     start(name, &["--settings", &file], address, &dir.join("log"))
 }
 
-/// Sends a request over a connection of its own and reads the whole answer; one that cannot be
-/// read counts as a bad gateway.
+/// Sends a request over a new connection and reads the complete answer. Returns status 502 if the
+/// answer cannot be read.
 pub(crate) async fn call_at(
     to: SocketAddr,
     method: &str,
--- a/crates/cherrystandd/tests/support/site.rs
+++ b/crates/cherrystandd/tests/support/site.rs
@@ -1,4 +1,4 @@
-//! Daemons before a site whose store holds one configuration of routes.
+//! Daemons of a site whose store holds one configuration of routes.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,25 +9,27 @@
 
 use super::{Answer, Process, call_at, free_addresses, start_in, wait_until};
 
+/// The path of a request to a service.
 pub(crate) const CALL: &str = "/calls/1";
+/// The path of a streaming request to a model.
 pub(crate) const STREAM: &str = "/stories/1";
 
-/// How many addresses one daemon listens at.
+/// The number of addresses that one daemon listens on.
 const NODE_ADDRESSES: usize = 5;
 
-/// Repeats beyond the share of requests, over all daemons.
+/// The setting `retry_slack`: retries allowed beyond the ratio, over all daemons.
 const RETRY_SLACK: f64 = 136.0;
 
-/// By how much SIGUSR1 moves a daemon's clock on, in milliseconds.
+/// The time by which SIGUSR1 advances a daemon's clock, in milliseconds.
 pub(crate) const SUSPENDED_MS: u64 = 6_000;
 
-/// How long a daemon is waited for until it serves.
+/// How long a daemon of a site of two zones is given to serve a request before the test begins.
 const WARM_UP_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Within this time a daemon that reads the store asks it more often than any other one.
+/// The time in which the daemon that reads the store for the others calls it more often than any other.
 const READER_SAMPLE_TIME: Duration = Duration::from_millis(1_200);
 
-/// How long a request may be held, in milliseconds.
+/// The timeout of requests in the configuration, in milliseconds.
 const TIMEOUT_MS: u64 = 6_000;
 
 pub(crate) fn config(version: u64, call_prefix: &str, keys: &[&str]) -> Value {
@@ -46,17 +48,17 @@
 pub(crate) struct Site {
     pub(crate) site: SiteStandIn,
     pub(crate) nodes: Vec<Node>,
-    /// The link of each daemon to the store.
+    /// The network link of each daemon to the store, by daemon.
     pub(crate) store_links: Vec<Link>,
 }
 
 impl Site {
-    /// Starts daemons before a site of five model boxes and two plain endpoints.
+    /// Starts daemons and a site of five model boxes and two endpoints of a service.
     pub(crate) async fn start(daemons: usize) -> Self {
         Self::start_with(daemons, RETRY_SLACK).await
     }
 
-    /// Starts them with a number of repeats beyond the share of requests.
+    /// Starts the same with a given `retry_slack`.
     async fn start_with(daemons: usize, retry_slack: f64) -> Self {
         let site = SiteStandIn::new();
         let all = free_addresses(daemons * NODE_ADDRESSES);
@@ -76,7 +78,7 @@
         Self { site, nodes, store_links }
     }
 
-    /// Starts daemons before a site of two availability zones with two replicas and an endpoint each.
+    /// Starts daemons and a site of two availability zones, and waits until five replicas serve.
     pub(crate) async fn in_two_zones(daemons: usize, config: &Value) -> Self {
         let site = Self::start(daemons).await;
         for (zone, boxes) in [("z1", &["i-6"][..]), ("z2", &["j-1", "j-2", "j-3", "j-4", "j-5"])] {
@@ -89,7 +91,7 @@
         wait_until("five replicas serve", async || site.site.leaders().len() == 5).await;
         for node in &site.nodes {
             wait_until("a node is ready", async || is_ready(node).await).await;
-            // Where no zone may serve there is nothing to wait for.
+            // A configuration may allow no zone to serve, so a timeout is not a failure.
             let served = async || call(node, "GET", STREAM, "warm", "k1").await.status;
             let _ = tokio::time::timeout(
                 WARM_UP_TIMEOUT,
@@ -100,12 +102,12 @@
         site
     }
 
-    /// The same with boxes that tell when they started.
+    /// Does the same as [`Self::serving`] with boxes that report when they started.
     pub(crate) async fn serving_with_start_times(daemons: usize) -> Self {
         let site = Self::serving(daemons).await;
         site.site.tell_starts();
-        // The records name the boxes' lives once a daemon has seen these.
-        wait_until("the records name lives", async || {
+        // The records contain the boxes' incarnations once a daemon has read them.
+        wait_until("the records contain incarnations", async || {
             let record = site.site.store.read("cherrystand/shared/domain/z1-d0");
             record.is_some_and(|record| record.contains("i-1@"))
         })
@@ -113,7 +115,7 @@
         site
     }
 
-    /// Starts one more daemon, as after a loss of its power; it knows of nobody but a seed.
+    /// Starts one more daemon that knows only a seed, as a daemon does after a power loss.
     pub(crate) async fn add_daemon(&mut self, seed: SocketAddr) {
         let own = free_addresses(NODE_ADDRESSES);
         let door = self.site.open_door().await.expect("a door");
@@ -123,7 +125,7 @@
         self.store_links.push(link);
     }
 
-    /// Returns the daemon that reads the store for the others: it alone asks all the while.
+    /// Returns the daemon that reads the store for the others, which is the one that calls it most.
     pub(crate) async fn store_reader(&self) -> usize {
         let before = self.store_calls().await;
         tokio::time::sleep(READER_SAMPLE_TIME).await;
@@ -135,21 +137,21 @@
     async fn store_calls(&self) -> Vec<u64> {
         let mut calls = Vec::new();
         for node in &self.nodes {
-            let told = call_at(node.operators, "GET", "/metrics", &[], "").await.text();
+            let metrics = call_at(node.operators, "GET", "/metrics", &[], "").await.text();
             let lines =
-                told.lines().filter(|line| line.contains("platform_calls_total{duty=\"site\""));
+                metrics.lines().filter(|line| line.contains("platform_calls_total{duty=\"site\""));
             let counts = lines.filter_map(|line| line.rsplit(' ').next()?.parse::<u64>().ok());
             calls.push(counts.sum());
         }
         calls
     }
 
-    /// Puts a configuration in force and waits until everything serves.
+    /// Starts a site, applies a configuration and waits until both replicas and all daemons serve.
     pub(crate) async fn serving(daemons: usize) -> Self {
         Self::serving_with(daemons, RETRY_SLACK).await
     }
 
-    /// The same with a number of repeats beyond the share of requests.
+    /// Does the same as [`Self::serving`] with a given `retry_slack`.
     pub(crate) async fn serving_with(daemons: usize, retry_slack: f64) -> Self {
         let site = Self::start_with(daemons, retry_slack).await;
         site.site.configure(&config(1, "/calls/", &["k1"]));
@@ -218,7 +220,7 @@
     call_at(node.callers, method, path, &headers, body).await
 }
 
-/// Sends six streams at once, and returns the answer and the id of each.
+/// Sends six streaming requests at the same time, and returns the answer and the id of each.
 pub(crate) async fn six_streams(node: &Node) -> Vec<(Answer, String)> {
     let all = (0..6).map(|number| {
         let id = format!("s{number}");
--- a/crates/cherrystandd/tests/wishes.rs
+++ b/crates/cherrystandd/tests/wishes.rs
@@ -166,13 +166,13 @@
         let backoff_end = |target: &String, asked: &CallerRequest| {
             let own = told.iter().filter(|told| &told.target == target);
             let own = own.filter(|told| {
-                daemon_of(&told.request, told.at) == daemon_of(&asked.id, asked.sent)
+                daemon_of(&told.request, told.at) == daemon_of(&asked.id, asked.sent_at)
             });
             let ends = own.filter_map(|told| match told.wish {
-                Wish::Rest(rest) if told.at < asked.sent => Some(told.at + rest),
+                Wish::Rest(rest) if told.at < asked.sent_at => Some(told.at + rest),
                 _ => None,
             });
-            ends.max().filter(|end| *end > asked.sent)
+            ends.max().filter(|end| *end > asked.sent_at)
         };
         let mut refused = 0;
         for asked in &asked {
@@ -182,10 +182,10 @@
                 continue;
             }
             refused += 1;
-            let first = ends.iter().min().expect("two").duration_since(asked.sent);
+            let first = ends.iter().min().expect("two").duration_since(asked.sent_at);
             let after: f64 = asked.answer.header("retry-after").parse().expect("a time");
             assert_eq!(asked.answer.status, StatusCode::SERVICE_UNAVAILABLE);
-            assert!(asked.took < Duration::from_millis(300), "took {:?}", asked.took);
+            assert!(asked.elapsed < Duration::from_millis(300), "took {:?}", asked.elapsed);
             // Both clocks run while the request is on its way.
             assert!(
                 after + 0.1 > first.as_secs_f64(),
