--- a/crates/cherrystand_testkit/src/lib.rs
+++ b/crates/cherrystand_testkit/src/lib.rs
@@ -61,7 +61,7 @@
 pub use load::verdict::{Tally, Verdict, judge_refusal, judge_service, judge_stream, judge_whole};
 pub use platform::fake_key_value::{CallFault, FakeKeyValue};
 pub use platform::stand_in::{CallCounts, PlatformKnobs, PlatformStandIn};
-pub use platform::store::{Rate, Store};
+pub use platform::store::{RateLimiter, Store};
 pub use processes::{free_addresses, spawn};
 pub use service_stand_in::{ServiceAnswer, ServiceKnobs, ServiceStandIn};
 pub use site::box_answers::{CRASHES, EVENTS};
--- a/crates/cherrystand_testkit/src/platform/fake_key_value.rs
+++ b/crates/cherrystand_testkit/src/platform/fake_key_value.rs
@@ -28,7 +28,7 @@
 /// After how many later calls a delayed write takes effect.
 const DELAY_CALLS: u32 = 2;
 
-struct Delayed {
+struct DelayedWrite {
     after_calls: u32,
     key: String,
     expected: Revision,
@@ -39,7 +39,7 @@
 struct State {
     store: Store,
     faults: VecDeque<CallFault>,
-    delayed: Vec<Delayed>,
+    delayed: Vec<DelayedWrite>,
     calls: u64,
 }
 
@@ -68,12 +68,12 @@
     }
 
     /// Lets other writers go on, and then begins a call.
-    async fn begin(&self) -> Result<CallFault, PlatformError> {
+    async fn begin_call(&self) -> Result<CallFault, PlatformError> {
         tokio::task::yield_now().await;
         let mut state = self.state.borrow_mut();
         state.calls += 1;
         let fault = state.faults.pop_front().unwrap_or(CallFault::None);
-        land_delayed(&mut state);
+        apply_due_writes(&mut state);
         match fault {
             CallFault::Lost => Err(no_answer()),
             CallFault::RateLimited => Err(PlatformError::RateLimited),
@@ -82,13 +82,13 @@
     }
 }
 
-fn land_delayed(state: &mut State) {
+fn apply_due_writes(state: &mut State) {
     for delayed in &mut state.delayed {
         delayed.after_calls = delayed.after_calls.saturating_sub(1);
     }
-    let (due, left): (Vec<Delayed>, Vec<Delayed>) =
+    let (due, waiting): (Vec<DelayedWrite>, Vec<DelayedWrite>) =
         state.delayed.drain(..).partition(|delayed| delayed.after_calls == 0);
-    state.delayed = left;
+    state.delayed = waiting;
     for delayed in due {
         state.store.swap(&delayed.key, delayed.expected.number(), delayed.body);
     }
@@ -100,7 +100,7 @@
 
 impl KeyValue for FakeKeyValue {
     async fn get(&self, key: &str) -> Result<Option<Document>, PlatformError> {
-        match self.begin().await? {
+        match self.begin_call().await? {
             CallFault::None => Ok(self.state.borrow().store.get(key).map(Document::from)),
             _ => Err(no_answer()),
         }
@@ -116,9 +116,10 @@
         after: Revision,
         _wait: Duration,
     ) -> Result<Changes, PlatformError> {
-        self.begin().await?;
+        self.begin_call().await?;
         let state = self.state.borrow();
-        let records = state.store.changed(prefix, after.number()).into_iter().map(Document::from);
+        let records =
+            state.store.changed_since(prefix, after.number()).into_iter().map(Document::from);
         Ok(Changes {
             revision: state.store.revision(),
             records: records.collect(),
@@ -127,10 +128,10 @@
     }
 
     async fn swap(&self, key: &str, expected: Revision, body: &str) -> Result<Swap, PlatformError> {
-        let fault = self.begin().await?;
+        let fault = self.begin_call().await?;
         let mut state = self.state.borrow_mut();
         if fault == CallFault::TakesEffectLater {
-            state.delayed.push(Delayed {
+            state.delayed.push(DelayedWrite {
                 after_calls: DELAY_CALLS,
                 key: key.to_owned(),
                 expected,
@@ -147,14 +148,9 @@
 
     fn close_idle_connections(&self) {}
 
-    async fn lease(
-        &self,
-        name: &str,
-        holder: &str,
-        life: Duration,
-    ) -> Result<Lease, PlatformError> {
-        self.begin().await?;
-        let held = self.state.borrow_mut().store.lease(name, holder, life);
+    async fn lease(&self, name: &str, holder: &str, ttl: Duration) -> Result<Lease, PlatformError> {
+        self.begin_call().await?;
+        let held = self.state.borrow_mut().store.acquire_lease(name, holder, ttl);
         Ok(if held { Lease::Held } else { Lease::HeldByOther })
     }
 }
--- a/crates/cherrystand_testkit/src/platform/stand_in.rs
+++ b/crates/cherrystand_testkit/src/platform/stand_in.rs
@@ -12,7 +12,7 @@
 use tokio::sync::{Notify, Semaphore};
 
 use crate::http::{Whole, empty, json, query, query_number, read_body, read_json};
-use crate::platform::store::{Rate, Store};
+use crate::platform::store::{RateLimiter, Store};
 
 /// Reads per second that the service takes.
 const READS_PER_SECOND: f64 = 2_000.0;
@@ -21,7 +21,7 @@
 const WRITES_PER_SECOND: f64 = 300.0;
 
 /// How many weight loads run at once.
-const LOADS_AT_ONCE: usize = 8;
+const MAX_CONCURRENT_LOADS: usize = 8;
 
 /// Sets how the platform misbehaves; what is left out stays as it is.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
@@ -67,16 +67,16 @@
     inventory: Inventory,
     knobs: PlatformKnobs,
     counts: CallCounts,
-    reads: Rate,
-    writes: Rate,
+    read_limiter: RateLimiter,
+    write_limiter: RateLimiter,
 }
 
 /// Stands in for the platform.
 #[derive(Clone)]
 pub struct PlatformStandIn {
     state: Rc<RefCell<State>>,
-    changed: Rc<Notify>,
-    loads: Rc<Semaphore>,
+    change_notify: Rc<Notify>,
+    load_slots: Rc<Semaphore>,
 }
 
 impl PlatformStandIn {
@@ -87,13 +87,13 @@
             inventory,
             knobs: PlatformKnobs::default(),
             counts: CallCounts::default(),
-            reads: Rate::new(READS_PER_SECOND),
-            writes: Rate::new(WRITES_PER_SECOND),
+            read_limiter: RateLimiter::new(READS_PER_SECOND),
+            write_limiter: RateLimiter::new(WRITES_PER_SECOND),
         };
         Self {
             state: Rc::new(RefCell::new(state)),
-            changed: Rc::new(Notify::new()),
-            loads: Rc::new(Semaphore::new(LOADS_AT_ONCE)),
+            change_notify: Rc::new(Notify::new()),
+            load_slots: Rc::new(Semaphore::new(MAX_CONCURRENT_LOADS)),
         }
     }
 
@@ -105,7 +105,7 @@
             "/control/counts" => return json(StatusCode::OK, &self.state.borrow().counts),
             _ => {}
         }
-        self.misbehave().await;
+        self.apply_faults().await;
         let answer = self.answer(&path, req).await;
         if self.state.borrow().knobs.down == Some(true) {
             // It went down while the call was waiting.
@@ -118,7 +118,7 @@
         if let Some(name) = path.strip_prefix("/v1/weights/") {
             return self.load_weights(name).await;
         }
-        if !self.count(&req) {
+        if !self.count_call(&req) {
             return empty(StatusCode::TOO_MANY_REQUESTS);
         }
         if let Some(key) = path.strip_prefix("/v1/kv/") {
@@ -129,7 +129,7 @@
             };
         }
         if let Some(prefix) = path.strip_prefix("/v1/list/") {
-            return self.changes(prefix, 0);
+            return self.changes_since(prefix, 0);
         }
         if let Some(prefix) = path.strip_prefix("/v1/watch/") {
             return self.watch(prefix, &req).await;
@@ -143,7 +143,7 @@
         empty(StatusCode::NOT_FOUND)
     }
 
-    async fn misbehave(&self) {
+    async fn apply_faults(&self) {
         let (down, slow) = {
             let knobs = &self.state.borrow().knobs;
             (knobs.down == Some(true), knobs.slow_ms.unwrap_or(0))
@@ -156,14 +156,18 @@
         }
     }
 
-    fn count(&self, req: &Request<Incoming>) -> bool {
+    fn count_call(&self, req: &Request<Incoming>) -> bool {
         let mut state = self.state.borrow_mut();
         let path = req.uri().path();
-        let write = req.method() == Method::PUT;
-        let allowed = if write { state.writes.take() } else { state.reads.take() };
+        let is_write = req.method() == Method::PUT;
+        let allowed = if is_write {
+            state.write_limiter.try_acquire()
+        } else {
+            state.read_limiter.try_acquire()
+        };
         let counts = &mut state.counts;
-        counts.writes += u64::from(write);
-        counts.reads += u64::from(!write);
+        counts.writes += u64::from(is_write);
+        counts.reads += u64::from(!is_write);
         counts.watches += u64::from(path.starts_with("/v1/watch/"));
         counts.leases += u64::from(path.starts_with("/v1/lease/"));
         counts.refused += u64::from(!allowed);
@@ -185,13 +189,13 @@
         let Some(value) = value else {
             return empty(StatusCode::BAD_REQUEST);
         };
-        let (outcome, lost) = {
+        let (outcome, lose_answer) = {
             let mut state = self.state.borrow_mut();
             let outcome = state.store.swap(key, expected, value);
-            (outcome, take_one(&mut state.knobs.lose_answers))
+            (outcome, take_fault(&mut state.knobs.lose_answers))
         };
-        self.changed.notify_waiters();
-        if lost {
+        self.change_notify.notify_waiters();
+        if lose_answer {
             std::future::pending::<()>().await;
         }
         match outcome {
@@ -204,34 +208,34 @@
         }
     }
 
-    fn changes(&self, prefix: &str, after: u64) -> Response<Whole> {
+    fn changes_since(&self, prefix: &str, after: u64) -> Response<Whole> {
         let store = &self.state.borrow().store;
-        let records = store.changed(prefix, after);
+        let records = store.changed_since(prefix, after);
         json(StatusCode::OK, &WireRecords { revision: store.revision().number(), records })
     }
 
     async fn watch(&self, prefix: &str, req: &Request<Incoming>) -> Response<Whole> {
         let after = query_number(req, "after").unwrap_or(0);
         let wait = Duration::from_millis(query_number(req, "wait-ms").unwrap_or(0));
-        let until = tokio::time::Instant::now() + wait;
+        let deadline = tokio::time::Instant::now() + wait;
         loop {
-            let woken = self.changed.notified();
-            let changed = !self.state.borrow().store.changed(prefix, after).is_empty();
-            if changed || tokio::time::timeout_at(until, woken).await.is_err() {
-                return self.changes(prefix, after);
+            let notified = self.change_notify.notified();
+            let changed = !self.state.borrow().store.changed_since(prefix, after).is_empty();
+            if changed || tokio::time::timeout_at(deadline, notified).await.is_err() {
+                return self.changes_since(prefix, after);
             }
         }
     }
 
     fn lease(&self, name: &str, req: &Request<Incoming>) -> Response<Whole> {
         let holder = query(req, "holder").unwrap_or_default();
-        let life = Duration::from_millis(query_number(req, "life-ms").unwrap_or(0));
-        let held = self.state.borrow_mut().store.lease(name, holder, life);
+        let ttl = Duration::from_millis(query_number(req, "life-ms").unwrap_or(0));
+        let held = self.state.borrow_mut().store.acquire_lease(name, holder, ttl);
         json(StatusCode::OK, &WireLease { held })
     }
 
     async fn load_weights(&self, name: &str) -> Response<Whole> {
-        let Ok(_slot) = self.loads.acquire().await else {
+        let Ok(_slot) = self.load_slots.acquire().await else {
             return empty(StatusCode::SERVICE_UNAVAILABLE);
         };
         let load = self.state.borrow().knobs.load_ms.unwrap_or(500);
@@ -248,22 +252,22 @@
         state.knobs.slow_ms = knobs.slow_ms.or(state.knobs.slow_ms);
         state.knobs.lose_answers = knobs.lose_answers.or(state.knobs.lose_answers);
         state.knobs.load_ms = knobs.load_ms.or(state.knobs.load_ms);
-        change_list(&mut state.inventory, &knobs);
+        update_inventory(&mut state.inventory, &knobs);
         empty(StatusCode::OK)
     }
 }
 
-fn take_one(count: &mut Option<u32>) -> bool {
+fn take_fault(count: &mut Option<u32>) -> bool {
     match count {
-        Some(left) if *left > 0 => {
-            *left -= 1;
+        Some(remaining) if *remaining > 0 => {
+            *remaining -= 1;
             true
         }
         _ => false,
     }
 }
 
-fn change_list(inventory: &mut Inventory, knobs: &PlatformKnobs) {
+fn update_inventory(inventory: &mut Inventory, knobs: &PlatformKnobs) {
     if knobs.leave.is_empty() && knobs.unlist.is_empty() {
         return;
     }
--- a/crates/cherrystand_testkit/src/platform/store.rs
+++ b/crates/cherrystand_testkit/src/platform/store.rs
@@ -27,9 +27,9 @@
     }
 
     /// Returns the records below a prefix that changed after a revision.
-    pub fn changed(&self, prefix: &str, after: u64) -> Vec<WireRecord> {
-        let below = self.records.iter().filter(|(key, _)| key.starts_with(prefix));
-        let newer = below.filter(|(_, (revision, _))| *revision > after);
+    pub fn changed_since(&self, prefix: &str, after: u64) -> Vec<WireRecord> {
+        let matching = self.records.iter().filter(|(key, _)| key.starts_with(prefix));
+        let newer = matching.filter(|(_, (revision, _))| *revision > after);
         newer.filter_map(|(key, _)| self.get(key)).collect()
     }
 
@@ -45,12 +45,12 @@
     }
 
     /// Takes or renews a lease, and tells whether the holder has it.
-    pub fn lease(&mut self, name: &str, holder: &str, life: Duration) -> bool {
+    pub fn acquire_lease(&mut self, name: &str, holder: &str, ttl: Duration) -> bool {
         let now = Instant::now();
         match self.leases.get(name) {
-            Some((other, until)) if other != holder && *until > now => false,
+            Some((current, expires_at)) if current != holder && *expires_at > now => false,
             _ => {
-                self.leases.insert(name.to_owned(), (holder.to_owned(), now + life));
+                self.leases.insert(name.to_owned(), (holder.to_owned(), now + ttl));
                 true
             }
         }
@@ -58,27 +58,27 @@
 }
 
 /// Lets a number of calls through in each second.
-pub struct Rate {
+pub struct RateLimiter {
     per_second: f64,
-    saved: f64,
-    refilled: Instant,
+    tokens: f64,
+    refilled_at: Instant,
 }
 
-impl Rate {
+impl RateLimiter {
     /// Creates a rate that starts with one second's calls saved.
     pub fn new(per_second: f64) -> Self {
-        Self { per_second, saved: per_second, refilled: Instant::now() }
+        Self { per_second, tokens: per_second, refilled_at: Instant::now() }
     }
 
     /// Takes one call out of the rate, if it holds one.
-    pub fn take(&mut self) -> bool {
+    pub fn try_acquire(&mut self) -> bool {
         let now = Instant::now();
-        let earned = now.duration_since(self.refilled).as_secs_f64() * self.per_second;
-        self.saved = (self.saved + earned).min(self.per_second);
-        self.refilled = now;
-        let allowed = self.saved >= 1.0;
+        let refill = now.duration_since(self.refilled_at).as_secs_f64() * self.per_second;
+        self.tokens = (self.tokens + refill).min(self.per_second);
+        self.refilled_at = now;
+        let allowed = self.tokens >= 1.0;
         if allowed {
-            self.saved -= 1.0;
+            self.tokens -= 1.0;
         }
         allowed
     }
