--- a/crates/cherrystand_testkit/src/platform/fake_key_value.rs
+++ b/crates/cherrystand_testkit/src/platform/fake_key_value.rs
@@ -1,4 +1,4 @@
-//! A key-value service in memory whose calls go wrong as told.
+//! An in-memory key-value service with injected faults.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -10,22 +10,22 @@
 
 use crate::Store;
 
-/// Says how one call goes.
+/// The fault that is injected into one call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallFault {
-    /// As it should.
+    /// The call succeeds.
     None,
-    /// The call never reaches the service.
+    /// The call is lost before it reaches the service.
     Lost,
     /// The call takes effect, and its answer is lost.
     AnswerLost,
-    /// The answer is lost, and the call takes effect only after some later calls.
+    /// The answer is lost, and the call takes effect only after `DELAY_CALLS` later calls.
     TakesEffectLater,
-    /// The service refuses it for its rate.
+    /// The service refuses the call because of its rate limit.
     RateLimited,
 }
 
-/// After how many later calls a delayed write takes effect.
+/// The number of later calls after which a delayed write takes effect.
 const DELAY_CALLS: u32 = 2;
 
 struct DelayedWrite {
@@ -43,21 +43,21 @@
     calls: u64,
 }
 
-/// A key-value service that several writers on one thread share.
+/// A key-value service that can be shared by several writers on one thread.
 #[derive(Clone, Default)]
 pub struct FakeKeyValue {
     state: Rc<RefCell<State>>,
 }
 
 impl FakeKeyValue {
-    /// Creates a service whose next calls go as told, and all later ones as they should.
+    /// Creates a service that injects `faults` into its first calls, one each; later calls succeed.
     pub fn with_faults(faults: impl IntoIterator<Item = CallFault>) -> Self {
         let fake = Self::default();
         fake.state.borrow_mut().faults = faults.into_iter().collect();
         fake
     }
 
-    /// Returns the value of a key, beside all faults.
+    /// Returns the value of a key without a call, so no fault applies.
     pub fn peek(&self, key: &str) -> Option<String> {
         self.state.borrow().store.get(key).map(|record| record.value)
     }
@@ -67,7 +67,7 @@
         self.state.borrow().calls
     }
 
-    /// Lets other writers go on, and then begins a call.
+    /// Yields to the other writers, then starts a call and returns the fault that applies to it.
     async fn begin_call(&self) -> Result<CallFault, PlatformError> {
         tokio::task::yield_now().await;
         let mut state = self.state.borrow_mut();
--- a/crates/cherrystand_testkit/src/platform/stand_in.rs
+++ b/crates/cherrystand_testkit/src/platform/stand_in.rs
@@ -1,4 +1,5 @@
-//! The platform's stand-in: key-value service, box list and weight store on one address.
+//! A stand-in for the platform: key-value service, inventory of boxes and weight store at one
+//! address.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -14,51 +15,51 @@
 use crate::http::{Whole, empty, json, query, query_number, read_body, read_json};
 use crate::platform::store::{RateLimiter, Store};
 
-/// Reads per second that the service takes.
+/// The rate limit of reads per second.
 const READS_PER_SECOND: f64 = 2_000.0;
 
-/// Writes per second that the service takes.
+/// The rate limit of writes per second.
 const WRITES_PER_SECOND: f64 = 300.0;
 
-/// How many weight loads run at once.
+/// The maximum number of weight loads that run at the same time.
 const MAX_CONCURRENT_LOADS: usize = 8;
 
-/// Sets how the platform misbehaves; what is left out stays as it is.
+/// Faults of the platform, set by `/control/set`; those left out stay unchanged.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PlatformKnobs {
-    /// Whether nothing answers.
+    /// Whether all calls remain without an answer.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub down: Option<bool>,
-    /// How much later every answer comes, in milliseconds.
+    /// The delay of every answer, in milliseconds.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub slow_ms: Option<u64>,
-    /// How many of the next writes take effect without an answer.
+    /// The number of next writes that take effect but are not answered.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub lose_answers: Option<u32>,
     /// How long one weight load takes, in milliseconds.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub load_ms: Option<u64>,
-    /// Boxes to mark as leaving.
+    /// Boxes to mark as leaving in the inventory.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub leave: Vec<BoxId>,
-    /// Boxes to take off the list.
+    /// Boxes to remove from the inventory.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub unlist: Vec<BoxId>,
 }
 
-/// Counts the calls that the service took.
+/// Counts the calls to the key-value service and the inventory.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallCounts {
-    /// Reads, a waiting watch counting as one.
+    /// Reads; a long-polling watch counts as one.
     pub reads: u64,
     /// Watches among the reads.
     pub watches: u64,
-    /// Writes, renewed leases included.
+    /// Writes, including calls that acquire or renew a lease.
     pub writes: u64,
-    /// Leases among the writes.
+    /// Lease calls among the writes.
     pub leases: u64,
-    /// Calls refused for their rate.
+    /// Calls refused by a rate limit; they count as reads or writes too.
     pub refused: u64,
 }
 
@@ -80,7 +81,7 @@
 }
 
 impl PlatformStandIn {
-    /// Creates a platform that lists these boxes and daemons.
+    /// Creates a platform with an inventory of boxes and daemons.
     pub fn new(inventory: Inventory) -> Self {
         let state = State {
             store: Store::default(),
@@ -97,7 +98,7 @@
         }
     }
 
-    /// Answers one call.
+    /// Answers one HTTP request.
     pub async fn handle(self, req: Request<Incoming>) -> Response<Whole> {
         let path = req.uri().path().to_owned();
         match path.as_str() {
@@ -108,7 +109,7 @@
         self.apply_faults().await;
         let answer = self.answer(&path, req).await;
         if self.state.borrow().knobs.down == Some(true) {
-            // It went down while the call was waiting.
+            // The platform went down while the call was in progress.
             std::future::pending::<()>().await;
         }
         answer
--- a/crates/cherrystand_testkit/src/platform/store.rs
+++ b/crates/cherrystand_testkit/src/platform/store.rs
@@ -1,4 +1,4 @@
-//! The records, leases and rates of the key-value stand-in.
+//! The records, leases and rate limits of the key-value stand-in.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -6,7 +6,7 @@
 use cherrystand_core::Revision;
 use cherrystand_platform::{Swap, WireRecord};
 
-/// Holds records by key.
+/// Holds the records by key, with their revisions, and the leases.
 #[derive(Default)]
 pub struct Store {
     revision: u64,
@@ -20,20 +20,21 @@
         Revision::new(self.revision)
     }
 
-    /// Returns one record.
+    /// Returns the record of a key.
     pub fn get(&self, key: &str) -> Option<WireRecord> {
         let (revision, value) = self.records.get(key)?;
         Some(WireRecord { key: key.to_owned(), revision: *revision, value: value.clone() })
     }
 
-    /// Returns the records below a prefix that changed after a revision.
+    /// Returns the records whose key starts with `prefix` and whose revision is higher than `after`.
     pub fn changed_since(&self, prefix: &str, after: u64) -> Vec<WireRecord> {
         let matching = self.records.iter().filter(|(key, _)| key.starts_with(prefix));
         let newer = matching.filter(|(_, (revision, _))| *revision > after);
         newer.filter_map(|(key, _)| self.get(key)).collect()
     }
 
-    /// Writes a record if it has the revision expected.
+    /// Writes a record if its current revision is `expected`; 0 stands for a record that doesn't
+    /// exist.
     pub fn swap(&mut self, key: &str, expected: u64, value: String) -> Swap {
         let current = self.records.get(key).map_or(0, |(revision, _)| *revision);
         if current != expected {
@@ -44,7 +45,7 @@
         Swap::Done(Revision::new(self.revision))
     }
 
-    /// Takes or renews a lease, and tells whether the holder has it.
+    /// Acquires or renews a lease, and returns whether `holder` now holds it.
     pub fn acquire_lease(&mut self, name: &str, holder: &str, ttl: Duration) -> bool {
         let now = Instant::now();
         match self.leases.get(name) {
@@ -57,7 +58,7 @@
     }
 }
 
-/// Lets a number of calls through in each second.
+/// A token bucket that limits calls per second.
 pub struct RateLimiter {
     per_second: f64,
     tokens: f64,
@@ -65,12 +66,12 @@
 }
 
 impl RateLimiter {
-    /// Creates a rate that starts with one second's calls saved.
+    /// Creates a full bucket, which holds the calls of one second.
     pub fn new(per_second: f64) -> Self {
         Self { per_second, tokens: per_second, refilled_at: Instant::now() }
     }
 
-    /// Takes one call out of the rate, if it holds one.
+    /// Takes a token, and returns whether there was one.
     pub fn try_acquire(&mut self) -> bool {
         let now = Instant::now();
         let refill = now.duration_since(self.refilled_at).as_secs_f64() * self.per_second;
