--- a/crates/cherrystand_testkit/src/bin/cherrystand_load.rs
+++ b/crates/cherrystand_testkit/src/bin/cherrystand_load.rs
@@ -55,7 +55,7 @@
         service: "/consent".to_owned(),
     };
     let name = args.name;
-    let outcome = send_mix(caller, &mix, |tally| println!("  ... {}", tally.line())).await;
+    let outcome = send_mix(caller, &mix, |tally| println!("  ... {}", tally.summary())).await;
     let mut faults = outcome.faults.clone();
     faults.extend(check_executions(&outcome, &args.service, &args.engine).await);
     for (reason, count) in &outcome.tally.reasons {
@@ -64,6 +64,6 @@
     for fault in &faults {
         println!("  FAULT {fault}");
     }
-    println!("{name}: {}", outcome.tally.line());
+    println!("{name}: {}", outcome.tally.summary());
     if faults.is_empty() { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
--- a/crates/cherrystand_testkit/src/lib.rs
+++ b/crates/cherrystand_testkit/src/lib.rs
@@ -56,9 +56,9 @@
 pub use domain::repair_script::{RepairScript, USERS, Weights};
 pub use engine::answer::Prompt;
 pub use engine::stand_in::{EngineBody, EngineKnobs, EngineSetup, EngineStandIn, Executions};
-pub use load::caller::{Ask, Caller};
-pub use load::mix::{Mix, Outcome, check_executions, send_mix};
-pub use load::verdict::{Tally, Verdict, judge_refusal, judge_service, judge_stream, judge_whole};
+pub use load::caller::{Caller, LoadRequest};
+pub use load::mix::{Mix, MixOutcome, check_executions, send_mix};
+pub use load::verdict::{Tally, Verdict, check_answer, check_refusal, check_service, check_stream};
 pub use platform::fake_key_value::{CallFault, FakeKeyValue};
 pub use platform::stand_in::{CallCounts, PlatformKnobs, PlatformStandIn};
 pub use platform::store::{RateLimiter, Store};
--- a/crates/cherrystand_testkit/src/load/caller.rs
+++ b/crates/cherrystand_testkit/src/load/caller.rs
@@ -10,17 +10,17 @@
 use hyper::{Method, Request, Response, StatusCode};
 
 use crate::Prompt;
-use crate::load::verdict::{Verdict, judge_refusal, judge_service, judge_stream, judge_whole};
+use crate::load::verdict::{Verdict, check_answer, check_refusal, check_service, check_stream};
 
 /// How long a caller waits for a whole answer.
-const ANSWER_WITHIN: Duration = Duration::from_secs(30);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// How often the balancer asks whether a daemon is ready.
-const LOOK_EVERY: Duration = Duration::from_millis(200);
+const READINESS_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Describes one request.
 #[derive(Clone, Debug)]
-pub enum Ask {
+pub enum LoadRequest {
     /// A model's answer.
     Model(Prompt),
     /// A plain service's answer.
@@ -41,14 +41,14 @@
     pool: HttpPool,
     daemons: Vec<SocketAddr>,
     ready: RefCell<Vec<SocketAddr>>,
-    turn: Cell<usize>,
+    next: Cell<usize>,
 }
 
 impl Caller {
     /// Creates a caller of some daemons.
     pub fn new(daemons: Vec<SocketAddr>) -> Self {
         let ready = RefCell::new(daemons.clone());
-        Self { pool: HttpPool::default(), daemons, ready, turn: Cell::new(0) }
+        Self { pool: HttpPool::default(), daemons, ready, next: Cell::new(0) }
     }
 
     /// Keeps finding out which daemons are ready; it never ends.
@@ -56,61 +56,67 @@
         loop {
             let mut ready = Vec::new();
             for daemon in &self.daemons {
-                let asked =
-                    call(&self.pool, *daemon, Method::GET, "/readyz", Bytes::new(), LOOK_EVERY);
-                if asked.await.is_ok_and(|answer| answer.status == StatusCode::OK) {
+                let answer = call(
+                    &self.pool,
+                    *daemon,
+                    Method::GET,
+                    "/readyz",
+                    Bytes::new(),
+                    READINESS_INTERVAL,
+                );
+                if answer.await.is_ok_and(|answer| answer.status == StatusCode::OK) {
                     ready.push(*daemon);
                 }
             }
             *self.ready.borrow_mut() = ready;
-            tokio::time::sleep(LOOK_EVERY).await;
+            tokio::time::sleep(READINESS_INTERVAL).await;
         }
     }
 
     /// Sends a request to the next daemon and judges its answer.
-    pub async fn ask(&self, id: &str, ask: &Ask) -> Verdict {
-        let mut refused_connections = 0;
+    pub async fn send(&self, id: &str, request: &LoadRequest) -> Verdict {
+        let mut failed_connects = 0;
         loop {
             let Some(daemon) = self.next_daemon() else {
                 let reason = "no-daemon-ready".to_owned();
                 return Verdict::Refused { reason, not_run: true };
             };
-            let exchange = self.exchange(daemon, id, ask);
-            match tokio::time::timeout(ANSWER_WITHIN, exchange).await {
+            let exchange = self.exchange(daemon, id, request);
+            match tokio::time::timeout(ANSWER_TIMEOUT, exchange).await {
                 Ok(Ok(verdict)) => return verdict,
                 Ok(Err(SendError::Connect { .. } | SendError::ConnectTimedOut(_)))
-                    if refused_connections < self.daemons.len() =>
+                    if failed_connects < self.daemons.len() =>
                 {
-                    refused_connections += 1;
+                    failed_connects += 1;
                 }
                 Ok(Err(_)) => return Verdict::Unknown,
-                Err(_) => return Verdict::Wrong(format!("no answer within {ANSWER_WITHIN:?}")),
+                Err(_) => return Verdict::Wrong(format!("no answer within {ANSWER_TIMEOUT:?}")),
             }
         }
     }
 
     fn next_daemon(&self) -> Option<SocketAddr> {
         let ready = self.ready.borrow();
-        let turn = self.turn.get();
-        self.turn.set(turn.wrapping_add(1));
-        ready.get(turn % ready.len().max(1)).copied()
+        let next = self.next.get();
+        self.next.set(next.wrapping_add(1));
+        ready.get(next % ready.len().max(1)).copied()
     }
 
     async fn exchange(
         &self,
         daemon: SocketAddr,
         id: &str,
-        ask: &Ask,
+        request: &LoadRequest,
     ) -> Result<Verdict, SendError> {
-        let answer = self.pool.send(daemon, request(id, ask), LOOK_EVERY).await?;
-        Ok(judge(answer, ask).await)
+        let answer = self.pool.send(daemon, build_request(id, request), READINESS_INTERVAL).await?;
+        Ok(check_response(answer, request).await)
     }
 }
 
-fn request(id: &str, ask: &Ask) -> Request<Full<Bytes>> {
+fn build_request(id: &str, request: &LoadRequest) -> Request<Full<Bytes>> {
     let mut req = Request::builder().header("x-request-id", id).header("host", "cherrystand");
-    let body = match ask {
-        Ask::Model(prompt) => {
+    let body = match request {
+        LoadRequest::Model(prompt) => {
             req = req.method(Method::POST).uri("/v1/chat/completions");
             serde_json::json!({
                 "model": prompt.model, "max_tokens": prompt.tokens, "stream": prompt.stream,
@@ -118,7 +124,7 @@
             })
             .to_string()
         }
-        Ask::Service { method, path, body, key } => {
+        LoadRequest::Service { method, path, body, key } => {
             req = req.method(method.clone()).uri(path.as_str());
             if let Some(key) = key {
                 req = req.header("idempotency-key", key);
@@ -129,23 +135,25 @@
     req.body(Full::new(Bytes::from(body))).unwrap_or_default()
 }
 
-async fn judge(answer: Response<PooledBody>, ask: &Ask) -> Verdict {
-    let (head, body) = answer.into_parts();
+async fn check_response(answer: Response<PooledBody>, request: &LoadRequest) -> Verdict {
+    let (parts, body) = answer.into_parts();
     let Ok(body) = body.collect().await else {
         // The caller sees that the answer broke off.
         return Verdict::Unknown;
     };
     let body = body.to_bytes();
-    if let Some(verdict) = judge_refusal(head.status, &head.headers, &body) {
+    if let Some(verdict) = check_refusal(parts.status, &parts.headers, &body) {
         return verdict;
     }
-    let told = head.headers.get("cherrystand-outcome").map(|value| value.as_bytes());
-    if told != Some(b"ran") {
+    let outcome = parts.headers.get("cherrystand-outcome").map(|value| value.as_bytes());
+    if outcome != Some(b"ran") {
         return Verdict::Wrong("a whole answer does not say that it was run".to_owned());
     }
-    match ask {
-        Ask::Model(prompt) if prompt.stream => judge_stream(prompt, &body),
-        Ask::Model(prompt) => judge_whole(prompt, &body),
-        Ask::Service { path, body: sent, .. } => judge_service(path, sent, &body),
+    match request {
+        LoadRequest::Model(prompt) if prompt.stream => check_stream(prompt, &body),
+        LoadRequest::Model(prompt) => check_answer(prompt, &body),
+        LoadRequest::Service { path, body: request_body, .. } => {
+            check_service(path, request_body, &body)
+        }
     }
 }
--- a/crates/cherrystand_testkit/src/load/mix.rs
+++ b/crates/cherrystand_testkit/src/load/mix.rs
@@ -10,12 +10,12 @@
 use cherrystand_platform::{HttpPool, call};
 use hyper::Method;
 
-use crate::load::caller::{Ask, Caller};
+use crate::load::caller::{Caller, LoadRequest};
 use crate::load::verdict::{Tally, Verdict};
 use crate::{Executions, Prompt};
 
 /// How long a stand-in may take to tell what it ran.
-const COUNT_WITHIN: Duration = Duration::from_secs(2);
+const COUNT_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Describes the traffic.
 #[derive(Clone, Debug)]
@@ -32,11 +32,11 @@
 
 /// What the traffic came to.
 #[derive(Clone, Debug, Default)]
-pub struct Outcome {
+pub struct MixOutcome {
     /// All verdicts.
     pub tally: Tally,
     /// Ids of requests whose callers were told that they were not run.
-    pub told_not_run: Vec<String>,
+    pub reported_not_run: Vec<String>,
     /// What was wrong.
     pub faults: Vec<String>,
 }
@@ -44,17 +44,21 @@
 /// Sends the traffic, calling `progress` with the counts every second.
 ///
 /// It must run inside a [`tokio::task::LocalSet`].
-pub async fn send_mix(caller: Rc<Caller>, mix: &Mix, mut progress: impl FnMut(&Tally)) -> Outcome {
-    let outcome = Rc::new(RefCell::new(Outcome::default()));
+pub async fn send_mix(
+    caller: Rc<Caller>,
+    mix: &Mix,
+    mut progress: impl FnMut(&Tally),
+) -> MixOutcome {
+    let outcome = Rc::new(RefCell::new(MixOutcome::default()));
     let mut requests = tokio::task::JoinSet::new();
-    let mut pace = tokio::time::interval(Duration::from_micros(1_000_000 / mix.rate.max(1)));
+    let mut interval = tokio::time::interval(Duration::from_micros(1_000_000 / mix.rate.max(1)));
     for number in 0..mix.rate * mix.seconds {
-        pace.tick().await;
-        let (id, ask) = make_ask(mix, number);
+        interval.tick().await;
+        let (id, request) = make_request(mix, number);
         let (caller, verdicts) = (caller.clone(), outcome.clone());
         requests.spawn_local(async move {
-            let verdict = caller.ask(&id, &ask).await;
-            take(&mut verdicts.borrow_mut(), id, &verdict);
+            let verdict = caller.send(&id, &request).await;
+            record_verdict(&mut verdicts.borrow_mut(), id, &verdict);
         });
         while requests.try_join_next().is_some() {}
         if number % mix.rate.max(1) == 0 {
@@ -65,31 +69,31 @@
     Rc::try_unwrap(outcome).map(RefCell::into_inner).unwrap_or_default()
 }
 
-fn take(outcome: &mut Outcome, id: String, verdict: &Verdict) {
-    outcome.tally.add(verdict);
+fn record_verdict(outcome: &mut MixOutcome, id: String, verdict: &Verdict) {
+    outcome.tally.record(verdict);
     match verdict {
-        Verdict::Refused { not_run: true, .. } => outcome.told_not_run.push(id),
+        Verdict::Refused { not_run: true, .. } => outcome.reported_not_run.push(id),
         Verdict::Wrong(fault) => outcome.faults.push(format!("{id}: {fault}")),
         _ => {}
     }
 }
 
-fn make_ask(mix: &Mix, number: u64) -> (String, Ask) {
+fn make_request(mix: &Mix, number: u64) -> (String, LoadRequest) {
     let id = format!("load-{number}");
     let path = format!("{}/{number}", mix.service);
-    let ask = match number % 8 {
-        0..=2 => Ask::Model(prompt(mix, number, false)),
-        3 | 4 => Ask::Model(prompt(mix, number, true)),
-        5 => Ask::Service { method: Method::GET, path, body: String::new(), key: None },
+    let request = match number % 8 {
+        0..=2 => LoadRequest::Model(prompt(mix, number, false)),
+        3 | 4 => LoadRequest::Model(prompt(mix, number, true)),
+        5 => LoadRequest::Service { method: Method::GET, path, body: String::new(), key: None },
         // The second one is what a caller sends who thinks that the first failed.
         kind => {
-            let story = number - (kind - 6);
-            let path = format!("{}/story/{story}", mix.service);
-            let (body, key) = (format!("story {story}"), Some(format!("story-{story}")));
-            Ask::Service { method: Method::POST, path, body, key }
+            let pair = number - (kind - 6);
+            let path = format!("{}/story/{pair}", mix.service);
+            let (body, key) = (format!("story {pair}"), Some(format!("story-{pair}")));
+            LoadRequest::Service { method: Method::POST, path, body, key }
         }
     };
-    (id, ask)
+    (id, request)
 }
 
 fn prompt(mix: &Mix, number: u64, stream: bool) -> Prompt {
@@ -104,39 +108,39 @@
 
 /// Checks what the endpoints ran against what callers were told, and returns the faults.
 pub async fn check_executions(
-    outcome: &Outcome,
+    outcome: &MixOutcome,
     services: &[SocketAddr],
     engines: &[SocketAddr],
 ) -> Vec<String> {
     let pool = HttpPool::default();
     let mut by_key: BTreeMap<String, u32> = BTreeMap::new();
     for service in services {
-        for (key, count) in executions_of_service(&pool, *service).await {
+        for (key, count) in executions_by_key(&pool, *service).await {
             *by_key.entry(key).or_default() += count;
         }
     }
     let mut ran: BTreeMap<String, u32> = by_key.clone();
     for engine in engines {
-        ran.extend(executions_of_engine(&pool, *engine).await);
+        ran.extend(executions_by_request(&pool, *engine).await);
     }
-    let twice = by_key.iter().filter(|(key, count)| key.starts_with("story-") && **count > 1);
+    let duplicates = by_key.iter().filter(|(key, count)| key.starts_with("story-") && **count > 1);
     let mut faults: Vec<String> =
-        twice.map(|(key, count)| format!("{key} was run {count} times")).collect();
-    let not_run = outcome.told_not_run.iter().filter(|id| ran.contains_key(*id));
+        duplicates.map(|(key, count)| format!("{key} was run {count} times")).collect();
+    let not_run = outcome.reported_not_run.iter().filter(|id| ran.contains_key(*id));
     faults.extend(not_run.map(|id| format!("{id} was told not-run and was run")));
     faults
 }
 
-async fn executions_of_service(pool: &HttpPool, at: SocketAddr) -> BTreeMap<String, u32> {
+async fn executions_by_key(pool: &HttpPool, at: SocketAddr) -> BTreeMap<String, u32> {
     let path = "/control/executions";
-    let told = call(pool, at, Method::GET, path, Bytes::new(), COUNT_WITHIN).await;
-    told.ok().and_then(|answer| answer.json().ok()).unwrap_or_default()
+    let answer = call(pool, at, Method::GET, path, Bytes::new(), COUNT_TIMEOUT).await;
+    answer.ok().and_then(|answer| answer.json().ok()).unwrap_or_default()
 }
 
-async fn executions_of_engine(pool: &HttpPool, at: SocketAddr) -> BTreeMap<String, u32> {
+async fn executions_by_request(pool: &HttpPool, at: SocketAddr) -> BTreeMap<String, u32> {
     let path = "/control/executions";
-    let told = call(pool, at, Method::GET, path, Bytes::new(), COUNT_WITHIN).await;
+    let answer = call(pool, at, Method::GET, path, Bytes::new(), COUNT_TIMEOUT).await;
     let executions: Executions =
-        told.ok().and_then(|answer| answer.json().ok()).unwrap_or_default();
+        answer.ok().and_then(|answer| answer.json().ok()).unwrap_or_default();
     executions.by_request
 }
--- a/crates/cherrystand_testkit/src/load/verdict.rs
+++ b/crates/cherrystand_testkit/src/load/verdict.rs
@@ -11,7 +11,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Verdict {
     /// The whole answer came, and it is the right one.
-    Whole,
+    Complete,
     /// It was refused and not run, or its key had been used before.
     Refused {
         /// The reason given.
@@ -31,7 +31,7 @@
     /// Requests sent.
     pub sent: u64,
     /// Requests answered whole.
-    pub whole: u64,
+    pub complete: u64,
     /// Requests refused.
     pub refused: u64,
     /// Requests of which nothing certain is known.
@@ -44,10 +44,10 @@
 
 impl Tally {
     /// Adds a verdict.
-    pub fn add(&mut self, verdict: &Verdict) {
+    pub fn record(&mut self, verdict: &Verdict) {
         self.sent += 1;
         match verdict {
-            Verdict::Whole => self.whole += 1,
+            Verdict::Complete => self.complete += 1,
             Verdict::Refused { reason, .. } => {
                 self.refused += 1;
                 *self.reasons.entry(reason.clone()).or_default() += 1;
@@ -58,16 +58,16 @@
     }
 
     /// Returns the counts in one line.
-    pub fn line(&self) -> String {
+    pub fn summary(&self) -> String {
         format!(
             "{} sent, {} whole, {} refused, {} unknown, {} wrong",
-            self.sent, self.whole, self.refused, self.unknown, self.wrong
+            self.sent, self.complete, self.refused, self.unknown, self.wrong
         )
     }
 }
 
 /// Judges an answer that did not come from an endpoint, or nothing if it did.
-pub fn judge_refusal(status: StatusCode, headers: &HeaderMap, body: &[u8]) -> Option<Verdict> {
+pub fn check_refusal(status: StatusCode, headers: &HeaderMap, body: &[u8]) -> Option<Verdict> {
     let outcome = headers.get("cherrystand-outcome").and_then(|value| value.to_str().ok());
     if status.is_success() {
         return None;
@@ -84,33 +84,33 @@
 }
 
 /// Judges the whole answer of a model.
-pub fn judge_whole(prompt: &Prompt, body: &[u8]) -> Verdict {
+pub fn check_answer(prompt: &Prompt, body: &[u8]) -> Verdict {
     let value: Value = serde_json::from_slice(body).unwrap_or_default();
     let text = value["choices"][0]["message"]["content"].as_str().unwrap_or_default();
     if text == prompt.full_text() {
-        return Verdict::Whole;
+        return Verdict::Complete;
     }
     Verdict::Wrong(format!("asked `{}` and got `{text}`", prompt.text))
 }
 
 /// Judges a model's answer that came as a stream of events.
-pub fn judge_stream(prompt: &Prompt, body: &[u8]) -> Verdict {
+pub fn check_stream(prompt: &Prompt, body: &[u8]) -> Verdict {
     let text = String::from_utf8_lossy(body);
     if text.contains("event: error") {
         return Verdict::Unknown;
     }
     let expected: String = (0..prompt.tokens).map(|number| prompt.event(number)).collect();
     if text == format!("{expected}data: [DONE]\n\n") {
-        return Verdict::Whole;
+        return Verdict::Complete;
     }
     Verdict::Wrong(format!("the stream of `{}` is not whole: `{text}`", prompt.text))
 }
 
 /// Judges a plain service's answer.
-pub fn judge_service(path: &str, sent: &str, body: &[u8]) -> Verdict {
+pub fn check_service(path: &str, request_body: &str, body: &[u8]) -> Verdict {
     match serde_json::from_slice::<ServiceAnswer>(body) {
-        Ok(answer) if answer.path == path && answer.body == sent => Verdict::Whole,
-        Ok(answer) => Verdict::Wrong(format!("asked {path} `{sent}` and got {answer:?}")),
+        Ok(answer) if answer.path == path && answer.body == request_body => Verdict::Complete,
+        Ok(answer) => Verdict::Wrong(format!("asked {path} `{request_body}` and got {answer:?}")),
         Err(err) => Verdict::Wrong(format!("{path} answered what is no answer: {err}")),
     }
 }
--- a/crates/cherrystandd/tests/failures.rs
+++ b/crates/cherrystandd/tests/failures.rs
@@ -6,7 +6,7 @@
 use std::cell::Cell;
 use std::time::{Duration, Instant};
 
-use cherrystand_testkit::{Prompt, Verdict, judge_stream};
+use cherrystand_testkit::{Prompt, Verdict, check_stream};
 use http_body_util::BodyExt;
 use hyper::{Method, StatusCode};
 use serde_json::json;
@@ -99,7 +99,7 @@
         let body = stream.into_body().collect().await.expect("a whole stream").to_bytes();
         let text = "slow".to_owned();
         let prompt = Prompt { text, tokens: 40, stream: true, model: "m".to_owned(), chat: true };
-        assert_eq!(judge_stream(&prompt, &body), Verdict::Whole);
+        assert_eq!(check_stream(&prompt, &body), Verdict::Complete);
         let ended = Instant::now() + Duration::from_secs(10);
         while !cluster.daemons[0].process.has_ended() {
             assert!(Instant::now() < ended, "the daemon does not end");
@@ -120,7 +120,7 @@
         assert_eq!(stream.status(), StatusCode::OK, "{text}");
         let body = stream.into_body().collect().await.expect("a whole stream").to_bytes();
         let prompt = Prompt { text, tokens: 30, stream: true, model: "m".to_owned(), chat: true };
-        assert_eq!(judge_stream(&prompt, &body), Verdict::Whole, "{}", prompt.text);
+        assert_eq!(check_stream(&prompt, &body), Verdict::Complete, "{}", prompt.text);
     }
     requests
 }
--- a/crates/cherrystandd/tests/whole_path.rs
+++ b/crates/cherrystandd/tests/whole_path.rs
@@ -5,7 +5,7 @@
 use std::io::Write;
 use std::net::TcpStream;
 
-use cherrystand_testkit::{Prompt, Verdict, judge_stream, judge_whole};
+use cherrystand_testkit::{Prompt, Verdict, check_answer, check_stream};
 use http_body_util::BodyExt;
 use hyper::{Method, StatusCode};
 use support::{Cluster, Setup, model_body, run};
@@ -27,11 +27,11 @@
                 let body = answer.into_body().collect().await.expect("a body").to_bytes();
                 let expected = prompt(&text, 5, stream);
                 let verdict = if stream {
-                    judge_stream(&expected, &body)
+                    check_stream(&expected, &body)
                 } else {
-                    judge_whole(&expected, &body)
+                    check_answer(&expected, &body)
                 };
-                assert_eq!(verdict, Verdict::Whole);
+                assert_eq!(verdict, Verdict::Complete);
             }
         }
     });
