--- a/crates/cherrystand_testkit/src/load/caller.rs
+++ b/crates/cherrystand_testkit/src/load/caller.rs
@@ -1,4 +1,4 @@
-//! A caller behind a balancer.
+//! A caller that sends requests as if through the platform's load balancer.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -12,31 +12,32 @@
 use crate::Prompt;
 use crate::load::verdict::{Verdict, check_answer, check_refusal, check_service, check_stream};
 
-/// How long a caller waits for a whole answer.
+/// The timeout of a request, from connecting to the end of the answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// How often the balancer asks whether a daemon is ready.
+/// How often the readiness of the daemons is checked; also the timeout of one check and of
+/// connecting to a daemon.
 const READINESS_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Describes one request.
+/// A request to send.
 #[derive(Clone, Debug)]
 pub enum LoadRequest {
-    /// A model's answer.
+    /// A chat completion of a model.
     Model(Prompt),
-    /// A plain service's answer.
+    /// A call of a plain service.
     Service {
-        /// The method.
+        /// The HTTP method.
         method: Method,
         /// The path.
         path: String,
         /// The body.
         body: String,
-        /// The key that marks and names a call that must not be repeated.
+        /// The idempotency key, for a call that must run at most once.
         key: Option<String>,
     },
 }
 
-/// Sends requests to daemons that are ready, as the platform's balancer would.
+/// Sends requests to the ready daemons in turn, as the platform's load balancer would.
 pub struct Caller {
     pool: HttpPool,
     daemons: Vec<SocketAddr>,
@@ -45,13 +46,13 @@
 }
 
 impl Caller {
-    /// Creates a caller of some daemons.
+    /// Creates a caller that regards all `daemons` as ready until their readiness is checked.
     pub fn new(daemons: Vec<SocketAddr>) -> Self {
         let ready = RefCell::new(daemons.clone());
         Self { pool: HttpPool::default(), daemons, ready, next: Cell::new(0) }
     }
 
-    /// Keeps finding out which daemons are ready; it never ends.
+    /// Checks periodically which daemons are ready; never returns.
     pub async fn watch_readiness(&self) {
         loop {
             let mut ready = Vec::new();
@@ -73,7 +74,9 @@
         }
     }
 
-    /// Sends a request to the next daemon and judges its answer.
+    /// Sends a request to the next ready daemon and checks the answer.
+    ///
+    /// Tries another daemon after a failed connection, at most as often as there are daemons.
     pub async fn send(&self, id: &str, request: &LoadRequest) -> Verdict {
         let mut failed_connects = 0;
         loop {
@@ -138,7 +141,7 @@
 async fn check_response(answer: Response<PooledBody>, request: &LoadRequest) -> Verdict {
     let (parts, body) = answer.into_parts();
     let Ok(body) = body.collect().await else {
-        // The caller sees that the answer broke off.
+        // The caller can see that the answer is incomplete.
         return Verdict::Unknown;
     };
     let body = body.to_bytes();
--- a/crates/cherrystand_testkit/src/load/mix.rs
+++ b/crates/cherrystand_testkit/src/load/mix.rs
@@ -1,4 +1,4 @@
-//! Mixed traffic and what is checked of it afterwards.
+//! Mixed traffic, and the checks of what the endpoints ran.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -14,30 +14,30 @@
 use crate::load::verdict::{Tally, Verdict};
 use crate::{Executions, Prompt};
 
-/// How long a stand-in may take to tell what it ran.
+/// The timeout for reading from a stand-in what it ran.
 const COUNT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Describes the traffic.
+/// Describes the traffic to send.
 #[derive(Clone, Debug)]
 pub struct Mix {
     /// Requests per second.
     pub rate: u64,
-    /// For how many seconds.
+    /// The duration in seconds.
     pub seconds: u64,
-    /// The model asked for.
+    /// The name of the requested model.
     pub model: String,
-    /// The path of the plain service.
+    /// The path prefix of the plain service.
     pub service: String,
 }
 
-/// What the traffic came to.
+/// The result of the traffic.
 #[derive(Clone, Debug, Default)]
 pub struct MixOutcome {
-    /// All verdicts.
+    /// The number of requests by verdict.
     pub tally: Tally,
-    /// Ids of requests whose callers were told that they were not run.
+    /// The ids of requests whose refusal said that they were not run.
     pub reported_not_run: Vec<String>,
-    /// What was wrong.
+    /// Descriptions of the wrong answers.
     pub faults: Vec<String>,
 }
 
@@ -85,7 +85,8 @@
         0..=2 => LoadRequest::Model(prompt(mix, number, false)),
         3 | 4 => LoadRequest::Model(prompt(mix, number, true)),
         5 => LoadRequest::Service { method: Method::GET, path, body: String::new(), key: None },
-        // The second one is what a caller sends who thinks that the first failed.
+        // The second request of a pair repeats the key of the first, as a retry after an apparent
+        // failure does.
         kind => {
             let pair = number - (kind - 6);
             let path = format!("{}/story/{pair}", mix.service);
@@ -106,7 +107,10 @@
     }
 }
 
-/// Checks what the endpoints ran against what callers were told, and returns the faults.
+/// Compares what the endpoints ran with what the callers were told, and returns the faults.
+///
+/// A fault is a call with an idempotency key that ran more than once, or a request that ran although
+/// its caller was told that it did not.
 pub async fn check_executions(
     outcome: &MixOutcome,
     services: &[SocketAddr],
--- a/crates/cherrystand_testkit/src/load/verdict.rs
+++ b/crates/cherrystand_testkit/src/load/verdict.rs
@@ -1,4 +1,4 @@
-//! What became of one request, as its caller sees it.
+//! Checks of answers from the caller's point of view.
 
 use std::collections::BTreeMap;
 
@@ -7,43 +7,44 @@
 
 use crate::{Prompt, ServiceAnswer};
 
-/// Says what became of a request.
+/// The result of a request as its caller sees it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// The whole answer came, and it is the right one.
+    /// The answer is complete and correct.
     Complete,
-    /// It was refused and not run, or its key had been used before.
+    /// The request was refused: it was not run, or a call with its key had run before.
     Refused {
-        /// The reason given.
+        /// The reason in the answer.
         reason: String,
-        /// Whether the caller was told that it was not run.
+        /// Whether the answer says that the request was not run.
         not_run: bool,
     },
-    /// The caller was told, or has to assume, that it may have been run.
+    /// The caller was told, or must assume, that the request may have run.
     Unknown,
-    /// The answer is another one's, or was passed off as whole without being so.
+    /// The answer belongs to another request, or is incomplete without saying so, or breaks the
+    /// protocol in another way.
     Wrong(String),
 }
 
-/// Counts verdicts.
+/// Counts requests by verdict.
 #[derive(Clone, Debug, Default)]
 pub struct Tally {
     /// Requests sent.
     pub sent: u64,
-    /// Requests answered whole.
+    /// Requests answered completely and correctly.
     pub complete: u64,
     /// Requests refused.
     pub refused: u64,
-    /// Requests of which nothing certain is known.
+    /// Requests that may or may not have run.
     pub unknown: u64,
-    /// Requests answered wrongly.
+    /// Requests with a wrong answer.
     pub wrong: u64,
     /// Refusals by reason.
     pub reasons: BTreeMap<String, u64>,
 }
 
 impl Tally {
-    /// Adds a verdict.
+    /// Counts a request and its verdict.
     pub fn record(&mut self, verdict: &Verdict) {
         self.sent += 1;
         match verdict {
@@ -57,7 +58,7 @@
         }
     }
 
-    /// Returns the counts in one line.
+    /// Returns the counts as one line of text.
     pub fn summary(&self) -> String {
         format!(
             "{} sent, {} whole, {} refused, {} unknown, {} wrong",
@@ -66,7 +67,7 @@
     }
 }
 
-/// Judges an answer that did not come from an endpoint, or nothing if it did.
+/// Checks an answer with an error status; returns `None` if the status is a success.
 pub fn check_refusal(status: StatusCode, headers: &HeaderMap, body: &[u8]) -> Option<Verdict> {
     let outcome = headers.get("cherrystand-outcome").and_then(|value| value.to_str().ok());
     if status.is_success() {
@@ -83,7 +84,7 @@
     })
 }
 
-/// Judges the whole answer of a model.
+/// Checks a model's answer that is not streamed.
 pub fn check_answer(prompt: &Prompt, body: &[u8]) -> Verdict {
     let value: Value = serde_json::from_slice(body).unwrap_or_default();
     let text = value["choices"][0]["message"]["content"].as_str().unwrap_or_default();
@@ -93,7 +94,7 @@
     Verdict::Wrong(format!("asked `{}` and got `{text}`", prompt.text))
 }
 
-/// Judges a model's answer that came as a stream of events.
+/// Checks a model's answer that is a stream of events.
 pub fn check_stream(prompt: &Prompt, body: &[u8]) -> Verdict {
     let text = String::from_utf8_lossy(body);
     if text.contains("event: error") {
@@ -106,7 +107,7 @@
     Verdict::Wrong(format!("the stream of `{}` is not whole: `{text}`", prompt.text))
 }
 
-/// Judges a plain service's answer.
+/// Checks a plain service's answer, which echoes the path and the body of the request.
 pub fn check_service(path: &str, request_body: &str, body: &[u8]) -> Verdict {
     match serde_json::from_slice::<ServiceAnswer>(body) {
         Ok(answer) if answer.path == path && answer.body == request_body => Verdict::Complete,
