--- a/crates/cherrystand_core/src/nodes/freshness.rs
+++ b/crates/cherrystand_core/src/nodes/freshness.rs
@@ -16,7 +16,7 @@
 /// How old the last contact with the platform, or with a majority, may be while a node serves.
 pub const FRESH_FOR: Millis = Millis(8_000);
 
-/// Tracks when a node last had contact with the platform and from its peers.
+/// Tracks when a node last had contact with the platform and with its peers.
 #[derive(Clone, Debug)]
 pub struct Freshness {
     own: NodeId,
--- a/crates/cherrystand_core/src/requests/admission.rs
+++ b/crates/cherrystand_core/src/requests/admission.rs
@@ -4,8 +4,7 @@
 
 use crate::{Class, Millis, Refusal, RefusalReason, WorkspaceId};
 
-/// The share of the shared limit in use, in percent, from which each workspace is held to its fair
-/// share.
+/// Once this percentage of the shared limit is in use, each workspace is held to its fair share.
 const FAIR_SHARE_THRESHOLD_PERCENT: u32 = 75;
 
 /// The retry delay named to a caller that is refused because the node is full.
