--- a/crates/cherrystandd/tests/soak.rs
+++ b/crates/cherrystandd/tests/soak.rs
@@ -16,9 +16,9 @@
 ///   doesn't count as the cause of a crash, and a refused one gets a trial.
 /// - 2 again: 3 of 3,548 streams were served, because trials of the crashing request and of the
 ///   streams met at one replica. Only one request is on trial at a time.
-/// - 4 again, and 402: a request crashed a box 40 ms after a planned stop began, and the box's other
-///   streams counted as ended by the stop. The daemon's log showed that the answer of the crashing
-///   request and theirs ended in the same millisecond.
+/// - 4 again, and 402: a request crashed a box 40 ms after a planned stop of a daemon began, and the
+///   check blamed the stop for the box's other streams. The daemon's log showed that the answer of
+///   the crashing request and theirs ended in the same millisecond.
 const CRASH_SEEDS: [u64; 4] = [1, 2, 4, 402];
 
 /// Seeds with boxes that ask for a backoff or announce that they leave.
