--- a/crates/cherrystand_testkit/src/load/mix.rs
+++ b/crates/cherrystand_testkit/src/load/mix.rs
@@ -88,9 +88,9 @@
         // The second request of a pair repeats the key of the first, as a retry after an apparent
         // failure does.
         kind => {
-            let pair = number - (kind - 6);
-            let path = format!("{}/story/{pair}", mix.service);
-            let (body, key) = (format!("story {pair}"), Some(format!("story-{pair}")));
+            let story = number - (kind - 6);
+            let path = format!("{}/story/{story}", mix.service);
+            let (body, key) = (format!("story {story}"), Some(format!("story-{story}")));
             LoadRequest::Service { method: Method::POST, path, body, key }
         }
     };
