--- a/crates/cherrystand_core/benches/repair.rs
+++ b/crates/cherrystand_core/benches/repair.rs
@@ -1,16 +1,16 @@
-//! Compares the priced repair rule with its two baselines on the failure scripts.
+//! Compares the priced repair rule with its two baselines on the failure scenarios.
 //!
 //! Time is virtual, so every run gives the same figures.
 
 use cherrystand_core::RepairRule;
-use cherrystand_testkit::{Losses, RepairScript, USERS, Weights};
+use cherrystand_testkit::{LossWeights, Losses, RepairScenario, USER_WEIGHTS};
 
-/// The number of runs of each script, with different seeds.
+/// The number of runs of each scenario, with different seeds.
 const RUNS: u64 = 6;
 
-fn mean(script: RepairScript, rule: RepairRule, weights: Weights) -> Losses {
+fn mean(scenario: RepairScenario, rule: RepairRule, weights: LossWeights) -> Losses {
     let all: Vec<Losses> = std::thread::scope(|scope| {
-        let run = |seed| scope.spawn(move || script.run(rule, weights, seed));
+        let run = |seed| scope.spawn(move || scenario.run(rule, weights, seed));
         let threads: Vec<_> = (0..RUNS).map(run).collect();
         threads.into_iter().filter_map(|thread| thread.join().ok()).collect()
     });
@@ -27,18 +27,18 @@
         "{:<15} {:<8} {:<9} {:>10} {:>14} {:>10} {:>7}",
         "script", "weights", "rule", "down s", "stranded s", "price", "ratio"
     );
-    for weights in USERS {
+    for weights in USER_WEIGHTS {
         let mut totals = [0.0; 3];
-        for script in RepairScript::ALL {
+        for scenario in RepairScenario::ALL {
             let rules = [RepairRule::Priced, RepairRule::ReformAtOnce, RepairRule::WaitForBox];
-            let lost = rules.map(|rule| mean(script, rule, weights));
+            let lost = rules.map(|rule| mean(scenario, rule, weights));
             let prices = lost.map(|losses| weights.price(&losses));
             let better = prices[1].min(prices[2]);
             for (number, rule) in ["priced", "reform", "wait"].into_iter().enumerate() {
                 totals[number] += prices[number];
                 println!(
                     "{:<15} {:<8} {:<9} {:>10.0} {:>14.0} {:>10.0} {:>7.2}",
-                    script.as_str(),
+                    scenario.as_str(),
                     weights.name,
                     rule,
                     lost[number].down_secs,
--- a/crates/cherrystand_core/tests/assignment_safety.rs
+++ b/crates/cherrystand_core/tests/assignment_safety.rs
@@ -60,7 +60,7 @@
         Event::Leave { number } => domain.leaving.push(box_id(*number)),
         Event::Pause { controller } => domain.pause_before_effects(*controller),
         Event::Resume { controller } => domain.resume(*controller),
-        Event::CutOff { controller, cut } => domain.controllers[*controller].cut_off = *cut,
+        Event::CutOff { controller, cut } => domain.controllers[*controller].is_partitioned = *cut,
         Event::ServiceDown(down) => domain.service_down = *down,
         Event::LoseAnswers(count) => domain.lose_answers = *count,
         Event::DelayWrites(count) => domain.delay_writes = *count,
@@ -106,12 +106,12 @@
     /// Checks that every member of a serving replica acts for that replica.
     fn check_members(&self, domain: &FakeDomain) -> Result<(), TestCaseError> {
         for (replica, assignment) in &domain.record.replicas {
-            if !domain.is_whole(replica) {
+            if !domain.is_serving(replica) {
                 continue;
             }
             for id in &assignment.boxes {
                 let fake = &domain.boxes[id];
-                prop_assert!(fake.alive);
+                prop_assert!(fake.is_running);
                 prop_assert_eq!(fake.replica.as_ref(), Some(replica));
             }
         }
@@ -146,14 +146,14 @@
     domain.delay_writes = 0;
     domain.leaving.clear();
     for index in 0..CONTROLLERS {
-        domain.controllers[index].cut_off = false;
+        domain.controllers[index].is_partitioned = false;
         domain.resume(index);
     }
     for number in 0..BOXES {
         if let Some(fake) = domain.boxes.get_mut(&box_id(number)) {
             fake.in_flight = 0;
-            if !fake.alive {
-                fake.back_at = Some(domain.now);
+            if !fake.is_running {
+                fake.restarts_at = Some(domain.now);
             }
         }
     }
@@ -179,7 +179,7 @@
         domain.run_for(Millis(400_000));
         for desired in &domain.desired.clone() {
             prop_assert!(
-                domain.is_whole(&desired.replica),
+                domain.is_serving(&desired.replica),
                 "{} of {:?}", desired.replica, domain.record.replicas
             );
         }
@@ -199,11 +199,11 @@
     domain.pause_before_effects(0);
     domain.run_for(Millis(200_000));
     let before = domain.record.clone();
-    assert!(domain.is_whole(&replica(0)));
+    assert!(domain.is_serving(&replica(0)));
     domain.resume(0);
     assert_eq!(domain.record, before);
     domain.run_for(Millis(10_000));
-    assert!(domain.is_whole(&replica(0)));
+    assert!(domain.is_serving(&replica(0)));
 }
 
 #[test]
--- a/crates/cherrystand_core/tests/repair_prices.rs
+++ b/crates/cherrystand_core/tests/repair_prices.rs
@@ -1,35 +1,37 @@
 //! Bounds on the price of repairs relative to the two baselines, in virtual time.
 
 use cherrystand_core::{Repair, RepairCase, RepairRule, ReturnModel, choose_repair};
-use cherrystand_testkit::{RepairScript, USERS};
+use cherrystand_testkit::{RepairScenario, USER_WEIGHTS};
 
-/// The highest price of a script, relative to the better baseline.
-const MAX_SCRIPT_RATIO: f64 = 1.02;
+/// The highest price of a scenario, relative to the better baseline.
+const MAX_SCENARIO_RATIO: f64 = 1.02;
 
-/// The highest price of all scripts together, relative to the better baseline.
+/// The highest price of all scenarios together, relative to the better baseline.
 const MAX_TOTAL_RATIO: f64 = 0.85;
 
-/// The number of runs of each script; `make bench` compares more.
+/// The number of runs of each scenario; `make bench` compares more.
 const RUNS: u64 = 2;
 
 #[test]
 fn priced_repairs_cost_no_more_than_the_better_baseline() {
-    for weights in USERS {
+    for weights in USER_WEIGHTS {
         let mut sums = [0.0; 3];
-        for script in RepairScript::ALL {
+        for scenario in RepairScenario::ALL {
             let rules = [RepairRule::Priced, RepairRule::ReformAtOnce, RepairRule::WaitForBox];
             let prices = std::thread::scope(|scope| {
                 let run = |rule| {
                     scope.spawn(move || -> f64 {
-                        (0..RUNS).map(|seed| weights.price(&script.run(rule, weights, seed))).sum()
+                        (0..RUNS)
+                            .map(|seed| weights.price(&scenario.run(rule, weights, seed)))
+                            .sum()
                     })
                 };
                 rules.map(run).map(|thread| thread.join().expect("a price"))
             });
             let better = prices[1].min(prices[2]);
-            let name = script.as_str();
+            let name = scenario.as_str();
             assert!(
-                prices[0] <= better * MAX_SCRIPT_RATIO,
+                prices[0] <= better * MAX_SCENARIO_RATIO,
                 "{name} for {}: {prices:?}",
                 weights.name
             );
--- a/crates/cherrystand_core/tests/replica_life.rs
+++ b/crates/cherrystand_core/tests/replica_life.rs
@@ -91,7 +91,7 @@
             act: |domain| {
                 domain.desired = vec![desired(0, 2, "2"), desired(1, 2, "1")];
                 if let Some(fake) = domain.boxes.get_mut(&box_id(1)) {
-                    fake.stuck = true;
+                    fake.hangs_loading = true;
                 }
             },
             run: Millis(120_000),
@@ -115,7 +115,7 @@
         (case.act)(&mut domain);
         domain.run_for(case.run);
         for slot in case.serving {
-            assert!(domain.is_whole(&replica(*slot)), "{}: {slot}", case.name);
+            assert!(domain.is_serving(&replica(*slot)), "{}: {slot}", case.name);
         }
         for slot in case.broken {
             let assignment = &domain.record.replicas[&replica(*slot)];
@@ -154,7 +154,7 @@
     assert_eq!((assignment.phase, assignment.load.version.as_str()), (Phase::Draining, "1"));
     set_in_flight(&mut domain, 0);
     domain.run_for(Millis(30_000));
-    assert!(domain.is_whole(&replica(0)));
+    assert!(domain.is_serving(&replica(0)));
     assert_eq!(domain.record.replicas[&replica(0)].load.version, "2");
 }
 
@@ -180,8 +180,8 @@
                 load: support::load("1"),
             },
         };
-        fake.obey(&order(2), Millis(1), Millis(1));
-        fake.obey(&order(1), Millis(1), Millis(1));
+        fake.execute_order(&order(2), Millis(1), Millis(1));
+        fake.execute_order(&order(1), Millis(1), Millis(1));
         assert_eq!(fake.epoch, case.epoch);
     }
 }
@@ -240,7 +240,7 @@
     let mut domain = formed(setup, quick_policy(), 1, 2);
     let set_deaf = |domain: &mut FakeDomain, deaf| {
         if let Some(fake) = domain.boxes.get_mut(&box_id(1)) {
-            fake.deaf = deaf;
+            fake.ignores_orders = deaf;
         }
     };
     set_deaf(&mut domain, true);
@@ -249,7 +249,7 @@
     assert!(!domain.record.replicas.contains_key(&replica(1)), "{:?}", domain.record.replicas);
     set_deaf(&mut domain, false);
     domain.run_for(Millis(60_000));
-    assert!(domain.is_whole(&replica(1)));
+    assert!(domain.is_serving(&replica(1)));
 }
 
 #[test]
@@ -258,7 +258,7 @@
     let mut domain = formed(setup, quick_policy(), 1, 2);
     domain.desired = vec![desired(0, 3, "1")];
     domain.run_for(Millis(60_000));
-    assert!(domain.is_whole(&replica(0)), "{:?}", domain.record);
+    assert!(domain.is_serving(&replica(0)), "{:?}", domain.record);
     assert_eq!(domain.record.replicas[&replica(0)].boxes.len(), 3);
 }
 
--- a/crates/cherrystand_core/tests/support/mod.rs
+++ b/crates/cherrystand_core/tests/support/mod.rs
@@ -86,7 +86,7 @@
     domain.desired = (0..replicas).map(|slot| desired(slot, span, "1")).collect();
     domain.run_for(Millis(240_000));
     for slot in 0..replicas {
-        assert!(domain.is_whole(&replica(slot)), "replica {slot}: {:?}", domain.record);
+        assert!(domain.is_serving(&replica(slot)), "replica {slot}: {:?}", domain.record);
     }
     domain.losses = Default::default();
     domain
--- a/crates/cherrystand_testkit/src/domain/fake_domain.rs
+++ b/crates/cherrystand_testkit/src/domain/fake_domain.rs
@@ -47,7 +47,7 @@
 
 /// A write on its way to the record.
 #[derive(Clone, Debug)]
-struct Write {
+struct PendingWrite {
     expected: Revision,
     record: DomainRecord,
 }
@@ -56,14 +56,14 @@
 #[derive(Clone, Debug)]
 pub struct FakeController {
     controller: Controller,
-    known: (Revision, DomainRecord),
-    seen: Observations,
+    known_record: (Revision, DomainRecord),
+    observations: Observations,
     /// Whether it does nothing.
-    pub paused: bool,
+    pub is_paused: bool,
     /// Whether it reaches neither boxes nor the record.
-    pub cut_off: bool,
-    late: Vec<Write>,
-    late_orders: Vec<Order>,
+    pub is_partitioned: bool,
+    pending_writes: Vec<PendingWrite>,
+    pending_orders: Vec<Order>,
 }
 
 /// Counts what the users measure.
@@ -105,7 +105,7 @@
     /// How many orders were sent.
     pub orders: u64,
     setup: DomainSetup,
-    listed: (Vec<BoxId>, Fleet),
+    inventory: (Vec<BoxId>, Fleet),
 }
 
 impl FakeDomain {
@@ -116,12 +116,12 @@
         let boxes = names.map(|id| (id, FakeBox::new(setup.checks_orders))).collect();
         let controllers = policies.iter().map(|policy| FakeController {
             controller: Controller::new(*policy),
-            known: (Revision::NONE, record.clone()),
-            seen: Observations::new(),
-            paused: false,
-            cut_off: false,
-            late: Vec::new(),
-            late_orders: Vec::new(),
+            known_record: (Revision::NONE, record.clone()),
+            observations: Observations::new(),
+            is_paused: false,
+            is_partitioned: false,
+            pending_writes: Vec::new(),
+            pending_orders: Vec::new(),
         });
         Self {
             now: Millis(10_000),
@@ -138,14 +138,14 @@
             writes: 0,
             orders: 0,
             setup,
-            listed: (vec![BoxId::new("none")], Fleet::default()),
+            inventory: (vec![BoxId::new("none")], Fleet::default()),
         }
     }
 
     /// Lists the boxes anew where those that will leave have changed.
-    fn list(&mut self) {
-        if self.listed.0 != self.leaving {
-            self.listed = (self.leaving.clone(), self.fleet());
+    fn refresh_inventory(&mut self) {
+        if self.inventory.0 != self.leaving {
+            self.inventory = (self.leaving.clone(), self.fleet());
         }
     }
 
@@ -180,10 +180,10 @@
     }
 
     /// Takes a box down; it comes back after a while, or never.
-    pub fn kill(&mut self, id: &BoxId, back_after: Option<Millis>) {
-        let back_at = back_after.map(|span| self.now + span);
+    pub fn kill(&mut self, id: &BoxId, restart_after: Option<Millis>) {
+        let restarts_at = restart_after.map(|span| self.now + span);
         if let Some(fake) = self.boxes.get_mut(id) {
-            fake.kill(back_at);
+            fake.kill(restarts_at);
         }
     }
 
@@ -192,9 +192,9 @@
         let Some(controller) = self.controllers.get_mut(index) else {
             return;
         };
-        controller.paused = false;
-        let orders = std::mem::take(&mut controller.late_orders);
-        let writes = std::mem::take(&mut controller.late);
+        controller.is_paused = false;
+        let orders = std::mem::take(&mut controller.pending_orders);
+        let writes = std::mem::take(&mut controller.pending_writes);
         for write in writes {
             self.swap(&write);
         }
@@ -205,56 +205,56 @@
 
     /// Pauses a controller between its decision and its effects: they arrive when it goes on.
     pub fn pause_before_effects(&mut self, index: usize) {
-        if self.controllers.get(index).is_none_or(|controller| controller.paused) {
+        if self.controllers.get(index).is_none_or(|controller| controller.is_paused) {
             return;
         }
         self.observe(index);
         let (write, orders) = self.decide(index);
         let controller = &mut self.controllers[index];
-        controller.paused = true;
-        controller.late.extend(write);
-        controller.late_orders.extend(orders);
+        controller.is_paused = true;
+        controller.pending_writes.extend(write);
+        controller.pending_orders.extend(orders);
     }
 
     /// Tells whether a replica can truly serve: every member runs and is ready for its epoch.
-    pub fn is_whole(&self, replica: &ReplicaId) -> bool {
+    pub fn is_serving(&self, replica: &ReplicaId) -> bool {
         let Some(held) = self.record.replicas.get(replica) else {
             return false;
         };
         let ready = |id: &BoxId| {
             let fake = &self.boxes[id];
-            fake.alive && fake.epoch == held.epoch && fake.state == EngineState::Ready
+            fake.is_running && fake.epoch == held.epoch && fake.state == EngineState::Ready
         };
         held.phase == Phase::Ready && held.boxes.iter().all(ready)
     }
 
     fn run_boxes(&mut self) {
         for fake in self.boxes.values_mut() {
-            fake.return_at(self.now);
+            fake.restart_if_due(self.now);
         }
         let mut slots = self.setup.store_slots;
         for fake in self.boxes.values_mut() {
-            if fake.is_fetching() {
+            if fake.is_fetching_weights() {
                 if slots == 0 {
                     continue;
                 }
                 slots -= 1;
             }
-            fake.load_for(DOMAIN_STEP);
+            fake.advance_load(DOMAIN_STEP);
         }
-        self.break_replicas();
+        self.break_incomplete_replicas();
     }
 
     /// A replica that was formed comes apart at its leader when a member is gone.
-    fn break_replicas(&mut self) {
+    fn break_incomplete_replicas(&mut self) {
         for held in self.record.replicas.values() {
             let gone = |id: &BoxId| {
                 let fake = &self.boxes[id];
-                !fake.alive || fake.epoch != held.epoch
+                !fake.is_running || fake.epoch != held.epoch
             };
-            let apart = held.phase == Phase::Ready && held.boxes.iter().any(gone);
+            let is_broken = held.phase == Phase::Ready && held.boxes.iter().any(gone);
             let leader = held.boxes.first().and_then(|id| self.boxes.get_mut(id));
-            if let Some(leader) = leader.filter(|_| apart)
+            if let Some(leader) = leader.filter(|_| is_broken)
                 && leader.epoch == held.epoch
             {
                 leader.state = EngineState::Broken;
@@ -264,12 +264,12 @@
     }
 
     fn run_controller(&mut self, index: usize) {
-        if self.controllers[index].paused {
+        if self.controllers[index].is_paused {
             return;
         }
         self.observe(index);
         let (write, orders) = self.decide(index);
-        if self.controllers[index].cut_off {
+        if self.controllers[index].is_partitioned {
             return;
         }
         for order in orders {
@@ -282,60 +282,60 @@
 
     /// Reads the boxes and the record, as far as the controller reaches them.
     fn observe(&mut self, index: usize) {
-        let cut_off = self.controllers[index].cut_off;
+        let is_partitioned = self.controllers[index].is_partitioned;
         let now = self.now;
         for (id, fake) in &self.boxes {
             let first = Observation { last_heard: now, report: None };
-            let seen = &mut self.controllers[index].seen;
-            let observation = seen.entry(id.clone()).or_insert(first);
-            if fake.alive && !cut_off && fake.silent_until <= now {
+            let observations = &mut self.controllers[index].observations;
+            let observation = observations.entry(id.clone()).or_insert(first);
+            if fake.is_running && !is_partitioned && fake.unreachable_until <= now {
                 observation.last_heard = now;
                 observation.report = Some(fake.report());
             }
         }
-        if !cut_off && !self.service_down {
-            self.controllers[index].known = (self.revision, self.record.clone());
+        if !is_partitioned && !self.service_down {
+            self.controllers[index].known_record = (self.revision, self.record.clone());
         }
     }
 
-    fn decide(&mut self, index: usize) -> (Option<Write>, Vec<Order>) {
-        self.list();
-        let fleet = &self.listed.1;
+    fn decide(&mut self, index: usize) -> (Option<PendingWrite>, Vec<Order>) {
+        self.refresh_inventory();
+        let fleet = &self.inventory.1;
         let controller = &mut self.controllers[index];
-        let (expected, record) = controller.known.clone();
+        let (expected, record) = controller.known_record.clone();
         let step = controller.controller.step(ControllerInput {
             record: &record,
             desired: &self.desired,
             fleet,
-            observations: &controller.seen,
+            observations: &controller.observations,
             now: self.now,
             unix_secs: self.now.0 / 1_000,
         });
-        (step.write.map(|record| Write { expected, record }), step.orders)
+        (step.write.map(|record| PendingWrite { expected, record }), step.orders)
     }
 
-    fn write(&mut self, index: usize, write: Write) {
+    fn write(&mut self, index: usize, write: PendingWrite) {
         if self.service_down {
             return;
         }
         if self.delay_writes > 0 {
             self.delay_writes -= 1;
-            self.controllers[index].late.push(write);
+            self.controllers[index].pending_writes.push(write);
             return;
         }
-        let late = std::mem::take(&mut self.controllers[index].late);
+        let pending_writes = std::mem::take(&mut self.controllers[index].pending_writes);
         let done = self.swap(&write);
-        for late in late {
-            self.swap(&late);
+        for pending_write in pending_writes {
+            self.swap(&pending_write);
         }
         if self.lose_answers > 0 {
             self.lose_answers -= 1;
         } else if done {
-            self.controllers[index].known = (self.revision, self.record.clone());
+            self.controllers[index].known_record = (self.revision, self.record.clone());
         }
     }
 
-    fn swap(&mut self, write: &Write) -> bool {
+    fn swap(&mut self, write: &PendingWrite) -> bool {
         let fits = write.expected == self.revision;
         if fits {
             self.revision = Revision::new(self.revision.number() + 1);
@@ -348,19 +348,19 @@
     fn deliver(&mut self, order: &Order) {
         self.orders += 1;
         if let Some(fake) = self.boxes.get_mut(&order.target) {
-            fake.obey(order, self.setup.load, self.setup.rejoin);
+            fake.execute_order(order, self.setup.load, self.setup.rejoin);
         }
     }
 
     fn count_losses(&mut self) {
         let step = DOMAIN_STEP.as_secs_f64();
         for desired in &self.desired {
-            if self.is_whole(&desired.replica) {
+            if self.is_serving(&desired.replica) {
                 continue;
             }
             self.losses.down_secs += step;
             if let Some(held) = self.record.replicas.get(&desired.replica) {
-                let healthy = held.boxes.iter().filter(|id| self.boxes[*id].alive).count();
+                let healthy = held.boxes.iter().filter(|id| self.boxes[*id].is_running).count();
                 self.losses.stranded_secs += step * healthy as f64;
             }
         }
@@ -369,6 +369,6 @@
 
 /// Returns the epochs that engines act on, with the replica of each.
 pub fn epochs_in_use(domain: &FakeDomain) -> Vec<(Epoch, ReplicaId)> {
-    let acting = domain.boxes.values().filter(|fake| fake.alive && fake.epoch > Epoch(0));
+    let acting = domain.boxes.values().filter(|fake| fake.is_running && fake.epoch > Epoch(0));
     acting.filter_map(|fake| Some((fake.epoch, fake.replica.clone()?))).collect()
 }
--- a/crates/cherrystand_testkit/src/domain/repair_script.rs
+++ b/crates/cherrystand_testkit/src/domain/repair_scenario.rs
@@ -8,23 +8,23 @@
 use crate::{DomainSetup, FakeDomain, Losses};
 
 /// How many boxes one replica spans.
-const SPAN: u32 = 8;
+const REPLICA_SPAN: u32 = 8;
 
 /// How many replicas the domain has.
 const REPLICAS: u32 = 8;
 
 /// How long one script runs.
-const SCRIPT_LENGTH: Millis = Millis::from_secs(3_600);
+const SCENARIO_LENGTH: Millis = Millis::from_secs(3_600);
 
 /// How many steps forming the domain may take before the script begins.
-const FORMING_STEPS: u32 = 10_000;
+const MAX_FORMING_STEPS: u32 = 10_000;
 
 /// When a box that does not restart is replaced.
-const REPLACED_AFTER: Millis = Millis::from_secs(1_800);
+const REPLACEMENT_TIME: Millis = Millis::from_secs(1_800);
 
 /// Says what users weigh.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Weights {
+pub struct LossWeights {
     /// Whose weights they are.
     pub name: &'static str,
     /// The price of a second in which a replica cannot serve.
@@ -35,12 +35,12 @@
 
 /// Lists the two users' weights: for one a lost replica-second outweighs its eight idle boxes, for
 /// the other it is the reverse.
-pub const USERS: [Weights; 2] = [
-    Weights { name: "photo", downtime: 24.0, stranded: 1.0 },
-    Weights { name: "kodcari", downtime: 2.0, stranded: 1.0 },
+pub const USER_WEIGHTS: [LossWeights; 2] = [
+    LossWeights { name: "photo", downtime: 24.0, stranded: 1.0 },
+    LossWeights { name: "kodcari", downtime: 2.0, stranded: 1.0 },
 ];
 
-impl Weights {
+impl LossWeights {
     /// Returns the weighted sum of losses.
     pub fn price(&self, losses: &Losses) -> f64 {
         self.downtime * losses.down_secs + self.stranded * losses.stranded_secs
@@ -49,7 +49,7 @@
 
 /// Names a failure script.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RepairScript {
+pub enum RepairScenario {
     /// Single boxes are lost; most restart.
     SingleLosses,
     /// Single boxes are lost where the domain has no spares.
@@ -59,13 +59,13 @@
     /// Six boxes in ten cannot be heard for a few seconds, again and again.
     FalseAlarm,
     /// Single boxes are lost while the weight store serves two boxes at once.
-    StoreSqueeze,
+    LimitedStore,
 }
 
-impl RepairScript {
+impl RepairScenario {
     /// Lists all scripts.
     pub const ALL: [Self; 5] =
-        [Self::SingleLosses, Self::NoSpares, Self::Rack, Self::FalseAlarm, Self::StoreSqueeze];
+        [Self::SingleLosses, Self::NoSpares, Self::Rack, Self::FalseAlarm, Self::LimitedStore];
 
     /// Returns the script's name.
     pub fn as_str(self) -> &'static str {
@@ -74,36 +74,36 @@
             Self::NoSpares => "no-spares",
             Self::Rack => "rack",
             Self::FalseAlarm => "false-alarm",
-            Self::StoreSqueeze => "store-squeeze",
+            Self::LimitedStore => "store-squeeze",
         }
     }
 
     /// Runs the script under a rule with a user's weights and returns what was lost.
-    pub fn run(self, rule: RepairRule, weights: Weights, seed: u64) -> Losses {
+    pub fn run(self, rule: RepairRule, weights: LossWeights, seed: u64) -> Losses {
         let mut domain = self.domain(rule, weights);
-        form(&mut domain);
+        form_replicas(&mut domain);
         domain.losses = Losses::default();
-        let mut seed = SeededRng::new(seed);
-        let mut events = self.events(&mut seed);
+        let mut rng = SeededRng::new(seed);
+        let mut events = self.events(&mut rng);
         events.sort_by_key(|(at, _)| *at);
         let start = domain.now;
         for (at, event) in events {
             while domain.now < start + at {
                 domain.step();
             }
-            event.happen(&mut domain);
+            event.apply(&mut domain);
         }
-        while domain.now < start + SCRIPT_LENGTH {
+        while domain.now < start + SCENARIO_LENGTH {
             domain.step();
         }
         domain.losses
     }
 
-    fn domain(self, rule: RepairRule, weights: Weights) -> FakeDomain {
-        let spares = if self == Self::NoSpares { 0 } else { SPAN };
-        let store_slots = if self == Self::StoreSqueeze { 2 } else { 8 };
+    fn domain(self, rule: RepairRule, weights: LossWeights) -> FakeDomain {
+        let spares = if self == Self::NoSpares { 0 } else { REPLICA_SPAN };
+        let store_slots = if self == Self::LimitedStore { 2 } else { 8 };
         let setup = DomainSetup {
-            boxes: REPLICAS * SPAN + spares,
+            boxes: REPLICAS * REPLICA_SPAN + spares,
             checks_orders: true,
             load: Millis::from_secs(60),
             rejoin: Millis::from_secs(5),
@@ -118,7 +118,7 @@
         };
         let mut domain = FakeDomain::new(setup, &[policy]);
         let group = GroupId::new(WorkspaceId::new("w"), "g");
-        let wanted = (0..REPLICAS).map(|slot| DesiredReplica {
+        let desired = (0..REPLICAS).map(|slot| DesiredReplica {
             replica: ReplicaId::new(group.clone(), slot),
             load: LoadSpec {
                 model: "m".to_owned(),
@@ -126,58 +126,58 @@
                 adapters: Vec::new(),
                 role: "serve".to_owned(),
             },
-            span: SPAN,
+            span: REPLICA_SPAN,
             planned: Vec::new(),
             may_reload: true,
             downtime_weight: weights.downtime,
             stranded_weight: weights.stranded,
         });
-        domain.desired = wanted.collect();
+        domain.desired = desired.collect();
         domain
     }
 
-    fn events(self, seed: &mut SeededRng) -> Vec<(Millis, ScriptEvent)> {
+    fn events(self, rng: &mut SeededRng) -> Vec<(Millis, ScenarioEvent)> {
         match self {
-            Self::SingleLosses | Self::NoSpares | Self::StoreSqueeze => single_losses(seed),
-            Self::Rack => vec![(Millis::from_secs(600), rack_loss(seed))],
+            Self::SingleLosses | Self::NoSpares | Self::LimitedStore => single_losses(rng),
+            Self::Rack => vec![(Millis::from_secs(600), rack_loss(rng))],
             Self::FalseAlarm => {
-                (1..6).map(|number| (Millis::from_secs(number * 600), false_alarm(seed))).collect()
+                (1..6).map(|number| (Millis::from_secs(number * 600), false_alarm(rng))).collect()
             }
         }
     }
 }
 
 /// Goes on until every replica serves.
-fn form(domain: &mut FakeDomain) {
-    for _ in 0..FORMING_STEPS {
+fn form_replicas(domain: &mut FakeDomain) {
+    for _ in 0..MAX_FORMING_STEPS {
         domain.step();
-        if domain.desired.iter().all(|wanted| domain.is_whole(&wanted.replica)) {
+        if domain.desired.iter().all(|desired| domain.is_serving(&desired.replica)) {
             return;
         }
     }
 }
 
 /// Something that happens to boxes.
-enum ScriptEvent {
-    Lose { boxes: Vec<u32>, back_after: Millis },
-    Silence { boxes: Vec<u32>, span: Millis },
+enum ScenarioEvent {
+    Lose { boxes: Vec<u32>, restart_after: Millis },
+    Unreachable { boxes: Vec<u32>, span: Millis },
 }
 
-impl ScriptEvent {
-    fn happen(self, domain: &mut FakeDomain) {
+impl ScenarioEvent {
+    fn apply(self, domain: &mut FakeDomain) {
         let ids: Vec<BoxId> = domain.boxes.keys().cloned().collect();
         let pick = |number: u32| &ids[number as usize % ids.len()];
         match self {
-            Self::Lose { boxes, back_after } => {
+            Self::Lose { boxes, restart_after } => {
                 for number in boxes {
-                    domain.kill(pick(number), Some(back_after));
+                    domain.kill(pick(number), Some(restart_after));
                 }
             }
-            Self::Silence { boxes, span } => {
+            Self::Unreachable { boxes, span } => {
                 let until = domain.now + span;
                 for number in boxes {
                     if let Some(fake) = domain.boxes.get_mut(pick(number)) {
-                        fake.silent_until = until;
+                        fake.unreachable_until = until;
                     }
                 }
             }
@@ -185,32 +185,32 @@
     }
 }
 
-fn single_losses(seed: &mut SeededRng) -> Vec<(Millis, ScriptEvent)> {
-    let losses = 16;
+fn single_losses(rng: &mut SeededRng) -> Vec<(Millis, ScenarioEvent)> {
+    let count = 16;
     let one = |number: u64| {
-        let at = Millis::from_secs(number * SCRIPT_LENGTH.0 / 1_000 / (losses + 4));
-        let restarts = seed.below(1_979) < 1_900;
-        let back_after = if restarts { exponential(seed, 45.0) } else { REPLACED_AFTER };
-        let boxes = vec![seed.below(1 << 20) as u32];
-        (at, ScriptEvent::Lose { boxes, back_after })
+        let at = Millis::from_secs(number * SCENARIO_LENGTH.0 / 1_000 / (count + 4));
+        let restarts = rng.below(1_979) < 1_900;
+        let restart_after = if restarts { exponential(rng, 45.0) } else { REPLACEMENT_TIME };
+        let boxes = vec![rng.below(1 << 20) as u32];
+        (at, ScenarioEvent::Lose { boxes, restart_after })
     };
-    (1..=losses).map(one).collect()
+    (1..=count).map(one).collect()
 }
 
-fn rack_loss(seed: &mut SeededRng) -> ScriptEvent {
-    let first = seed.below(64) as u32;
+fn rack_loss(rng: &mut SeededRng) -> ScenarioEvent {
+    let first = rng.below(64) as u32;
     let boxes = (first..first + 8).collect();
-    ScriptEvent::Lose { boxes, back_after: Millis::from_secs(600) }
+    ScenarioEvent::Lose { boxes, restart_after: Millis::from_secs(600) }
 }
 
-fn false_alarm(seed: &mut SeededRng) -> ScriptEvent {
-    let first = seed.below(72) as u32;
+fn false_alarm(rng: &mut SeededRng) -> ScenarioEvent {
+    let first = rng.below(72) as u32;
     let boxes = (first..first + 43).collect();
-    ScriptEvent::Silence { boxes, span: Millis(4_000) }
+    ScenarioEvent::Unreachable { boxes, span: Millis(4_000) }
 }
 
 /// Draws a time that is exponentially distributed around a mean in seconds.
-fn exponential(seed: &mut SeededRng, mean: f64) -> Millis {
-    let uniform = (seed.below(1 << 30) as f64 + 1.0) / f64::from(1 << 30);
+fn exponential(rng: &mut SeededRng, mean: f64) -> Millis {
+    let uniform = (rng.below(1 << 30) as f64 + 1.0) / f64::from(1 << 30);
     Millis((-uniform.ln() * mean * 1_000.0) as u64)
 }
--- a/crates/cherrystand_testkit/src/lib.rs
+++ b/crates/cherrystand_testkit/src/lib.rs
@@ -9,7 +9,7 @@
 mod domain {
     pub(crate) mod fake_box;
     pub(crate) mod fake_domain;
-    pub(crate) mod repair_script;
+    pub(crate) mod repair_scenario;
 }
 mod engine {
     pub(crate) mod answer;
@@ -53,7 +53,7 @@
 pub use domain::fake_domain::{
     DOMAIN_STEP, DomainSetup, FakeController, FakeDomain, Losses, epochs_in_use,
 };
-pub use domain::repair_script::{RepairScript, USERS, Weights};
+pub use domain::repair_scenario::{LossWeights, RepairScenario, USER_WEIGHTS};
 pub use engine::answer::Prompt;
 pub use engine::stand_in::{EngineBody, EngineKnobs, EngineSetup, EngineStandIn, Executions};
 pub use load::caller::{Caller, LoadRequest};
