--- a/crates/cherrystand_peer/src/change_news.rs
+++ b/crates/cherrystand_peer/src/change_update.rs
@@ -11,14 +11,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChangeCursor {
     /// The life of the daemon that passes them on.
-    pub life: u64,
+    #[serde(rename = "life")]
+    pub incarnation: u64,
     /// How many changes it had passed on by then in that life.
     pub count: u64,
 }
 
 /// Asks a daemon for what the store told it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum ChangeQuestion {
+pub enum ChangeRequest {
     /// Asks for what changed, of a daemon that knows the store's state freshly.
     After {
         /// From where on; everything as it is where this is left out or not known any more.
@@ -29,7 +30,8 @@
         config: Revision,
     },
     /// Asks for everything as it was known last, however long ago the store told it.
-    Copy {
+    #[serde(rename = "Copy")]
+    Snapshot {
         /// The revision that the answer has to be newer than.
         newer_than: Revision,
         /// The revision of the configuration that the asker holds; 0 asks for the whole.
@@ -42,16 +44,18 @@
 
 /// Tells what changed, or everything as it is.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ChangeNews {
+pub struct ChangeUpdate {
     /// Where to go on from.
     pub cursor: ChangeCursor,
     /// How long ago the store was known to answer.
     pub store_age: Millis,
     /// For how long the store has answered the sender, or whom it reads from, without a break.
-    pub steady_for: Millis,
+    #[serde(rename = "steady_for")]
+    pub answering_for: Millis,
     /// How long the sender held the answer back since there was nothing to tell; the rest of the
     /// time until it arrives was spent on the way and in both daemons.
-    pub held: Millis,
+    #[serde(rename = "held")]
+    pub waited: Millis,
     /// The store's revision as far as the sender knows it.
     pub revision: Revision,
     /// Whether the sender keeps boxes that the store lists no more, as after an outage; the store
--- a/crates/cherrystand_peer/src/versions.rs
+++ b/crates/cherrystand_peer/src/config_history.rs
@@ -9,48 +9,50 @@
 
 /// How many versions are kept; in a storm of twelve a second a peer that reads ten times a second
 /// holds one of the last two.
-const KEPT: usize = 6;
+const CAPACITY: usize = 6;
 
 /// How many bytes of versions are kept beyond the newest one, so that a large configuration does
 /// not take a box's memory.
-const KEPT_BYTES: usize = 6 << 20;
+const MAX_OLDER_BYTES: usize = 6 << 20;
 
 /// How many packed forms of the newest version are kept: nearly all peers hold the same one or two.
-const KEPT_PACKED: usize = 4;
+const PACKED_CAPACITY: usize = 4;
 
 /// Keeps the last versions of one text and the packed forms of the newest.
 #[derive(Debug, Default)]
-pub struct Versions {
+pub struct ConfigHistory {
     /// The oldest first.
-    held: VecDeque<(Revision, Arc<str>)>,
+    versions: VecDeque<(Revision, Arc<str>)>,
     packed: VecDeque<Arc<PackedBody>>,
 }
 
-impl Versions {
+impl ConfigHistory {
     /// Notes a version that is in force; an older one than the newest changes nothing.
-    pub fn note(&mut self, revision: Revision, text: Arc<str>) {
-        if revision <= self.newest() {
+    pub fn record(&mut self, revision: Revision, text: Arc<str>) {
+        if revision <= self.newest_revision() {
             return;
         }
-        self.held.push_back((revision, text));
+        self.versions.push_back((revision, text));
         self.packed.clear();
-        while self.held.len() > KEPT || (self.held.len() > 1 && self.older_bytes() > KEPT_BYTES) {
-            self.held.pop_front();
+        while self.versions.len() > CAPACITY
+            || (self.versions.len() > 1 && self.older_bytes() > MAX_OLDER_BYTES)
+        {
+            self.versions.pop_front();
         }
     }
 
     fn older_bytes(&self) -> usize {
-        self.held.iter().rev().skip(1).map(|(_, text)| text.len()).sum()
+        self.versions.iter().rev().skip(1).map(|(_, text)| text.len()).sum()
     }
 
     /// Returns the newest revision; 0 where there is none.
-    pub fn newest(&self) -> Revision {
-        self.held.back().map(|(revision, _)| *revision).unwrap_or_default()
+    pub fn newest_revision(&self) -> Revision {
+        self.versions.back().map(|(revision, _)| *revision).unwrap_or_default()
     }
 
     /// Returns the text at a revision, where it is kept.
     pub fn get(&self, revision: Revision) -> Option<&str> {
-        let found = self.held.iter().find(|(held, _)| *held == revision);
+        let found = self.versions.iter().find(|(kept, _)| *kept == revision);
         found.map(|(_, text)| text.as_ref())
     }
 
@@ -61,7 +63,8 @@
     ///
     /// Returns a [`PackError`] where it cannot be packed.
     pub fn newer_than(&mut self, theirs: Revision) -> Result<Option<Arc<PackedBody>>, PackError> {
-        let Some((revision, text)) = self.held.back().filter(|(newest, _)| *newest > theirs) else {
+        let Some((revision, text)) = self.versions.back().filter(|(newest, _)| *newest > theirs)
+        else {
             return Ok(None);
         };
         let base = self.get(theirs).map(|text| (theirs, text));
@@ -71,7 +74,7 @@
         }
         let packed = Arc::new(PackedBody::pack(*revision, text, base)?);
         self.packed.push_back(packed.clone());
-        if self.packed.len() > KEPT_PACKED {
+        if self.packed.len() > PACKED_CAPACITY {
             self.packed.pop_front();
         }
         Ok(Some(packed))
--- a/crates/cherrystand_peer/src/lib.rs
+++ b/crates/cherrystand_peer/src/lib.rs
@@ -3,21 +3,21 @@
 //! Messages are `postcard` over `nng` requests and replies. See docs/design/0006 for what is
 //! exchanged and why.
 
-mod change_batch;
-mod change_news;
-mod load_news;
+mod change_update;
+mod config_history;
+mod load_message;
 mod message;
+mod packed_batch;
 mod packed_body;
 mod transport;
-mod versions;
 
-pub use change_batch::{BatchSpan, ChangeBatches, PackedBatch};
-pub use change_news::{ChangeCursor, ChangeNews, ChangeQuestion};
-pub use load_news::LoadNews;
+pub use change_update::{ChangeCursor, ChangeRequest, ChangeUpdate};
+pub use config_history::ConfigHistory;
+pub use load_message::LoadMessage;
 pub use message::{
-    Carried, CodecError, Greeting, News, PROTOCOL, Question, Reply, decode, decode_compressed,
-    encode, encode_compressed,
+    CodecError, Greeting, News, PROTOCOL, Question, Reply, TransferredRecord, decode,
+    decode_compressed, encode, encode_compressed,
 };
-pub use packed_body::{LARGEST_BODY, PackError, PackedBody, UnpackError};
-pub use transport::{ANSWER_WITHIN, MAX_MESSAGE_BYTES, PeerDialer, PeerError, PeerListener};
-pub use versions::Versions;
+pub use packed_batch::{BatchCache, BatchSpan, PackedBatch};
+pub use packed_body::{MAX_BODY_BYTES, PackError, PackedBody, UnpackError};
+pub use transport::{ANSWER_TIMEOUT, MAX_MESSAGE_BYTES, PeerDialer, PeerError, PeerListener};
--- a/crates/cherrystand_peer/src/message.rs
+++ b/crates/cherrystand_peer/src/message.rs
@@ -45,7 +45,7 @@
 
 /// A record on its way to another daemon.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Carried {
+pub enum TransferredRecord {
     /// As it was written.
     Whole(Document),
     /// As what changed in it, or compressed.
@@ -65,7 +65,7 @@
     /// Asks for the records of which the other side has newer copies than these.
     Compare(Vec<Version>),
     /// Hands over records that the other side asked for.
-    Take(Vec<Carried>),
+    Take(Vec<TransferredRecord>),
 }
 
 /// The answer to a question.
@@ -76,7 +76,7 @@
     /// Newer records, and the keys of those that are older here.
     Compared {
         /// The newer records.
-        newer: Vec<Carried>,
+        newer: Vec<TransferredRecord>,
         /// The records of which the asking side has newer copies, and what is held of them here.
         wanted: Vec<Version>,
     },
@@ -99,11 +99,11 @@
 }
 
 /// The smallest message that is compressed, in bytes; below it there is nothing to gain.
-const LEAST_COMPRESSED: usize = 2 << 10;
+const MIN_COMPRESSED_BYTES: usize = 2 << 10;
 
 /// The largest message that may come out of compressed bytes: the boxes of 410 daemons' domains,
 /// 37,600 entries of some 500 bytes.
-const LARGEST_UNCOMPRESSED: usize = 32 << 20;
+const MAX_UNCOMPRESSED_BYTES: usize = 32 << 20;
 
 /// A message that may be large.
 #[derive(Serialize, Deserialize)]
@@ -119,7 +119,7 @@
 /// Returns a [`CodecError`] where the message has no encoding.
 pub fn encode_compressed<T: Serialize>(message: &T) -> Result<Vec<u8>, CodecError> {
     let plain = encode(message)?;
-    let envelope = if plain.len() < LEAST_COMPRESSED {
+    let envelope = if plain.len() < MIN_COMPRESSED_BYTES {
         Envelope::Plain(plain)
     } else {
         let bytes = compress(&plain, &[]).map_err(|_| CodecError::Compressed)?;
@@ -136,7 +136,7 @@
 pub fn decode_compressed<T: for<'a> Deserialize<'a>>(bytes: &[u8]) -> Result<T, CodecError> {
     match decode(bytes)? {
         Envelope::Plain(plain) => decode(&plain),
-        Envelope::Compressed { length, .. } if length as usize > LARGEST_UNCOMPRESSED => {
+        Envelope::Compressed { length, .. } if length as usize > MAX_UNCOMPRESSED_BYTES => {
             Err(CodecError::Compressed)
         }
         Envelope::Compressed { length, bytes } => {
--- a/crates/cherrystand_peer/src/change_batch.rs
+++ b/crates/cherrystand_peer/src/packed_batch.rs
@@ -10,7 +10,7 @@
 
 /// How many blocks are kept: peers that were answered together ask again within some 60 ms of each
 /// other, and the whole is asked for beside them.
-const KEPT: usize = 8;
+const CAPACITY: usize = 8;
 
 /// [`ChangesSince`] as they are sent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -52,11 +52,11 @@
 /// time: 58 of them ask for 58 copies of one block. Packing 30 changes takes 29 us, everything of
 /// 1,107 boxes 0.5 ms (`make slopes`).
 #[derive(Clone, Debug, Default)]
-pub struct ChangeBatches {
-    kept: VecDeque<(BatchSpan, PackedBatch)>,
+pub struct BatchCache {
+    batches: VecDeque<(BatchSpan, PackedBatch)>,
 }
 
-impl ChangeBatches {
+impl BatchCache {
     /// Returns the block of a span, made by `make` where it is not kept.
     ///
     /// # Errors
@@ -67,13 +67,13 @@
         span: BatchSpan,
         make: impl FnOnce() -> ChangesSince,
     ) -> Result<PackedBatch, CodecError> {
-        if let Some((_, packed)) = self.kept.iter().find(|(kept, _)| *kept == span) {
+        if let Some((_, packed)) = self.batches.iter().find(|(cached, _)| *cached == span) {
             return Ok(packed.clone());
         }
         let packed = PackedBatch::new(&make())?;
-        self.kept.push_back((span, packed.clone()));
-        if self.kept.len() > KEPT {
-            self.kept.pop_front();
+        self.batches.push_back((span, packed.clone()));
+        if self.batches.len() > CAPACITY {
+            self.batches.pop_front();
         }
         Ok(packed)
     }
--- a/crates/cherrystand_peer/src/packed_body.rs
+++ b/crates/cherrystand_peer/src/packed_body.rs
@@ -6,11 +6,11 @@
 use zstd::zstd_safe::{CParameter, DCtx, DParameter};
 
 /// The largest text that is unpacked, in bytes: some 40,000 routes.
-pub const LARGEST_BODY: usize = 16 << 20;
+pub const MAX_BODY_BYTES: usize = 16 << 20;
 
 /// How hard the text is compressed: 164 KB of 1,400 routes become 0.3 KB against a version that
 /// differs in 14 of them and 12 KB alone; level 6 saves 0.1 and 1 KB (`tests/packed.rs`).
-const LEVEL: i32 = 1;
+const COMPRESSION_LEVEL: i32 = 1;
 
 /// The smallest and the largest window, as powers of two: a window has to reach over the text and
 /// the version before it.
@@ -22,7 +22,7 @@
     /// The text is larger than any daemon unpacks.
     #[error("{0} bytes are more than daemons pass on; split the configuration")]
     TooLarge(usize),
-    /// The library failed.
+    /// The compression library returned an error.
     #[error("the text could not be compressed")]
     Library(#[source] std::io::Error),
 }
@@ -79,10 +79,10 @@
         text: &str,
         base: Option<(Revision, &str)>,
     ) -> Result<Self, PackError> {
-        let length = u32::try_from(text.len()).ok().filter(|_| text.len() <= LARGEST_BODY);
+        let length = u32::try_from(text.len()).ok().filter(|_| text.len() <= MAX_BODY_BYTES);
         let length = length.ok_or(PackError::TooLarge(text.len()))?;
-        let before = base.map(|(_, before)| before.as_bytes()).unwrap_or_default();
-        let bytes = compress(text.as_bytes(), before).map_err(PackError::Library)?;
+        let prefix = base.map(|(_, prefix)| prefix.as_bytes()).unwrap_or_default();
+        let bytes = compress(text.as_bytes(), prefix).map_err(PackError::Library)?;
         Ok(Self { revision, base: base.map(|(revision, _)| revision), length, bytes })
     }
 
@@ -95,14 +95,14 @@
         &self,
         held: impl FnOnce(Revision) -> Option<&'a str>,
     ) -> Result<String, UnpackError> {
-        if self.length as usize > LARGEST_BODY {
+        if self.length as usize > MAX_BODY_BYTES {
             return Err(UnpackError::TooLarge(self.length));
         }
-        let before = match self.base {
+        let prefix = match self.base {
             Some(base) => held(base).ok_or(UnpackError::OtherBase(base))?,
             None => "",
         };
-        let bytes = decompress(&self.bytes, before.as_bytes(), self.length as usize);
+        let bytes = decompress(&self.bytes, prefix.as_bytes(), self.length as usize);
         let bytes = bytes.map_err(|_| UnpackError::Malformed)?;
         if bytes.len() != self.length as usize {
             return Err(UnpackError::Malformed);
@@ -112,29 +112,29 @@
 }
 
 /// Compresses bytes that follow others.
-pub(crate) fn compress(bytes: &[u8], before: &[u8]) -> std::io::Result<Vec<u8>> {
-    let mut library = Compressor::new(LEVEL)?;
-    library.set_parameter(CParameter::ChecksumFlag(true))?;
-    if !before.is_empty() {
+pub(crate) fn compress(bytes: &[u8], prefix: &[u8]) -> std::io::Result<Vec<u8>> {
+    let mut compressor = Compressor::new(COMPRESSION_LEVEL)?;
+    compressor.set_parameter(CParameter::ChecksumFlag(true))?;
+    if !prefix.is_empty() {
         // Routes keep their places between versions: long matches far back say nearly all.
-        library.set_parameter(CParameter::EnableLongDistanceMatching(true))?;
-        library.set_parameter(CParameter::WindowLog(window_log(bytes.len() + before.len())))?;
-        library.context_mut().ref_prefix(before).map_err(failed)?;
+        compressor.set_parameter(CParameter::EnableLongDistanceMatching(true))?;
+        compressor.set_parameter(CParameter::WindowLog(window_log(bytes.len() + prefix.len())))?;
+        compressor.context_mut().ref_prefix(prefix).map_err(to_io_error)?;
     }
-    library.compress(bytes)
+    compressor.compress(bytes)
 }
 
 /// Undoes [`compress`], up to a length.
-pub(crate) fn decompress(bytes: &[u8], before: &[u8], length: usize) -> std::io::Result<Vec<u8>> {
-    let mut library = DCtx::create();
-    library.set_parameter(DParameter::WindowLogMax(*WINDOW_LOGS.end())).map_err(failed)?;
-    library.ref_prefix(before).map_err(failed)?;
+pub(crate) fn decompress(bytes: &[u8], prefix: &[u8], length: usize) -> std::io::Result<Vec<u8>> {
+    let mut context = DCtx::create();
+    context.set_parameter(DParameter::WindowLogMax(*WINDOW_LOGS.end())).map_err(to_io_error)?;
+    context.ref_prefix(prefix).map_err(to_io_error)?;
     let mut text = Vec::with_capacity(length);
-    library.decompress(&mut text, bytes).map_err(failed)?;
+    context.decompress(&mut text, bytes).map_err(to_io_error)?;
     Ok(text)
 }
 
-fn failed(code: usize) -> std::io::Error {
+fn to_io_error(code: usize) -> std::io::Error {
     std::io::Error::other(zstd::zstd_safe::get_error_name(code))
 }
 
--- a/crates/cherrystand_peer/src/transport.rs
+++ b/crates/cherrystand_peer/src/transport.rs
@@ -14,10 +14,10 @@
 pub const MAX_MESSAGE_BYTES: usize = 4 << 20;
 
 /// How long a daemon waits for a peer's answer.
-pub const ANSWER_WITHIN: Duration = Duration::from_millis(400);
+pub const ANSWER_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// How often a listener looks up from waiting.
-const LISTEN_FOR: Duration = Duration::from_millis(200);
+const LISTEN_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// Tells why an exchange with a peer failed.
 #[derive(Debug, thiserror::Error)]
@@ -49,8 +49,8 @@
     /// Returns a [`PeerError`] where the address cannot be listened at.
     pub fn bind(address: SocketAddr) -> Result<Self, PeerError> {
         let socket = Socket::new(Protocol::Rep0)?;
-        socket.set_opt::<RecvTimeout>(Some(LISTEN_FOR))?;
-        socket.set_opt::<SendTimeout>(Some(LISTEN_FOR))?;
+        socket.set_opt::<RecvTimeout>(Some(LISTEN_TIMEOUT))?;
+        socket.set_opt::<SendTimeout>(Some(LISTEN_TIMEOUT))?;
         socket.set_opt::<RecvMaxSize>(MAX_MESSAGE_BYTES)?;
         socket.listen(&format!("tcp://{address}"))?;
         Ok(Self { socket })
@@ -94,7 +94,7 @@
     ///
     /// # Errors
     ///
-    /// Returns a [`PeerError`] where no readable answer comes within [`ANSWER_WITHIN`].
+    /// Returns a [`PeerError`] where no readable answer comes within [`ANSWER_TIMEOUT`].
     pub fn ask(
         &mut self,
         address: SocketAddr,
@@ -111,7 +111,7 @@
     }
 
     /// Closes the connections to all but the peers given.
-    pub fn keep_only(&mut self, peers: &[SocketAddr]) {
+    pub fn retain(&mut self, peers: &[SocketAddr]) {
         self.sockets.retain(|address, _| peers.contains(address));
     }
 
@@ -131,8 +131,8 @@
 
 fn dial(address: SocketAddr) -> Result<Socket, PeerError> {
     let socket = Socket::new(Protocol::Req0)?;
-    socket.set_opt::<SendTimeout>(Some(ANSWER_WITHIN))?;
-    socket.set_opt::<RecvTimeout>(Some(ANSWER_WITHIN))?;
+    socket.set_opt::<SendTimeout>(Some(ANSWER_TIMEOUT))?;
+    socket.set_opt::<RecvTimeout>(Some(ANSWER_TIMEOUT))?;
     socket.set_opt::<RecvMaxSize>(MAX_MESSAGE_BYTES)?;
     socket.dial_async(&format!("tcp://{address}"))?;
     Ok(socket)
--- a/crates/cherrystand_peer/tests/any_bytes.rs
+++ b/crates/cherrystand_peer/tests/any_bytes.rs
@@ -1,7 +1,7 @@
 //! Peers' messages, given bytes that no peer would send.
 
 use cherrystand_core::{BoxId, EndpointLoad, NodeId, ZoneId};
-use cherrystand_peer::{LoadNews, PackedBatch, PackedBody, decode, decode_compressed, encode};
+use cherrystand_peer::{LoadMessage, PackedBatch, PackedBody, decode, decode_compressed, encode};
 use proptest::prelude::*;
 
 fn sound() -> Vec<u8> {
@@ -11,7 +11,7 @@
         unread: 1_000,
         silent_ms: 12,
     });
-    let news = LoadNews::InFlight {
+    let news = LoadMessage::InFlight {
         from: NodeId::new("n1"),
         zone: ZoneId::new("z1"),
         loads: loads.collect(),
@@ -35,11 +35,11 @@
         }
         let short = changed[..cut.index(changed.len())].to_vec();
         for bytes in [bytes, changed, short] {
-            if let Ok(news) = decode::<LoadNews>(&bytes) {
+            if let Ok(news) = decode::<LoadMessage>(&bytes) {
                 let again = encode(&news).expect("what was read has an encoding");
-                prop_assert_eq!(decode::<LoadNews>(&again).expect("a message"), news);
+                prop_assert_eq!(decode::<LoadMessage>(&again).expect("a message"), news);
             }
-            let _ = decode_compressed::<LoadNews>(&bytes);
+            let _ = decode_compressed::<LoadMessage>(&bytes);
             let _ = decode::<PackedBody>(&bytes);
             if let Ok(batch) = decode::<PackedBatch>(&bytes) {
                 let _ = batch.unpack();
--- a/crates/cherrystand_peer/tests/batches.rs
+++ b/crates/cherrystand_peer/tests/batches.rs
@@ -1,7 +1,7 @@
 //! Changes as one block for all that ask.
 
 use cherrystand_core::{BoxId, ChangesSince, Document, Revision};
-use cherrystand_peer::{BatchSpan, ChangeBatches, PackedBatch, decode, encode};
+use cherrystand_peer::{BatchCache, BatchSpan, PackedBatch, decode, encode};
 
 fn entry(number: u64) -> Document {
     let body = format!("{{\"name\":\"box-{number}\",\"state\":\"ready\"}}");
@@ -30,7 +30,7 @@
         Case { name: "the first asker again", after: Some(3), until: 5, made: 3 },
         Case { name: "after a further change", after: Some(3), until: 6, made: 4 },
     ];
-    let (mut batches, mut made) = (ChangeBatches::default(), 0);
+    let (mut batches, mut made) = (BatchCache::default(), 0);
     for case in cases {
         let span = BatchSpan { after: case.after, until: case.until };
         let records: Vec<Document> =
--- a/crates/cherrystand_peer/tests/packed.rs
+++ b/crates/cherrystand_peer/tests/packed.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use cherrystand_core::Revision;
-use cherrystand_peer::{LARGEST_BODY, PackedBody, UnpackError, Versions};
+use cherrystand_peer::{ConfigHistory, MAX_BODY_BYTES, PackedBody, UnpackError};
 use proptest::prelude::*;
 
 /// Writes a configuration of some routes, of which a version changes a few.
@@ -88,7 +88,7 @@
         },
         Case {
             name: "past its bound",
-            packed: PackedBody { length: LARGEST_BODY as u32 + 1, ..good.clone() },
+            packed: PackedBody { length: MAX_BODY_BYTES as u32 + 1, ..good.clone() },
             held: Some(before.clone()),
             reason: "too-large",
         },
@@ -103,15 +103,15 @@
 
 #[test]
 fn memory_stays_bounded_in_a_storm_of_large_versions() {
-    let mut versions = Versions::default();
+    let mut versions = ConfigHistory::default();
     let large: Arc<str> = Arc::from(routes(10_000, 1));
     for revision in 1..200 {
-        versions.note(Revision::new(revision), large.clone());
+        versions.record(Revision::new(revision), large.clone());
     }
     let held = (1..200).filter(|revision| versions.get(Revision::new(*revision)).is_some()).count();
     // The newest, and five of 1.2 MB beside it.
     assert!(held <= 6, "{held} versions of {} bytes", large.len());
-    assert_eq!(versions.newest(), Revision::new(199));
+    assert_eq!(versions.newest_revision(), Revision::new(199));
 }
 
 proptest! {
@@ -126,21 +126,21 @@
             .enumerate()
             .map(|(version, count)| Arc::from(routes(*count, version)))
             .collect();
-        let (mut sender, mut receiver) = (Versions::default(), Versions::default());
+        let (mut sender, mut receiver) = (ConfigHistory::default(), ConfigHistory::default());
         for (number, text) in texts.iter().enumerate() {
             let revision = Revision::new(number as u64 + 1);
-            sender.note(revision, text.clone());
+            sender.record(revision, text.clone());
             if revision.number() <= theirs {
-                receiver.note(revision, text.clone());
+                receiver.record(revision, text.clone());
             }
         }
-        match sender.newer_than(receiver.newest()).expect("packs") {
-            None => prop_assert!(receiver.newest() >= sender.newest()),
+        match sender.newer_than(receiver.newest_revision()).expect("packs") {
+            None => prop_assert!(receiver.newest_revision() >= sender.newest_revision()),
             Some(packed) => {
                 let text = receiver.unpack(&packed).expect("unpacks");
                 prop_assert_eq!(&text, texts.last().expect("a version"));
-                receiver.note(packed.revision, text);
-                prop_assert!(sender.newer_than(receiver.newest()).expect("packs").is_none());
+                receiver.record(packed.revision, text);
+                prop_assert!(sender.newer_than(receiver.newest_revision()).expect("packs").is_none());
             }
         }
     }
--- a/crates/cherrystandd/benches/slopes.rs
+++ b/crates/cherrystandd/benches/slopes.rs
@@ -13,7 +13,7 @@
     Observations, Phase, RepairPolicy, ReplicaEvidence, ReplicaId, Revision, Slot, WorkspaceId,
     WorkspaceRecord, ZoneId,
 };
-use cherrystand_peer::{BatchSpan, ChangeBatches, News, PackedBatch, Reply, encode};
+use cherrystand_peer::{BatchCache, BatchSpan, News, PackedBatch, Reply, encode};
 
 const BOXES_PER_REPLICA: u32 = 8;
 
@@ -128,7 +128,7 @@
         let unpack = average_micros(rounds, || {
             black_box(packed.unpack().is_ok());
         });
-        let mut batches = ChangeBatches::default();
+        let mut batches = BatchCache::default();
         let span = BatchSpan { after: Some(1), until: 2 };
         let reuse = average_micros(rounds, || {
             black_box(batches.get_or_pack(span, || batch.clone()).is_ok());
--- a/crates/cherrystandd/src/config_versions.rs
+++ b/crates/cherrystandd/src/config_versions.rs
@@ -3,14 +3,14 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
 use cherrystand_core::{Document, Revision};
-use cherrystand_peer::{PackedBody, UnpackError, Versions};
+use cherrystand_peer::{ConfigHistory, PackedBody, UnpackError};
 
 use crate::Metrics;
 
 /// Shares the versions between the duties of one daemon, so that each version is packed only once.
 #[derive(Clone)]
 pub(crate) struct ConfigVersions {
-    versions: Arc<Mutex<Versions>>,
+    versions: Arc<Mutex<ConfigHistory>>,
     metrics: Arc<Metrics>,
 }
 
@@ -19,19 +19,19 @@
         Self { versions: Arc::default(), metrics }
     }
 
-    fn versions(&self) -> MutexGuard<'_, Versions> {
+    fn versions(&self) -> MutexGuard<'_, ConfigHistory> {
         // Each change is a single insertion, so a thread that panicked left no partial state.
         self.versions.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Records a version that is in force.
     pub(crate) fn record(&self, config: &Document) {
-        self.versions().note(config.revision, config.body.clone());
+        self.versions().record(config.revision, config.body.clone());
     }
 
     /// Returns the newest revision, or 0 if there is none.
     pub(crate) fn newest_revision(&self) -> Revision {
-        self.versions().newest()
+        self.versions().newest_revision()
     }
 
     /// Returns the newest version, packed for a peer that holds `peer_revision`, or `None` if the peer is
--- a/crates/cherrystandd/src/duties/gossip.rs
+++ b/crates/cherrystandd/src/duties/gossip.rs
@@ -32,7 +32,7 @@
     while cx.stop_phase() < StopPhase::Stopped {
         round += 1;
         let view = cx.current_view();
-        dialer.keep_only(&known_addresses(&cx, &view));
+        dialer.retain(&known_addresses(&cx, &view));
         if let Some(peer) = pick_peer(&cx, &view, own, round, &mut rng)
             && let Err(err) = exchange(&cx, &mut dialer, peer)
         {
--- a/crates/cherrystandd/src/site/change_sharing.rs
+++ b/crates/cherrystandd/src/site/change_sharing.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use cherrystand_core::{ChangesSince, Millis, NodeId, PropagationBudget, Revision, RunningTime};
 use cherrystand_peer::{
-    BatchSpan, ChangeCursor, ChangeNews, ChangeQuestion, CodecError, decode, encode,
+    BatchSpan, ChangeCursor, ChangeRequest, ChangeUpdate, CodecError, decode, encode,
 };
 use cherrystand_platform::{CallError, call, serve_http};
 use http_body_util::{BodyExt, Full, Limited};
@@ -73,21 +73,21 @@
     }
 }
 
-async fn read_request(req: Request<Incoming>) -> Result<ChangeQuestion, StatusCode> {
+async fn read_request(req: Request<Incoming>) -> Result<ChangeRequest, StatusCode> {
     let body = Limited::new(req.into_body(), MAX_REQUEST_BYTES).collect().await;
     let body = body.map_err(|_| StatusCode::BAD_REQUEST)?.to_bytes();
     decode(&body).map_err(|_| StatusCode::BAD_REQUEST)
 }
 
-async fn respond(control: &Control, request: ChangeQuestion) -> Result<Bytes, StatusCode> {
+async fn respond(control: &Control, request: ChangeRequest) -> Result<Bytes, StatusCode> {
     let answer = match request {
-        ChangeQuestion::After { cursor, wait, config } => {
+        ChangeRequest::After { cursor, wait, config } => {
             changes_after(control, cursor, wait, config).await?
         }
-        ChangeQuestion::Copy { newer_than, config } => {
+        ChangeRequest::Snapshot { newer_than, config } => {
             snapshot_newer_than(control, newer_than, config)?
         }
-        ChangeQuestion::Ping => return Ok(Bytes::new()),
+        ChangeRequest::Ping => return Ok(Bytes::new()),
     };
     let bytes = encode(&answer).map_err(encoding_failed)?;
     control.count_changes("out", &answer, bytes.len());
@@ -106,9 +106,9 @@
     cursor: Option<ChangeCursor>,
     wait: Millis,
     config: Revision,
-) -> Result<ChangeNews, StatusCode> {
+) -> Result<ChangeUpdate, StatusCode> {
     let life = control.incarnation();
-    let after = cursor.filter(|cursor| cursor.life == life).map(|cursor| cursor.count);
+    let after = cursor.filter(|cursor| cursor.incarnation == life).map(|cursor| cursor.count);
     let began = control.now();
     let until = began + wait.min(MAX_WAIT);
     // A node that reads the store itself will have a fresh state soon, and otherwise the peer would
@@ -118,8 +118,8 @@
     }
     wait_for_change(control, after, until).await;
     let store_age = fresh_store_age(control).ok_or(StatusCode::SERVICE_UNAVAILABLE)?;
-    let held = control.now().since(began);
-    Ok(ChangeNews { held, ..build_answer(control, after, store_age, config)? })
+    let waited = control.now().since(began);
+    Ok(ChangeUpdate { waited, ..build_answer(control, after, store_age, config)? })
 }
 
 /// Waits until there is a change after the first `after`, until a time is reached, or until the
@@ -152,7 +152,7 @@
     control: &Control,
     newer_than: Revision,
     config: Revision,
-) -> Result<ChangeNews, StatusCode> {
+) -> Result<ChangeUpdate, StatusCode> {
     let state = control.state.borrow();
     if !state.is_listed() || state.revision() <= newer_than {
         return Err(StatusCode::SERVICE_UNAVAILABLE);
@@ -169,7 +169,7 @@
     after: Option<u64>,
     store_age: Millis,
     config: Revision,
-) -> Result<ChangeNews, StatusCode> {
+) -> Result<ChangeUpdate, StatusCode> {
     let state = control.state.borrow();
     let after = after.filter(|after| state.keeps_changes_since(*after));
     let span = BatchSpan { after, until: state.change_count() };
@@ -179,11 +179,11 @@
     };
     let batch =
         control.packed_batches.borrow_mut().get_or_pack(span, collect).map_err(encoding_failed)?;
-    Ok(ChangeNews {
-        cursor: ChangeCursor { life: control.incarnation(), count: state.change_count() },
+    Ok(ChangeUpdate {
+        cursor: ChangeCursor { incarnation: control.incarnation(), count: state.change_count() },
         store_age,
-        steady_for: state.answering_for(control.now()),
-        held: Millis(0),
+        answering_for: state.answering_for(control.now()),
+        waited: Millis(0),
         revision: state.revision(),
         keeps_unlisted: state.keeps_unlisted(),
         whole: after.is_none(),
@@ -211,7 +211,7 @@
     let sent_at = control.now();
     let timeout = control.budget.peer_timeout();
     let wait = control.budget.peer_wait();
-    let request = ChangeQuestion::After { cursor, wait, config: control.held_config_revision() };
+    let request = ChangeRequest::After { cursor, wait, config: control.held_config_revision() };
     let result = request_changes(control, peer, &request, to_duration(timeout)).await;
     let now = control.now();
     // An answer that arrived while this process was paused does not show the current state.
@@ -223,7 +223,7 @@
         return Err(ChangesError::Stale(answer.store_age));
     }
     // The state is as old as it was at the peer, plus the time in transit.
-    let age = answer.store_age + now.since(sent_at).since(answer.held);
+    let age = answer.store_age + now.since(sent_at).since(answer.waited);
     let news_age = control.cx.metrics.news_age.with_label_values(&["changes"]);
     news_age.observe(age.as_secs_f64());
     let batch = answer.batch.unpack()?;
@@ -249,7 +249,7 @@
     peer: SocketAddr,
 ) -> Result<(), ChangesError> {
     let newer_than = control.state.borrow().revision();
-    let request = ChangeQuestion::Copy { newer_than, config: control.held_config_revision() };
+    let request = ChangeRequest::Snapshot { newer_than, config: control.held_config_revision() };
     let answer = request_changes(control, peer, &request, ANSWER_TIMEOUT).await?;
     let now = control.now();
     control.apply_packed_config(answer.config.as_deref());
@@ -268,11 +268,13 @@
     peer: SocketAddr,
     silence: Millis,
 ) -> Result<bool, ChangesError> {
-    let request =
-        ChangeQuestion::Copy { newer_than: Revision::NONE, config: control.held_config_revision() };
+    let request = ChangeRequest::Snapshot {
+        newer_than: Revision::NONE,
+        config: control.held_config_revision(),
+    };
     let answer = request_changes(control, peer, &request, ANSWER_TIMEOUT).await?;
     let is_refuted =
-        answer.store_age <= control.budget.max_source_age() && answer.steady_for > silence;
+        answer.store_age <= control.budget.max_source_age() && answer.answering_for > silence;
     if is_refuted {
         let batch = answer.batch.unpack()?;
         let mut state = control.state.borrow_mut();
@@ -295,18 +297,18 @@
 ///
 /// Returns a [`ChangesError`] if no answer arrives.
 pub(crate) async fn ping(control: &Control, peer: SocketAddr) -> Result<(), ChangesError> {
-    post(control, peer, &ChangeQuestion::Ping, ANSWER_TIMEOUT).await?;
+    post(control, peer, &ChangeRequest::Ping, ANSWER_TIMEOUT).await?;
     Ok(())
 }
 
 async fn request_changes(
     control: &Control,
     peer: SocketAddr,
-    request: &ChangeQuestion,
+    request: &ChangeRequest,
     timeout: Duration,
-) -> Result<ChangeNews, ChangesError> {
+) -> Result<ChangeUpdate, ChangesError> {
     let body = post(control, peer, request, timeout).await?;
-    let answer: ChangeNews = decode(&body)?;
+    let answer: ChangeUpdate = decode(&body)?;
     control.count_changes("in", &answer, body.len());
     Ok(answer)
 }
@@ -314,7 +316,7 @@
 async fn post(
     control: &Control,
     peer: SocketAddr,
-    request: &ChangeQuestion,
+    request: &ChangeRequest,
     timeout: Duration,
 ) -> Result<Bytes, ChangesError> {
     let body = Bytes::from(encode(request)?);
--- a/crates/cherrystandd/src/site/control.rs
+++ b/crates/cherrystandd/src/site/control.rs
@@ -10,7 +10,7 @@
     BoxId, CallHistory, CapacityPlanner, DomainId, Formation, Heartbeat, Millis, ProbeReason,
     PropagationBudget, Revision, ServiceName, StoreReachability, all_readers, owner_of,
 };
-use cherrystand_peer::{ChangeBatches, ChangeNews, PackedBody};
+use cherrystand_peer::{BatchCache, ChangeUpdate, PackedBody};
 use cherrystand_platform::{HttpPool, KeyValue, SiteDriver, since_boot};
 use tokio::net::TcpListener;
 use tokio::sync::{Notify, watch};
@@ -79,7 +79,7 @@
     /// The state of the site.
     pub(crate) state: RefCell<SiteState>,
     /// The batches of changes last packed for peers.
-    pub(super) packed_batches: RefCell<ChangeBatches>,
+    pub(super) packed_batches: RefCell<BatchCache>,
     /// Connections to boxes and peers.
     pub(super) pool: HttpPool,
     /// The results of recent calls to boxes.
@@ -354,7 +354,7 @@
     }
 
     /// Counts the bytes of changes sent to a peer or read from one.
-    pub(crate) fn count_changes(&self, way: &str, news: &ChangeNews, bytes: usize) {
+    pub(crate) fn count_changes(&self, way: &str, news: &ChangeUpdate, bytes: usize) {
         let kind = match (news.config.is_some(), news.whole) {
             (_, true) => "whole-lists",
             (true, false) => "configuration",
--- a/crates/cherrystandd/src/site/crash_watch.rs
+++ b/crates/cherrystandd/src/site/crash_watch.rs
@@ -12,7 +12,7 @@
     BoxId, CrashCheck, CrashSuspects, Fingerprint, InterruptedAnswers, MAX_CRASHES, Millis,
     ServiceName, SiteView, SuspectRecord,
 };
-use cherrystand_peer::LoadNews;
+use cherrystand_peer::LoadMessage;
 use tokio::net::TcpStream;
 
 use crate::site::active_attempt::ActiveAttempt;
@@ -111,7 +111,7 @@
                 );
             }
             self.count_refused();
-            self.loads.broadcast(LoadNews::Served(vec![request]));
+            self.loads.broadcast(LoadMessage::Served(vec![request]));
             self.publish();
         }
     }
@@ -238,7 +238,7 @@
         let reported: Vec<Fingerprint> = reported.collect();
         drop(suspects);
         if !reported.is_empty() {
-            self.loads.broadcast(LoadNews::Ended(incarnation.clone(), reported));
+            self.loads.broadcast(LoadMessage::Crashed(incarnation.clone(), reported));
         }
     }
 
--- a/crates/cherrystandd/src/site/endpoint_signals.rs
+++ b/crates/cherrystandd/src/site/endpoint_signals.rs
@@ -3,7 +3,7 @@
 //! Source: docs/design/0020-rest-and-leaving.md.
 
 use cherrystand_core::{BoxId, ColdPeriodUpdate, Millis, ObservedRateLimit};
-use cherrystand_peer::LoadNews;
+use cherrystand_peer::LoadMessage;
 use cherrystand_platform::{AdvertisedLimit, AnswerHeaders, RequestedBackoff};
 use hyper::StatusCode;
 
@@ -46,7 +46,7 @@
         if facts.leaving && balancer.record_draining(&attempt.target) {
             self.signal_log.leaving(&attempt.target);
             self.cx.hint(Hint::Leaving(attempt.target.clone()));
-            self.loads.broadcast(LoadNews::Leaves(attempt.target.clone()));
+            self.loads.broadcast(LoadMessage::Leaving(attempt.target.clone()));
         }
         if facts.not_run {
             let until = match facts.requested_backoff {
--- a/crates/cherrystandd/src/site/limit_exchange.rs
+++ b/crates/cherrystandd/src/site/limit_exchange.rs
@@ -10,7 +10,7 @@
     EndpointRateLimits, Millis, RateLimitMessage, RateLimitRecipient, RateLimitStep,
     rate_limit_owner_of,
 };
-use cherrystand_peer::LoadNews;
+use cherrystand_peer::LoadMessage;
 
 use crate::site::load_exchange::Exchange;
 use crate::state::View;
@@ -70,9 +70,9 @@
             !last_view.as_ref().is_some_and(|last_view| same_members(last_view, &view));
         *last_view = Some(view.clone());
         let step = self.step(self.balancer.borrow_mut().rate_limits_mut(), members_changed, &view);
-        self.send_step(step, LoadNews::Limit, &view).await;
+        self.send_step(step, LoadMessage::RateLimit, &view).await;
         let step = self.step(&mut self.loads.lent_retries.borrow_mut(), members_changed, &view);
-        self.send_step(step, LoadNews::Repeats, &view).await;
+        self.send_step(step, LoadMessage::LentRetries, &view).await;
     }
 
     /// Performs what is due for one kind of limits: asking for permits, issuing and returning them.
@@ -93,7 +93,7 @@
     async fn send_step<K>(
         &self,
         step: RateLimitStep<K>,
-        message_of: impl Fn(K, RateLimitMessage) -> LoadNews,
+        message_of: impl Fn(K, RateLimitMessage) -> LoadMessage,
         view: &View,
     ) {
         if step.has_permits {
--- a/crates/cherrystandd/src/site/load_exchange.rs
+++ b/crates/cherrystandd/src/site/load_exchange.rs
@@ -11,7 +11,7 @@
     BoxId, EndpointLoad, EndpointRateLimits, Heartbeat, LoadBalancer, Millis, PeerLoads,
     PeerProgress, RetryBounds, ServiceName, fan_out, is_relay, relays_elsewhere,
 };
-use cherrystand_peer::{LoadNews, decode, encode};
+use cherrystand_peer::{LoadMessage, decode, encode};
 use tokio::net::UdpSocket;
 use tokio::sync::Notify;
 
@@ -57,7 +57,7 @@
     stopped_at: RefCell<BTreeMap<BoxId, Millis>>,
     progress_queries: RefCell<Vec<BoxId>>,
     /// Other messages that are to be sent to all peers at once.
-    to_broadcast: RefCell<Vec<LoadNews>>,
+    to_broadcast: RefCell<Vec<LoadMessage>>,
     /// When peers were last queried about each leader.
     asked_at: RefCell<BTreeMap<BoxId, Millis>>,
     /// When a peer last answered any progress query, whatever it said.
@@ -94,8 +94,8 @@
     }
 
     /// Sends a message to all peers at once.
-    pub(crate) fn broadcast(&self, news: LoadNews) {
-        self.to_broadcast.borrow_mut().push(news);
+    pub(crate) fn broadcast(&self, message: LoadMessage) {
+        self.to_broadcast.borrow_mut().push(message);
         self.urgent.notify_one();
     }
 
@@ -183,10 +183,10 @@
                 tokio::time::sleep(Duration::from_millis(SEND_INTERVAL.0)).await;
                 continue;
             };
-            match decode::<LoadNews>(&buf[..length]) {
-                Ok(news) => {
-                    self.count("in", &news, length);
-                    self.handle_and_forward(news, from).await;
+            match decode::<LoadMessage>(&buf[..length]) {
+                Ok(message) => {
+                    self.count("in", &message, length);
+                    self.handle_and_forward(message, from).await;
                 }
                 Err(err) => {
                     self.cx.metrics.peer_failures.inc();
@@ -197,55 +197,58 @@
     }
 
     /// Handles a message, and first forwards it if it is to be passed on.
-    async fn handle_and_forward(&self, news: LoadNews, sender: SocketAddr) {
-        let LoadNews::PassOn { from, news, to } = news else {
-            return self.handle(news, sender).await;
+    async fn handle_and_forward(&self, message: LoadMessage, sender: SocketAddr) {
+        let LoadMessage::Forward { from, message, to } = message else {
+            return self.handle(message, sender).await;
         };
-        self.forward(from, &news, &to[..to.len().min(MAX_FORWARDS)]).await;
-        self.handle(*news, from).await;
+        self.forward(from, &message, &to[..to.len().min(MAX_FORWARDS)]).await;
+        self.handle(*message, from).await;
     }
 
-    async fn handle(&self, news: LoadNews, sender: SocketAddr) {
+    async fn handle(&self, message: LoadMessage, sender: SocketAddr) {
         let now = self.cx.clock.now();
         let own_zone = &self.cx.settings.zone;
         let peer_loads = &self.loads.peer_loads;
-        match news {
-            LoadNews::InFlight { from, zone, loads, zones } => {
+        match message {
+            LoadMessage::InFlight { from, zone, loads, zones } => {
                 let mut peer_loads = peer_loads.borrow_mut();
                 peer_loads.record_node(from, zone, loads, now);
                 for zone_loads in zones {
                     peer_loads.record_zone(zone_loads, own_zone, now);
                 }
             }
-            LoadNews::Zone(loads) => peer_loads.borrow_mut().record_zone(loads, own_zone, now),
-            LoadNews::Asked(leaders) => self.answer_progress(&leaders, sender).await,
-            LoadNews::Seen(loads) => {
+            LoadMessage::Zone(loads) => peer_loads.borrow_mut().record_zone(loads, own_zone, now),
+            LoadMessage::ProgressQuery(leaders) => self.answer_progress(&leaders, sender).await,
+            LoadMessage::Progress(loads) => {
                 self.loads.last_answer_at.set(Some(now));
                 peer_loads.borrow_mut().record_progress(&loads, now);
             }
-            LoadNews::Stalled(leaders) => self.handle_stalled(leaders, now),
-            LoadNews::Left(leaders) => {
+            LoadMessage::Stalled(leaders) => self.handle_stalled(leaders, now),
+            LoadMessage::Stopped(leaders) => {
                 leaders.iter().for_each(|leader| self.loads.record_stopped(leader, now));
                 self.eject(&leaders, now);
             }
-            LoadNews::Ended(incarnation, requests) => {
+            LoadMessage::Crashed(incarnation, requests) => {
                 let served = self.crashes.peer_reported_crash(&incarnation, &requests);
                 if !served.is_empty() {
-                    self.send(&LoadNews::Served(served), &[sender]).await;
+                    self.send(&LoadMessage::Served(served), &[sender]).await;
                 }
             }
-            LoadNews::Served(requests) => self.crashes.peer_reported_served(&requests),
-            LoadNews::Leaves(id) => self.cx.hint(Hint::Leaving(id)),
-            LoadNews::Limit(id, news) => {
-                self.balancer.borrow_mut().rate_limits_mut().handle_message(sender, &id, news, now);
+            LoadMessage::Served(requests) => self.crashes.peer_reported_served(&requests),
+            LoadMessage::Leaving(id) => self.cx.hint(Hint::Leaving(id)),
+            LoadMessage::RateLimit(id, message) => {
+                self.balancer
+                    .borrow_mut()
+                    .rate_limits_mut()
+                    .handle_message(sender, &id, message, now);
                 self.loads.limits_due.notify_one();
             }
-            LoadNews::Repeats(service, news) => {
-                self.loads.lent_retries.borrow_mut().handle_message(sender, &service, news, now);
+            LoadMessage::LentRetries(service, message) => {
+                self.loads.lent_retries.borrow_mut().handle_message(sender, &service, message, now);
                 self.loads.limits_due.notify_one();
             }
             // `handle_and_forward` has forwarded it; a nested one is ignored.
-            LoadNews::PassOn { .. } => {}
+            LoadMessage::Forward { .. } => {}
         }
     }
 
@@ -267,7 +270,7 @@
     async fn answer_progress(&self, leaders: &[BoxId], asker: SocketAddr) {
         let mut seen = self.own_loads();
         seen.retain(|load| leaders.contains(&load.id));
-        self.send(&LoadNews::Seen(seen), &[asker]).await;
+        self.send(&LoadMessage::Progress(seen), &[asker]).await;
     }
 
     async fn send_loop(&self) {
@@ -309,13 +312,13 @@
         let others = alive.iter().filter(|beat| beat.node != view.own.node);
         let all: Vec<SocketAddr> = others.clone().map(|beat| beat.address).collect();
         if !stalled.is_empty() {
-            self.broadcast(LoadNews::Stalled(stalled), &all).await;
+            self.broadcast(LoadMessage::Stalled(stalled), &all).await;
         }
         if !stopped.is_empty() {
-            self.broadcast(LoadNews::Left(stopped), &all).await;
+            self.broadcast(LoadMessage::Stopped(stopped), &all).await;
         }
-        for news in to_broadcast {
-            self.broadcast(news, &all).await;
+        for message in to_broadcast {
+            self.broadcast(message, &all).await;
         }
         if !queries.is_empty() {
             // The peers of the own zone, and of other zones the relays, which know the loads of
@@ -323,7 +326,7 @@
             let near = others.filter(|beat| beat.zone == view.own.zone).map(|beat| beat.address);
             let far = relays_elsewhere(&view.own.zone, &alive);
             let all: Vec<SocketAddr> = near.chain(far.iter().map(|beat| beat.address)).collect();
-            self.send(&LoadNews::Asked(queries), &all).await;
+            self.send(&LoadMessage::ProgressQuery(queries), &all).await;
         }
     }
 
@@ -342,19 +345,19 @@
         peer_loads.borrow_mut().remove_expired(near.len().div_ceil(MAX_PEERS_PER_ROUND), now);
         if others.len() <= MAX_PEERS_PER_ROUND {
             let all: Vec<SocketAddr> = others.iter().map(|beat| beat.address).collect();
-            let news = LoadNews::InFlight { from, zone, loads, zones: Vec::new() };
-            return self.send(&news, &all).await;
+            let message = LoadMessage::InFlight { from, zone, loads, zones: Vec::new() };
+            return self.send(&message, &all).await;
         }
         let mut zones = Vec::new();
         if is_relay(&view.own, &alive) {
             let total = peer_loads.borrow().zone_total(&zone, &loads, now);
             let relays = relays_elsewhere(&zone, &alive);
             let relays: Vec<SocketAddr> = relays.iter().map(|beat| beat.address).collect();
-            self.send(&LoadNews::Zone(total), &relays).await;
+            self.send(&LoadMessage::Zone(total), &relays).await;
             zones = peer_loads.borrow().other_zone_totals(now);
         }
-        let news = LoadNews::InFlight { from, zone, loads, zones };
-        self.send(&news, &next_peers(&near, next_peer)).await;
+        let message = LoadMessage::InFlight { from, zone, loads, zones };
+        self.send(&message, &next_peers(&near, next_peer)).await;
     }
 
     /// Returns what this node itself has in flight.
@@ -371,27 +374,27 @@
     }
 
     /// Sends a message to all others, through some of them if there are many.
-    pub(super) async fn broadcast(&self, news: LoadNews, others: &[SocketAddr]) {
+    pub(super) async fn broadcast(&self, message: LoadMessage, others: &[SocketAddr]) {
         let from = self.cx.settings.listen.peers;
         for hop in fan_out(others) {
             match hop.forward_to.is_empty() {
-                true => self.send(&news, &[hop.to]).await,
+                true => self.send(&message, &[hop.to]).await,
                 false => {
-                    let (news, to) = (Box::new(news.clone()), hop.forward_to);
-                    self.send(&LoadNews::PassOn { from, news, to }, &[hop.to]).await;
+                    let (message, to) = (Box::new(message.clone()), hop.forward_to);
+                    self.send(&LoadMessage::Forward { from, message, to }, &[hop.to]).await;
                 }
             }
         }
     }
 
     /// Forwards another daemon's message in that daemon's name.
-    async fn forward(&self, from: SocketAddr, news: &LoadNews, to: &[SocketAddr]) {
-        let news = Box::new(news.clone());
-        self.send(&LoadNews::PassOn { from, news, to: Vec::new() }, to).await;
+    async fn forward(&self, from: SocketAddr, message: &LoadMessage, to: &[SocketAddr]) {
+        let message = Box::new(message.clone());
+        self.send(&LoadMessage::Forward { from, message, to: Vec::new() }, to).await;
     }
 
-    pub(super) async fn send(&self, news: &LoadNews, peers: &[SocketAddr]) {
-        let bytes = match encode(news) {
+    pub(super) async fn send(&self, message: &LoadMessage, peers: &[SocketAddr]) {
+        let bytes = match encode(message) {
             Ok(bytes) => bytes,
             Err(err) => return log::error!("failed to encode a message for peers: {err}"),
         };
@@ -401,20 +404,22 @@
                 self.cx.metrics.peer_failures.inc();
                 log::debug!("failed to send a message to {peer}: {err}");
             }
-            self.count("out", news, bytes.len());
+            self.count("out", message, bytes.len());
         }
     }
 
-    fn count(&self, direction: &str, news: &LoadNews, bytes: usize) {
-        let kind = match news {
-            LoadNews::InFlight { .. } => "loads",
-            LoadNews::Zone(_) => "zone-loads",
-            LoadNews::Asked(_) | LoadNews::Seen(_) => "progress",
-            LoadNews::Stalled(_) | LoadNews::Left(_) | LoadNews::Leaves(_) => "out-of-service",
-            LoadNews::Ended(..) | LoadNews::Served(_) => "ends-with-requests",
-            LoadNews::Limit(..) => "limits",
-            LoadNews::Repeats(..) => "repeats",
-            LoadNews::PassOn { .. } => "passed-on",
+    fn count(&self, direction: &str, message: &LoadMessage, bytes: usize) {
+        let kind = match message {
+            LoadMessage::InFlight { .. } => "loads",
+            LoadMessage::Zone(_) => "zone-loads",
+            LoadMessage::ProgressQuery(_) | LoadMessage::Progress(_) => "progress",
+            LoadMessage::Stalled(_) | LoadMessage::Stopped(_) | LoadMessage::Leaving(_) => {
+                "out-of-service"
+            }
+            LoadMessage::Crashed(..) | LoadMessage::Served(_) => "ends-with-requests",
+            LoadMessage::RateLimit(..) => "limits",
+            LoadMessage::LentRetries(..) => "repeats",
+            LoadMessage::Forward { .. } => "passed-on",
         };
         self.cx.metrics.peer_bytes.with_label_values(&[direction, kind]).inc_by(bytes as u64);
     }
--- a/crates/cherrystandd/src/site/site_state.rs
+++ b/crates/cherrystandd/src/site/site_state.rs
@@ -9,7 +9,7 @@
     DrainingIncarnations, Epoch, MemberOrder, MemberState, Millis, Revision, RouteTable, SiteBox,
     SiteConfig, SiteView, StoreOutage, SuspectRecord, Tombstones,
 };
-use cherrystand_peer::ChangeNews;
+use cherrystand_peer::ChangeUpdate;
 use cherrystand_platform::{Changes, FormatError, SiteDriver};
 
 use crate::keys;
@@ -186,11 +186,11 @@
     pub(crate) fn apply_peer_changes(
         &mut self,
         source: ChangeSource,
-        news: &ChangeNews,
+        news: &ChangeUpdate,
         batch: &ChangesSince,
         now: Millis,
     ) {
-        let steady_since = now - news.steady_for;
+        let steady_since = now - news.answering_for;
         self.store_outage.record_peer_answer(now - news.store_age, steady_since, now);
         if news.whole {
             return self.apply_snapshot(source, &batch.records, news.revision, now);
--- a/crates/cherrystandd/src/state/event.rs
+++ b/crates/cherrystandd/src/state/event.rs
@@ -1,7 +1,7 @@
 //! The messages that other duties send to the state duty.
 
 use cherrystand_core::{Document, Millis, ReplicaEvidence, Version};
-use cherrystand_peer::{Carried, Greeting, News, Question, Reply};
+use cherrystand_peer::{Greeting, News, Question, Reply, TransferredRecord};
 use cherrystand_platform::Inventory;
 use tokio::sync::oneshot;
 
@@ -24,7 +24,7 @@
     /// A peer compared its records with those of this daemon.
     PeerComparison {
         /// The peer's newer records.
-        newer: Vec<Carried>,
+        newer: Vec<TransferredRecord>,
         /// The records that the peer wants, with the versions that it holds.
         wanted: Vec<Version>,
         /// Receives the message with the records for the peer, if there are any.
--- a/crates/cherrystandd/src/state/node_state.rs
+++ b/crates/cherrystandd/src/state/node_state.rs
@@ -7,7 +7,7 @@
     Document, Documents, DomainRecord, EvidenceTable, Fleet, Freshness, Heartbeat, Membership,
     Millis, ReplicaEvidence, Revision, Version, WorkspaceRecord,
 };
-use cherrystand_peer::{Carried, Greeting, News, Question, Reply};
+use cherrystand_peer::{Greeting, News, Question, Reply, TransferredRecord};
 use cherrystand_platform::Inventory;
 use serde::de::DeserializeOwned;
 
@@ -78,7 +78,7 @@
                 let _ = next.send(question);
             }
             StateEvent::PeerComparison { newer, wanted, to_send } => {
-                self.apply_carried(newer);
+                self.apply_transferred(newer);
                 let requested =
                     wanted.iter().filter_map(|(key, _)| self.documents.get(key)).cloned();
                 let records = self.pack_records(limit_to_message(requested), &wanted);
@@ -159,7 +159,7 @@
                 wanted: self.wanted_versions(&peer_versions),
             },
             Question::Take(records) => {
-                self.apply_carried(records);
+                self.apply_transferred(records);
                 Reply::Taken
             }
         }
@@ -227,7 +227,11 @@
     }
 
     /// Packs records for a peer that holds the versions `peer_versions`.
-    fn pack_records(&self, records: Vec<Document>, peer_versions: &[Version]) -> Vec<Carried> {
+    fn pack_records(
+        &self,
+        records: Vec<Document>,
+        peer_versions: &[Version],
+    ) -> Vec<TransferredRecord> {
         let find_version = |key: &str| peer_versions.iter().find(|(held, _)| &**held == key);
         let carry = |record: Document| {
             let peer_revision =
@@ -237,8 +241,8 @@
                 _ => None,
             };
             match packed {
-                Some(body) => Carried::Packed { key: record.key, body },
-                None => Carried::Whole(record),
+                Some(body) => TransferredRecord::Packed { key: record.key, body },
+                None => TransferredRecord::Whole(record),
             }
         };
         records.into_iter().map(carry).collect()
@@ -246,11 +250,11 @@
 
     /// Applies the records that a peer sent. If a packed one cannot be unpacked, its full text is
     /// requested in the next exchange.
-    fn apply_carried(&mut self, records: Vec<Carried>) {
+    fn apply_transferred(&mut self, records: Vec<TransferredRecord>) {
         for carried in records {
             match carried {
-                Carried::Whole(record) => self.apply_record(record),
-                Carried::Packed { key, body } => {
+                TransferredRecord::Whole(record) => self.apply_record(record),
+                TransferredRecord::Packed { key, body } => {
                     let is_newer = self.documents.revision(&key) < body.revision;
                     if !is_newer {
                         continue;
