--- a/crates/cherrystand_testkit/src/soak/run.rs
+++ b/crates/cherrystand_testkit/src/soak/run.rs
@@ -121,7 +121,7 @@
     let soak = Rc::new(Soak::start(setup).await?);
     let mut violations = Vec::new();
     if !soak.wait_until_serving().await {
-        violations.push("nothing served before the first fault".to_owned());
+        violations.push("requests were not served before the first fault".to_owned());
     }
     let stop = Rc::new(Cell::new(false));
     for number in 0..setup.daemons * CALLERS_PER_DAEMON {
@@ -143,7 +143,7 @@
         injection.await.map_err(std::io::Error::other)??;
     }
     if !soak.wait_until_serving().await {
-        violations.push("service did not come back after the last fault".to_owned());
+        violations.push("requests were not served after the last fault".to_owned());
     }
     stop.set(true);
     tokio::time::sleep(SETTLE_TIME).await;
--- a/crates/cherrystand_testkit/src/soak/run_record.rs
+++ b/crates/cherrystand_testkit/src/soak/run_record.rs
@@ -187,22 +187,22 @@
         ];
         match call.outcome {
             CallOutcome::Wrong => {
-                return violation("an answer that is not this request's, or not whole");
+                return violation("the answer is incomplete or belongs to another request");
             }
             CallOutcome::Whole(status) if not_executed.contains(&status) && runs > 0 => {
-                return violation("said not to have run, and it was run");
+                return violation("reported as not executed, but it ran");
             }
             CallOutcome::Whole(StatusCode::UNAUTHORIZED | StatusCode::NOT_FOUND)
                 if call.kind != CallKind::OldKey && self.is_undisturbed(call.daemon, call.sent) =>
             {
-                return violation("refused though it is allowed");
+                return violation("refused though its key is valid");
             }
             CallOutcome::Whole(status)
                 if call.kind == CallKind::OldKey
                     && status.is_success()
                     && self.is_undisturbed(call.daemon, call.sent) =>
             {
-                return violation("served with a key that was taken away");
+                return violation("served with a revoked key");
             }
             // One that crossed the close of its connection was not passed on.
             CallOutcome::Broken
@@ -210,7 +210,7 @@
                     && self.met_only_planned_stop(call)
                     && !self.box_crashed_before(call) =>
             {
-                return violation("a planned stop cut it");
+                return violation("interrupted by a planned stop");
             }
             _ => {}
         }
@@ -266,7 +266,7 @@
                     && sender.is_some_and(|call| self.is_undisturbed(call.daemon, arrival.at))
                 {
                     late.push(format!(
-                        "{arrival:?} came though its box was gone since {:?}",
+                        "{arrival:?} reached a box that was unlisted since {:?}",
                         interval.from
                     ));
                 }
@@ -296,7 +296,7 @@
                 let some = requests.iter().take(3).chain(requests.last());
                 let some: Vec<&str> = some.copied().collect();
                 format!(
-                    "{id} was cold and got {highest} in a second, from {first:?} to {last:?} of {length:?}: {some:?}"
+                    "{id} was cold and got {highest} requests in a second, from {first:?} to {last:?} of {length:?}: {some:?}"
                 )
             };
             (highest as f64 > allowed).then(violation)
@@ -377,7 +377,7 @@
         let violations = crashes.iter().filter_map(|(body, crashes)| {
             let late = sends_after(body, *crashes.get(2)? + RECOVERY_TIME);
             let violation =
-                || format!("{body:?} was sent {late} times more, {} ends", crashes.len());
+                || format!("{body:?} was sent {late} more times after {} crashes", crashes.len());
             (late > MAX_SENDS_AFTER_DETECTION).then(violation)
         });
         violations.collect()
@@ -402,7 +402,7 @@
         let allowed = RETRY_RATIO * self.calls.len() as f64 + RETRY_SLACK * (windows + 1.0);
         let exceeded = retries as f64 > allowed;
         exceeded.then(|| {
-            format!("{retries} repeats of {} requests, allowed {allowed:.0}", self.calls.len())
+            format!("{retries} retries of {} requests, allowed {allowed:.0}", self.calls.len())
         })
     }
 }
--- a/crates/cherrystand_testkit/tests/soak_checks.rs
+++ b/crates/cherrystand_testkit/tests/soak_checks.rs
@@ -102,10 +102,10 @@
     };
     let cases = [
         case("in order", None, &|_, _| {}),
-        case("another's answer", Some("not this request's"), &|record, _| {
+        case("another's answer", Some("belongs to another request"), &|record, _| {
             record.calls[0].outcome = CallOutcome::Wrong;
         }),
-        case("said not to have run", Some("said not to have run"), &|record, _| {
+        case("said not to have run", Some("reported as not executed"), &|record, _| {
             record.calls[0].outcome = unavailable;
         }),
         case("said so, and so it was", None, &|record, _| {
@@ -129,7 +129,7 @@
             record.arrivals.iter_mut().for_each(|arrival| arrival.life = Some(2));
         }),
         case("a cold box got what the platform allows", None, &|record, _| cold(record, 8)),
-        case("sent again after three ends", Some("times more"), &|record, began| {
+        case("sent again after three ends", Some("more times after"), &|record, began| {
             crashes(record, began, 4);
         }),
         case("sent again by a daemon that was harmed", None, &|record, began| {
@@ -137,18 +137,22 @@
             record.disturbances = vec![disturbance(Some(0), false, began, 60)];
         }),
         case("sent again thrice", None, &|record, began| crashes(record, began, 3)),
-        case("a good key refused", Some("refused though"), &|record, _| {
+        case("a good key refused", Some("refused though its key is valid"), &|record, _| {
             record.calls[0].outcome = unauthorized;
         }),
         case("a good key refused by one that was cut off", None, &|record, began| {
             record.calls[0].outcome = unauthorized;
             record.disturbances.push(disturbance(Some(0), false, began, 58));
         }),
-        case("a good key refused by another one", Some("refused though"), &|record, began| {
-            record.calls[0].outcome = unauthorized;
-            record.disturbances.push(disturbance(Some(1), false, began, 58));
-        }),
-        case("an old key served", Some("a key that was taken away"), &|record, _| {
+        case(
+            "a good key refused by another one",
+            Some("refused though its key is valid"),
+            &|record, began| {
+                record.calls[0].outcome = unauthorized;
+                record.disturbances.push(disturbance(Some(1), false, began, 58));
+            },
+        ),
+        case("an old key served", Some("a revoked key"), &|record, _| {
             record.calls[0].kind = CallKind::OldKey;
         }),
         case("an old key refused", None, &|record, _| {
@@ -191,7 +195,7 @@
                 record.crashes.push(Crash { body: "crashes".to_owned(), target, at });
             },
         ),
-        case("sent to a box that is gone", Some("its box was gone"), &|record, began| {
+        case("sent to a box that is gone", Some("a box that was unlisted"), &|record, began| {
             let until = began + Duration::from_secs(90);
             record.unlisted.push(UnlistedInterval { target: "a-0".to_owned(), from: began, until });
         }),
@@ -200,7 +204,7 @@
             let until = began + Duration::from_secs(90);
             record.unlisted.push(UnlistedInterval { target: "a-0".to_owned(), from, until });
         }),
-        case("too many repeats", Some("repeats"), &|record, _| {
+        case("too many repeats", Some("retries"), &|record, _| {
             let arrival = record.arrivals[0].clone();
             record.arrivals.extend(vec![arrival; 60]);
         }),
