--- a/crates/cherrystand_testkit/src/soak/callers.rs
+++ b/crates/cherrystand_testkit/src/soak/callers.rs
@@ -1,4 +1,4 @@
-//! Callers that send requests all the time and look at every answer.
+//! Simulated callers: they send requests continuously and check every answer.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -14,36 +14,36 @@
 use crate::soak::run_record::{CallKind, CallOutcome, CallRecord};
 use crate::{CRASHES, whole_stream};
 
-/// How long a caller waits, in milliseconds.
+/// The deadline that a caller sends with each request, in milliseconds.
 const DEADLINE_MS: u64 = 5_000;
 
-/// How long a connection may take.
+/// Timeout for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// How long a caller waits for the rest of an answer beyond its deadline.
+/// Timeout for a whole exchange: the deadline, and a margin in which an answer that has started may end.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(DEADLINE_MS + 1_000);
 
-/// The pause between two requests of one caller at the most, in milliseconds.
+/// Upper bound of the random pause between two requests of one caller, in milliseconds.
 const MAX_PAUSE_MS: usize = 60;
 
-/// The pause between two tries of a request that ends boxes.
+/// Pause between two sends of the request that crashes boxes.
 const CRASH_INTERVAL: Duration = Duration::from_millis(150);
 
-/// The keys that callers bring, by version of the configuration.
+/// The API keys of callers: each version of the configuration adds one and drops the oldest.
 #[derive(Clone, Default)]
 pub(crate) struct ApiKeys {
-    /// When each version was written, the first one first.
+    /// When each version was written, oldest first.
     written_at: Rc<RefCell<Vec<Instant>>>,
 }
 
-/// How many versions a key lives through.
+/// Number of consecutive versions of the configuration that accept a key.
 pub(crate) const KEY_VERSIONS: usize = 4;
 
-/// After this time a version is in force at daemons in touch.
+/// Time after which a written version is in force at every daemon that no fault affects.
 const CONFIG_APPLY_TIME: Duration = Duration::from_millis(3_000);
 
 impl ApiKeys {
-    /// Returns the keys that the next version allows, and notes that it is written.
+    /// Returns the number of the next version and the keys that it accepts, and records that it is written now.
     pub(crate) fn next_version(&self) -> (u64, Vec<String>) {
         let mut written = self.written_at.borrow_mut();
         written.push(Instant::now());
@@ -52,7 +52,7 @@
         (newest as u64, keys.collect())
     }
 
-    /// Returns a key that every version in force allows.
+    /// Returns a key that is accepted whichever of the recent versions a daemon has in force.
     fn valid_key(&self) -> String {
         let written = self.written_at.borrow();
         let versions_in_force =
@@ -60,7 +60,7 @@
         key_for(versions_in_force.max(1))
     }
 
-    /// Returns a key that no version in force allows any more, where there is one.
+    /// Returns a key that is no longer accepted by any version in force, if there is one yet.
     fn revoked_key(&self) -> Option<String> {
         let written = self.written_at.borrow();
         let versions_in_force =
@@ -74,7 +74,7 @@
     format!("k{version}")
 }
 
-/// What all callers of a run share.
+/// State that all callers of a run share.
 #[derive(Clone)]
 pub(crate) struct Callers {
     pub(crate) keys: ApiKeys,
@@ -88,7 +88,7 @@
         Self { keys, records: Rc::default(), next_id: Rc::default(), pool: HttpPool::default() }
     }
 
-    /// Sends one request after the other to a daemon until `stop`.
+    /// Sends random requests to one daemon, one at a time, until `stop` is set.
     pub(crate) async fn run(
         self,
         daemon: usize,
@@ -109,7 +109,7 @@
         }
     }
 
-    /// Sends a request that ends boxes to one daemon after the other until `stop`.
+    /// Sends a request that crashes boxes to each daemon in turn until `stop` is set.
     pub(crate) async fn run_crashing_requests(
         self,
         daemons: Vec<SocketAddr>,
@@ -124,7 +124,9 @@
         }
     }
 
-    /// Sends one request, and notes and returns how it was answered.
+    /// Sends one request, records its outcome and returns it.
+    ///
+    /// Returns nothing if a revoked key is asked for and there is none yet.
     pub(crate) async fn send(
         &self,
         daemon: usize,
@@ -185,7 +187,8 @@
     }
 }
 
-/// Returns the body of a request; those that end boxes are the same each time.
+/// Returns the body of a request. Requests that crash boxes all have the same body, so that they count as one
+/// request that is sent again and again.
 fn request_body(kind: CallKind) -> String {
     match kind {
         CallKind::Crash => format!("{CRASHES}1"),
@@ -193,7 +196,7 @@
     }
 }
 
-/// Returns the body that an endpoint sends for a request.
+/// Returns the body that an endpoint sends in answer to a request.
 fn expected_body(id: &str, kind: CallKind) -> String {
     match kind {
         CallKind::Stream | CallKind::Crash => whole_stream(id),
--- a/crates/cherrystand_testkit/src/soak/daemon.rs
+++ b/crates/cherrystand_testkit/src/soak/daemon.rs
@@ -1,4 +1,4 @@
-//! The daemons of a soak: real processes, started, paused, stopped and killed by their ids.
+//! A daemon under test: a real process that is started, paused, stopped and killed by its process id.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -7,10 +7,10 @@
 use crate::soak::run_record::RETRY_SLACK;
 use crate::{NodeSettings, free_addresses, spawn};
 
-/// How many addresses one daemon listens at.
+/// Number of addresses that one daemon listens on.
 const ADDRESSES_PER_DAEMON: usize = 5;
 
-/// One daemon, which ends with this value.
+/// One daemon; its process is killed when this value is dropped.
 pub(crate) struct Daemon {
     settings: NodeSettings,
     dir: PathBuf,
@@ -20,7 +20,7 @@
 }
 
 impl Daemon {
-    /// Chooses addresses for a daemon before a store; it is not started yet.
+    /// Chooses free addresses for a daemon that uses a store, without starting it.
     pub(crate) fn new(
         number: usize,
         program: &Path,
@@ -45,22 +45,22 @@
         Ok(Self { settings, dir, program, child: None, incarnation: 0 })
     }
 
-    /// Returns where callers reach it.
+    /// Returns the address on which it accepts requests of callers.
     pub(crate) fn caller_address(&self) -> SocketAddr {
         self.settings.callers
     }
 
-    /// Returns where peers reach it.
+    /// Returns the address on which it accepts messages of peers.
     pub(crate) fn peer_address(&self) -> SocketAddr {
         self.settings.peers
     }
 
-    /// Says which peers it gets in touch with first.
+    /// Sets the peers that it contacts first.
     pub(crate) fn set_seeds(&mut self, seeds: Vec<SocketAddr>) {
         self.settings.seeds = seeds;
     }
 
-    /// Starts the process, with a log of its own for each life.
+    /// Starts the process, with a separate log file for each incarnation.
     pub(crate) fn start(&mut self) -> std::io::Result<()> {
         self.incarnation += 1;
         self.settings.first_start = self.incarnation == 1;
@@ -74,30 +74,30 @@
         Ok(())
     }
 
-    /// Returns the number of its life: how often it was started.
+    /// Returns the number of its current incarnation: how often it was started.
     pub(crate) fn incarnation(&self) -> u32 {
         self.incarnation
     }
 
-    /// Sends the process a signal, where it runs.
+    /// Sends the process a signal if it was started.
     pub(crate) fn signal(&self, name: &str) {
         if let Some(child) = &self.child {
             let id = child.id().to_string();
-            // One that has just ended by itself is told so by `has_ended`.
+            // This fails if the process has just exited by itself, which `has_ended` reports.
             let _ = Command::new("kill").args([&format!("-{name}"), &id]).status();
         }
     }
 
-    /// Kills the process and waits until it is gone.
+    /// Kills the process and waits until it has exited.
     pub(crate) fn kill(&mut self) {
         if let Some(mut child) = self.child.take() {
-            // It may have ended by itself.
+            // This fails if the process has already exited by itself.
             let _ = child.kill();
             let _ = child.wait();
         }
     }
 
-    /// Tells whether the process has ended.
+    /// Tells whether the process has exited or was never started.
     pub(crate) fn has_ended(&mut self) -> bool {
         match self.child.as_mut().map(Child::try_wait) {
             Some(Ok(None)) => false,
--- a/crates/cherrystand_testkit/src/soak/link.rs
+++ b/crates/cherrystand_testkit/src/soak/link.rs
@@ -1,4 +1,4 @@
-//! A loopback proxy between two programs, whose link can be harmed.
+//! A loopback TCP proxy that can delay, drop and break the traffic between two programs.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -10,44 +10,44 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::JoinHandle;
 
-/// How often bytes that are held up look whether they may go on.
+/// How often a blocked connection checks whether it may forward bytes again.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// How many bytes are passed on at a time.
+/// Maximum number of bytes forwarded at a time.
 const CHUNK_BYTES: usize = 16 << 10;
 
-/// What a link does with bytes.
+/// How a link treats traffic.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LinkMode {
-    /// It passes them on.
+    /// Forwards it.
     #[default]
     Open,
-    /// It passes each chunk on this much later.
+    /// Delays each chunk by this much.
     Slow(Duration),
-    /// What callers send does not arrive.
+    /// Withholds what clients send; connections stay open.
     SilentThere,
-    /// What is answered does not arrive.
+    /// Withholds what the server answers; connections stay open.
     SilentBack,
 }
 
-/// What holds for all connections of a link.
+/// State that all connections of a link share.
 #[derive(Debug, Default)]
 struct LinkState {
     mode: Cell<LinkMode>,
-    /// How many connections there have been.
+    /// Number of connections accepted so far; each is numbered from one.
     opened: Cell<u64>,
-    /// The first connections, up to this one, carry nothing any more.
+    /// Connections with a number up to this one forward nothing any more.
     silenced: Cell<u64>,
 }
 
 impl LinkState {
-    /// Tells whether a connection carries nothing one way for now.
+    /// Tells whether a connection currently forwards nothing in a direction.
     fn is_silent(&self, number: u64, direction: LinkMode) -> bool {
         number <= self.silenced.get() || self.mode.get() == direction
     }
 }
 
-/// A link: a listener, what is behind it, and the connections that it carries.
+/// A proxy: a listener, and the connections that it forwards to a target address.
 #[derive(Clone)]
 pub struct Link {
     address: SocketAddr,
@@ -56,11 +56,11 @@
 }
 
 impl Link {
-    /// Opens a link to an address.
+    /// Starts listening on a loopback address and forwards connections to `target`.
     ///
     /// # Errors
     ///
-    /// Returns an error where no address can be listened at.
+    /// Returns an error if no loopback address can be listened on.
     pub async fn open(target: SocketAddr) -> std::io::Result<Self> {
         let listener = TcpListener::bind(("127.0.0.1", 0)).await?;
         let link =
@@ -69,22 +69,22 @@
         Ok(link)
     }
 
-    /// Returns where callers reach it.
+    /// Returns the address that it listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Says what it does from now on.
+    /// Sets how it treats traffic of all connections from now on.
     pub fn set(&self, mode: LinkMode) {
         self.state.mode.set(mode);
     }
 
-    /// Has all connections that it carries now say nothing for good, without an end; new ones work.
+    /// Stops forwarding on all connections accepted so far without closing them; later ones work.
     pub fn silence_open_connections(&self) {
         self.state.silenced.set(self.state.opened.get());
     }
 
-    /// Breaks all its connections.
+    /// Closes all open connections abruptly.
     pub fn reset_connections(&self) {
         self.conns.borrow_mut().drain(..).for_each(|conn| conn.abort());
     }
@@ -113,7 +113,7 @@
     tokio::join!(requests, answers);
 }
 
-/// Passes bytes on one way until either side ends.
+/// Forwards bytes in one direction until either side closes.
 async fn forward(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
@@ -131,7 +131,7 @@
             tokio::time::sleep(delay).await;
         }
         if read == 0 || to.write_all(&buf[..read]).await.is_err() {
-            // The other side learns of the end by its own read.
+            // Shutdown fails if the receiver is gone; the other direction sees that in its own read.
             let _ = to.shutdown().await;
             return;
         }
--- a/crates/cherrystand_testkit/src/soak/run.rs
+++ b/crates/cherrystand_testkit/src/soak/run.rs
@@ -1,4 +1,4 @@
-//! One run of a soak: everything is started, faults strike, and what was seen is judged.
+//! One run of a soak: starts daemons, boxes and callers, injects faults, and checks what callers and boxes saw.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -19,81 +19,83 @@
 use crate::soak::schedule::{Fault, FaultKind, Targets};
 use crate::{BoxMood, BoxWishes, ColdTold, Door, SiteStandIn, site_config};
 
-/// Boxes that replicas of two are formed of.
+/// Number of boxes that replicas of two boxes are formed from.
 const MODEL_BOXES: usize = 9;
 
-/// Plain endpoints.
+/// Number of plain endpoints.
 const PLAIN_ENDPOINTS: usize = 3;
 
-/// Callers at each daemon.
+/// Number of callers that send to each daemon.
 const CALLERS_PER_DAEMON: usize = 3;
 
-/// How long everything may take to serve, at first and after the last fault.
+/// Time within which all daemons must serve requests, after the start and after the last fault.
 const SERVING_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// How long what was sent last may take to end.
+/// Time in which the last requests may finish after callers have stopped.
 const SETTLE_TIME: Duration = Duration::from_millis(6_500);
 
 /// How long requests of a is_planned stop may take until its process is gone.
 const STOP_TIMEOUT: Duration = Duration::from_secs(9);
 
-/// How long a request may be held, in milliseconds.
+/// Request timeout in the configuration, in milliseconds.
 const REQUEST_TIMEOUT_MS: u64 = 5_000;
 
-/// The availability zone that operators empty.
+/// The availability zone that operators evacuate.
 const EVACUATED_ZONE: &str = "z2";
 
-/// The requests a second that a cold box bears: far fewer than the two to five that it gets here.
+/// Requests per second that a cold box can take, far fewer than the two to five that a box gets here.
 const COLD_PER_S: f64 = 0.2;
 
-/// Within this time all daemons know that a box turned cold, also where one reader of its entry is lost.
+/// Time within which all daemons know that a box turned cold, even if a reader of its entry fails.
 ///
-/// Shown by seed 506: the store's link of one daemon was silent and another one killed as the box turned cold; what
-/// came to it came within 0.69 s, until the third had read the entry.
+/// In seed 506 one daemon's link to the store was blocked and another daemon killed when a box turned cold. The box got
+/// its usual load for another 0.69 s, until the third daemon had read the entry.
 const COLD_PROPAGATION_TIME: Duration = Duration::from_secs(1);
 
-/// How long boxes are cold as their zone is taken back.
+/// How long boxes are cold after their zone takes traffic again.
 const COLD_DURATION: Duration = Duration::from_secs(2);
 
-/// How long the store is away in a drill, and how long after it operators and boxes have written theirs again.
+/// How long the store is unreachable while it is restored from a backup.
 const RESTORE_OUTAGE: Duration = Duration::from_millis(300);
+
+/// Time after a restore until operators and boxes write their keys again.
 const REWRITE_DELAY: Duration = Duration::from_millis(700);
 
-/// For how long faults strike where nothing else is said.
+/// Default time in which faults are injected.
 pub const DEFAULT_SPAN: Millis = Millis(12_000);
 
-/// What is played.
+/// The setup of a run.
 #[derive(Clone, Debug)]
 pub struct SoakSetup {
-    /// The daemon's program.
+    /// Path of the daemon's executable.
     pub program: PathBuf,
-    /// Where settings and logs go.
+    /// Directory for settings and logs.
     pub dir: PathBuf,
-    /// The seed of the callers.
+    /// Seed of the callers' requests.
     pub seed: u64,
-    /// How many daemons there are.
+    /// Number of daemons.
     pub daemons: usize,
-    /// Whether boxes tell when they started.
+    /// Whether boxes report when they started.
     pub report_starts: bool,
-    /// Whether a request comes all the while that ends each box that runs it.
+    /// Whether a request that crashes each box that runs it is sent throughout the run.
     pub crashes: bool,
-    /// Whether boxes lie in two availability zones, and bear little while they are cold.
+    /// Whether boxes are spread over two availability zones and can take few requests while they are cold.
     pub zones: bool,
 }
 
 impl SoakSetup {
-    /// Returns what there is to strike.
+    /// Returns how many targets there are for faults.
     pub fn targets(&self) -> Targets {
         Targets { daemons: self.daemons, boxes: MODEL_BOXES + PLAIN_ENDPOINTS }
     }
 }
 
-/// What came of a run.
+/// The result of a run.
 #[derive(Clone, Debug)]
 pub struct SoakOutcome {
-    /// How many requests ended how, by what they asked for.
+    /// Number of requests by kind and outcome.
     pub outcome_counts: BTreeMap<String, usize>,
-    /// The promises that were broken, in words.
+    /// Descriptions of the violated guarantees.
     pub violations: Vec<String>,
 }
 
@@ -106,17 +108,17 @@
     disturbances: RefCell<Vec<Disturbance>>,
     unlisted: RefCell<Vec<UnlistedInterval>>,
     cold_intervals: RefCell<Vec<ColdInterval>>,
-    /// The last configuration that operators wrote.
+    /// The configuration that operators wrote last.
     config: RefCell<Value>,
-    /// What cold boxes bear, where they bear less.
+    /// Requests per second that cold boxes can take, if that is limited.
     cold_per_s: Option<f64>,
 }
 
-/// Plays faults and judges what was seen.
+/// Injects faults and checks what callers and boxes saw.
 ///
 /// # Errors
 ///
-/// Returns an error where a process or a listener cannot be started.
+/// Returns an error if a process or a listener cannot be started.
 pub async fn run_soak(setup: &SoakSetup, faults: &[Fault]) -> std::io::Result<SoakOutcome> {
     let soak = Rc::new(Soak::start(setup).await?);
     let mut violations = Vec::new();
@@ -126,9 +128,9 @@
     let stop = Rc::new(Cell::new(false));
     for number in 0..setup.daemons * CALLERS_PER_DAEMON {
         let daemon = number % setup.daemons;
-        let at = soak.daemons.borrow()[daemon].caller_address();
+        let address = soak.daemons.borrow()[daemon].caller_address();
         let seed = setup.seed ^ (number as u64 + 1);
-        tokio::task::spawn_local(soak.callers.clone().run(daemon, at, seed, stop.clone()));
+        tokio::task::spawn_local(soak.callers.clone().run(daemon, address, seed, stop.clone()));
     }
     if setup.crashes {
         let all = soak.daemons.borrow().iter().map(Daemon::caller_address).collect();
@@ -198,7 +200,7 @@
         Ok(soak)
     }
 
-    /// Has the store come back from a copy of a while before; operators and boxes write theirs again soon after.
+    /// Restores the store from a backup of the given age. Operators and boxes write their keys again soon after.
     async fn restore_store(&self, backup_age: Duration) {
         self.site.store.keep_copy();
         tokio::time::sleep(backup_age).await;
@@ -232,7 +234,7 @@
         self.config.replace(config);
     }
 
-    /// Waits until every daemon answers every kind of call.
+    /// Waits until every daemon serves every kind of call; returns false on timeout.
     async fn wait_until_serving(&self) -> bool {
         let until = Instant::now() + SERVING_TIMEOUT;
         let addresses: Vec<_> = self.daemons.borrow().iter().map(Daemon::caller_address).collect();
@@ -337,7 +339,7 @@
         Ok(())
     }
 
-    /// Notes that something is harmed from now on, and returns the note's place.
+    /// Records the start of a disturbance and returns its index, or nothing if the fault excuses no violation.
     fn begin_disturbance(&self, kind: FaultKind) -> Option<usize> {
         let (daemon, is_planned) = match kind {
             FaultKind::Configured { .. }
@@ -357,7 +359,7 @@
             _ => (None, false),
         };
         let from = Instant::now();
-        // Until it ends, it has no end.
+        // Far in the future until the fault ends and sets the real time.
         let until = from + Duration::from_secs(3_600);
         let mut disturbances = self.disturbances.borrow_mut();
         let is_store = matches!(
@@ -404,7 +406,7 @@
         self.unlisted.borrow_mut().push(UnlistedInterval { target: id.to_owned(), from, until });
     }
 
-    /// Has a zone emptied for a while; its boxes are cold as it is taken back.
+    /// Evacuates a zone for a while; its boxes are cold when it takes traffic again.
     async fn evacuate(&self, duration: Duration) {
         self.site.evacuate(EVACUATED_ZONE, b"{}");
         let from = Instant::now();
@@ -437,14 +439,14 @@
         numbers.iter().try_for_each(|number| self.restart_if_ended(*number))
     }
 
-    /// Starts a daemon that has ended; another fault may have started it meanwhile.
+    /// Starts a daemon again unless another fault has already done so.
     fn restart_if_ended(&self, number: usize) -> std::io::Result<()> {
         let daemon = &mut self.daemons.borrow_mut()[number];
         if daemon.has_ended() { daemon.start() } else { Ok(()) }
     }
 
     async fn stop(&self, number: usize) -> std::io::Result<()> {
-        // Another fault may start it again before this one looks: its life tells them apart.
+        // Another fault may restart the daemon between two checks: a new incarnation means that the stop is complete.
         let incarnation = self.daemons.borrow()[number].incarnation();
         self.daemons.borrow()[number].signal("TERM");
         let until = Instant::now() + STOP_TIMEOUT;
@@ -484,11 +486,11 @@
     link.set(LinkMode::Open);
 }
 
-/// Returns where the daemon's program lies: beside this one.
+/// Returns the path of the daemon's executable, which is in the directory of this one.
 ///
 /// # Errors
 ///
-/// Returns an error where this program's own place is not known or the daemon is not there.
+/// Returns an error if the path of this executable is unknown or the daemon is not there.
 pub fn daemon_program() -> std::io::Result<PathBuf> {
     let own = std::env::current_exe()?;
     let program = own.with_file_name("cherrystandd");
@@ -498,7 +500,7 @@
     Ok(program)
 }
 
-/// Makes the usual configuration with some routes more.
+/// Builds the usual configuration with extra routes.
 fn config(version: u64, keys: &[String], extra_routes: usize) -> Value {
     let mut config = site_config(version, "/calls/", keys, REQUEST_TIMEOUT_MS);
     let added = (0..extra_routes).map(|number| {
--- a/crates/cherrystand_testkit/src/soak/schedule.rs
+++ b/crates/cherrystand_testkit/src/soak/schedule.rs
@@ -1,4 +1,4 @@
-//! Which faults strike when, drawn from a seed.
+//! Fault schedules, drawn from a seed.
 
 use std::fmt;
 use std::time::Duration;
@@ -8,73 +8,76 @@
 use crate::soak::link::LinkMode;
 use crate::{BoxMood, BoxWishes, Door, LimitIn, Sheds};
 
-/// What strikes.
+/// A kind of fault, with its target.
+///
+/// Schedules print the variants by name.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum FaultKind {
-    /// A box behaves in another way.
+    /// A box serves requests in a faulty way.
     Box(usize, BoxMood),
-    /// The link to a box is harmed.
+    /// The link to a box is slow or blocked in one direction.
     BoxLink(usize, LinkMode),
-    /// All connections to a box break.
+    /// All connections to a box are closed abruptly.
     BoxCut(usize),
-    /// A box's entry is out while the box works on.
+    /// The entry of a box is missing from the store while the box keeps working.
     Unlisted(usize),
-    /// A box starts again under its id, empty; a late join may take it back to its replica.
+    /// A box restarts under its id without state. If the flag is set, the last join order that it had taken
+    /// is carried out late, in the new incarnation, so that it returns to its replica.
     Restarted(usize, bool),
-    /// A box asks daemons for something in its answers; one that leaves starts again in the end.
+    /// A box sends signals to daemons in its answers, such as backoff; one that says it leaves restarts at the end.
     Wishes(usize, BoxWishes),
-    /// All boxes name how many requests a second they take.
+    /// All boxes advertise a limit of requests per second.
     Limited(&'static str, LimitIn),
-    /// Operators empty the second availability zone; its boxes are cold as it is taken back.
+    /// Operators evacuate the second availability zone; its boxes are cold when it takes traffic again.
     Evacuated,
-    /// A box is cold, and says so.
+    /// A box is cold, and its entry says so.
     Cold(usize),
-    /// Another writer puts something where a box tells of itself, until the box does so again.
+    /// Another writer overwrites the entry of a box, until the box writes it again.
     Overwritten(usize, CorruptEntry),
-    /// The store turns one daemon away.
+    /// The store refuses or ignores the requests of one daemon.
     Door(usize, Door),
-    /// The link of one daemon to the store is harmed.
+    /// The link of one daemon to the store is slow or blocked in one direction.
     StoreLink(usize, LinkMode),
-    /// The store is out for all.
+    /// The store refuses or ignores the requests of all daemons.
     StoreOut(Door),
-    /// The store forgets its history.
+    /// The store loses its change history.
     StoreForgets,
-    /// The store comes back from a copy as old as the fault lasts.
+    /// The store is restored from a backup as old as the fault is long.
     Drill,
-    /// The store does some writes without an answer.
+    /// The store applies this many writes without answering them.
     StoreLosesAnswers(u32),
-    /// A daemon stands still.
+    /// The process of a daemon is suspended.
     Paused(usize),
-    /// A daemon is killed, and started again.
+    /// A daemon is killed and started again.
     Killed(usize),
-    /// All daemons are killed, and started again.
+    /// All daemons are killed and started again.
     AllKilled,
-    /// A daemon is stopped as planned, and started again.
+    /// A daemon is asked to shut down, and started again.
     Stopped(usize),
-    /// A new configuration; with more routes where that is so.
+    /// Operators write a new configuration.
     Configured {
-        /// How many routes are added to the usual ones.
+        /// Number of routes besides the usual ones.
         more: usize,
     },
 }
 
-/// What another writer puts where a box tells of itself.
+/// An unreadable value that another writer puts in the entry of a box.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CorruptEntry {
-    /// Bytes that are no text.
+    /// Bytes that are not UTF-8.
     NoText,
-    /// Text that is no JSON.
+    /// Text that is not JSON.
     NoJson,
-    /// JSON of another shape.
+    /// JSON with other types and values than an entry has.
     OtherShape,
-    /// Very deep JSON.
+    /// JSON nested too deeply for a parser.
     Nested,
 }
 
 impl CorruptEntry {
     const ALL: [Self; 4] = [Self::NoText, Self::NoJson, Self::OtherShape, Self::Nested];
 
-    /// Returns the bytes.
+    /// Returns the value as it is stored.
     pub fn bytes(self) -> Vec<u8> {
         match self {
             Self::NoText => vec![0xff, 0xfe, 0x00],
@@ -85,16 +88,16 @@
     }
 }
 
-/// One fault.
+/// One fault of a schedule.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Fault {
-    /// Its number, by which it can be played alone.
+    /// Its number, by which it can be selected to run alone.
     pub number: usize,
-    /// When it begins.
+    /// When it begins, from the start of the run.
     pub at: Millis,
     /// How long it lasts.
     pub duration: Millis,
-    /// What it is.
+    /// What fails.
     pub kind: FaultKind,
 }
 
@@ -105,23 +108,22 @@
     }
 }
 
-/// What there is to strike.
+/// How many targets there are for faults.
 #[derive(Clone, Copy, Debug)]
 pub struct Targets {
-    /// Daemons.
+    /// Number of daemons.
     pub daemons: usize,
-    /// Boxes, plain endpoints among them.
+    /// Number of boxes, including plain endpoints.
     pub boxes: usize,
 }
 
-/// The least time between two configurations, so that a key lives through several.
+/// Minimum time between two configurations, in milliseconds, so that a key stays valid long enough to be used.
 const MIN_CONFIG_INTERVAL_MS: u64 = 1_100;
 
-/// How many routes a configuration grows by at the most.
+/// Upper bound of the routes that are added to a configuration.
 const MAX_EXTRA_ROUTES: usize = 1_400;
 
-/// Draws the faults of one run; a later fault may begin while earlier ones last, and some come in
-/// quick series.
+/// Draws the usual faults of one run. Faults may overlap, and some follow each other closely.
 pub fn draw_schedule(seed: u64, targets: Targets, span: Millis) -> Vec<Fault> {
     let mut rng = SeededRng::new(seed);
     let mut faults: Vec<Fault> = Vec::new();
@@ -135,23 +137,23 @@
             let duration = Millis(200 + rng.below(2_500) as u64);
             faults.push(Fault { number: faults.len(), at: Millis(at), duration, kind });
         }
-        // Two in three follow in a moment, the others after a pause.
+        // Two in three faults follow within 350 ms, the others within about two seconds.
         let pause = if rng.below(3) > 0 { 300 } else { 2_000 };
         at += 50 + rng.below(pause) as u64;
     }
     faults
 }
 
-/// What is drawn for one moment.
+/// One drawn fault, and the time until the next.
 struct DrawnFault {
     kind: FaultKind,
     duration_ms: u64,
-    /// The time until the next, in milliseconds.
+    /// Time from the start of this fault to the start of the next, in milliseconds.
     pause_ms: u64,
 }
 
-/// Draws faults besides the usual ones, by draws of their own, so that the schedules of earlier seeds stay
-/// as they are; the first comes `at` so many milliseconds.
+/// Draws faults besides the usual ones, from a generator of their own: adding them leaves the usual schedule of a
+/// seed unchanged. The first begins `at` milliseconds after the start of the run.
 fn draw_extra(
     mut rng: SeededRng,
     mut at: u64,
@@ -169,9 +171,9 @@
     faults
 }
 
-/// Draws restarts of boxes and values of other writers.
+/// Draws restarts of boxes and entries that other writers overwrite.
 pub fn draw_restarts(seed: u64, targets: Targets, span: Millis, first_number: usize) -> Vec<Fault> {
-    /// Tells the draws apart from those of the other faults.
+    /// Gives these faults a random sequence of their own.
     const SEED_MASK: u64 = 0x11fe;
     draw_extra(SeededRng::new(seed ^ SEED_MASK), 700, span, first_number, |rng| {
         let a_box = rng.below(targets.boxes);
@@ -188,16 +190,16 @@
     })
 }
 
-/// Draws wishes of boxes.
+/// Draws signals that boxes send in their answers: backoff, and that they leave.
 pub fn draw_box_signals(
     seed: u64,
     targets: Targets,
     span: Millis,
     first_number: usize,
 ) -> Vec<Fault> {
-    /// Tells the draws apart from those of the other faults.
+    /// Gives these faults a random sequence of their own.
     const SEED_MASK: u64 = 0x3e57;
-    /// What boxes ask for; more than a fault lasts, less, next to nothing, and what is no time.
+    /// The `retry-after` values that boxes send: shorter and longer than a fault, almost zero, and not a number.
     const RETRY_AFTER_VALUES: [&str; 5] = ["1", "2.5", "0.05", "soon", "3"];
     draw_extra(SeededRng::new(seed ^ SEED_MASK), 600, span, first_number, |rng| {
         let a_box = rng.below(targets.boxes);
@@ -215,26 +217,26 @@
     })
 }
 
-/// Draws drills, of which two may follow each other within a second.
+/// Draws restores of the store from a backup; two may follow each other within a second.
 pub fn draw_store_restores(seed: u64, span: Millis, first_number: usize) -> Vec<Fault> {
-    /// Tells the draws apart from those of the other faults.
+    /// Gives these faults a random sequence of their own.
     const SEED_MASK: u64 = 0xd411;
     draw_extra(SeededRng::new(seed ^ SEED_MASK), 900, span, first_number, |rng| {
         let duration_ms = 500 + rng.below(2_500) as u64;
         let pause = if rng.below(3) == 0 { 900 } else { 2_500 };
-        // One copy at a time.
+        // The store keeps a single backup, so restores don't overlap.
         DrawnFault { kind: FaultKind::Drill, duration_ms, pause_ms: duration_ms + pause }
     })
 }
 
-/// Draws zones that are emptied and boxes that turn cold.
+/// Draws evacuations of a zone and boxes that turn cold.
 pub fn draw_zone_faults(
     seed: u64,
     targets: Targets,
     span: Millis,
     first_number: usize,
 ) -> Vec<Fault> {
-    /// Tells the draws apart from those of the other faults.
+    /// Gives these faults a random sequence of their own.
     const SEED_MASK: u64 = 0x20e5;
     let first = Fault {
         number: first_number,
@@ -248,27 +250,28 @@
                 0 => (FaultKind::Evacuated, 1_000 + rng.below(4_000)),
                 _ => (FaultKind::Cold(rng.below(targets.boxes)), 1_500 + rng.below(2_000)),
             };
-            // One emptying at a time, as there is one key.
+            // There is one key for the zone, so evacuations don't overlap.
             let pause = if kind == FaultKind::Evacuated { duration_ms + 1_500 } else { 700 };
             DrawnFault { kind, duration_ms: duration_ms as u64, pause_ms: pause as u64 }
         });
     std::iter::once(first).chain(later).collect()
 }
 
-/// Draws a limit that all boxes name for seconds, as that long it takes until it is counted, and odd ones of some
-/// beside it.
+/// Draws a rate limit that all boxes advertise, and ineffective ones of single boxes besides.
+///
+/// The common one lasts several seconds, since the check counts only some seconds after a limit was first advertised.
 pub fn draw_rate_limits(
     seed: u64,
     targets: Targets,
     span: Millis,
     first_number: usize,
 ) -> Vec<Fault> {
-    /// Tells the draws apart from those of the other faults.
+    /// Gives these faults a random sequence of their own.
     const SEED_MASK: u64 = 0x11a7;
-    /// What all boxes name: each is far below the two to five requests a second that a box gets here, or nothing would
-    /// show whether it is followed.
+    /// Limits that all boxes advertise. Each is far below the two to five requests per second that a box gets here;
+    /// a higher one would hold even if daemons ignored it.
     const LIMITS: [&str; 4] = ["0.4", "0.2", "0.1", "0"];
-    /// What some name: no number, and what nobody reaches.
+    /// Limits that single boxes advertise: one is not a number, the other is never reached.
     const INEFFECTIVE_LIMITS: [&str; 2] = ["few", "1e9"];
     let mut rng = SeededRng::new(seed ^ SEED_MASK);
     let limit_in = if rng.below(3) == 0 { LimitIn::Served } else { LimitIn::All };
