--- a/crates/cherrystand_testkit/src/soak/run_record.rs
+++ b/crates/cherrystand_testkit/src/soak/run_record.rs
@@ -1,4 +1,4 @@
-//! What callers and boxes saw, and which promises that breaks.
+//! A record of what callers and boxes saw in a run, and the checks of guarantees on it.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
@@ -8,153 +8,155 @@
 use crate::site::site_setup::{RETRY_RATIO, RETRY_WINDOW_S};
 use crate::{Arrival, Crash, LimitBound, Told, broken_limits, broken_wishes};
 
-/// What a caller may ask for.
+/// A kind of request that callers send.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallKind {
-    /// A call that must not be repeated.
+    /// A request that must not run twice.
     Once,
-    /// A call that may be.
+    /// A request that may run twice.
     Repeatable,
-    /// A stream that may be taken up elsewhere.
+    /// A stream that may be resumed at another endpoint.
     Stream,
-    /// A call with a key that was taken away.
+    /// A request with a revoked key.
     OldKey,
-    /// A stream that ends each box that runs it; it comes again and again.
+    /// A stream that crashes each box that runs it and is sent again and again.
     Crash,
 }
 
-/// How an answer ended.
+/// The outcome of a request, as its caller sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallOutcome {
-    /// Whole, with a status.
+    /// A complete answer with a status.
     Whole(StatusCode),
-    /// A success whose body is not what its endpoint sent for this request.
+    /// A success whose body is not the one that the endpoint sent for this request.
     Wrong,
-    /// It broke off, or none came.
+    /// The answer was interrupted, or none came.
     Broken,
-    /// No connection came about.
+    /// No connection could be opened.
     NotSent,
 }
 
-/// One request of a caller.
+/// A request of a caller and its outcome.
 #[derive(Clone, Debug)]
 pub struct CallRecord {
-    /// Its id.
+    /// The id of the request.
     pub id: String,
     /// The daemon that it was sent to.
     pub daemon: usize,
-    /// What it asked for.
+    /// Which kind of request it is.
     pub kind: CallKind,
     /// When it was sent.
     pub sent: Instant,
     /// When its answer ended.
     pub ended: Instant,
-    /// How it ended.
+    /// Its outcome.
     pub outcome: CallOutcome,
 }
 
-/// A time during which something was harmed or stopped.
+/// A time in which a fault affected daemons, boxes or the store.
 #[derive(Clone, Debug)]
 pub struct Disturbance {
-    /// The daemon, or all of them where there is none.
+    /// The affected daemon; none if all are affected.
     pub daemon: Option<usize>,
-    /// Whether it is a planned stop.
+    /// Whether it is a planned stop of a daemon.
     pub is_planned: bool,
-    /// Whether it is the store that is harmed, for all.
+    /// Whether it is a fault of the store that affects all daemons.
     pub is_store: bool,
-    /// Whether processes end or stand still by it.
+    /// Whether processes exit or are suspended.
     pub ends_processes: bool,
-    /// Whether answers of boxes may be lost on their way by it.
+    /// Whether answers of boxes may be lost on their way.
     pub affects_answers: bool,
-    /// The box whose connections are harmed, where it is one.
+    /// The box whose connections are affected, if it is a single one.
     pub target: Option<String>,
-    /// From when on.
+    /// When it began.
     pub from: Instant,
     /// Until when.
     pub until: Instant,
 }
 
 impl Disturbance {
-    /// Tells whether it strikes at a moment, or did shortly before.
+    /// Tells whether its effects may be felt at a time: during it, and shortly after.
     fn affects(&self, at: Instant) -> bool {
         self.from <= at && at <= self.until + RECOVERY_TIME
     }
 }
 
-/// A time after which a box was to take nothing new, since its entry was gone.
+/// A time in which the entry of a box was missing, so that no new request should reach it.
 #[derive(Clone, Debug)]
 pub struct UnlistedInterval {
     /// The box.
     pub target: String,
-    /// When its entry went.
+    /// When its entry was removed.
     pub from: Instant,
-    /// When it came back.
+    /// When its entry was written again.
     pub until: Instant,
 }
 
-/// A time in which a box was cold and said so.
+/// A time in which a box was cold and its entry said so.
 #[derive(Clone, Debug)]
 pub struct ColdInterval {
     /// The box.
     pub target: String,
-    /// When its life began that was cold, in Unix milliseconds.
+    /// The incarnation that was cold: when it started, in Unix milliseconds.
     pub incarnation: Option<u64>,
-    /// The requests a second that it bore meanwhile.
+    /// Requests per second that it could take meanwhile.
     pub requests_per_s: f64,
-    /// From when on its requests count: at once where its zone is taken back, and once its entry may be known
-    /// where it turned cold by itself, under whatever it then got.
+    /// When counting starts: at once if its zone takes traffic again, and once daemons can have read its entry if it
+    /// turned cold by itself, under the load that it had at that time.
     pub from: Instant,
     /// Until when.
     pub until: Instant,
 }
 
-/// Everything that was seen in one run.
+/// Everything that was recorded in one run.
 #[derive(Clone, Debug, Default)]
 pub struct RunRecord {
     /// The requests of callers.
     pub calls: Vec<CallRecord>,
-    /// What reached boxes.
+    /// The requests that reached boxes.
     pub arrivals: Vec<Arrival>,
-    /// How often boxes ran each request.
+    /// How often boxes ran each request, by its id.
     pub runs: BTreeMap<String, usize>,
-    /// What was harmed when.
+    /// The disturbances by faults.
     pub disturbances: Vec<Disturbance>,
-    /// Boxes whose entries were gone.
+    /// The times in which entries of boxes were missing.
     pub unlisted: Vec<UnlistedInterval>,
-    /// Boxes that were cold.
+    /// The times in which boxes were cold.
     pub cold_intervals: Vec<ColdInterval>,
-    /// What boxes noted that must never happen.
+    /// Violations that boxes detected themselves.
     pub box_faults: Vec<String>,
-    /// Boxes that requests ended.
+    /// The crashes of boxes by requests.
     pub crashes: Vec<Crash>,
-    /// What boxes asked of daemons in their answers.
+    /// The signals that boxes sent to daemons in their answers.
     pub told: Vec<Told>,
 }
 
-/// For how long a daemon counts as disturbed after a disturbance ended.
+/// How long a disturbance excuses violations after it ended.
 const RECOVERY_TIME: Duration = Duration::from_secs(4);
 
-/// Within this time a taken key is refused, and a box that is gone is sent nothing.
+/// Time within which a box is sent nothing new after its entry was removed.
 const APPLY_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// How many boxes one request may run on.
+/// Maximum number of boxes that one request may run on.
 const MAX_RUNS: usize = 2;
 
-/// How often a request may reach boxes once it is known to end them.
+/// Maximum number of times a request may still reach boxes once it is known to crash them.
 const MAX_SENDS_AFTER_DETECTION: usize = 3;
 
-/// The span over which requests to cold boxes are counted.
+/// The time window over which requests to cold boxes are counted.
 const COLD_WINDOW: Duration = Duration::from_secs(1);
 
-/// How much more than it bears the platform lets a cold box get in a second, as a factor, and beside that.
+/// Factor by which the platform lets the rate of a cold box exceed what it can take.
 const COLD_RATE_FACTOR: f64 = 1.5;
+
+/// Requests that the platform lets a cold box get in one window in addition to that rate.
 const COLD_BURST: f64 = 5.0;
 
-/// Repeats in one window beyond the share of requests, as daemons are told.
+/// Retries allowed in one window beyond the share of requests, as in the settings of the daemons.
 pub(crate) const RETRY_SLACK: f64 = 40.0;
 
 impl RunRecord {
-    /// Returns each promise that what was seen breaks, in words.
+    /// Returns a description of each violated guarantee.
     pub fn violations(&self) -> Vec<String> {
         let mut violations = self.box_faults.clone();
         violations.extend(self.calls.iter().filter_map(|call| self.violation_by(call)));
@@ -167,7 +169,7 @@
         violations
     }
 
-    /// Counts how requests ended, by what they asked for.
+    /// Counts requests by kind and outcome.
     pub fn outcome_counts(&self) -> BTreeMap<String, usize> {
         let mut counts = BTreeMap::new();
         for call in &self.calls {
@@ -195,7 +197,7 @@
             CallOutcome::Whole(StatusCode::UNAUTHORIZED | StatusCode::NOT_FOUND)
                 if call.kind != CallKind::OldKey && self.is_undisturbed(call.daemon, call.sent) =>
             {
-                return violation("refused though its key is valid");
+                return violation("an allowed request was refused");
             }
             CallOutcome::Whole(status)
                 if call.kind == CallKind::OldKey
@@ -204,7 +206,7 @@
             {
                 return violation("served with a revoked key");
             }
-            // One that crossed the close of its connection was not passed on.
+            // A request that arrived just as its connection was closed was not forwarded, hence `runs > 0`.
             CallOutcome::Broken
                 if runs > 0
                     && self.met_only_planned_stop(call)
@@ -223,7 +225,7 @@
         None
     }
 
-    /// Tells whether nothing harmed a daemon for a while before a moment.
+    /// Tells whether no disturbance affects a daemon at a time.
     fn is_undisturbed(&self, daemon: usize, at: Instant) -> bool {
         let concerns = |disturbance: &&Disturbance| {
             disturbance.daemon.is_none_or(|affected| affected == daemon)
@@ -231,7 +233,7 @@
         !self.disturbances.iter().filter(concerns).any(|disturbance| disturbance.affects(at))
     }
 
-    /// Tells whether a planned stop of its daemon is all that a request met.
+    /// Tells whether a request met a planned stop of its daemon, and no other fault.
     fn met_only_planned_stop(&self, call: &CallRecord) -> bool {
         let met = |disturbance: &&Disturbance| {
             disturbance.from <= call.ended && disturbance.until + RECOVERY_TIME >= call.sent
@@ -243,7 +245,7 @@
         planned && met.iter().all(|disturbance| disturbance.is_planned)
     }
 
-    /// Tells whether a box that had a request was ended by another one before the answer was whole.
+    /// Tells whether a box that had received the request crashed before the request ended.
     fn box_crashed_before(&self, call: &CallRecord) -> bool {
         let crashed = |arrival: &Arrival| {
             let mut crashes = self.crashes.iter().filter(|crash| crash.target == arrival.target);
@@ -275,7 +277,8 @@
         late
     }
 
-    /// Names each cold box that got more in a second than the platform allows, from all daemons, in touch or not.
+    /// Describes each cold box that got more requests in a second than the platform allows, from all daemons together,
+    /// whether disturbed or not.
     fn overloaded_cold_boxes(&self) -> Vec<String> {
         let violations = self.cold_intervals.iter().filter_map(|cold| {
             let own = self.arrivals.iter().filter(|arrival| {
@@ -304,8 +307,8 @@
         violations.collect()
     }
 
-    /// Names each wish of a box that a daemon did not follow, which heard it and has not ended or stood
-    /// still since.
+    /// Describes each signal of a box that a daemon ignored although it received it and has neither exited nor been
+    /// suspended since.
     fn ignored_signals(&self) -> Vec<String> {
         let daemon_of: BTreeMap<&str, usize> =
             self.calls.iter().map(|call| (call.id.as_str(), call.daemon)).collect();
@@ -315,9 +318,10 @@
         })
     }
 
-    /// Names each box that got more than it had said it takes, from daemons that were told and that nothing struck since.
+    /// Describes each box that got more requests than its advertised limit, from daemons that knew the limit and that
+    /// no fault affected since.
     ///
-    /// What holds up another box, or the store for all, excuses nobody.
+    /// Faults of another box or of the store for all daemons are no excuse.
     fn exceeded_rate_limits(&self) -> Vec<String> {
         let daemon_of: BTreeMap<&str, usize> =
             self.calls.iter().map(|call| (call.id.as_str(), call.daemon)).collect();
@@ -326,13 +330,13 @@
             let own = self.told.iter().filter(|told| told.target == target);
             let told: Vec<Told> = own.cloned().collect();
             let is_excused = |daemon: usize, at: Instant| {
-                let strikes = |disturbance: &&Disturbance| {
-                    let all_end = disturbance.ends_processes && disturbance.daemon.is_none();
-                    all_end
+                let concerns = |disturbance: &&Disturbance| {
+                    let all_exit = disturbance.ends_processes && disturbance.daemon.is_none();
+                    all_exit
                         || disturbance.daemon == Some(daemon)
                         || disturbance.target.as_deref() == Some(target)
                 };
-                self.disturbances.iter().filter(strikes).any(|disturbance| disturbance.affects(at))
+                self.disturbances.iter().filter(concerns).any(|disturbance| disturbance.affects(at))
             };
             broken_limits(&told, &self.arrivals, LimitBound::Platform, |request, at| {
                 let daemon = *daemon_of.get(request)?;
@@ -342,7 +346,7 @@
         violations.collect()
     }
 
-    /// Counts how often a daemon has ended by a moment.
+    /// Returns the incarnation of a daemon at a time: how often its process was stopped, killed or suspended before.
     fn incarnation_of(&self, daemon: usize, at: Instant) -> usize {
         let outages = self.disturbances.iter().filter(|disturbance| disturbance.ends_processes);
         let own = outages
@@ -350,14 +354,14 @@
         own.filter(|disturbance| disturbance.from <= at).count()
     }
 
-    /// Tells whether answers may not have come whole or in time shortly before a moment.
+    /// Tells whether answers of boxes may have been lost or late at a time, or shortly before.
     fn may_lose_answers(&self, at: Instant) -> bool {
         self.disturbances
             .iter()
             .any(|disturbance| disturbance.affects_answers && disturbance.affects(at))
     }
 
-    /// Names each request that ended three boxes and was sent on too often by daemons in touch.
+    /// Describes each request that crashed three boxes and was still sent too often by daemons that no fault affected.
     fn resent_crashing_requests(&self) -> Vec<String> {
         let mut crashes: BTreeMap<&str, Vec<Instant>> = BTreeMap::new();
         for crash in &self.crashes {
@@ -368,11 +372,11 @@
         let sends_after = |body: &str, since: Instant| {
             let own = self.arrivals.iter().filter(|arrival| arrival.body == body);
             let late = own.filter(|arrival| arrival.at > since);
-            let in_touch = late.filter(|arrival| {
+            let unexcused = late.filter(|arrival| {
                 let daemon = daemon_of.get(arrival.request.as_str());
                 daemon.is_some_and(|daemon| self.can_reach_store(*daemon, arrival.at))
             });
-            in_touch.count()
+            unexcused.count()
         };
         let violations = crashes.iter().filter_map(|(body, crashes)| {
             let late = sends_after(body, *crashes.get(2)? + RECOVERY_TIME);
@@ -383,7 +387,7 @@
         violations.collect()
     }
 
-    /// Tells whether neither a daemon nor the store was harmed for a while before a moment.
+    /// Tells whether no disturbance of a daemon, or of the store for all daemons, affects it at a time.
     fn can_reach_store(&self, daemon: usize, at: Instant) -> bool {
         let concerns = |disturbance: &&Disturbance| {
             disturbance.daemon.map_or(disturbance.is_store, |affected| affected == daemon)
--- a/crates/cherrystand_testkit/tests/soak_checks.rs
+++ b/crates/cherrystand_testkit/tests/soak_checks.rs
@@ -1,4 +1,4 @@
-//! The soak's own checks: each is able to fail, and says nothing of what is in order.
+//! Tests of the soak's checks: each check reports its violation, and reports nothing if the guarantee holds.
 #![allow(clippy::disallowed_methods, reason = "the machine of a test is not suspended")]
 
 use std::time::{Duration, Instant};
@@ -12,7 +12,7 @@
 
 const TARGETS: Targets = Targets { daemons: 3, boxes: 12 };
 
-/// What was seen of one request: by default one that was answered well and run once.
+/// Builds the record of a run with one request, which by default succeeds and runs once.
 fn record(change: impl FnOnce(&mut RunRecord, Instant)) -> RunRecord {
     let began = Instant::now();
     let sent = began + Duration::from_secs(60);
@@ -47,8 +47,7 @@
     }
 }
 
-/// Notes that a box told one daemon what it asks for, five seconds before three requests of that daemon
-/// reach it.
+/// Records that a box sent a signal to a daemon five seconds before three requests of that daemon reach it.
 fn told(record: &mut RunRecord, wish: Wish) {
     let at = record.calls[0].sent - Duration::from_secs(5);
     let (request, target) = ("r1".to_owned(), "a-0".to_owned());
@@ -56,7 +55,8 @@
     record.arrivals = vec![record.arrivals[0].clone(); 3];
 }
 
-/// Notes that a box named a limit for a while, and what reached it in the last four seconds of that.
+/// Records that a box advertised a limit for eleven seconds, and the requests that reached it ten seconds after the
+/// start of that time.
 fn limited(record: &mut RunRecord, limit: f64, arrivals: usize) {
     let (last, sent) = (Duration::from_secs(10), record.calls[0].sent);
     let told = |at| {
@@ -67,7 +67,7 @@
     record.arrivals = vec![record.arrivals[0].clone(); arrivals];
 }
 
-/// Notes that a request ended three boxes at the beginning, and reached some again later.
+/// Records that a request crashed three boxes at the start and reached boxes again later, `again` times.
 fn crashes(record: &mut RunRecord, began: Instant, again: usize) {
     let (body, target) = ("crashes".to_owned(), "i-0".to_owned());
     let crash = Crash { body: body.clone(), target, at: began };
@@ -76,7 +76,7 @@
     record.arrivals = vec![record.arrivals[0].clone(); again];
 }
 
-/// Notes that a box was cold around a time, and what reached it then.
+/// Records that a box was cold for two seconds, and the requests that reached it in the middle of that time.
 fn cold(record: &mut RunRecord, arrivals: usize) {
     let sent = record.calls[0].sent;
     let (from, until) = (sent - Duration::from_secs(1), sent + Duration::from_secs(1));
@@ -87,13 +87,13 @@
 }
 
 #[test]
-fn each_promise_that_is_broken_is_seen() {
+fn each_violation_is_reported() {
     struct Case {
         name: &'static str,
         record: RunRecord,
         violation: Option<&'static str>,
     }
-    let unavailable = CallOutcome::Whole(StatusCode::SERVICE_UNAVAILABLE);
+    let not_executed = CallOutcome::Whole(StatusCode::SERVICE_UNAVAILABLE);
     let unauthorized = CallOutcome::Whole(StatusCode::UNAUTHORIZED);
     let case = |name, violation, change: &dyn Fn(&mut RunRecord, Instant)| Case {
         name,
@@ -101,21 +101,25 @@
         record: record(|record, began| change(record, began)),
     };
     let cases = [
-        case("in order", None, &|_, _| {}),
-        case("another's answer", Some("belongs to another request"), &|record, _| {
+        case("no violation", None, &|_, _| {}),
+        case("answer of another request", Some("belongs to another request"), &|record, _| {
             record.calls[0].outcome = CallOutcome::Wrong;
         }),
-        case("said not to have run", Some("reported as not executed"), &|record, _| {
-            record.calls[0].outcome = unavailable;
-        }),
-        case("said so, and so it was", None, &|record, _| {
-            record.calls[0].outcome = unavailable;
+        case(
+            "reported as not executed, but run",
+            Some("reported as not executed"),
+            &|record, _| {
+                record.calls[0].outcome = not_executed;
+            },
+        ),
+        case("reported as not executed, and not run", None, &|record, _| {
+            record.calls[0].outcome = not_executed;
             record.runs.clear();
         }),
-        case("run twice", Some("run more than once"), &|record, _| {
+        case("non-idempotent request run twice", Some("run more than once"), &|record, _| {
             record.runs.insert("r1".to_owned(), 2);
         }),
-        case("run twice where it may be", None, &|record, _| {
+        case("idempotent request run twice", None, &|record, _| {
             record.calls[0].kind = CallKind::Repeatable;
             record.runs.insert("r1".to_owned(), 2);
         }),
@@ -123,59 +127,67 @@
             record.calls[0].kind = CallKind::Stream;
             record.runs.insert("r1".to_owned(), 3);
         }),
-        case("a cold box got too much", Some("was cold"), &|record, _| cold(record, 9)),
-        case("the next life of a box that was cold got more", None, &|record, _| {
+        case("cold box overloaded", Some("was cold"), &|record, _| cold(record, 9)),
+        case("next incarnation of a cold box got more requests", None, &|record, _| {
             cold(record, 9);
             record.arrivals.iter_mut().for_each(|arrival| arrival.life = Some(2));
         }),
-        case("a cold box got what the platform allows", None, &|record, _| cold(record, 8)),
-        case("sent again after three ends", Some("more times after"), &|record, began| {
-            crashes(record, began, 4);
+        case("cold box got as many requests as the platform allows", None, &|record, _| {
+            cold(record, 8)
         }),
-        case("sent again by a daemon that was harmed", None, &|record, began| {
+        case("sent four times after three crashes", Some("more times after"), &|record, began| {
             crashes(record, began, 4);
-            record.disturbances = vec![disturbance(Some(0), false, began, 60)];
         }),
-        case("sent again thrice", None, &|record, began| crashes(record, began, 3)),
-        case("a good key refused", Some("refused though its key is valid"), &|record, _| {
+        case(
+            "sent four times after three crashes by a disturbed daemon",
+            None,
+            &|record, began| {
+                crashes(record, began, 4);
+                record.disturbances = vec![disturbance(Some(0), false, began, 60)];
+            },
+        ),
+        case("sent three times after three crashes", None, &|record, began| {
+            crashes(record, began, 3)
+        }),
+        case("valid key refused", Some("an allowed request was refused"), &|record, _| {
             record.calls[0].outcome = unauthorized;
         }),
-        case("a good key refused by one that was cut off", None, &|record, began| {
+        case("valid key refused by a disturbed daemon", None, &|record, began| {
             record.calls[0].outcome = unauthorized;
             record.disturbances.push(disturbance(Some(0), false, began, 58));
         }),
         case(
-            "a good key refused by another one",
-            Some("refused though its key is valid"),
+            "valid key refused while another daemon is disturbed",
+            Some("an allowed request was refused"),
             &|record, began| {
                 record.calls[0].outcome = unauthorized;
                 record.disturbances.push(disturbance(Some(1), false, began, 58));
             },
         ),
-        case("an old key served", Some("a revoked key"), &|record, _| {
+        case("revoked key served", Some("a revoked key"), &|record, _| {
             record.calls[0].kind = CallKind::OldKey;
         }),
-        case("an old key refused", None, &|record, _| {
+        case("revoked key refused", None, &|record, _| {
             record.calls[0].kind = CallKind::OldKey;
             record.calls[0].outcome = unauthorized;
         }),
-        case("cut by a planned stop", Some("a planned stop"), &|record, began| {
+        case("interrupted by a planned stop", Some("a planned stop"), &|record, began| {
             record.calls[0].outcome = CallOutcome::Broken;
             record.disturbances.push(disturbance(Some(0), true, began, 62));
         }),
-        case("cut by a planned stop while a box fails", None, &|record, began| {
+        case("interrupted by a planned stop during another fault", None, &|record, began| {
             record.calls[0].outcome = CallOutcome::Broken;
             record.disturbances.push(disturbance(Some(0), true, began, 62));
             record.disturbances.push(disturbance(None, false, began, 61));
         }),
-        case("cut by a planned stop as its box was ended by a request", None, &|record, began| {
+        case("interrupted by a planned stop and a crash of its box", None, &|record, began| {
             record.calls[0].outcome = CallOutcome::Broken;
             record.disturbances.push(disturbance(Some(0), true, began, 62));
             let (at, target) = (record.calls[0].ended, "a-0".to_owned());
             record.crashes.push(Crash { body: "crashes".to_owned(), target, at });
         }),
         case(
-            "cut by a planned stop as another box was ended",
+            "interrupted by a planned stop while another box crashes",
             Some("a planned stop"),
             &|record, began| {
                 record.calls[0].outcome = CallOutcome::Broken;
@@ -185,7 +197,7 @@
             },
         ),
         case(
-            "cut by a planned stop before its box was ended",
+            "interrupted by a planned stop before its box crashed",
             Some("a planned stop"),
             &|record, began| {
                 record.calls[0].outcome = CallOutcome::Broken;
@@ -195,24 +207,24 @@
                 record.crashes.push(Crash { body: "crashes".to_owned(), target, at });
             },
         ),
-        case("sent to a box that is gone", Some("a box that was unlisted"), &|record, began| {
+        case("sent to an unlisted box", Some("a box that was unlisted"), &|record, began| {
             let until = began + Duration::from_secs(90);
             record.unlisted.push(UnlistedInterval { target: "a-0".to_owned(), from: began, until });
         }),
-        case("sent to a box that has just gone", None, &|record, began| {
+        case("sent to a box unlisted shortly before", None, &|record, began| {
             let from = began + Duration::from_secs(58);
             let until = began + Duration::from_secs(90);
             record.unlisted.push(UnlistedInterval { target: "a-0".to_owned(), from, until });
         }),
-        case("too many repeats", Some("retries"), &|record, _| {
+        case("too many retries", Some("retries"), &|record, _| {
             let arrival = record.arrivals[0].clone();
             record.arrivals.extend(vec![arrival; 60]);
         }),
-        case("more than a box takes", Some("a-0 got 27 within 4 s, 26 allowed"), &|record, _| {
+        case("rate limit exceeded", Some("a-0 got 27 within 4 s, 26 allowed"), &|record, _| {
             limited(record, 3.5, 27);
         }),
-        case("as much as a box takes", None, &|record, _| limited(record, 3.5, 26)),
-        case("more than a box takes, by one that stood still", None, &|record, began| {
+        case("rate limit reached", None, &|record, _| limited(record, 3.5, 26)),
+        case("rate limit exceeded by a suspended daemon", None, &|record, began| {
             limited(record, 3.5, 27);
             let since = began + Duration::from_secs(57);
             record.disturbances.push(Disturbance {
@@ -221,7 +233,7 @@
             });
         }),
         case(
-            "more than a box takes, while another one is cut",
+            "rate limit exceeded while the link of another box is disturbed",
             Some("a-0 got 27"),
             &|record, began| {
                 limited(record, 3.5, 27);
@@ -235,21 +247,21 @@
                 record.disturbances.push(interval);
             },
         ),
-        case("sent into a rest", Some("Rest(10s), and got 3"), &|record, _| {
+        case("sent three times during backoff", Some("Rest(10s), and got 3"), &|record, _| {
             told(record, Wish::Rest(Duration::from_secs(10)));
         }),
-        case("sent into a rest twice", None, &|record, _| {
+        case("sent twice during backoff", None, &|record, _| {
             told(record, Wish::Rest(Duration::from_secs(10)));
             record.arrivals.truncate(2);
         }),
-        case("sent after a rest", None, &|record, _| {
+        case("sent after backoff", None, &|record, _| {
             told(record, Wish::Rest(Duration::from_secs(4)));
         }),
-        case("sent into the rest of an earlier life", None, &|record, _| {
+        case("sent during backoff of an earlier incarnation", None, &|record, _| {
             told(record, Wish::Rest(Duration::from_secs(10)));
             record.told[0].life = 0;
         }),
-        case("sent by a daemon that has started again", None, &|record, began| {
+        case("sent during backoff by a daemon that was suspended", None, &|record, began| {
             told(record, Wish::Rest(Duration::from_secs(10)));
             let since = began + Duration::from_secs(57);
             record.disturbances.push(Disturbance {
@@ -258,7 +270,7 @@
             });
         }),
         case(
-            "sent by one while another has started again",
+            "sent to a leaving box while another daemon was suspended",
             Some("Leaves, and got 3"),
             &|record, began| {
                 told(record, Wish::Leaves);
@@ -269,14 +281,14 @@
                 });
             },
         ),
-        case("a wish that was lost on its way", None, &|record, began| {
+        case("signal lost on its way", None, &|record, began| {
             told(record, Wish::Leaves);
             record.disturbances.push(Disturbance {
                 affects_answers: true,
                 ..disturbance(None, false, began + Duration::from_secs(54), 2)
             });
         }),
-        case("a box's own note", Some("joined"), &|record, _| {
+        case("violation detected by a box", Some("joined"), &|record, _| {
             record.box_faults.push("i-1 joined out of another".to_owned());
         }),
     ];
@@ -293,7 +305,7 @@
 }
 
 #[test]
-fn a_seed_draws_one_schedule_and_many_seeds_all_kinds() {
+fn schedules_are_deterministic_and_cover_all_usual_fault_kinds() {
     let span = Millis(12_000);
     let kind_of = |kind: FaultKind| {
         let text = format!("{kind:?}");
