--- a/crates/cherrystandd/src/config_versions.rs
+++ b/crates/cherrystandd/src/config_versions.rs
@@ -50,7 +50,7 @@
     ///
     /// # Errors
     ///
-    /// Returns an [`UnpackError`], and counts it, if the version does not apply to those held here.
+    /// Returns an [`UnpackError`], and counts it, if the version cannot be unpacked with those held here.
     pub(crate) fn unpack(&self, key: &str, packed: &PackedBody) -> Result<Document, UnpackError> {
         match self.versions().unpack(packed) {
             Ok(body) => Ok(Document { key: Arc::from(key), revision: packed.revision, body }),
--- a/crates/cherrystandd/tests/support/site.rs
+++ b/crates/cherrystandd/tests/support/site.rs
@@ -125,7 +125,8 @@
         self.store_links.push(link);
     }
 
-    /// Returns the daemon that reads the store for the others, which is the one that calls it most.
+    /// Returns the daemon that reads the store for the others. It alone polls the store continuously, so
+    /// it is the one with the most calls.
     pub(crate) async fn store_reader(&self) -> usize {
         let before = self.store_calls().await;
         tokio::time::sleep(READER_SAMPLE_TIME).await;
