--- a/crates/cherrystand_testkit/src/domain/fake_box.rs
+++ b/crates/cherrystand_testkit/src/domain/fake_box.rs
@@ -1,4 +1,4 @@
-//! One box of a fake domain, on virtual time.
+//! One box of a fake domain, in virtual time.
 
 use cherrystand_core::{
     EngineReport, EngineState, Epoch, LoadSpec, Millis, Order, ReplicaId, Task,
@@ -7,36 +7,36 @@
 /// A box and its engine.
 #[derive(Clone, Debug)]
 pub struct FakeBox {
-    /// Whether the box runs.
+    /// Whether the box is running.
     pub is_running: bool,
-    /// When a box that is down comes back; nothing if it never does.
+    /// When a box that is down restarts; `None` if it never does.
     pub restarts_at: Option<Millis>,
-    /// Until when the box runs but cannot be heard.
+    /// The time until which the box cannot be reached although it is running.
     pub unreachable_until: Millis,
-    /// Whether the engine reports but follows no orders.
+    /// Whether the engine reports its state but ignores all orders.
     pub ignores_orders: bool,
-    /// Whether the engine answers but never ends a load.
+    /// Whether the engine answers but never finishes loading.
     pub hangs_loading: bool,
-    /// Whether the engine refuses orders of an old epoch.
+    /// Whether the engine refuses orders with an epoch lower than the highest that it has seen.
     pub checks_orders: bool,
-    /// The epoch that the engine acts on; 0 while idle.
+    /// The epoch of the engine's replica; 0 while the engine is idle.
     pub epoch: Epoch,
     /// The replica that the engine belongs to.
     pub replica: Option<ReplicaId>,
-    /// The highest epoch that the engine has seen in this life.
+    /// The highest epoch that the engine has seen in this incarnation of the box.
     pub highest_epoch: Epoch,
-    /// How far it is.
+    /// The state of the engine.
     pub state: EngineState,
-    /// Requests in flight.
+    /// The number of requests in flight.
     pub in_flight: u32,
-    /// What it has in memory.
+    /// The weights that the engine has in memory.
     pub loaded: Option<LoadSpec>,
     loading: Option<LoadSpec>,
     load_remaining: Millis,
 }
 
 impl FakeBox {
-    /// Creates an idle box.
+    /// Creates a running box with an idle engine.
     pub fn new(checks_orders: bool) -> Self {
         Self {
             is_running: true,
@@ -56,12 +56,12 @@
         }
     }
 
-    /// Takes the box down, with all that its engine had in memory.
+    /// Stops the box, which loses all state of its engine.
     pub fn kill(&mut self, restarts_at: Option<Millis>) {
         *self = Self { is_running: false, restarts_at, ..Self::new(self.checks_orders) };
     }
 
-    /// Brings the box back if its time has come.
+    /// Restarts the box if it is down and the time of its restart has come.
     pub fn restart_if_due(&mut self, now: Millis) {
         if self.restarts_at.is_some_and(|at| at <= now) {
             self.is_running = true;
@@ -69,7 +69,9 @@
         }
     }
 
-    /// Follows an order as an engine does, and tells whether it was accepted.
+    /// Executes an order as an engine does, and returns whether the engine accepted it.
+    ///
+    /// A join takes `load` if the weights must be fetched, or `rejoin` if they are in memory.
     pub fn execute_order(&mut self, order: &Order, load: Millis, rejoin: Millis) -> bool {
         if !self.is_running
             || self.ignores_orders
@@ -98,12 +100,12 @@
         true
     }
 
-    /// Tells whether the box has weights to fetch.
+    /// Returns whether the engine is loading weights that it doesn't have in memory.
     pub fn is_fetching_weights(&self) -> bool {
         self.state == EngineState::Loading && self.loaded != self.loading
     }
 
-    /// Loads for a while.
+    /// Advances a load by `span`.
     pub fn advance_load(&mut self, span: Millis) {
         if self.state != EngineState::Loading || self.hangs_loading {
             return;
@@ -115,7 +117,7 @@
         }
     }
 
-    /// Returns what the engine reports.
+    /// Returns the engine's report.
     pub fn report(&self) -> EngineReport {
         EngineReport {
             epoch: self.epoch,
--- a/crates/cherrystand_testkit/src/domain/fake_domain.rs
+++ b/crates/cherrystand_testkit/src/domain/fake_domain.rs
@@ -1,8 +1,8 @@
-//! One fabric domain on virtual time: boxes, the record's compare-and-swap, and controllers that
-//! can be paused, cut off or raced.
+//! One fabric domain in virtual time: boxes, a record that is written by compare-and-swap, and
+//! controllers that can be paused, partitioned or run at the same time.
 //!
-//! It is a fake at the controller's interface: it models one record and a handful of boxes, no
-//! network and no daemon.
+//! This fake replaces what is outside the controller's interface. It models one record and a few
+//! boxes, but no network and no daemon.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -15,21 +15,21 @@
 
 use crate::FakeBox;
 
-/// The time from one step of the domain to the next.
+/// The time between two steps of the domain.
 pub const DOMAIN_STEP: Millis = Millis(500);
 
-/// Describes how a fake domain's boxes and weight store behave.
+/// The setup of a fake domain's boxes and weight store.
 #[derive(Clone, Copy, Debug)]
 pub struct DomainSetup {
-    /// How many boxes it has.
+    /// The number of boxes.
     pub boxes: u32,
-    /// Whether their engines refuse orders of an old epoch.
+    /// Whether the engines refuse orders with an epoch lower than the highest that they have seen.
     pub checks_orders: bool,
-    /// How long fetching one box's weights takes.
+    /// How long fetching the weights of one box takes.
     pub load: Millis,
     /// How long a box with its weights in memory takes to join.
     pub rejoin: Millis,
-    /// How many boxes the weight store serves at once.
+    /// The number of boxes that the weight store serves at the same time.
     pub store_slots: usize,
 }
 
@@ -45,71 +45,73 @@
     }
 }
 
-/// A write on its way to the record.
+/// A write that has not yet reached the record.
 #[derive(Clone, Debug)]
 struct PendingWrite {
     expected: Revision,
     record: DomainRecord,
 }
 
-/// One controller and its possibly stale knowledge.
+/// One controller with its view of the record and the boxes, which may be stale.
 #[derive(Clone, Debug)]
 pub struct FakeController {
     controller: Controller,
     known_record: (Revision, DomainRecord),
     observations: Observations,
-    /// Whether it does nothing.
+    /// Whether the controller is paused and makes no decisions.
     pub is_paused: bool,
-    /// Whether it reaches neither boxes nor the record.
+    /// Whether the controller can reach neither the boxes nor the record.
     pub is_partitioned: bool,
     pending_writes: Vec<PendingWrite>,
     pending_orders: Vec<Order>,
 }
 
-/// Counts what the users measure.
+/// The losses that the users measure.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Losses {
-    /// Seconds in which a wanted replica could not serve.
+    /// The time in which a desired replica could not serve, in seconds, summed over replicas.
     pub down_secs: f64,
-    /// Seconds in which a healthy box stood idle since its replica was broken or half-formed.
+    /// The time in which a healthy box was idle because its replica was broken or not yet formed,
+    /// in seconds, summed over boxes.
     pub stranded_secs: f64,
 }
 
-/// A fabric domain with its controllers.
+/// A fabric domain and its controllers.
 #[derive(Clone, Debug)]
 pub struct FakeDomain {
-    /// The time.
+    /// The current virtual time.
     pub now: Millis,
     /// The boxes.
     pub boxes: BTreeMap<BoxId, FakeBox>,
-    /// The record as it stands.
+    /// The current record.
     pub record: DomainRecord,
-    /// Its revision.
+    /// The revision of the current record.
     pub revision: Revision,
     /// The controllers.
     pub controllers: Vec<FakeController>,
-    /// What is asked for.
+    /// The desired replicas.
     pub desired: Vec<DesiredReplica>,
-    /// Whether the record's service is down.
+    /// Whether the service that stores the record is down.
     pub service_down: bool,
-    /// How many of the next writes take effect without an answer.
+    /// The number of next writes that take effect but are not answered.
     pub lose_answers: u32,
-    /// How many of the next writes take effect a while later.
+    /// The number of next writes that are delayed: they take effect right after the next write of
+    /// the same controller that is not delayed, or when the controller resumes.
     pub delay_writes: u32,
-    /// Boxes that the list marks as leaving.
+    /// The boxes that the inventory marks as leaving.
     pub leaving: Vec<BoxId>,
-    /// What was lost so far.
+    /// The losses so far.
     pub losses: Losses,
-    /// How many writes took effect.
+    /// The number of writes that took effect.
     pub writes: u64,
-    /// How many orders were sent.
+    /// The number of orders sent.
     pub orders: u64,
     setup: DomainSetup,
     inventory: (Vec<BoxId>, Fleet),
 }
 
 impl FakeDomain {
-    /// Creates a domain with one controller for each policy given.
+    /// Creates a domain with one controller for each policy.
     pub fn new(setup: DomainSetup, policies: &[RepairPolicy]) -> Self {
         let record = DomainRecord::empty(DomainId::new("d"));
         let names = (0..setup.boxes).map(|number| BoxId::new(format!("b{number:02}")));
@@ -142,7 +144,7 @@
         }
     }
 
-    /// Lists the boxes anew where those that will leave have changed.
+    /// Builds the inventory again if the leaving boxes have changed.
     fn refresh_inventory(&mut self) {
         if self.inventory.0 != self.leaving {
             self.inventory = (self.leaving.clone(), self.fleet());
@@ -162,7 +164,8 @@
         Fleet::new(self.boxes.keys().enumerate().map(info))
     }
 
-    /// Goes one step on: boxes work, then each controller observes, decides, writes and orders.
+    /// Advances by one step: the boxes first, then each controller in turn, which observes, decides,
+    /// sends its orders and writes the record.
     pub fn step(&mut self) {
         self.now = self.now + DOMAIN_STEP;
         self.run_boxes();
@@ -172,14 +175,14 @@
         self.count_losses();
     }
 
-    /// Goes on for a while.
+    /// Advances by `span`.
     pub fn run_for(&mut self, span: Millis) {
         for _ in 0..span.0 / DOMAIN_STEP.0 {
             self.step();
         }
     }
 
-    /// Takes a box down; it comes back after a while, or never.
+    /// Stops a box, which restarts after `restart_after`, or never if that is `None`.
     pub fn kill(&mut self, id: &BoxId, restart_after: Option<Millis>) {
         let restarts_at = restart_after.map(|span| self.now + span);
         if let Some(fake) = self.boxes.get_mut(id) {
@@ -187,7 +190,7 @@
         }
     }
 
-    /// Lets what a paused controller had on its way arrive, and the controller go on.
+    /// Resumes a paused controller, after its pending writes and orders have been delivered.
     pub fn resume(&mut self, index: usize) {
         let Some(controller) = self.controllers.get_mut(index) else {
             return;
@@ -203,7 +206,8 @@
         }
     }
 
-    /// Pauses a controller between its decision and its effects: they arrive when it goes on.
+    /// Pauses a controller between its decision and the effects of it, which are delivered when the
+    /// controller resumes.
     pub fn pause_before_effects(&mut self, index: usize) {
         if self.controllers.get(index).is_none_or(|controller| controller.is_paused) {
             return;
@@ -216,7 +220,8 @@
         controller.pending_orders.extend(orders);
     }
 
-    /// Tells whether a replica can truly serve: every member runs and is ready for its epoch.
+    /// Returns whether a replica can actually serve: the record has it as ready, and every member is
+    /// running and ready for the replica's epoch.
     pub fn is_serving(&self, replica: &ReplicaId) -> bool {
         let Some(held) = self.record.replicas.get(replica) else {
             return false;
@@ -245,7 +250,8 @@
         self.break_incomplete_replicas();
     }
 
-    /// A replica that was formed comes apart at its leader when a member is gone.
+    /// Breaks replicas as their leaders do: a leader reports a formed replica as broken once a member
+    /// is down or has another epoch.
     fn break_incomplete_replicas(&mut self) {
         for held in self.record.replicas.values() {
             let gone = |id: &BoxId| {
@@ -280,7 +286,7 @@
         }
     }
 
-    /// Reads the boxes and the record, as far as the controller reaches them.
+    /// Updates a controller's view from the boxes and the record that it can reach.
     fn observe(&mut self, index: usize) {
         let is_partitioned = self.controllers[index].is_partitioned;
         let now = self.now;
@@ -367,7 +373,7 @@
     }
 }
 
-/// Returns the epochs that engines act on, with the replica of each.
+/// Returns the epochs of the engines that are not idle on running boxes, with the replica of each.
 pub fn epochs_in_use(domain: &FakeDomain) -> Vec<(Epoch, ReplicaId)> {
     let acting = domain.boxes.values().filter(|fake| fake.is_running && fake.epoch > Epoch(0));
     acting.filter_map(|fake| Some((fake.epoch, fake.replica.clone()?))).collect()
--- a/crates/cherrystand_testkit/src/domain/repair_scenario.rs
+++ b/crates/cherrystand_testkit/src/domain/repair_scenario.rs
@@ -1,4 +1,4 @@
-//! Failure scripts by which repair rules are compared.
+//! Failure scenarios for comparing repair rules.
 
 use cherrystand_core::{
     BoxId, DesiredReplica, GroupId, LoadSpec, Millis, RepairPolicy, RepairRule, ReplicaId,
@@ -7,34 +7,36 @@
 
 use crate::{DomainSetup, FakeDomain, Losses};
 
-/// How many boxes one replica spans.
+/// The number of boxes of one replica.
 const REPLICA_SPAN: u32 = 8;
 
-/// How many replicas the domain has.
+/// The number of replicas in the domain.
 const REPLICAS: u32 = 8;
 
-/// How long one script runs.
+/// The virtual time that one scenario covers.
 const SCENARIO_LENGTH: Millis = Millis::from_secs(3_600);
 
-/// How many steps forming the domain may take before the script begins.
+/// The maximum number of steps for forming all replicas before the scenario starts.
 const MAX_FORMING_STEPS: u32 = 10_000;
 
-/// When a box that does not restart is replaced.
+/// How long it takes until a box that does not restart is replaced.
 const REPLACEMENT_TIME: Millis = Millis::from_secs(1_800);
 
-/// Says what users weigh.
+/// A user's weights of the losses.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LossWeights {
-    /// Whose weights they are.
+    /// The name of the user.
     pub name: &'static str,
     /// The price of a second in which a replica cannot serve.
     pub downtime: f64,
-    /// The price of a second in which a healthy box stands idle.
+    /// The price of a second in which a healthy box is idle.
     pub stranded: f64,
 }
 
-/// Lists the two users' weights: for one a lost replica-second outweighs its eight idle boxes, for
-/// the other it is the reverse.
+/// The weights of the two users.
+///
+/// For the first, a second without a replica costs more than a second in which the replica's eight
+/// boxes are idle; for the second, it costs less.
 pub const USER_WEIGHTS: [LossWeights; 2] = [
     LossWeights { name: "photo", downtime: 24.0, stranded: 1.0 },
     LossWeights { name: "kodcari", downtime: 2.0, stranded: 1.0 },
@@ -47,27 +49,27 @@
     }
 }
 
-/// Names a failure script.
+/// A failure scenario.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RepairScenario {
-    /// Single boxes are lost; most restart.
+    /// Single boxes are lost; most of them restart.
     SingleLosses,
     /// Single boxes are lost where the domain has no spares.
     NoSpares,
-    /// A rack of eight boxes goes for ten minutes.
+    /// A rack of eight boxes is down for ten minutes.
     Rack,
-    /// Six boxes in ten cannot be heard for a few seconds, again and again.
+    /// Six boxes in ten are unreachable for a few seconds, repeatedly.
     FalseAlarm,
-    /// Single boxes are lost while the weight store serves two boxes at once.
+    /// Single boxes are lost while the weight store serves only two boxes at the same time.
     LimitedStore,
 }
 
 impl RepairScenario {
-    /// Lists all scripts.
+    /// All scenarios.
     pub const ALL: [Self; 5] =
         [Self::SingleLosses, Self::NoSpares, Self::Rack, Self::FalseAlarm, Self::LimitedStore];
 
-    /// Returns the script's name.
+    /// Returns the scenario's name.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::SingleLosses => "single-losses",
@@ -78,7 +80,7 @@
         }
     }
 
-    /// Runs the script under a rule with a user's weights and returns what was lost.
+    /// Runs the scenario under a repair rule with a user's weights and returns the losses.
     pub fn run(self, rule: RepairRule, weights: LossWeights, seed: u64) -> Losses {
         let mut domain = self.domain(rule, weights);
         form_replicas(&mut domain);
@@ -147,7 +149,7 @@
     }
 }
 
-/// Goes on until every replica serves.
+/// Advances the domain until every replica serves.
 fn form_replicas(domain: &mut FakeDomain) {
     for _ in 0..MAX_FORMING_STEPS {
         domain.step();
@@ -157,7 +159,7 @@
     }
 }
 
-/// Something that happens to boxes.
+/// A failure of some boxes.
 enum ScenarioEvent {
     Lose { boxes: Vec<u32>, restart_after: Millis },
     Unreachable { boxes: Vec<u32>, span: Millis },
@@ -209,7 +211,7 @@
     ScenarioEvent::Unreachable { boxes, span: Millis(4_000) }
 }
 
-/// Draws a time that is exponentially distributed around a mean in seconds.
+/// Draws a time from an exponential distribution with the given mean in seconds.
 fn exponential(rng: &mut SeededRng, mean: f64) -> Millis {
     let uniform = (rng.below(1 << 30) as f64 + 1.0) / f64::from(1 << 30);
     Millis((-uniform.ln() * mean * 1_000.0) as u64)
