--- a/crates/cherrystand_testkit/src/bin/cherrystand_soak.rs
+++ b/crates/cherrystand_testkit/src/bin/cherrystand_soak.rs
@@ -12,10 +12,10 @@
 use eyre::WrapErr;
 
 /// Beside limits one usual fault in so many is played.
-const KEPT_BESIDE_LIMITS: usize = 5;
+const FAULT_STRIDE_WITH_LIMITS: usize = 5;
 
 /// The numbers of faults that come beside the usual ones begin here.
-const USUAL_NUMBERS: usize = 1_000;
+const FIRST_LIMIT_NUMBER: usize = 1_000;
 
 /// Plays faults, drawn from a seed, on real daemons, and checks what callers and boxes see.
 #[derive(FromArgs)]
@@ -37,23 +37,23 @@
     dir: Option<PathBuf>,
     /// boxes tell when they started, start again under their ids, and other writers overwrite what they
     /// tell
-    #[argh(switch)]
-    lives: bool,
+    #[argh(switch, long = "lives")]
+    restarts: bool,
     /// a request comes all the while that ends each box that runs it
     #[argh(switch)]
     crashes: bool,
     /// boxes ask for rest or say that they leave, in their answers
-    #[argh(switch)]
-    wishes: bool,
+    #[argh(switch, long = "wishes")]
+    box_signals: bool,
     /// boxes name how many requests a second they take, in their answers
-    #[argh(switch)]
-    limits: bool,
+    #[argh(switch, long = "limits")]
+    rate_limits: bool,
     /// operators empty one of two availability zones and take it back, and boxes turn cold
-    #[argh(switch)]
-    zones: bool,
+    #[argh(switch, long = "zones")]
+    zone_faults: bool,
     /// the store comes back from copies some seconds old
-    #[argh(switch)]
-    drills: bool,
+    #[argh(switch, long = "drills")]
+    store_restores: bool,
     /// print the schedule and end
     #[argh(switch)]
     schedule: bool,
@@ -66,33 +66,35 @@
     });
     let program = daemon_program().wrap_err("looking for the daemon")?;
     let (seed, daemons) = (args.seed, args.daemons);
-    let lives = args.lives || args.crashes || args.wishes || args.limits || args.zones;
+    let restarts =
+        args.restarts || args.crashes || args.box_signals || args.rate_limits || args.zone_faults;
     let crashes = args.crashes;
-    let zones = args.zones;
-    let setup = SoakSetup { program, dir, seed, daemons, report_starts: lives, crashes, zones };
+    let zones = args.zone_faults;
+    let setup = SoakSetup { program, dir, seed, daemons, report_starts: restarts, crashes, zones };
     let mut faults = draw_schedule(args.seed, setup.targets(), Millis(args.span_ms));
-    if args.limits {
+    if args.rate_limits {
         // Beside all faults each daemon would be excused at each moment.
-        faults.retain(|fault| fault.number % KEPT_BESIDE_LIMITS == 0);
-        let limits =
-            draw_rate_limits(args.seed, setup.targets(), Millis(args.span_ms), USUAL_NUMBERS);
-        faults.extend(limits);
-    } else if lives {
-        let lives = draw_restarts(args.seed, setup.targets(), Millis(args.span_ms), faults.len());
-        faults.extend(lives);
+        faults.retain(|fault| fault.number % FAULT_STRIDE_WITH_LIMITS == 0);
+        let rate_limits =
+            draw_rate_limits(args.seed, setup.targets(), Millis(args.span_ms), FIRST_LIMIT_NUMBER);
+        faults.extend(rate_limits);
+    } else if restarts {
+        let restarts =
+            draw_restarts(args.seed, setup.targets(), Millis(args.span_ms), faults.len());
+        faults.extend(restarts);
     }
-    if args.wishes {
-        let wishes =
+    if args.box_signals {
+        let box_signals =
             draw_box_signals(args.seed, setup.targets(), Millis(args.span_ms), faults.len());
-        faults.extend(wishes);
+        faults.extend(box_signals);
     }
-    if args.drills {
+    if args.store_restores {
         faults.extend(draw_store_restores(args.seed, Millis(args.span_ms), faults.len()));
     }
-    if args.zones {
-        let zones =
+    if args.zone_faults {
+        let zone_faults =
             draw_zone_faults(args.seed, setup.targets(), Millis(args.span_ms), faults.len());
-        faults.extend(zones);
+        faults.extend(zone_faults);
     }
     if !args.only.is_empty() {
         faults.retain(|fault| args.only.contains(&fault.number));
@@ -102,10 +104,10 @@
     if args.schedule {
         return Ok(ExitCode::SUCCESS);
     }
-    play(&setup, &faults)
+    run(&setup, &faults)
 }
 
-fn play(setup: &SoakSetup, faults: &[Fault]) -> eyre::Result<ExitCode> {
+fn run(setup: &SoakSetup, faults: &[Fault]) -> eyre::Result<ExitCode> {
     std::fs::create_dir_all(&setup.dir).wrap_err("making a directory for logs")?;
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
--- a/crates/cherrystand_testkit/src/bin/cherrystand_standin.rs
+++ b/crates/cherrystand_testkit/src/bin/cherrystand_standin.rs
@@ -14,12 +14,12 @@
 #[derive(FromArgs)]
 struct Args {
     #[argh(subcommand)]
-    kind: Kind,
+    stand_in: StandIn,
 }
 
 #[derive(FromArgs)]
 #[argh(subcommand)]
-enum Kind {
+enum StandIn {
     Platform(PlatformArgs),
     Engine(EngineArgs),
     Service(ServiceArgs),
@@ -48,8 +48,8 @@
     #[argh(option)]
     platform: SocketAddr,
     /// follow orders of any epoch
-    #[argh(switch)]
-    obeys_anyone: bool,
+    #[argh(switch, long = "obeys-anyone")]
+    accepts_any_epoch: bool,
 }
 
 /// one endpoint of a plain service
@@ -68,27 +68,27 @@
         .build()
         .wrap_err("starting the runtime")?;
     let local = tokio::task::LocalSet::new();
-    local.block_on(&runtime, run(args.kind))
+    local.block_on(&runtime, run(args.stand_in))
 }
 
-async fn run(kind: Kind) -> eyre::Result<()> {
+async fn run(stand_in: StandIn) -> eyre::Result<()> {
     // Stand-ins run until they are killed; nothing ever turns this true.
     let (_stop, stopped) = watch::channel(false);
-    match kind {
-        Kind::Platform(args) => {
+    match stand_in {
+        StandIn::Platform(args) => {
             let listener = bind(args.listen).await?;
             let stand_in = PlatformStandIn::new(read_inventory(args.inventory)?);
             serve_http(listener, move |req| stand_in.clone().handle(req), stopped).await;
         }
-        Kind::Engine(args) => {
+        StandIn::Engine(args) => {
             let listener = bind(args.listen).await?;
             let stand_in = EngineStandIn::new(EngineSetup {
                 platform: args.platform,
-                checks_orders: !args.obeys_anyone,
+                checks_orders: !args.accepts_any_epoch,
             });
             serve_http(listener, move |req| stand_in.clone().handle(req), stopped).await;
         }
-        Kind::Service(args) => {
+        StandIn::Service(args) => {
             let listener = bind(args.listen).await?;
             let stand_in = ServiceStandIn::default();
             serve_http(listener, move |req| stand_in.clone().handle(req), stopped).await;
--- a/crates/cherrystand_testkit/src/engine/stand_in.rs
+++ b/crates/cherrystand_testkit/src/engine/stand_in.rs
@@ -183,13 +183,13 @@
     }
 
     /// Answers a leader with the epoch that this member is ready for, or 0.
-    fn ready_epoch(&self) -> Response<crate::http::Whole> {
+    fn ready_epoch(&self) -> Response<crate::http::FullBody> {
         let state = self.state.borrow();
         let ready = state.state == EngineState::Ready;
         json(StatusCode::OK, &if ready { state.epoch } else { Epoch(0) })
     }
 
-    async fn set(&self, req: Request<Incoming>) -> Response<crate::http::Whole> {
+    async fn set(&self, req: Request<Incoming>) -> Response<crate::http::FullBody> {
         let Some(knobs) = read_json::<EngineKnobs>(req).await else {
             return empty(StatusCode::BAD_REQUEST);
         };
@@ -211,7 +211,7 @@
         empty(StatusCode::OK)
     }
 
-    async fn order(&self, req: Request<Incoming>) -> Response<crate::http::Whole> {
+    async fn order(&self, req: Request<Incoming>) -> Response<crate::http::FullBody> {
         let Some(order) = read_json::<Order>(req).await else {
             return empty(StatusCode::BAD_REQUEST);
         };
@@ -410,6 +410,6 @@
 }
 
 /// Converts an answer with a full body to the type of the engine's answers.
-pub(crate) fn boxed(answer: Response<crate::http::Whole>) -> Response<EngineBody> {
+pub(crate) fn boxed(answer: Response<crate::http::FullBody>) -> Response<EngineBody> {
     answer.map(|body| BodyExt::boxed_unsync(body.map_err(|never| match never {})))
 }
--- a/crates/cherrystand_testkit/src/http.rs
+++ b/crates/cherrystand_testkit/src/http.rs
@@ -9,10 +9,10 @@
 use serde::de::DeserializeOwned;
 
 /// The body of whole answers.
-pub(crate) type Whole = Full<Bytes>;
+pub(crate) type FullBody = Full<Bytes>;
 
 /// Makes an answer with a JSON body.
-pub(crate) fn json<T: Serialize>(status: StatusCode, value: &T) -> Response<Whole> {
+pub(crate) fn json<T: Serialize>(status: StatusCode, value: &T) -> Response<FullBody> {
     let text = serde_json::to_vec(value).unwrap_or_default();
     let mut answer = Response::new(Full::new(Bytes::from(text)));
     *answer.status_mut() = status;
@@ -22,7 +22,7 @@
 }
 
 /// Makes an answer without a body.
-pub(crate) fn empty(status: StatusCode) -> Response<Whole> {
+pub(crate) fn empty(status: StatusCode) -> Response<FullBody> {
     let mut answer = Response::new(Full::new(Bytes::new()));
     *answer.status_mut() = status;
     answer
--- a/crates/cherrystand_testkit/src/platform/stand_in.rs
+++ b/crates/cherrystand_testkit/src/platform/stand_in.rs
@@ -12,7 +12,7 @@
 use serde::{Deserialize, Serialize};
 use tokio::sync::{Notify, Semaphore};
 
-use crate::http::{Whole, empty, json, query, query_number, read_body, read_json};
+use crate::http::{FullBody, empty, json, query, query_number, read_body, read_json};
 use crate::platform::store::{RateLimiter, Store};
 
 /// The rate limit of reads per second.
@@ -99,7 +99,7 @@
     }
 
     /// Answers one HTTP request.
-    pub async fn handle(self, req: Request<Incoming>) -> Response<Whole> {
+    pub async fn handle(self, req: Request<Incoming>) -> Response<FullBody> {
         let path = req.uri().path().to_owned();
         match path.as_str() {
             "/control/set" => return self.set(req).await,
@@ -115,7 +115,7 @@
         answer
     }
 
-    async fn answer(&self, path: &str, req: Request<Incoming>) -> Response<Whole> {
+    async fn answer(&self, path: &str, req: Request<Incoming>) -> Response<FullBody> {
         if let Some(name) = path.strip_prefix("/v1/weights/") {
             return self.load_weights(name).await;
         }
@@ -175,14 +175,14 @@
         allowed
     }
 
-    fn get(&self, key: &str) -> Response<Whole> {
+    fn get(&self, key: &str) -> Response<FullBody> {
         match self.state.borrow().store.get(key) {
             Some(record) => json(StatusCode::OK, &record),
             None => empty(StatusCode::NOT_FOUND),
         }
     }
 
-    async fn swap(&self, key: &str, req: Request<Incoming>) -> Response<Whole> {
+    async fn swap(&self, key: &str, req: Request<Incoming>) -> Response<FullBody> {
         let Some(expected) = query_number(&req, "if-revision") else {
             return empty(StatusCode::BAD_REQUEST);
         };
@@ -209,13 +209,13 @@
         }
     }
 
-    fn changes_since(&self, prefix: &str, after: u64) -> Response<Whole> {
+    fn changes_since(&self, prefix: &str, after: u64) -> Response<FullBody> {
         let store = &self.state.borrow().store;
         let records = store.changed_since(prefix, after);
         json(StatusCode::OK, &WireRecords { revision: store.revision().number(), records })
     }
 
-    async fn watch(&self, prefix: &str, req: &Request<Incoming>) -> Response<Whole> {
+    async fn watch(&self, prefix: &str, req: &Request<Incoming>) -> Response<FullBody> {
         let after = query_number(req, "after").unwrap_or(0);
         let wait = Duration::from_millis(query_number(req, "wait-ms").unwrap_or(0));
         let deadline = tokio::time::Instant::now() + wait;
@@ -228,14 +228,14 @@
         }
     }
 
-    fn lease(&self, name: &str, req: &Request<Incoming>) -> Response<Whole> {
+    fn lease(&self, name: &str, req: &Request<Incoming>) -> Response<FullBody> {
         let holder = query(req, "holder").unwrap_or_default();
         let ttl = Duration::from_millis(query_number(req, "life-ms").unwrap_or(0));
         let held = self.state.borrow_mut().store.acquire_lease(name, holder, ttl);
         json(StatusCode::OK, &WireLease { held })
     }
 
-    async fn load_weights(&self, name: &str) -> Response<Whole> {
+    async fn load_weights(&self, name: &str) -> Response<FullBody> {
         let Ok(_slot) = self.load_slots.acquire().await else {
             return empty(StatusCode::SERVICE_UNAVAILABLE);
         };
@@ -244,7 +244,7 @@
         json(StatusCode::OK, &name)
     }
 
-    async fn set(&self, req: Request<Incoming>) -> Response<Whole> {
+    async fn set(&self, req: Request<Incoming>) -> Response<FullBody> {
         let Some(knobs) = read_json::<PlatformKnobs>(req).await else {
             return empty(StatusCode::BAD_REQUEST);
         };
--- a/crates/cherrystand_testkit/src/processes.rs
+++ b/crates/cherrystand_testkit/src/processes.rs
@@ -7,17 +7,17 @@
 
 /// The ports that are given out: below those that the system gives to outgoing connections, which
 /// could take a port between its choice and its use.
-const PORTS: std::ops::Range<u16> = 11_000..31_000;
+const PORT_RANGE: std::ops::Range<u16> = 11_000..31_000;
 
 /// Held while a port is tried and while a process starts.
 ///
 /// A process that starts has the listeners of all threads open for a moment, until it becomes the
 /// program; a port tried just then would stay in use.
-static TRY_OR_START: Mutex<()> = Mutex::new(());
+static SPAWN_LOCK: Mutex<()> = Mutex::new(());
 
-fn try_or_start() -> MutexGuard<'static, ()> {
+fn lock_spawn() -> MutexGuard<'static, ()> {
     // A test that failed while it held the lock leaves nothing half done.
-    TRY_OR_START.lock().unwrap_or_else(PoisonError::into_inner)
+    SPAWN_LOCK.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 /// Starts a process while no port is tried.
@@ -26,7 +26,7 @@
 ///
 /// Returns an error where it cannot be started.
 pub fn spawn(command: &mut Command) -> std::io::Result<Child> {
-    let _guard = try_or_start();
+    let _guard = lock_spawn();
     command.spawn()
 }
 
@@ -40,16 +40,17 @@
 }
 
 fn free_address() -> Option<SocketAddr> {
-    static NEXT: AtomicU32 = AtomicU32::new(0);
-    let span = u32::from(PORTS.end - PORTS.start);
+    static NEXT_OFFSET: AtomicU32 = AtomicU32::new(0);
+    let port_count = u32::from(PORT_RANGE.end - PORT_RANGE.start);
     // Processes that run side by side begin far apart.
-    let first = std::process::id().wrapping_mul(257);
-    let numbers =
-        (0..span).map(|_| first.wrapping_add(NEXT.fetch_add(1, Ordering::Relaxed)) % span);
+    let first_offset = std::process::id().wrapping_mul(257);
+    let offsets = (0..port_count).map(|_| {
+        first_offset.wrapping_add(NEXT_OFFSET.fetch_add(1, Ordering::Relaxed)) % port_count
+    });
     let mut addresses =
-        numbers.map(|number| SocketAddr::from(([127, 0, 0, 1], PORTS.start + number as u16)));
+        offsets.map(|offset| SocketAddr::from(([127, 0, 0, 1], PORT_RANGE.start + offset as u16)));
     addresses.find(|address| {
-        let _guard = try_or_start();
+        let _guard = lock_spawn();
         TcpListener::bind(address).is_ok()
     })
 }
--- a/crates/cherrystand_testkit/src/service_stand_in.rs
+++ b/crates/cherrystand_testkit/src/service_stand_in.rs
@@ -11,7 +11,7 @@
 use hyper::{Request, Response, StatusCode};
 use serde::{Deserialize, Serialize};
 
-use crate::http::{Whole, empty, json, read_body, read_json};
+use crate::http::{FullBody, empty, json, read_body, read_json};
 
 /// Sets how a service behaves; what is left out stays as it is.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
@@ -25,8 +25,8 @@
     pub delay_ms: Option<u64>,
     /// What rest it asks for as it turns every call away, as the header has it; it serves again where that
     /// is empty.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub rest: Option<String>,
+    #[serde(rename = "rest", default, skip_serializing_if = "Option::is_none")]
+    pub retry_after: Option<String>,
 }
 
 /// What a service answers and has counted.
@@ -47,8 +47,8 @@
     delay: Duration,
     frozen_until: Option<tokio::time::Instant>,
     executions: BTreeMap<String, u32>,
-    rest: String,
-    turned_away: u32,
+    retry_after: String,
+    refused: u32,
 }
 
 /// Stands in for one endpoint of a plain service.
@@ -61,16 +61,16 @@
     /// Answers one call by repeating what it was asked, and counts it.
     ///
     /// Calls count by their `idempotency-key`, or by their `x-request-id` where they have none.
-    pub async fn handle(self, req: Request<Incoming>) -> Response<Whole> {
+    pub async fn handle(self, req: Request<Incoming>) -> Response<FullBody> {
         match req.uri().path() {
             "/control/set" => return self.set(req).await,
             "/control/executions" => {
                 return json(StatusCode::OK, &self.state.borrow().executions);
             }
             "/control/turned-away" => {
-                return json(StatusCode::OK, &self.state.borrow().turned_away);
+                return json(StatusCode::OK, &self.state.borrow().refused);
             }
-            _ if !self.state.borrow().rest.is_empty() => return self.turn_away(),
+            _ if !self.state.borrow().retry_after.is_empty() => return self.refuse(),
             _ => {}
         }
         let header = |name: &str| {
@@ -78,30 +78,30 @@
             value.map(str::to_owned)
         };
         let request = header("x-request-id").unwrap_or_default();
-        let counted = header("idempotency-key").unwrap_or_else(|| request.clone());
+        let counter_key = header("idempotency-key").unwrap_or_else(|| request.clone());
         let method = req.method().to_string();
         let path = req.uri().to_string();
         let Some(body) = read_body(req).await else {
             return empty(StatusCode::BAD_REQUEST);
         };
-        self.wait().await;
-        *self.state.borrow_mut().executions.entry(counted).or_default() += 1;
+        self.wait_for_delay().await;
+        *self.state.borrow_mut().executions.entry(counter_key).or_default() += 1;
         let body = String::from_utf8_lossy(&body).into_owned();
         json(StatusCode::OK, &ServiceAnswer { method, path, body, request })
     }
 
-    fn turn_away(&self) -> Response<Whole> {
+    fn refuse(&self) -> Response<FullBody> {
         let mut state = self.state.borrow_mut();
-        state.turned_away += 1;
+        state.refused += 1;
         let mut answer = empty(StatusCode::TOO_MANY_REQUESTS);
         answer.headers_mut().insert(NOT_RUN_HEADER, HeaderValue::from_static("1"));
-        if let Ok(rest) = state.rest.parse() {
-            answer.headers_mut().insert(RETRY_AFTER, rest);
+        if let Ok(retry_after) = state.retry_after.parse() {
+            answer.headers_mut().insert(RETRY_AFTER, retry_after);
         }
         answer
     }
 
-    async fn wait(&self) {
+    async fn wait_for_delay(&self) {
         let (delay, until) = {
             let state = self.state.borrow();
             (state.delay, state.frozen_until)
@@ -114,7 +114,7 @@
         }
     }
 
-    async fn set(&self, req: Request<Incoming>) -> Response<Whole> {
+    async fn set(&self, req: Request<Incoming>) -> Response<FullBody> {
         let Some(knobs) = read_json::<ServiceKnobs>(req).await else {
             return empty(StatusCode::BAD_REQUEST);
         };
@@ -126,8 +126,8 @@
         if let Some(delay) = knobs.delay_ms {
             state.delay = Duration::from_millis(delay);
         }
-        if let Some(rest) = knobs.rest {
-            state.rest = rest;
+        if let Some(retry_after) = knobs.retry_after {
+            state.retry_after = retry_after;
         }
         empty(StatusCode::OK)
     }
--- a/crates/cherrystand_testkit/src/site/metadata_stand_in.rs
+++ b/crates/cherrystand_testkit/src/site/metadata_stand_in.rs
@@ -12,7 +12,7 @@
 use serde::Deserialize;
 use serde_json::{Value, json};
 
-use crate::http::{Whole, empty, json as told, query_number, read_json};
+use crate::http::{FullBody, empty, json as told, query_number, read_json};
 
 /// How often a watch that waits looks for changes.
 const LOOK_EVERY: Duration = Duration::from_millis(5);
@@ -175,7 +175,7 @@
     }
 
     /// Answers one call that came through a door, and tells the era once it is not the first.
-    pub async fn handle(self, door: Door, req: Request<Incoming>) -> Response<Whole> {
+    pub async fn handle(self, door: Door, req: Request<Incoming>) -> Response<FullBody> {
         let state = self.state.clone();
         let mut answer = self.answer(door, req).await;
         let era = state.borrow().era;
@@ -185,7 +185,7 @@
         answer
     }
 
-    async fn answer(self, door: Door, req: Request<Incoming>) -> Response<Whole> {
+    async fn answer(self, door: Door, req: Request<Incoming>) -> Response<FullBody> {
         self.state.borrow_mut().calls += 1;
         match door {
             Door::Open => {}
@@ -215,7 +215,7 @@
         self.state.borrow_mut().late.insert(key.to_owned(), value);
     }
 
-    fn key(&self, key: &str) -> Response<Whole> {
+    fn key(&self, key: &str) -> Response<FullBody> {
         let found = self.state.borrow().items.get(key).cloned();
         if let Some((revision, value)) = found {
             return told(StatusCode::OK, &item(key, revision, &value));
@@ -242,7 +242,7 @@
         self.state.borrow_mut().pages = Some((length, fault));
     }
 
-    fn range(&self, prefix: &str, after: &str) -> Response<Whole> {
+    fn range(&self, prefix: &str, after: &str) -> Response<FullBody> {
         let state = self.state.borrow();
         let (length, fault) = state.pages.unwrap_or((usize::MAX, PageFault::None));
         let (after, length) = match fault {
@@ -260,7 +260,7 @@
         told(StatusCode::OK, &page)
     }
 
-    async fn watch(&self, req: &Request<Incoming>) -> Response<Whole> {
+    async fn watch(&self, req: &Request<Incoming>) -> Response<FullBody> {
         let prefix = text(req, "path_prefix");
         let since = query_number(req, "since_rev").unwrap_or_default();
         let wait = query_number(req, "wait_ms").unwrap_or_default();
@@ -284,7 +284,7 @@
         }
     }
 
-    async fn write(&self, transaction: Transaction) -> Response<Whole> {
+    async fn write(&self, transaction: Transaction) -> Response<FullBody> {
         let revision_of = |key: &String| {
             let state = self.state.borrow();
             state.items.get(key).map_or(0, |(revision, _)| *revision)
