--- a/crates/cherrystandd/src/site/endpoint_call.rs
+++ b/crates/cherrystandd/src/site/endpoint_call.rs
@@ -39,7 +39,7 @@
     frontend: Rc<Frontend>,
     req: Rc<SiteRequest>,
     attempt: Rc<ActiveAttempt>,
-    last_event: Option<u64>,
+    last_event_id: Option<u64>,
 ) -> Result<StartedAnswer, AttemptEnd> {
     let Some(address) = frontend.address_of(&attempt.target) else {
         return Err(AttemptEnd::NotSent);
@@ -48,7 +48,7 @@
         return Err(AttemptEnd::NotSent);
     };
     req.set_may_have_run(true);
-    let sent = send_permitted(&frontend, &req, &attempt, permit, address, last_event).await;
+    let sent = send_permitted(&frontend, &req, &attempt, permit, address, last_event_id).await;
     if sent.as_ref().is_err_and(|end| end.outcome() == Outcome::NotRun) {
         req.set_may_have_run(false);
     }
@@ -61,12 +61,12 @@
     attempt: &ActiveAttempt,
     permit: SendPermit,
     address: SocketAddr,
-    last_event: Option<u64>,
+    last_event_id: Option<u64>,
 ) -> Result<(Parts, PooledBody), AttemptEnd> {
     frontend.observe_store_age(&attempt.target, req);
     let outgoing = req.endpoint_request::<Driver>(
         &attempt.target,
-        last_event,
+        last_event_id,
         attempt.priority,
         frontend.now(),
     );
@@ -109,12 +109,12 @@
     answer: Response<PooledBody>,
     attempt: &ActiveAttempt,
 ) -> Result<(Parts, PooledBody), AttemptEnd> {
-    let facts = Driver::read_answer(answer.status(), answer.headers());
-    frontend.apply_signals(attempt, req, &facts);
-    frontend.apply_limit(attempt, req, answer.status(), &facts);
-    frontend.apply_cold_start(attempt, req, &facts);
+    let headers = Driver::read_answer(answer.status(), answer.headers());
+    frontend.apply_signals(attempt, req, &headers);
+    frontend.apply_limit(attempt, req, answer.status(), &headers);
+    frontend.apply_cold_start(attempt, req, &headers);
     let (head, body) = answer.into_parts();
-    if facts.not_run {
+    if headers.not_run {
         if head.status != StatusCode::MISDIRECTED_REQUEST {
             attempt.refused();
             return Err(AttemptEnd::Refused);
@@ -122,12 +122,12 @@
         frontend.report_not_serving(attempt);
         return Err(AttemptEnd::NotServing);
     }
-    if facts.request != req.facts.id {
+    if headers.request != req.headers.id {
         body.discard();
         attempt.failed();
         return Err(AttemptEnd::CutBeforeAnswer);
     }
-    if head.status.is_success() && !facts.sealed {
+    if head.status.is_success() && !headers.sealed {
         // An unsealed answer doesn't come from the endpoint itself.
         body.discard();
         attempt.failed();
@@ -151,15 +151,15 @@
 /// never fit.
 pub(crate) async fn read_to_end(
     mut body: PooledBody,
-    held_bytes: &BufferBudget,
+    buffer_budget: &BufferBudget,
 ) -> Result<(Bytes, BufferReservation), AttemptEnd> {
     let announced = usize::try_from(body.size_hint().lower()).unwrap_or(usize::MAX);
-    let mut read = BodyBuffer::new(reserve(held_bytes, announced, announced).await?);
+    let mut read = BodyBuffer::new(reserve(buffer_budget, announced, announced).await?);
     while let Some(frame) = body.frame().await {
         let frame = frame.map_err(|_| AttemptEnd::AnswerCut)?;
         let Ok(data) = frame.into_data() else { continue };
         let more =
-            reserve(held_bytes, read.additional_needed(&data), read.len() + data.len()).await?;
+            reserve(buffer_budget, read.additional_needed(&data), read.len() + data.len()).await?;
         read.push(&data, more);
     }
     Ok(read.finish())
@@ -167,13 +167,13 @@
 
 /// Waits for memory for `more` bytes of an answer that has `total` bytes with them.
 async fn reserve(
-    held_bytes: &BufferBudget,
+    buffer_budget: &BufferBudget,
     more: usize,
     total: usize,
 ) -> Result<BufferReservation, AttemptEnd> {
-    if !held_bytes.fits_when_empty(total) {
+    if !buffer_budget.fits_when_empty(total) {
         log::warn!(bytes = total as u64; "an answer exceeds the memory limit for buffered bodies");
         return Err(AttemptEnd::AnswerCut);
     }
-    Ok(held_bytes.reserve(more).await)
+    Ok(buffer_budget.reserve(more).await)
 }
--- a/crates/cherrystandd/src/site/endpoint_signals.rs
+++ b/crates/cherrystandd/src/site/endpoint_signals.rs
@@ -25,8 +25,8 @@
 const PERMIT_WAIT_DIVISOR: u64 = 8;
 
 /// Returns whether an answer names the request that it was given to.
-fn is_answer_to(req: &SiteRequest, facts: &AnswerHeaders) -> bool {
-    facts.request.is_some() && facts.request == req.facts.id
+fn is_answer_to(req: &SiteRequest, headers: &AnswerHeaders) -> bool {
+    headers.request.is_some() && headers.request == req.headers.id
 }
 
 impl Frontend {
@@ -37,25 +37,25 @@
         &self,
         attempt: &ActiveAttempt,
         req: &SiteRequest,
-        facts: &AnswerHeaders,
+        headers: &AnswerHeaders,
     ) {
-        if facts.request.is_some() && facts.request != req.facts.id {
+        if headers.request.is_some() && headers.request != req.headers.id {
             return;
         }
         let mut balancer = self.balancer.borrow_mut();
-        if facts.leaving && balancer.record_draining(&attempt.target) {
+        if headers.leaving && balancer.record_draining(&attempt.target) {
             self.signal_log.leaving(&attempt.target);
             self.cx.hint(Hint::Leaving(attempt.target.clone()));
             self.loads.broadcast(LoadMessage::Leaving(attempt.target.clone()));
         }
-        if facts.not_run {
-            let until = match facts.requested_backoff {
+        if headers.not_run {
+            let until = match headers.requested_backoff {
                 RequestedBackoff::After(backoff) => {
                     Some(balancer.record_backoff(&attempt.target, backoff, self.now()))
                 }
                 _ => None,
             };
-            self.signal_log.refused(&attempt.target, facts, until);
+            self.signal_log.refused(&attempt.target, headers, until);
         }
     }
 
@@ -69,13 +69,13 @@
         attempt: &ActiveAttempt,
         req: &SiteRequest,
         status: StatusCode,
-        facts: &AnswerHeaders,
+        headers: &AnswerHeaders,
     ) {
-        if !is_answer_to(req, facts) {
+        if !is_answer_to(req, headers) {
             return;
         }
-        let limit = match facts.limit {
-            AdvertisedLimit::None if facts.not_run || !status.is_success() => return,
+        let limit = match headers.limit {
+            AdvertisedLimit::None if headers.not_run || !status.is_success() => return,
             AdvertisedLimit::None => None,
             AdvertisedLimit::PerSecond(limit) => Some(limit),
             AdvertisedLimit::Unreadable => return self.signal_log.invalid_limit(&attempt.target),
@@ -95,9 +95,9 @@
         &self,
         attempt: &ActiveAttempt,
         req: &SiteRequest,
-        facts: &AnswerHeaders,
+        headers: &AnswerHeaders,
     ) {
-        let cold_left = facts.cold_remaining.filter(|_| is_answer_to(req, facts));
+        let cold_left = headers.cold_remaining.filter(|_| is_answer_to(req, headers));
         let Some(left) = cold_left.filter(|left| *left > Millis(0)) else { return };
         let view = self.view.borrow();
         let service = view.routes.as_ref().and_then(|table| table.config().service(&req.service));
--- a/crates/cherrystandd/src/site/event_stream.rs
+++ b/crates/cherrystandd/src/site/event_stream.rs
@@ -63,7 +63,7 @@
     /// The boxes that were sent the request, and how the attempts ended.
     pub(crate) attempts: RequestAttempts,
     /// The id of the last event that was forwarded.
-    pub(crate) last_event: Option<u64>,
+    pub(crate) last_event_id: Option<u64>,
 }
 
 impl EventStream {
@@ -100,9 +100,9 @@
         loop {
             let checked_at = self.frontend.now();
             let left = Duration::from_millis(self.req.deadline.since(checked_at).0);
-            let last_event = self.last_event;
+            let last_event_id = self.last_event_id;
             let step = tokio::select! {
-                step = next_step(&mut current, last_event) => step,
+                step = next_step(&mut current, last_event_id) => step,
                 resumed = resuming.next() => match resumed {
                     Ok((stream, step)) => {
                         self.attempts.ledger.record_end(AttemptEnd::Answered);
@@ -149,7 +149,7 @@
                     // The first to bring an event continues; the others' slots are freed at once.
                     resuming.clear();
                     self.attempts.ledger.record_remaining_ends(AttemptEnd::Overtaken);
-                    (resume_attempts, self.last_event) = (0, id);
+                    (resume_attempts, self.last_event_id) = (0, id);
                     *state = AnswerState { received_at: self.frontend.now(), stall: None };
                     let sent_at = self.frontend.now();
                     if let Some(end) = self.send_events(events).await {
@@ -216,18 +216,18 @@
         attempt: Rc<ActiveAttempt>,
     ) -> impl Future<Output = (Rc<ActiveAttempt>, Result<(ReplicaStream, StreamStep), AttemptEnd>)> + use<>
     {
-        let (frontend, req, last) = (self.frontend.clone(), self.req.clone(), self.last_event);
+        let (frontend, req, last) = (self.frontend.clone(), self.req.clone(), self.last_event_id);
         async move { (attempt.clone(), resume_stream(frontend, req, attempt, last).await) }
     }
 }
 
 /// Waits for the next step of the answer that is being forwarded. Without one it never returns.
-async fn next_step(current: &mut Option<ReplicaStream>, last_event: Option<u64>) -> StreamStep {
+async fn next_step(current: &mut Option<ReplicaStream>, last_event_id: Option<u64>) -> StreamStep {
     let Some(stream) = current else { return std::future::pending().await };
     let attempt = stream.attempt.clone();
     tokio::select! {
         // While events arrive often, no check runs, so the abort is awaited here too.
         () = attempt.aborted() => StreamStep::Broken(AttemptEnd::ReplicaLost),
-        step = stream.next(last_event) => step,
+        step = stream.next(last_event_id) => step,
     }
 }
--- a/crates/cherrystandd/src/site/failure_log.rs
+++ b/crates/cherrystandd/src/site/failure_log.rs
@@ -61,9 +61,9 @@
             None => "no endpoint serves it",
         };
         log::warn!(
-            request = req.facts.id.as_deref().unwrap_or_default(),
+            request = req.headers.id.as_deref().unwrap_or_default(),
             route = req.route.name.as_str(), service = req.service.as_str(),
-            model = req.facts.model.as_deref().unwrap_or_default(),
+            model = req.headers.model.as_deref().unwrap_or_default(),
             targets = targets, left_out = left_out,
             rest_ms = unavailable_until.map_or(0, |until| until.since(now).0);
             "a request was refused: {why}"
@@ -78,7 +78,7 @@
         };
         let tried: Vec<&str> = tried.iter().map(BoxId::as_str).collect();
         log::warn!(
-            request = req.facts.id.as_deref().unwrap_or_default(),
+            request = req.headers.id.as_deref().unwrap_or_default(),
             fingerprint = fingerprint_of(req),
             route = req.route.name.as_str(), tried = tried.join(" "), end = end,
             left_ms = req.deadline.since(now).0, left_out = left_out;
@@ -105,7 +105,7 @@
         let stall = stream.stall;
         let age = |age: Option<Millis>| age.map_or(-1, |age| age.0 as i64);
         log::warn!(
-            request = stream.req.facts.id.as_deref().unwrap_or_default(),
+            request = stream.req.headers.id.as_deref().unwrap_or_default(),
             fingerprint = fingerprint_of(stream.req),
             route = stream.req.route.name.as_str(), tried = tried.join(" "),
             stream = stream.end.as_str(), end = stream.attempt_end.map_or("", AttemptEnd::as_str),
--- a/crates/cherrystandd/src/site/frontend.rs
+++ b/crates/cherrystandd/src/site/frontend.rs
@@ -74,7 +74,7 @@
     /// Connections to endpoints.
     pub(crate) pool: EndpointPool,
     /// Memory budget of bodies that are buffered whole.
-    pub(crate) held_bytes: BufferBudget,
+    pub(crate) buffer_budget: BufferBudget,
     pub(super) view: RefCell<Arc<SiteView>>,
     addresses: RefCell<BTreeMap<BoxId, SocketAddr>>,
     pub(super) rng: Cell<SeededRng>,
@@ -102,7 +102,7 @@
         Self {
             balancer,
             pool: EndpointPool::default(),
-            held_bytes: BufferBudget::new(
+            buffer_budget: BufferBudget::new(
                 cx.settings.limits.max_buffer_bytes(),
                 cx.metrics.bytes_held.clone(),
             ),
@@ -262,7 +262,7 @@
         }
         let Some(left_out) = self.stale_log.borrow_mut().admit(self.now()) else { return };
         log::info!(
-            target_box = target.as_str(), request = req.facts.id.as_deref(), age_ms = age.0,
+            target_box = target.as_str(), request = req.headers.id.as_deref(), age_ms = age.0,
             told_by = self.cx.store_freshness.source().to_string(), left_out = left_out;
             "a request is sent by old news of the store"
         );
@@ -308,7 +308,7 @@
     fn max_silence(&self, req: &SiteRequest, load: EngineLoad) -> Millis {
         let view = self.view.borrow();
         let engine = view.routes.as_ref().and_then(|table| table.config().engine(&req.service));
-        let model = req.facts.model.as_deref();
+        let model = req.headers.model.as_deref();
         let predicted = engine.and_then(|engine| {
             let model = engine.model(model?)?;
             Some(engine.max_silence(model, load))
--- a/crates/cherrystandd/src/site/replica_stream.rs
+++ b/crates/cherrystandd/src/site/replica_stream.rs
@@ -52,7 +52,7 @@
     /// Waits for what follows the event with the id `last_event`.
     ///
     /// Dropping the future loses nothing of the answer.
-    pub(crate) async fn next(&mut self, last_event: Option<u64>) -> StreamStep {
+    pub(crate) async fn next(&mut self, last_event_id: Option<u64>) -> StreamStep {
         loop {
             match self.body.frame().await {
                 None => return self.end(),
@@ -74,7 +74,7 @@
                     self.attempt.on_event();
                     let Ok(data) = frame.into_data() else { continue };
                     self.splitter.push(&data);
-                    if let Some(step) = self.complete_events(last_event) {
+                    if let Some(step) = self.complete_events(last_event_id) {
                         return step;
                     }
                 }
@@ -83,15 +83,15 @@
     }
 
     /// Takes out the events that are complete by now and follow `last_event`.
-    fn complete_events(&mut self, mut last_event: Option<u64>) -> Option<StreamStep> {
+    fn complete_events(&mut self, mut last_event_id: Option<u64>) -> Option<StreamStep> {
         let mut out: Vec<Bytes> = Vec::new();
         while let Some(event) = self.splitter.next_event() {
-            if is_next(&event, last_event) {
-                last_event = event.id.or(last_event);
+            if is_next(&event, last_event_id) {
+                last_event_id = event.id.or(last_event_id);
                 out.push(event.bytes);
             } else if event
                 .id
-                .is_some_and(|id| last_event.is_some_and(|last_event| id > last_event + 1))
+                .is_some_and(|id| last_event_id.is_some_and(|last_event_id| id > last_event_id + 1))
             {
                 return Some(StreamStep::Broken(AttemptEnd::AnswerCut));
             }
@@ -101,8 +101,8 @@
         }
         match out.len() {
             0 => None,
-            1 => Some(StreamStep::Events(out.remove(0), last_event)),
-            _ => Some(StreamStep::Events(Bytes::from(out.concat()), last_event)),
+            1 => Some(StreamStep::Events(out.remove(0), last_event_id)),
+            _ => Some(StreamStep::Events(Bytes::from(out.concat()), last_event_id)),
         }
     }
 
@@ -117,9 +117,9 @@
 }
 
 /// Returns whether an event is the next one after `last_event`.
-fn is_next(event: &StreamEvent, last_event: Option<u64>) -> bool {
-    match (event.id, last_event) {
-        (Some(id), Some(last_event)) => id == last_event + 1,
+fn is_next(event: &StreamEvent, last_event_id: Option<u64>) -> bool {
+    match (event.id, last_event_id) {
+        (Some(id), Some(last_event_id)) => id == last_event_id + 1,
         _ => true,
     }
 }
@@ -134,9 +134,10 @@
     frontend: Rc<Frontend>,
     req: Rc<SiteRequest>,
     attempt: Rc<ActiveAttempt>,
-    last_event: Option<u64>,
+    last_event_id: Option<u64>,
 ) -> Result<(ReplicaStream, StreamStep), AttemptEnd> {
-    let started = endpoint_call::send(frontend.clone(), req, attempt.clone(), last_event).await?;
+    let started =
+        endpoint_call::send(frontend.clone(), req, attempt.clone(), last_event_id).await?;
     if started.head.status != StatusCode::OK {
         // The endpoint may have run the request, but a caller in the middle of a stream has no use
         // for another status.
@@ -145,7 +146,7 @@
     }
     let mut stream = ReplicaStream::new(frontend, started);
     let step = tokio::select! {
-        step = stream.next(last_event) => step,
+        step = stream.next(last_event_id) => step,
         () = attempt.aborted() => StreamStep::Broken(AttemptEnd::ReplicaLost),
     };
     match step {
--- a/crates/cherrystandd/src/site/request.rs
+++ b/crates/cherrystandd/src/site/request.rs
@@ -23,12 +23,12 @@
 /// A caller's request while it is being served.
 pub(crate) struct SiteRequest {
     /// What its headers say.
-    pub(crate) facts: RequestHeaders,
+    pub(crate) headers: RequestHeaders,
     pub(crate) head: Parts,
     /// The complete body.
     pub(crate) body: Bytes,
     /// The memory reserved for the body.
-    pub(crate) _held: BufferReservation,
+    pub(crate) _reservation: BufferReservation,
     pub(crate) route: Route,
     /// The tenant that its API key belongs to.
     pub(crate) tenant: Option<String>,
@@ -79,7 +79,7 @@
         engine: Option<&EngineSpec>,
         latency_goal: Millis,
     ) -> RequestSpec<'_> {
-        let model = self.facts.model.as_deref().filter(|_| engine.is_some());
+        let model = self.headers.model.as_deref().filter(|_| engine.is_some());
         let regions =
             AllowedRegions { route: &self.route.allowed_regions, tenant: &self.tenant_regions };
         RequestSpec {
@@ -93,7 +93,7 @@
 
     /// Returns the number of tokens of its prompt.
     pub(crate) fn prompt_tokens(&self) -> f64 {
-        f64::from(self.facts.prompt_tokens.unwrap_or_default())
+        f64::from(self.headers.prompt_tokens.unwrap_or_default())
     }
 
     /// Builds the request that is sent to a box.
@@ -153,14 +153,14 @@
 pub(crate) fn authorize(
     table: &RouteTable,
     head: &Parts,
-    facts: &RequestHeaders,
+    headers: &RequestHeaders,
 ) -> Result<Authorization, StatusCode> {
-    let found = table.find(host_of(head), head.uri.path(), facts.api_key.as_deref());
+    let found = table.find(host_of(head), head.uri.path(), headers.api_key.as_deref());
     let allowed = found.map_err(|reason| match reason {
         RouteError::NoRoute => StatusCode::NOT_FOUND,
         RouteError::UnknownKey => StatusCode::UNAUTHORIZED,
     })?;
-    let id = facts.id.as_deref().unwrap_or_default();
+    let id = headers.id.as_deref().unwrap_or_default();
     let service = allowed.route.service_of(hash_bytes(id.as_bytes()));
     let service = service.ok_or(StatusCode::NOT_FOUND)?.clone();
     Ok(Authorization {
@@ -190,14 +190,14 @@
 pub(crate) async fn read_body(
     mut body: Incoming,
     max_bytes: usize,
-    held_bytes: &BufferBudget,
+    buffer_budget: &BufferBudget,
 ) -> Result<(Bytes, BufferReservation), StatusCode> {
     let announced = usize::try_from(body.size_hint().lower()).unwrap_or(usize::MAX);
     if announced > max_bytes {
         return Err(StatusCode::PAYLOAD_TOO_LARGE);
     }
     let no_memory = StatusCode::SERVICE_UNAVAILABLE;
-    let mut read = BodyBuffer::new(held_bytes.try_reserve(announced).ok_or(no_memory)?);
+    let mut read = BodyBuffer::new(buffer_budget.try_reserve(announced).ok_or(no_memory)?);
     while let Some(frame) = body.frame().await {
         let frame = frame.map_err(|_| StatusCode::BAD_REQUEST)?;
         let Ok(data) = frame.into_data() else {
@@ -206,7 +206,7 @@
         if read.len() + data.len() > max_bytes {
             return Err(StatusCode::PAYLOAD_TOO_LARGE);
         }
-        let more = held_bytes.try_reserve(read.additional_needed(&data)).ok_or(no_memory)?;
+        let more = buffer_budget.try_reserve(read.additional_needed(&data)).ok_or(no_memory)?;
         read.push(&data, more);
     }
     Ok(read.finish())
--- a/crates/cherrystandd/src/site/request_handler.rs
+++ b/crates/cherrystandd/src/site/request_handler.rs
@@ -117,18 +117,19 @@
     if head_size(&head) > table.config().limits.header_bytes {
         return Err(StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE.into());
     }
-    let facts = Driver::read_request(&head.headers);
-    let Authorization { route, tenant, tenant_regions, service } = authorize(table, &head, &facts)?;
+    let headers = Driver::read_request(&head.headers);
+    let Authorization { route, tenant, tenant_regions, service } =
+        authorize(table, &head, &headers)?;
     let max_bytes = table.config().limits.body_bytes;
-    let (body, held) = read_body(body, max_bytes, &frontend.held_bytes).await?;
-    let wait = facts.timeout.unwrap_or(DEFAULT_TIMEOUT).min(route.timeout);
-    let deadline = arrived + wait;
+    let (body, reservation) = read_body(body, max_bytes, &frontend.buffer_budget).await?;
+    let timeout = headers.timeout.unwrap_or(DEFAULT_TIMEOUT).min(route.timeout);
+    let deadline = arrived + timeout;
     let (fingerprint, trial) = (OnceCell::new(), OnceCell::new());
     let req = SiteRequest {
-        facts,
+        headers,
         head,
         body,
-        _held: held,
+        _reservation: reservation,
         route,
         tenant,
         tenant_regions,
@@ -169,12 +170,12 @@
             attempts.log_failure(frontend, &req, end)
         });
     }
-    let (tx, body) = CallerBody::event_stream(frontend.held_bytes.clone());
+    let (tx, body) = CallerBody::event_stream(frontend.buffer_budget.clone());
     let mut head = started.head.clone();
     remove_hop_by_hop_headers(&mut head.headers);
     head.headers.remove(hyper::header::CONTENT_LENGTH);
-    let last_event = req.facts.last_event_id;
-    let stream = EventStream { frontend: frontend.clone(), req, tx, attempts, last_event };
+    let last_event_id = req.headers.last_event_id;
+    let stream = EventStream { frontend: frontend.clone(), req, tx, attempts, last_event_id };
     tokio::task::spawn_local(stream.run(started));
     Ok(Response::from_parts(head, body))
 }
@@ -191,8 +192,8 @@
     let send = |attempt: Rc<ActiveAttempt>| {
         let (frontend, req) = (frontend.clone(), req.clone());
         async move {
-            let last_event = req.facts.last_event_id;
-            (attempt.clone(), endpoint_call::send(frontend, req, attempt, last_event).await)
+            let last_event_id = req.headers.last_event_id;
+            (attempt.clone(), endpoint_call::send(frontend, req, attempt, last_event_id).await)
         }
     };
     let mut open = OpenAttempts::new();
@@ -294,13 +295,13 @@
     started: StartedAnswer,
 ) -> Result<Response<CallerBody>, AttemptEnd> {
     let StartedAnswer { mut head, body, attempt } = started;
-    let read = endpoint_call::read_to_end(body, &frontend.held_bytes).await;
-    let (bytes, share) = read.inspect_err(|_| attempt.interrupted())?;
+    let read = endpoint_call::read_to_end(body, &frontend.buffer_budget).await;
+    let (bytes, reservation) = read.inspect_err(|_| attempt.interrupted())?;
     if head.status.is_server_error() {
         attempt.failed();
     } else {
         attempt.succeeded();
     }
     remove_hop_by_hop_headers(&mut head.headers);
-    Ok(Response::from_parts(head, CallerBody::reserved(bytes, share)))
+    Ok(Response::from_parts(head, CallerBody::reserved(bytes, reservation)))
 }
--- a/crates/cherrystandd/src/site/signal_log.rs
+++ b/crates/cherrystandd/src/site/signal_log.rs
@@ -25,15 +25,15 @@
     }
 
     /// Logs that a replica refused a request, and which backoff it asked for.
-    pub(crate) fn refused(&self, id: &BoxId, facts: &AnswerHeaders, until: Option<Millis>) {
-        let rest = match facts.requested_backoff {
+    pub(crate) fn refused(&self, id: &BoxId, headers: &AnswerHeaders, until: Option<Millis>) {
+        let rest = match headers.requested_backoff {
             RequestedBackoff::None => "none",
             RequestedBackoff::After(_) => "asked",
             RequestedBackoff::Unreadable => "unreadable",
         };
         self.metrics.endpoint_refusals.with_label_values(&[rest]).inc();
         let now = self.clock.now();
-        if facts.requested_backoff == RequestedBackoff::None {
+        if headers.requested_backoff == RequestedBackoff::None {
             return;
         }
         let Some(left_out) = self.admit() else { return };
