--- a/crates/cherrystandd/src/site/replica_stream.rs
+++ b/crates/cherrystandd/src/site/replica_stream.rs
@@ -49,7 +49,7 @@
         Self { frontend, body, attempt, splitter, received_at, caller_resumed_at: None }
     }
 
-    /// Waits for what follows the event with the id `last_event`.
+    /// Waits for what follows the event with the id `last_event_id`.
     ///
     /// Dropping the future loses nothing of the answer.
     pub(crate) async fn next(&mut self, last_event_id: Option<u64>) -> StreamStep {
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Takes out the events that are complete by now and follow `last_event`.
+    /// Takes out the events that are complete by now and follow `last_event_id`.
     fn complete_events(&mut self, mut last_event_id: Option<u64>) -> Option<StreamStep> {
         let mut out: Vec<Bytes> = Vec::new();
         while let Some(event) = self.splitter.next_event() {
@@ -116,7 +116,7 @@
     }
 }
 
-/// Returns whether an event is the next one after `last_event`.
+/// Returns whether an event is the next one after `last_event_id`.
 fn is_next(event: &StreamEvent, last_event_id: Option<u64>) -> bool {
     match (event.id, last_event_id) {
         (Some(id), Some(last_event_id)) => id == last_event_id + 1,
@@ -124,8 +124,8 @@
     }
 }
 
-/// Has another replica resume after the event `last_event`, and waits for the first step of its
-/// answer.
+/// Has another replica resume after the event with the id `last_event_id`, and waits for the first
+/// step of its answer.
 ///
 /// # Errors
 ///
