--- a/crates/cherrystand_peer/src/change_update.rs
+++ b/crates/cherrystand_peer/src/change_update.rs
@@ -1,4 +1,4 @@
-//! What changed in the store, as one daemon passes it on to another.
+//! The messages by which a daemon gets changes of the store from another daemon.
 
 use std::sync::Arc;
 
@@ -7,64 +7,64 @@
 
 use crate::{PackedBatch, PackedBody};
 
-/// Names a place in the changes that one daemon passes on.
+/// A position in the sequence of changes that one daemon provides.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChangeCursor {
-    /// The life of the daemon that passes them on.
+    /// The incarnation of the daemon that provides the changes.
     #[serde(rename = "life")]
     pub incarnation: u64,
-    /// How many changes it had passed on by then in that life.
+    /// The number of changes in this incarnation before the position.
     pub count: u64,
 }
 
-/// Asks a daemon for what the store told it.
+/// A request for changes that a daemon received from the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ChangeRequest {
-    /// Asks for what changed, of a daemon that knows the store's state freshly.
+    /// Requests changes from a daemon whose state of the store is fresh.
     After {
-        /// From where on; everything as it is where this is left out or not known any more.
+        /// The position to continue from. Without a cursor, or with one that is no longer known, the answer is a
+        /// snapshot.
         cursor: Option<ChangeCursor>,
-        /// How long the answer may wait for a change.
+        /// How long the daemon may wait for a change before it answers.
         wait: Millis,
-        /// The revision of the configuration that the asker holds; 0 asks for the whole.
+        /// The revision of the configuration that the requester has; 0 requests it in full.
         config: Revision,
     },
-    /// Asks for everything as it was known last, however long ago the store told it.
+    /// Requests a snapshot of the last known state, regardless of its age.
     #[serde(rename = "Copy")]
     Snapshot {
-        /// The revision that the answer has to be newer than.
+        /// The revision that the snapshot has to be newer than.
         newer_than: Revision,
-        /// The revision of the configuration that the asker holds; 0 asks for the whole.
+        /// The revision of the configuration that the requester has; 0 requests it in full.
         config: Revision,
     },
-    /// Asks for nothing: that an answer comes shows that the asker's own link and processor carry
-    /// one.
+    /// Requests no data. An answer shows that the requester's own network link and processor work.
     Ping,
 }
 
-/// Tells what changed, or everything as it is.
+/// A batch of changes, or a snapshot.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChangeUpdate {
-    /// Where to go on from.
+    /// The position to continue from.
     pub cursor: ChangeCursor,
-    /// How long ago the store was known to answer.
+    /// The time since the store was last known to answer.
     pub store_age: Millis,
-    /// For how long the store has answered the sender, or whom it reads from, without a break.
+    /// For how long the store has answered the sender, or the daemon that it reads from, without a failure.
     #[serde(rename = "steady_for")]
     pub answering_for: Millis,
-    /// How long the sender held the answer back since there was nothing to tell; the rest of the
-    /// time until it arrives was spent on the way and in both daemons.
+    /// How long the sender waited for a change before it answered. The remaining time until the answer
+    /// arrives is spent in the network and in both daemons.
     #[serde(rename = "held")]
     pub waited: Millis,
-    /// The store's revision as far as the sender knows it.
+    /// The latest revision of the store that the sender knows.
     pub revision: Revision,
-    /// Whether the sender keeps boxes that the store lists no more, as after an outage; the store
-    /// then tells more than what changes after the revision.
+    /// Whether the sender keeps boxes that the store no longer lists, as after an outage. The changes
+    /// after the revision are then not sufficient to reach the state of the store.
     pub keeps_unlisted: bool,
-    /// Whether this is everything, so that what is not in it is gone.
+    /// Whether the batch is a snapshot, so that entries missing in it were removed.
     pub whole: bool,
-    /// The configuration, where it is newer than the one that the asker holds.
+    /// The configuration, if it is newer than that of the requester.
     pub config: Option<Arc<PackedBody>>,
-    /// What changed.
+    /// The changes.
     pub batch: PackedBatch,
 }
--- a/crates/cherrystand_peer/src/config_history.rs
+++ b/crates/cherrystand_peer/src/config_history.rs
@@ -1,4 +1,4 @@
-//! The last versions of the configuration, by which a new one is told as what changed.
+//! The last versions of the configuration, as bases for packing a new one.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -7,27 +7,28 @@
 
 use crate::{PackError, PackedBody, UnpackError};
 
-/// How many versions are kept; in a storm of twelve a second a peer that reads ten times a second
-/// holds one of the last two.
+/// Number of kept versions. With twelve new versions a second, a peer that reads ten times a second has
+/// one of the last two.
 const CAPACITY: usize = 6;
 
-/// How many bytes of versions are kept beyond the newest one, so that a large configuration does
-/// not take a box's memory.
+/// Maximum total size of the versions before the newest one, in bytes, which bounds the memory that
+/// large configurations take.
 const MAX_OLDER_BYTES: usize = 6 << 20;
 
-/// How many packed forms of the newest version are kept: nearly all peers hold the same one or two.
+/// Number of cached packed forms of the newest version. Nearly all peers have the same one or two
+/// versions.
 const PACKED_CAPACITY: usize = 4;
 
-/// Keeps the last versions of one text and the packed forms of the newest.
+/// The last versions of a text, with a cache of packed forms of the newest one.
 #[derive(Debug, Default)]
 pub struct ConfigHistory {
-    /// The oldest first.
+    /// The kept versions, the oldest first.
     versions: VecDeque<(Revision, Arc<str>)>,
     packed: VecDeque<Arc<PackedBody>>,
 }
 
 impl ConfigHistory {
-    /// Notes a version that is in force; an older one than the newest changes nothing.
+    /// Records a version that is in force, unless it is older than the newest one.
     pub fn record(&mut self, revision: Revision, text: Arc<str>) {
         if revision <= self.newest_revision() {
             return;
@@ -45,23 +46,23 @@
         self.versions.iter().rev().skip(1).map(|(_, text)| text.len()).sum()
     }
 
-    /// Returns the newest revision; 0 where there is none.
+    /// Returns the newest revision, or 0 if there is none.
     pub fn newest_revision(&self) -> Revision {
         self.versions.back().map(|(revision, _)| *revision).unwrap_or_default()
     }
 
-    /// Returns the text at a revision, where it is kept.
+    /// Returns the text of a revision, if it is kept.
     pub fn get(&self, revision: Revision) -> Option<&str> {
         let found = self.versions.iter().find(|(kept, _)| *kept == revision);
         found.map(|(_, text)| text.as_ref())
     }
 
-    /// Returns the newest version for a peer that holds `theirs`, packed against that one where it
-    /// is kept; nothing where the peer needs none.
+    /// Returns the newest version for a peer that has the revision `theirs`, packed against that revision
+    /// if it is kept. Returns nothing if the peer is up to date.
     ///
     /// # Errors
     ///
-    /// Returns a [`PackError`] where it cannot be packed.
+    /// Returns a [`PackError`] if the version cannot be packed.
     pub fn newer_than(&mut self, theirs: Revision) -> Result<Option<Arc<PackedBody>>, PackError> {
         let Some((revision, text)) = self.versions.back().filter(|(newest, _)| *newest > theirs)
         else {
@@ -80,11 +81,11 @@
         Ok(Some(packed))
     }
 
-    /// Unpacks a version that a peer passed on.
+    /// Unpacks a version that a peer sent.
     ///
     /// # Errors
     ///
-    /// Returns an [`UnpackError`] where it does not fit what is kept or is no packed text.
+    /// Returns an [`UnpackError`] if the base version is not kept or the packed text is malformed.
     pub fn unpack(&self, packed: &PackedBody) -> Result<Arc<str>, UnpackError> {
         Ok(Arc::from(packed.unpack(|revision| self.get(revision))?))
     }
--- a/crates/cherrystand_peer/src/lib.rs
+++ b/crates/cherrystand_peer/src/lib.rs
@@ -1,7 +1,7 @@
-//! Messages between daemons, and the transport that carries them.
+//! Messages between daemons, and their transport.
 //!
-//! Messages are `postcard` over `nng` requests and replies. See docs/design/0006 for what is
-//! exchanged and why.
+//! Messages are encoded with `postcard` and sent as `nng` requests and replies. See docs/design/0006
+//! for what is exchanged and why.
 
 mod change_update;
 mod config_history;
--- a/crates/cherrystand_peer/src/load_message.rs
+++ b/crates/cherrystand_peer/src/load_message.rs
@@ -1,4 +1,4 @@
-//! What daemons tell each other many times a second, in datagrams that may be lost.
+//! Messages that daemons send each other several times a second, in datagrams that may be lost.
 
 use std::net::SocketAddr;
 
@@ -7,59 +7,59 @@
 };
 use serde::{Deserialize, Serialize};
 
-/// One datagram between daemons.
+/// A datagram between daemons.
 ///
-/// Each is sent to those that have a use for it only: loads travel within a zone, sums of zones
-/// between relays, questions to whoever may know, what stands still to all.
+/// Each message is sent only to daemons that need it: loads within a zone, totals of zones between
+/// relays, progress queries to daemons that may know the answer, and stalled replicas to all daemons.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LoadMessage {
-    /// Says what the sender has in flight, and what it knows of other zones.
+    /// Reports the requests that the sender has in flight, and what it knows of other zones.
     InFlight {
-        /// The sender.
+        /// The sending daemon.
         from: NodeId,
-        /// Its zone.
+        /// The zone of the sender.
         zone: ZoneId,
-        /// What it has in flight itself.
+        /// The requests that the sender has in flight itself, by endpoint.
         loads: Vec<EndpointLoad>,
-        /// The sums of other zones, where the sender is a relay.
+        /// The totals of other zones, if the sender is a relay.
         zones: Vec<ZoneLoads>,
     },
-    /// Says what all daemons of the sender's zone have in flight.
+    /// Reports the total of the requests that all daemons of the sender's zone have in flight.
     Zone(ZoneLoads),
     /// Asks when the leaders of some replicas last made progress.
     #[serde(rename = "Asked")]
     ProgressQuery(Vec<BoxId>),
-    /// Answers that, with those of them at which the sender has requests.
+    /// Answers [`LoadMessage::ProgressQuery`] for those leaders at which the sender has requests.
     #[serde(rename = "Seen")]
     Progress(Vec<EndpointLoad>),
-    /// Names leaders whose replicas the sender found standing still.
+    /// Reports the leaders of replicas that the sender found to be stalled.
     Stalled(Vec<BoxId>),
-    /// Names leaders that told the sender that they serve no more.
+    /// Reports leaders that told the sender that they no longer serve requests.
     #[serde(rename = "Left")]
     Stopped(Vec<BoxId>),
-    /// Names a box that ended, and the requests of the sender that it was working on.
+    /// Reports a box that crashed, and the sender's requests that it was working on.
     #[serde(rename = "Ended")]
     Crashed(BoxId, Vec<Fingerprint>),
-    /// Names requests that were served whole after boxes had ended with them.
+    /// Reports requests that were served completely after boxes had crashed while working on them.
     Served(Vec<Fingerprint>),
-    /// Names a box that told the sender in an answer that it leaves.
+    /// Reports a box that announced in an answer to the sender that it is leaving.
     #[serde(rename = "Leaves")]
     Leaving(BoxId),
-    /// Tells of the requests that a box takes from all daemons together.
+    /// Carries the rate limit protocol for the requests that a box accepts from all daemons together.
     #[serde(rename = "Limit")]
     RateLimit(BoxId, RateLimitMessage),
-    /// Tells of the repeats of a service's requests that one daemon lends to those that ask.
+    /// Carries the rate limit protocol for the retries of a service that one daemon lends to others.
     #[serde(rename = "Repeats")]
     LentRetries(ServiceName, RateLimitMessage),
-    /// Has the receiver take news in and pass it on to others, where one daemon would tell too many.
+    /// Has the receiver handle a message and forward it, if there are too many receivers for one sender.
     #[serde(rename = "PassOn")]
     Forward {
-        /// Whose news it is.
+        /// The daemon that the message originates from.
         from: SocketAddr,
-        /// The news; what is itself to be passed on is not.
+        /// The message to handle and forward. A nested `Forward` is ignored.
         #[serde(rename = "news")]
         message: Box<LoadMessage>,
-        /// To whom.
+        /// The daemons to forward the message to.
         to: Vec<SocketAddr>,
     },
 }
--- a/crates/cherrystand_peer/src/message.rs
+++ b/crates/cherrystand_peer/src/message.rs
@@ -1,4 +1,4 @@
-//! What daemons say to one another.
+//! Questions and replies between daemons, and their encoding.
 
 use std::sync::Arc;
 
@@ -8,51 +8,50 @@
 use crate::PackedBody;
 use crate::packed_body::{compress, decompress};
 
-/// The version of the messages; daemons that differ refuse each other's.
+/// The version of the messages; a daemon rejects messages of another version.
 pub const PROTOCOL: u16 = 9;
 
-/// What a daemon says of itself when it asks a peer for news.
+/// The state of a daemon that asks a peer for news.
 ///
-/// It holds nothing that goes stale: how long a question was on its way, the one asked cannot
-/// tell, for either may have been paused meanwhile.
+/// It contains no ages, because the receiver cannot tell how long the question was on its way: either
+/// daemon may have been paused meanwhile.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Greeting {
-    /// The sender.
+    /// The heartbeat of the sender.
     pub from: Heartbeat,
-    /// The sum of the versions that the sender holds.
+    /// A fingerprint of the record versions that the sender has.
     pub fingerprint: u64,
-    /// The sum of what the sender knows of the other daemons beside their beats.
+    /// A fingerprint of what the sender knows of the other daemons, apart from their heartbeats.
     pub roster: u64,
 }
 
-/// What a daemon tells a peer that asked.
+/// The answer of a daemon to a peer that asked for news.
 ///
-/// The one that asked knows when it did, and counts the whole time since then as part of every
-/// age in the answer.
+/// The asking daemon adds the time since it sent the question to every age in the answer.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct News {
-    /// The sender.
+    /// The heartbeat of the sender.
     pub from: Heartbeat,
-    /// The daemons that the sender knows of, and how long ago each gave its heartbeat.
+    /// The daemons that the sender knows, with the ages of their heartbeats.
     pub members: Digest,
-    /// How long ago the platform was last read by anyone the sender heard from.
+    /// The time since the platform was last read by any daemon that the sender knows of.
     pub platform_age: Option<Millis>,
-    /// The sum of the versions that the sender holds.
+    /// A fingerprint of the record versions that the sender has.
     pub fingerprint: u64,
-    /// What the sender knows of replicas.
+    /// The evidence that the sender has about replicas.
     pub evidence: Vec<ReplicaEvidence>,
 }
 
-/// A record on its way to another daemon.
+/// A record in a message to another daemon.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TransferredRecord {
-    /// As it was written.
+    /// The record in full.
     Whole(Document),
-    /// As what changed in it, or compressed.
+    /// The record compressed, possibly against another version of it.
     Packed {
-        /// The record's key.
+        /// The key of the record.
         key: Arc<str>,
-        /// Its text.
+        /// The packed body of the record.
         body: Arc<PackedBody>,
     },
 }
@@ -60,63 +59,65 @@
 /// A question to another daemon.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Question {
-    /// Asks for news.
+    /// Asks for the state of the other daemon.
     News(Greeting),
-    /// Asks for the records of which the other side has newer copies than these.
+    /// Asks for the records that are newer on the other side than these versions.
     Compare(Vec<Version>),
-    /// Hands over records that the other side asked for.
-    Take(Vec<TransferredRecord>),
+    /// Sends records that the other side asked for.
+    #[serde(rename = "Take")]
+    Store(Vec<TransferredRecord>),
 }
 
 /// The answer to a question.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Reply {
-    /// The other side's news.
+    /// The state of the replying daemon.
     News(News),
-    /// Newer records, and the keys of those that are older here.
+    /// The result of comparing versions.
     Compared {
-        /// The newer records.
+        /// The records that are newer here.
         newer: Vec<TransferredRecord>,
-        /// The records of which the asking side has newer copies, and what is held of them here.
+        /// The records that are newer on the asking side, with the versions that exist here.
         wanted: Vec<Version>,
     },
-    /// The records were taken in.
-    Taken,
+    /// The records were stored.
+    #[serde(rename = "Taken")]
+    Stored,
 }
 
-/// Tells why a message could not be read or written.
+/// The reason why a message could not be encoded or decoded.
 #[derive(Debug, thiserror::Error)]
 pub enum CodecError {
-    /// The bytes are not a message.
+    /// The bytes are not a valid message.
     #[error("the bytes are not a message of this protocol")]
     Malformed(#[from] postcard::Error),
     /// The message is of another protocol version.
     #[error("the message has protocol version {0}, and this daemon speaks {PROTOCOL}")]
     OtherVersion(u16),
-    /// The message is larger than any may be, or its compressed bytes are cut off or altered.
+    /// The message exceeds the maximum size, or its compressed bytes are truncated or corrupted.
     #[error("the message's compressed bytes are malformed or too large")]
     Compressed,
 }
 
-/// The smallest message that is compressed, in bytes; below it there is nothing to gain.
+/// Minimum size of a message that is compressed, in bytes; compressing smaller ones gains nothing.
 const MIN_COMPRESSED_BYTES: usize = 2 << 10;
 
-/// The largest message that may come out of compressed bytes: the boxes of 410 daemons' domains,
-/// 37,600 entries of some 500 bytes.
+/// Maximum size of a decompressed message, in bytes. The boxes of the domains of 410 daemons are 37,600
+/// entries of about 500 bytes.
 const MAX_UNCOMPRESSED_BYTES: usize = 32 << 20;
 
-/// A message that may be large.
+/// The encoding of a message that is compressed if it is large.
 #[derive(Serialize, Deserialize)]
 enum Envelope {
     Plain(Vec<u8>),
     Compressed { length: u32, bytes: Vec<u8> },
 }
 
-/// Writes a message as [`encode`] does, compressed where it is large.
+/// Encodes a message as [`encode`] does, and compresses it if it is large.
 ///
 /// # Errors
 ///
-/// Returns a [`CodecError`] where the message has no encoding.
+/// Returns a [`CodecError`] if the message cannot be encoded.
 pub fn encode_compressed<T: Serialize>(message: &T) -> Result<Vec<u8>, CodecError> {
     let plain = encode(message)?;
     let envelope = if plain.len() < MIN_COMPRESSED_BYTES {
@@ -128,11 +129,11 @@
     encode(&envelope)
 }
 
-/// Reads a message that [`encode_compressed`] wrote.
+/// Decodes a message that [`encode_compressed`] encoded.
 ///
 /// # Errors
 ///
-/// Returns a [`CodecError`] where the bytes are no message of this version or too large a one.
+/// Returns a [`CodecError`] if the bytes are not a message of this version, or if it is too large.
 pub fn decode_compressed<T: for<'a> Deserialize<'a>>(bytes: &[u8]) -> Result<T, CodecError> {
     match decode(bytes)? {
         Envelope::Plain(plain) => decode(&plain),
@@ -146,20 +147,20 @@
     }
 }
 
-/// Writes a message with the protocol's version before it.
+/// Encodes a message, preceded by the protocol version.
 ///
 /// # Errors
 ///
-/// Returns [`CodecError::Malformed`] where the message has no encoding.
+/// Returns [`CodecError::Malformed`] if the message cannot be encoded.
 pub fn encode<T: Serialize>(message: &T) -> Result<Vec<u8>, CodecError> {
     Ok(postcard::to_stdvec(&(PROTOCOL, message))?)
 }
 
-/// Reads a message.
+/// Decodes a message.
 ///
 /// # Errors
 ///
-/// Returns a [`CodecError`] where the bytes are no message of this version.
+/// Returns a [`CodecError`] if the bytes are not a message of this version.
 pub fn decode<T: for<'a> Deserialize<'a>>(bytes: &[u8]) -> Result<T, CodecError> {
     let (version, rest): (u16, &[u8]) = postcard::take_from_bytes(bytes)?;
     if version != PROTOCOL {
--- a/crates/cherrystand_peer/src/packed_batch.rs
+++ b/crates/cherrystand_peer/src/packed_batch.rs
@@ -1,4 +1,4 @@
-//! Changes as one block of bytes, made once for all peers that ask from the same place.
+//! Encoded batches of changes, encoded once for all peers that request the same span.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -8,60 +8,60 @@
 
 use crate::{CodecError, decode_compressed, encode_compressed};
 
-/// How many blocks are kept: peers that were answered together ask again within some 60 ms of each
-/// other, and the whole is asked for beside them.
+/// Number of cached batches. Peers that were answered together ask again within about 60 ms of each
+/// other, and snapshots are requested in between.
 const CAPACITY: usize = 8;
 
-/// [`ChangesSince`] as they are sent.
+/// [`ChangesSince`] in encoded form.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct PackedBatch(Arc<[u8]>);
 
 impl PackedBatch {
-    /// Packs a batch, compressed where it is large.
+    /// Encodes a batch, and compresses it if it is large.
     ///
     /// # Errors
     ///
-    /// Returns a [`CodecError`] where it has no encoding.
+    /// Returns a [`CodecError`] if the batch cannot be encoded.
     pub fn new(batch: &ChangesSince) -> Result<Self, CodecError> {
         Ok(Self(encode_compressed(batch)?.into()))
     }
 
-    /// Unpacks it.
+    /// Decodes the batch.
     ///
     /// # Errors
     ///
-    /// Returns a [`CodecError`] where the bytes are no batch of this version or too large a one.
+    /// Returns a [`CodecError`] if the bytes are not a batch of this protocol version, or if it is too large.
     pub fn unpack(&self) -> Result<ChangesSince, CodecError> {
         decode_compressed(&self.0)
     }
 }
 
-/// Says which changes a block holds, by how many there had been.
+/// The range of changes in a batch, by the number of changes counted before its ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BatchSpan {
-    /// After how many it begins; nothing for everything as it stands.
+    /// The count after which the range begins, or nothing for a snapshot.
     pub after: Option<u64>,
-    /// With how many it ends.
+    /// The count at which the range ends.
     pub until: u64,
 }
 
-/// Keeps the last blocks.
+/// A cache of the last encoded batches.
 ///
-/// A reader of the store is asked by all daemons of its zone, which were told the same the last
-/// time: 58 of them ask for 58 copies of one block. Packing 30 changes takes 29 us, everything of
-/// 1,107 boxes 0.5 ms (`make slopes`).
+/// All daemons of a zone ask the same reader of the store, and continue from the same position: 58
+/// daemons request the same batch 58 times. Encoding 30 changes takes 29 us, and a snapshot of 1,107
+/// boxes takes 0.5 ms (`make slopes`).
 #[derive(Clone, Debug, Default)]
 pub struct BatchCache {
     batches: VecDeque<(BatchSpan, PackedBatch)>,
 }
 
 impl BatchCache {
-    /// Returns the block of a span, made by `make` where it is not kept.
+    /// Returns the batch of a span, and encodes the changes returned by `make` if it is not cached.
     ///
     /// # Errors
     ///
-    /// Returns a [`CodecError`] where the batch has no encoding.
+    /// Returns a [`CodecError`] if the batch cannot be encoded.
     pub fn get_or_pack(
         &mut self,
         span: BatchSpan,
--- a/crates/cherrystand_peer/src/packed_body.rs
+++ b/crates/cherrystand_peer/src/packed_body.rs
@@ -1,43 +1,45 @@
-//! A text as it travels between daemons: compressed, against a version that both sides hold.
+//! Texts in messages between daemons, compressed against a version that both sides have.
 
 use cherrystand_core::Revision;
 use serde::{Deserialize, Serialize};
 use zstd::bulk::Compressor;
 use zstd::zstd_safe::{CParameter, DCtx, DParameter};
 
-/// The largest text that is unpacked, in bytes: some 40,000 routes.
+/// Maximum size of a text, in bytes: about 40,000 routes.
 pub const MAX_BODY_BYTES: usize = 16 << 20;
 
-/// How hard the text is compressed: 164 KB of 1,400 routes become 0.3 KB against a version that
-/// differs in 14 of them and 12 KB alone; level 6 saves 0.1 and 1 KB (`tests/packed.rs`).
+/// The Zstandard compression level. At level 1, 1,400 routes of 164 KB take 0.3 KB against a version
+/// that differs in 14 of them, and 12 KB alone; level 6 saves 0.1 KB and 1 KB (`tests/packed.rs`).
 const COMPRESSION_LEVEL: i32 = 1;
 
-/// The smallest and the largest window, as powers of two: a window has to reach over the text and
-/// the version before it.
+/// The range of window sizes, as powers of two. The window has to cover the text and the base version
+/// before it.
 const WINDOW_LOGS: std::ops::RangeInclusive<u32> = 10..=25;
 
-/// Tells why a text cannot be packed.
+/// The reason why a text cannot be packed.
 #[derive(Debug, thiserror::Error)]
 pub enum PackError {
-    /// The text is larger than any daemon unpacks.
-    #[error("{0} bytes are more than daemons pass on; split the configuration")]
+    /// The text exceeds [`MAX_BODY_BYTES`].
+    #[error(
+        "{0} bytes exceed the maximum of {MAX_BODY_BYTES} between daemons; split the configuration"
+    )]
     TooLarge(usize),
     /// The compression library returned an error.
     #[error("the text could not be compressed")]
     Library(#[source] std::io::Error),
 }
 
-/// Tells why a packed text is refused; the whole is to be asked for, and what is held stays.
+/// The reason why a packed text is rejected. The receiver keeps its version and requests the full text.
 #[derive(Debug, thiserror::Error)]
 pub enum UnpackError {
-    /// It says what changed against a version that is not held here.
-    #[error("it goes on from revision {0}, which is not held; ask for the whole")]
+    /// The text is packed against a version that the receiver does not have.
+    #[error("it is based on revision {0}, which is not available; request the full text")]
     OtherBase(Revision),
-    /// It says that it is larger than any text may be.
-    #[error("it says that it has {0} bytes; ask for the whole")]
+    /// The stated length exceeds [`MAX_BODY_BYTES`].
+    #[error("the stated length of {0} bytes is too large; request the full text")]
     TooLarge(u32),
-    /// The bytes are cut off, altered, or do not fit the version that they go on from.
-    #[error("its bytes do not unpack to what it says; ask for the whole")]
+    /// The bytes are truncated, corrupted, or packed against another base version.
+    #[error("its bytes do not unpack to the stated text; request the full text")]
     Malformed,
 }
 
@@ -51,7 +53,7 @@
         }
     }
 
-    /// All names.
+    /// All names that [`UnpackError::as_str`] returns.
     pub const ALL: [&'static str; 3] = ["other-base", "too-large", "malformed"];
 }
 
@@ -60,7 +62,7 @@
 pub struct PackedBody {
     /// The revision of the text.
     pub revision: Revision,
-    /// The revision that it is compressed against; nothing where it stands alone.
+    /// The revision of the base version, or nothing if the text is compressed alone.
     pub base: Option<Revision>,
     /// The length of the text, in bytes.
     pub length: u32,
@@ -69,11 +71,11 @@
 }
 
 impl PackedBody {
-    /// Packs a text against a version that the receiver holds, or alone.
+    /// Packs a text against a version that the receiver has, or alone.
     ///
     /// # Errors
     ///
-    /// Returns a [`PackError`] where the text is too large or the library fails.
+    /// Returns a [`PackError`] if the text is too large or the compression library fails.
     pub fn pack(
         revision: Revision,
         text: &str,
@@ -86,20 +88,20 @@
         Ok(Self { revision, base: base.map(|(revision, _)| revision), length, bytes })
     }
 
-    /// Unpacks the text; `held` returns the text at a revision where it is held here.
+    /// Unpacks the text; `text_at` returns the text of a revision, if it is available.
     ///
     /// # Errors
     ///
-    /// Returns an [`UnpackError`]; nothing of the text may be used then.
+    /// Returns an [`UnpackError`] if the text cannot be restored completely.
     pub fn unpack<'a>(
         &self,
-        held: impl FnOnce(Revision) -> Option<&'a str>,
+        text_at: impl FnOnce(Revision) -> Option<&'a str>,
     ) -> Result<String, UnpackError> {
         if self.length as usize > MAX_BODY_BYTES {
             return Err(UnpackError::TooLarge(self.length));
         }
         let prefix = match self.base {
-            Some(base) => held(base).ok_or(UnpackError::OtherBase(base))?,
+            Some(base) => text_at(base).ok_or(UnpackError::OtherBase(base))?,
             None => "",
         };
         let bytes = decompress(&self.bytes, prefix.as_bytes(), self.length as usize);
@@ -111,12 +113,12 @@
     }
 }
 
-/// Compresses bytes that follow others.
+/// Compresses bytes, with a prefix that the decompressing side has as well.
 pub(crate) fn compress(bytes: &[u8], prefix: &[u8]) -> std::io::Result<Vec<u8>> {
     let mut compressor = Compressor::new(COMPRESSION_LEVEL)?;
     compressor.set_parameter(CParameter::ChecksumFlag(true))?;
     if !prefix.is_empty() {
-        // Routes keep their places between versions: long matches far back say nearly all.
+        // Routes keep their order between versions, so that long matches far back cover most of the text.
         compressor.set_parameter(CParameter::EnableLongDistanceMatching(true))?;
         compressor.set_parameter(CParameter::WindowLog(window_log(bytes.len() + prefix.len())))?;
         compressor.context_mut().ref_prefix(prefix).map_err(to_io_error)?;
@@ -124,7 +126,7 @@
     compressor.compress(bytes)
 }
 
-/// Undoes [`compress`], up to a length.
+/// Decompresses what [`compress`] returned, up to a length.
 pub(crate) fn decompress(bytes: &[u8], prefix: &[u8], length: usize) -> std::io::Result<Vec<u8>> {
     let mut context = DCtx::create();
     context.set_parameter(DParameter::WindowLogMax(*WINDOW_LOGS.end())).map_err(to_io_error)?;
--- a/crates/cherrystand_peer/src/transport.rs
+++ b/crates/cherrystand_peer/src/transport.rs
@@ -10,22 +10,22 @@
 
 use crate::{CodecError, Question, Reply, decode, encode};
 
-/// The largest message, in bytes: a full batch of records.
+/// Maximum size of a message, in bytes: a full batch of records.
 pub const MAX_MESSAGE_BYTES: usize = 4 << 20;
 
-/// How long a daemon waits for a peer's answer.
+/// Timeout of a question to a peer.
 pub const ANSWER_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// How often a listener looks up from waiting.
+/// How long a listener waits for a question before it returns to its caller.
 const LISTEN_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Tells why an exchange with a peer failed.
+/// The reason why an exchange with a peer failed.
 #[derive(Debug, thiserror::Error)]
 pub enum PeerError {
     /// The transport failed or the peer did not answer in time.
     #[error("the peer did not answer")]
     Transport(#[source] nng::Error),
-    /// The peer's message cannot be read.
+    /// The peer's message cannot be decoded.
     #[error(transparent)]
     Codec(#[from] CodecError),
 }
@@ -46,7 +46,7 @@
     ///
     /// # Errors
     ///
-    /// Returns a [`PeerError`] where the address cannot be listened at.
+    /// Returns a [`PeerError`] if the socket cannot listen at the address.
     pub fn bind(address: SocketAddr) -> Result<Self, PeerError> {
         let socket = Socket::new(Protocol::Rep0)?;
         socket.set_opt::<RecvTimeout>(Some(LISTEN_TIMEOUT))?;
@@ -56,14 +56,14 @@
         Ok(Self { socket })
     }
 
-    /// Waits a moment for a question and answers it with what `answer` returns.
+    /// Waits for a question up to a timeout, and answers it with the result of `answer`.
     ///
-    /// Returns the bytes received and sent, or nothing if no question came.
+    /// Returns the number of bytes received and sent, or nothing if no question arrived.
     ///
     /// # Errors
     ///
-    /// Returns a [`PeerError`] where the question cannot be read or the answer not be sent; the
-    /// listener stays usable.
+    /// Returns a [`PeerError`] if the question cannot be decoded or the answer cannot be sent. The
+    /// listener remains usable.
     pub fn serve_one(
         &self,
         answer: impl FnOnce(Question) -> Reply,
@@ -81,20 +81,20 @@
     }
 }
 
-/// Asks peers, keeping a connection to each.
+/// Sends questions to peers, and keeps a connection to each of them.
 #[derive(Default)]
 pub struct PeerDialer {
     sockets: HashMap<SocketAddr, Socket>,
 }
 
 impl PeerDialer {
-    /// Asks the peer at an address and waits for its answer.
+    /// Sends a question to the peer at an address and waits for its answer.
     ///
-    /// Returns the answer and the bytes sent and received.
+    /// Returns the answer and the number of bytes sent and received.
     ///
     /// # Errors
     ///
-    /// Returns a [`PeerError`] where no readable answer comes within [`ANSWER_TIMEOUT`].
+    /// Returns a [`PeerError`] if no valid answer arrives within [`ANSWER_TIMEOUT`].
     pub fn ask(
         &mut self,
         address: SocketAddr,
@@ -103,14 +103,14 @@
         let bytes = encode(question)?;
         let outcome = self.exchange(address, &bytes);
         if outcome.is_err() {
-            // The answer may still come; a fresh socket cannot take it for another one's.
+            // A late answer must not be taken for the answer to another question, so the socket is replaced.
             self.sockets.remove(&address);
         }
         let received = outcome?;
         Ok((decode(&received)?, bytes.len(), received.len()))
     }
 
-    /// Closes the connections to all but the peers given.
+    /// Closes the connections to all peers that are not listed.
     pub fn retain(&mut self, peers: &[SocketAddr]) {
         self.sockets.retain(|address, _| peers.contains(address));
     }
--- a/crates/cherrystand_peer/tests/packed.rs
+++ b/crates/cherrystand_peer/tests/packed.rs
@@ -1,4 +1,4 @@
-//! Versions of a configuration as they travel.
+//! Tests of packed versions of a configuration.
 
 use std::sync::Arc;
 
@@ -6,7 +6,7 @@
 use cherrystand_peer::{ConfigHistory, MAX_BODY_BYTES, PackedBody, UnpackError};
 use proptest::prelude::*;
 
-/// Writes a configuration of some routes, of which a version changes a few.
+/// Returns a configuration with `count` routes, a few of which depend on the version.
 fn routes(count: usize, version: usize) -> String {
     let route = |number: usize| {
         let timeout = 4_000 + usize::from(number % 97 == version % 97) * version;
@@ -23,17 +23,17 @@
 }
 
 #[test]
-fn a_version_costs_what_changed_in_it() {
+fn the_packed_size_depends_on_what_changed() {
     struct Case {
         routes: usize,
-        /// The most bytes of a version against the one before, and alone.
-        most: (usize, usize),
+        /// Maximum size of a version packed against the previous one, and alone, in bytes.
+        max_bytes: (usize, usize),
     }
     let cases = [
-        Case { routes: 60, most: (100, 1_500) },
-        Case { routes: 400, most: (200, 7_000) },
-        Case { routes: 1_400, most: (600, 25_000) },
-        Case { routes: 10_000, most: (4_000, 180_000) },
+        Case { routes: 60, max_bytes: (100, 1_500) },
+        Case { routes: 400, max_bytes: (200, 7_000) },
+        Case { routes: 1_400, max_bytes: (600, 25_000) },
+        Case { routes: 10_000, max_bytes: (4_000, 180_000) },
     ];
     for case in cases {
         let (before, after) = (routes(case.routes, 7), routes(case.routes, 8));
@@ -42,21 +42,25 @@
         let alone = PackedBody::pack(Revision::new(2), &after, None).expect("packs");
         let sizes = (change.bytes.len(), alone.bytes.len());
         println!("{} routes, {} bytes: {sizes:?}", case.routes, after.len());
-        assert!(sizes.0 <= case.most.0 && sizes.1 <= case.most.1, "{}: {sizes:?}", case.routes);
+        assert!(
+            sizes.0 <= case.max_bytes.0 && sizes.1 <= case.max_bytes.1,
+            "{}: {sizes:?}",
+            case.routes
+        );
         assert_eq!(change.unpack(|_| Some(&before)).expect("unpacks"), after);
         assert_eq!(alone.unpack(|_| None).expect("unpacks"), after);
     }
 }
 
 #[test]
-fn a_change_that_does_not_fit_is_refused() {
+fn a_packed_text_that_does_not_match_is_rejected() {
     let (before, after, other) = (routes(50, 1), routes(50, 2), routes(50, 40));
     let good = PackedBody::pack(Revision::new(9), &after, Some((Revision::new(8), &before)))
         .expect("packs");
     struct Case {
         name: &'static str,
         packed: PackedBody,
-        held: Option<String>,
+        base: Option<String>,
         reason: &'static str,
     }
     let cut = |keep: usize| PackedBody { bytes: good.bytes[..keep].to_vec(), ..good.clone() };
@@ -64,60 +68,64 @@
     let middle = flipped.bytes.len() / 2;
     flipped.bytes[middle] ^= 0x10;
     let cases = [
-        Case { name: "no base", packed: good.clone(), held: None, reason: "other-base" },
-        Case { name: "another base", packed: good.clone(), held: Some(other), reason: "malformed" },
+        Case { name: "no base", packed: good.clone(), base: None, reason: "other-base" },
+        Case { name: "another base", packed: good.clone(), base: Some(other), reason: "malformed" },
         Case {
-            name: "cut",
+            name: "truncated",
             packed: cut(good.bytes.len() - 3),
-            held: Some(before.clone()),
+            base: Some(before.clone()),
             reason: "malformed",
         },
-        Case { name: "empty", packed: cut(0), held: Some(before.clone()), reason: "malformed" },
-        Case { name: "flipped", packed: flipped, held: Some(before.clone()), reason: "malformed" },
+        Case { name: "empty", packed: cut(0), base: Some(before.clone()), reason: "malformed" },
         Case {
-            name: "longer than it says",
+            name: "flipped bit",
+            packed: flipped,
+            base: Some(before.clone()),
+            reason: "malformed",
+        },
+        Case {
+            name: "longer than stated",
             packed: PackedBody { length: good.length - 1, ..good.clone() },
-            held: Some(before.clone()),
+            base: Some(before.clone()),
             reason: "malformed",
         },
         Case {
-            name: "shorter than it says",
+            name: "shorter than stated",
             packed: PackedBody { length: good.length + 1, ..good.clone() },
-            held: Some(before.clone()),
+            base: Some(before.clone()),
             reason: "malformed",
         },
         Case {
-            name: "past its bound",
+            name: "too large",
             packed: PackedBody { length: MAX_BODY_BYTES as u32 + 1, ..good.clone() },
-            held: Some(before.clone()),
+            base: Some(before.clone()),
             reason: "too-large",
         },
     ];
     for case in cases {
-        let refused: UnpackError =
-            case.packed.unpack(|_| case.held.as_deref()).expect_err(case.name);
-        assert_eq!(refused.as_str(), case.reason, "{}", case.name);
+        let err: UnpackError = case.packed.unpack(|_| case.base.as_deref()).expect_err(case.name);
+        assert_eq!(err.as_str(), case.reason, "{}", case.name);
         assert!(UnpackError::ALL.contains(&case.reason));
     }
 }
 
 #[test]
-fn memory_stays_bounded_in_a_storm_of_large_versions() {
+fn memory_is_bounded_with_many_large_versions() {
     let mut versions = ConfigHistory::default();
     let large: Arc<str> = Arc::from(routes(10_000, 1));
     for revision in 1..200 {
         versions.record(Revision::new(revision), large.clone());
     }
-    let held = (1..200).filter(|revision| versions.get(Revision::new(*revision)).is_some()).count();
-    // The newest, and five of 1.2 MB beside it.
-    assert!(held <= 6, "{held} versions of {} bytes", large.len());
+    let kept = (1..200).filter(|revision| versions.get(Revision::new(*revision)).is_some()).count();
+    // The newest, and five older ones of 1.2 MB.
+    assert!(kept <= 6, "{kept} versions of {} bytes", large.len());
     assert_eq!(versions.newest_revision(), Revision::new(199));
 }
 
 proptest! {
-    /// Whoever holds whatever version gets the newest one, or an error, never anything else.
+    /// A peer with any version gets the newest one or an error, never another text.
     #[test]
-    fn a_peer_gets_the_newest_version_from_any_that_it_holds(
+    fn a_peer_gets_the_newest_version_from_any_base(
         counts in proptest::collection::vec(0usize..60, 1..12),
         theirs in 0u64..14,
     ) {
--- a/crates/cherrystandd/src/duties/gossip.rs
+++ b/crates/cherrystandd/src/duties/gossip.rs
@@ -86,7 +86,7 @@
                 query_state(cx, |to_send| StateEvent::PeerComparison { newer, wanted, to_send })
                     .flatten()
             }
-            Reply::Taken => None,
+            Reply::Stored => None,
         };
     }
     Ok(())
--- a/crates/cherrystandd/src/duties/peer_answers.rs
+++ b/crates/cherrystandd/src/duties/peer_answers.rs
@@ -41,5 +41,5 @@
     let (tx, rx) = oneshot::channel();
     cx.send_to_state(StateEvent::PeerQuestion(question, tx));
     // If the state duty has ended, the peer gets an answer without data.
-    rx.blocking_recv().unwrap_or(Reply::Taken)
+    rx.blocking_recv().unwrap_or(Reply::Stored)
 }
--- a/crates/cherrystandd/src/state/node_state.rs
+++ b/crates/cherrystandd/src/state/node_state.rs
@@ -82,7 +82,7 @@
                 let requested =
                     wanted.iter().filter_map(|(key, _)| self.documents.get(key)).cloned();
                 let records = self.pack_records(limit_to_message(requested), &wanted);
-                let question = (!records.is_empty()).then_some(Question::Take(records));
+                let question = (!records.is_empty()).then_some(Question::Store(records));
                 let _ = to_send.send(question);
             }
             StateEvent::Records(records) => self.apply_records(records),
@@ -158,9 +158,9 @@
                 ),
                 wanted: self.wanted_versions(&peer_versions),
             },
-            Question::Take(records) => {
+            Question::Store(records) => {
                 self.apply_transferred(records);
-                Reply::Taken
+                Reply::Stored
             }
         }
     }
