--- a/crates/cherrystandd/src/site/endpoint_signals.rs
+++ b/crates/cherrystandd/src/site/endpoint_signals.rs
@@ -14,7 +14,8 @@
 
 /// The period over which callers are spread that were refused because every endpoint is in backoff.
 ///
-/// The first of them get an answer within 0.1 to 0.2 s; the others find free slots as those finish.
+/// The answer to the first of them begins within 0.1 to 0.2 s; the others find room as more answers
+/// begin.
 const RETRY_AFTER_SPREAD: Millis = Millis(500);
 
 /// The longest time for which a request waits for a permit: a round trip to another daemon with
--- a/crates/cherrystandd/src/site/load_exchange.rs
+++ b/crates/cherrystandd/src/site/load_exchange.rs
@@ -72,8 +72,7 @@
 }
 
 impl LoadExchange {
-    /// Creates it with the rate at which retries are lent, which follows from the bounds for all
-    /// daemons together.
+    /// Creates it; the bounds for all daemons together limit how many retries are lent at once.
     pub(crate) fn new(bounds: RetryBounds) -> Self {
         let mut lent_retries = EndpointRateLimits::with_burst(bounds.max_loan());
         lent_retries.set_last_request_number(clock::unix_millis());
--- a/crates/cherrystandd/src/site/request_handler.rs
+++ b/crates/cherrystandd/src/site/request_handler.rs
@@ -74,8 +74,8 @@
     RefusedRequest { status, reason: reason.as_str(), retry_after: None }
 }
 
-/// Builds the refusal of a request that was not served. If every endpoint is in backoff, the reason
-/// and the `Retry-After` say so.
+/// Builds the refusal of a request that was not served. If every endpoint is in backoff or at its
+/// limit, the reason and the `Retry-After` say so.
 fn refusal_for(frontend: &Frontend, req: &SiteRequest, status: StatusCode) -> RefusedRequest {
     let refused = RefusedRequest::from(status);
     if status != StatusCode::SERVICE_UNAVAILABLE {
--- a/crates/cherrystandd/tests/limits.rs
+++ b/crates/cherrystandd/tests/limits.rs
@@ -16,8 +16,8 @@
 /// How often each daemon gets a request.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(100);
 
-/// For how long requests are sent: two of the periods over which arrivals are counted, plus what
-/// daemons may send before they know the limit.
+/// For how long requests are sent: two of the periods over which arrivals are counted, plus the time
+/// that daemons may take before.
 const REQUEST_PERIOD: Duration = Duration::from_secs(10);
 
 /// The time within which a request is refused if no endpoint may take it.
--- a/crates/cherrystandd/tests/site.rs
+++ b/crates/cherrystandd/tests/site.rs
@@ -207,7 +207,7 @@
                 assert_eq!(answer.text(), whole_stream(&id), "{}: {id}", case.name);
                 runs += site.site.runs_of(&id).len();
             }
-            // Each request allows one retry at most.
+            // Without slack, the six requests themselves earn one retry at most.
             let most = if case.retry_slack > 0.0 { 12 } else { 7 };
             assert!(runs <= most, "{}: {runs} runs", case.name);
             assert!(case.retry_slack == 0.0 || runs > 6, "{}: {runs} runs", case.name);
