--- a/crates/cherrystandd/tests/site.rs
+++ b/crates/cherrystandd/tests/site.rs
@@ -208,8 +208,8 @@
                 runs += site.site.runs_of(&id).len();
             }
             // Without slack, the six requests themselves earn one retry at most.
-            let most = if case.retry_slack > 0.0 { 12 } else { 7 };
-            assert!(runs <= most, "{}: {runs} runs", case.name);
+            let max_runs = if case.retry_slack > 0.0 { 12 } else { 7 };
+            assert!(runs <= max_runs, "{}: {runs} runs", case.name);
             assert!(case.retry_slack == 0.0 || runs > 6, "{}: {runs} runs", case.name);
         });
     }
