--- a/crates/cherrystand_testkit/src/bin/cherrystand_load.rs
+++ b/crates/cherrystand_testkit/src/bin/cherrystand_load.rs
@@ -1,4 +1,4 @@
-//! Sends mixed traffic and checks every answer.
+//! Sends mixed traffic to daemons and checks every answer.
 
 use std::net::SocketAddr;
 use std::process::ExitCode;
--- a/crates/cherrystand_testkit/src/bin/cherrystand_soak.rs
+++ b/crates/cherrystand_testkit/src/bin/cherrystand_soak.rs
@@ -1,4 +1,4 @@
-//! Plays faults, drawn from a seed, on real daemons, and checks what callers and boxes see.
+//! Injects faults drawn from a seed into real daemons, and checks what callers and boxes observe.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -11,10 +11,11 @@
 };
 use eyre::WrapErr;
 
-/// Beside limits one usual fault in so many is played.
+/// With `--limits`, only every fifth fault of the general schedule is injected: with all of them, every
+/// daemon would be excused by some fault at every moment, and no rate limit would be checked.
 const FAULT_STRIDE_WITH_LIMITS: usize = 5;
 
-/// The numbers of faults that come beside the usual ones begin here.
+/// The number of the first rate limit fault, higher than all numbers of the general schedule.
 const FIRST_LIMIT_NUMBER: usize = 1_000;
 
 /// Plays faults, drawn from a seed, on real daemons, and checks what callers and boxes see.
@@ -73,7 +74,6 @@
     let setup = SoakSetup { program, dir, seed, daemons, report_starts: restarts, crashes, zones };
     let mut faults = draw_schedule(args.seed, setup.targets(), Millis(args.span_ms));
     if args.rate_limits {
-        // Beside all faults each daemon would be excused at each moment.
         faults.retain(|fault| fault.number % FAULT_STRIDE_WITH_LIMITS == 0);
         let rate_limits =
             draw_rate_limits(args.seed, setup.targets(), Millis(args.span_ms), FIRST_LIMIT_NUMBER);
--- a/crates/cherrystand_testkit/src/bin/cherrystand_standin.rs
+++ b/crates/cherrystand_testkit/src/bin/cherrystand_standin.rs
@@ -1,4 +1,4 @@
-//! Runs one stand-in as a process of its own.
+//! Runs one stand-in as a separate process.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -72,7 +72,7 @@
 }
 
 async fn run(stand_in: StandIn) -> eyre::Result<()> {
-    // Stand-ins run until they are killed; nothing ever turns this true.
+    // Stand-ins run until they are killed, so nothing is ever sent on this channel.
     let (_stop, stopped) = watch::channel(false);
     match stand_in {
         StandIn::Platform(args) => {
--- a/crates/cherrystand_testkit/src/lib.rs
+++ b/crates/cherrystand_testkit/src/lib.rs
@@ -1,9 +1,9 @@
-//! Stand-ins for the platform and for endpoints, for tests and demonstrations.
+//! Stand-ins for the platform and for endpoints, and tools that load and test daemons.
 //!
-//! Each is a small fake at an interface; none simulates a cluster.
+//! Each stand-in is a small fake of one interface; none simulates a cluster.
 #![allow(
     clippy::disallowed_methods,
-    reason = "stand-ins and callers measure short times of a machine that is awake"
+    reason = "stand-ins and callers measure short times, during which the machine is not suspended"
 )]
 
 mod domain {
--- a/crates/cherrystand_testkit/src/processes.rs
+++ b/crates/cherrystand_testkit/src/processes.rs
@@ -1,40 +1,42 @@
-//! Starting processes, and addresses for them.
+//! Starts processes and chooses free addresses for them.
 
 use std::net::{SocketAddr, TcpListener};
 use std::process::{Child, Command};
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// The ports that are given out: below those that the system gives to outgoing connections, which
-/// could take a port between its choice and its use.
+/// The ports that are handed out.
+///
+/// They are below the system's ephemeral ports: an outgoing connection could otherwise take a port
+/// after it was chosen and before it is used.
 const PORT_RANGE: std::ops::Range<u16> = 11_000..31_000;
 
-/// Held while a port is tried and while a process starts.
+/// Held while a port is probed and while a process is started.
 ///
-/// A process that starts has the listeners of all threads open for a moment, until it becomes the
-/// program; a port tried just then would stay in use.
+/// A forked process has the listeners of all threads open until it executes the program. A port that
+/// is probed during that time would remain in use.
 static SPAWN_LOCK: Mutex<()> = Mutex::new(());
 
 fn lock_spawn() -> MutexGuard<'static, ()> {
-    // A test that failed while it held the lock leaves nothing half done.
+    // The lock guards no data, so a test that panics while holding it leaves nothing inconsistent.
     SPAWN_LOCK.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Starts a process while no port is tried.
+/// Starts a process at a time when no port is being probed.
 ///
 /// # Errors
 ///
-/// Returns an error where it cannot be started.
+/// Returns an error if the process cannot be started.
 pub fn spawn(command: &mut Command) -> std::io::Result<Child> {
     let _guard = lock_spawn();
     command.spawn()
 }
 
-/// Returns addresses that this process was not given before and that nobody listens at.
+/// Returns local addresses that this process has not been given before and at which nothing listens.
 ///
 /// # Errors
 ///
-/// Returns an error where there are not as many.
+/// Returns an error if there are fewer than `count` free addresses.
 pub fn free_addresses(count: usize) -> std::io::Result<Vec<SocketAddr>> {
     (0..count).map(|_| free_address().ok_or(std::io::ErrorKind::AddrInUse.into())).collect()
 }
@@ -42,7 +44,7 @@
 fn free_address() -> Option<SocketAddr> {
     static NEXT_OFFSET: AtomicU32 = AtomicU32::new(0);
     let port_count = u32::from(PORT_RANGE.end - PORT_RANGE.start);
-    // Processes that run side by side begin far apart.
+    // Test processes that run at the same time start at ports far apart.
     let first_offset = std::process::id().wrapping_mul(257);
     let offsets = (0..port_count).map(|_| {
         first_offset.wrapping_add(NEXT_OFFSET.fetch_add(1, Ordering::Relaxed)) % port_count
--- a/crates/cherrystand_testkit/src/service_stand_in.rs
+++ b/crates/cherrystand_testkit/src/service_stand_in.rs
@@ -1,4 +1,4 @@
-//! A plain service's stand-in.
+//! A stand-in for a plain service.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -13,23 +13,23 @@
 
 use crate::http::{FullBody, empty, json, read_body, read_json};
 
-/// Sets how a service behaves; what is left out stays as it is.
+/// Settings of a service's behavior, sent to `/control/set`; those left out stay unchanged.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServiceKnobs {
-    /// For how long the service answers nothing from now on, in milliseconds.
+    /// How long the service answers no call, from now on, in milliseconds.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub freeze_ms: Option<u64>,
     /// How long each call takes, in milliseconds.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub delay_ms: Option<u64>,
-    /// What rest it asks for as it turns every call away, as the header has it; it serves again where that
-    /// is empty.
+    /// The value of the `Retry-After` header with which the service refuses every call; it serves
+    /// calls again once this is empty.
     #[serde(rename = "rest", default, skip_serializing_if = "Option::is_none")]
     pub retry_after: Option<String>,
 }
 
-/// What a service answers and has counted.
+/// A service's answer, which echoes the call.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ServiceAnswer {
     /// The call's method.
@@ -58,9 +58,9 @@
 }
 
 impl ServiceStandIn {
-    /// Answers one call by repeating what it was asked, and counts it.
+    /// Answers one call by echoing it, and counts it.
     ///
-    /// Calls count by their `idempotency-key`, or by their `x-request-id` where they have none.
+    /// Calls are counted by their `idempotency-key`, or by their `x-request-id` if they have none.
     pub async fn handle(self, req: Request<Incoming>) -> Response<FullBody> {
         match req.uri().path() {
             "/control/set" => return self.set(req).await,
