--- a/crates/cherrystand_testkit/src/soak/run.rs
+++ b/crates/cherrystand_testkit/src/soak/run.rs
@@ -34,7 +34,7 @@
 /// Time in which the last requests may finish after callers have stopped.
 const SETTLE_TIME: Duration = Duration::from_millis(6_500);
 
-/// How long requests of a is_planned stop may take until its process is gone.
+/// Time after which a daemon that was asked to shut down is killed.
 const STOP_TIMEOUT: Duration = Duration::from_secs(9);
 
 /// Request timeout in the configuration, in milliseconds.
