--- a/crates/cherrystand_core/tests/site_formation.rs
+++ b/crates/cherrystand_core/tests/site_formation.rs
@@ -135,7 +135,7 @@
         let until = self.domain.now() + span;
         while self.domain.now() < until {
             self.decide(0, true, true);
-            self.domain.pass(STEP);
+            self.domain.advance_time(STEP);
         }
     }
 }
@@ -177,7 +177,7 @@
     for case in cases {
         let mut site = Simulation::new(case.boxes, 1, 1);
         site.run(Millis(40_000));
-        assert_eq!(site.domain.serving(), case.serving_before, "{}", case.name);
+        assert_eq!(site.domain.serving_count(), case.serving_before, "{}", case.name);
         let members =
             site.record.replicas.values().next().map(|assignment| assignment.boxes.clone());
         let numbers: Vec<usize> = case
@@ -189,8 +189,8 @@
             site.domain.kill(number);
         }
         site.run(Millis(4_000));
-        assert_eq!(site.domain.serving(), case.serving_after, "{}", case.name);
-        assert_eq!(site.domain.faults, Vec::<String>::new(), "{}", case.name);
+        assert_eq!(site.domain.serving_count(), case.serving_after, "{}", case.name);
+        assert_eq!(site.domain.violations, Vec::<String>::new(), "{}", case.name);
     }
 }
 
@@ -198,13 +198,13 @@
 fn a_loss_is_repaired_by_a_spare_that_holds_the_model_in_memory() {
     let mut site = Simulation::new(9, 1, 1);
     site.run(Millis(40_000));
-    assert_eq!(site.domain.serving(), 2);
+    assert_eq!(site.domain.serving_count(), 2);
     let number = number_of(&site, &leader_of(&site, 0));
     site.domain.kill(number);
     // A few steps, 0.2 s to join and 0.3 s to open; a spare that loads from its host takes 1.6 s.
     site.run(Millis(1_000));
-    assert_eq!(site.domain.serving(), 2);
-    assert_eq!(site.domain.faults, Vec::<String>::new());
+    assert_eq!(site.domain.serving_count(), 2);
+    assert_eq!(site.domain.violations, Vec::<String>::new());
 }
 
 #[test]
@@ -215,16 +215,16 @@
     // The leader keeps serving, unseen; the loss of the other replica makes its members useful
     // there.
     let number = number_of(&site, &first);
-    site.domain.cut(number, true);
+    site.domain.set_disconnected(number, true);
     site.run(Millis(1_000));
     let number = number_of(&site, &second);
     site.domain.kill(number);
     site.run(Millis(30_000));
-    assert_eq!(site.domain.faults, Vec::<String>::new());
-    assert_eq!(site.domain.serving(), 1);
-    site.domain.heal();
+    assert_eq!(site.domain.violations, Vec::<String>::new());
+    assert_eq!(site.domain.serving_count(), 1);
+    site.domain.reconnect_all();
     site.run(Millis(30_000));
-    assert_eq!(site.domain.faults, Vec::<String>::new());
+    assert_eq!(site.domain.violations, Vec::<String>::new());
 }
 
 #[test]
@@ -251,15 +251,20 @@
         if case.silent {
             site.domain.kill(number);
         } else {
-            site.domain.unhear(number);
+            site.domain.disconnect_from_store(number);
         }
         site.run(Millis(10_000));
         let kept = site.record.replicas.values().any(|assignment| assignment == &before);
         assert_eq!(kept, case.serves_on, "{}", case.name);
-        assert_eq!(site.domain.serving(), if case.serves_on { 2 } else { 1 }, "{}", case.name);
-        site.domain.heal();
+        assert_eq!(
+            site.domain.serving_count(),
+            if case.serves_on { 2 } else { 1 },
+            "{}",
+            case.name
+        );
+        site.domain.reconnect_all();
         site.run(Millis(20_000));
-        assert_eq!(site.domain.faults, Vec::<String>::new(), "{}", case.name);
+        assert_eq!(site.domain.violations, Vec::<String>::new(), "{}", case.name);
     }
 }
 
@@ -285,7 +290,7 @@
     site.domain.kill(number);
     site.run(Millis(30_000));
     assert!(site.record.last_epoch > highest, "{:?}", site.record.last_epoch);
-    assert_eq!(site.domain.faults, Vec::<String>::new());
+    assert_eq!(site.domain.violations, Vec::<String>::new());
 }
 
 fn leader_of_listed(site: &Simulation) -> BoxId {
@@ -327,15 +332,15 @@
         let mut site = Simulation::new(9, 1, 1);
         site.second = case.second;
         site.run(Millis(60_000));
-        assert_eq!(site.domain.serving(), 2, "{}", case.name);
+        assert_eq!(site.domain.serving_count(), 2, "{}", case.name);
         site.home = "small";
         site.second = None;
         site.run(case.within);
-        assert_eq!(site.domain.serving(), case.count, "{}", case.name);
+        assert_eq!(site.domain.serving_count(), case.count, "{}", case.name);
         let names: BTreeSet<&str> =
             site.record.replicas.keys().map(|id| id.group.name.as_str()).collect();
         assert_eq!(names, BTreeSet::from([case.serving]), "{}", case.name);
-        assert_eq!(site.domain.faults, Vec::<String>::new(), "{}", case.name);
+        assert_eq!(site.domain.violations, Vec::<String>::new(), "{}", case.name);
     }
 }
 
@@ -344,14 +349,14 @@
     let mut site = Simulation::new(9, 1, 1);
     site.second = Some("small");
     site.run(Millis(60_000));
-    assert_eq!(site.domain.serving(), 2);
+    assert_eq!(site.domain.serving_count(), 2);
     site.second = None;
     let number = number_of(&site, &leader_of(&site, 0));
     site.domain.kill(number);
     // The spare has the home model in memory.
     site.run(Millis(1_000));
-    assert_eq!(site.domain.serving(), 2);
-    assert_eq!(site.domain.faults, Vec::<String>::new());
+    assert_eq!(site.domain.serving_count(), 2);
+    assert_eq!(site.domain.violations, Vec::<String>::new());
 }
 
 /// Plays events, and checks that no box is in two replicas and that the domain serves once the
@@ -359,11 +364,11 @@
 fn check_events(mut site: Simulation, events: &[(usize, usize, u64)]) -> Result<(), TestCaseError> {
     for (kind, number, steps) in events.iter().copied() {
         match kind {
-            0 if site.domain.alive() > 5 => site.domain.kill(number),
-            1 => site.domain.cut(number, true),
-            2 => site.domain.heal(),
+            0 if site.domain.alive_count() > 5 => site.domain.kill(number),
+            1 => site.domain.set_disconnected(number, true),
+            2 => site.domain.reconnect_all(),
             3 => site.domain.add_box(),
-            5 => site.domain.unhear(number),
+            5 => site.domain.disconnect_from_store(number),
             HOME_CHANGES => site.home = if site.home == "large" { "small" } else { "large" },
             _ => {}
         }
@@ -374,16 +379,20 @@
             let reads = site.seed.below(4) > 0;
             let lists = site.seed.below(4) > 0 && old_list != Some(number);
             site.decide(number, reads, lists);
-            site.domain.pass(STEP);
+            site.domain.advance_time(STEP);
         }
     }
-    prop_assert_eq!(&site.domain.faults, &Vec::<String>::new());
+    prop_assert_eq!(&site.domain.violations, &Vec::<String>::new());
     // Once the failures end, the domain serves as far as it has boxes.
     site.delayed_percent = 0;
-    site.domain.heal();
+    site.domain.reconnect_all();
     site.run(Millis(60_000));
-    prop_assert_eq!(&site.domain.faults, &Vec::<String>::new());
-    prop_assert!(site.domain.serving() >= 1, "nothing serves on {} boxes", site.domain.alive());
+    prop_assert_eq!(&site.domain.violations, &Vec::<String>::new());
+    prop_assert!(
+        site.domain.serving_count() >= 1,
+        "nothing serves on {} boxes",
+        site.domain.alive_count()
+    );
     Ok(())
 }
 
@@ -431,19 +440,19 @@
         for point in (0..FORMED).step_by(300) {
             for number in 0..9 {
                 let mut site = Simulation::new(9, 1, 1);
-                site.domain.tell_starts();
+                site.domain.report_starts();
                 site.run(Millis(point));
                 site.domain.restart(number, repeats_last_join);
                 site.run(Millis(1_000));
                 let context = format!("box {number} at {point}, joined again {repeats_last_join}");
                 assert!(
-                    site.domain.longest_torn <= bound,
+                    site.domain.longest_incomplete <= bound,
                     "{context}: {:?}",
-                    site.domain.longest_torn
+                    site.domain.longest_incomplete
                 );
                 site.run(Millis(45_000));
-                assert_eq!(site.domain.serving(), 2, "{context}");
-                assert_eq!(site.domain.faults, Vec::<String>::new(), "{context}");
+                assert_eq!(site.domain.serving_count(), 2, "{context}");
+                assert_eq!(site.domain.violations, Vec::<String>::new(), "{context}");
                 let assigned =
                     site.record.replicas.values().flat_map(|assignment| &assignment.boxes);
                 let names: Vec<&str> = assigned.map(BoxId::name).collect();
@@ -473,7 +482,7 @@
     ) {
         let mut site = Simulation::new(9, 2, seed);
         if reports_starts {
-            site.domain.tell_starts();
+            site.domain.report_starts();
         }
         site.run(Millis(22_000));
         site.delayed_percent = delayed_percent;
@@ -481,22 +490,22 @@
             match what {
                 0 | 1 => site.domain.restart(number, false),
                 2 => site.domain.restart(number, true),
-                3 => site.domain.cut(number, true),
-                4 => site.domain.unhear(number),
-                _ => site.domain.heal(),
+                3 => site.domain.set_disconnected(number, true),
+                4 => site.domain.disconnect_from_store(number),
+                _ => site.domain.reconnect_all(),
             }
             for _ in 0..steps {
                 for node in 0..2 {
                     let (reads, lists) = (site.seed.below(3) > 0, site.seed.below(3) > 0);
                     site.decide(node, reads, lists);
                 }
-                site.domain.pass(STEP);
+                site.domain.advance_time(STEP);
             }
         }
         site.delayed_percent = 0;
-        site.domain.heal();
+        site.domain.reconnect_all();
         site.run(Millis(60_000));
-        prop_assert_eq!(&site.domain.faults, &Vec::<String>::new());
-        prop_assert_eq!(site.domain.serving(), 2);
+        prop_assert_eq!(&site.domain.violations, &Vec::<String>::new());
+        prop_assert_eq!(site.domain.serving_count(), 2);
     }
 }
--- a/crates/cherrystand_core/tests/site_losses.rs
+++ b/crates/cherrystand_core/tests/site_losses.rs
@@ -78,7 +78,7 @@
         while site.domain.now() < Millis(40_000) {
             site.step();
         }
-        assert_eq!(site.domain.serving(), 2);
+        assert_eq!(site.domain.serving_count(), 2);
         site.formations = 0;
         site
     }
@@ -134,7 +134,7 @@
             }
         }
         self.decide();
-        self.domain.pass(STEP);
+        self.domain.advance_time(STEP);
     }
 
     fn decide(&mut self) {
@@ -197,10 +197,11 @@
                 next_kill = next_kill + interval;
             }
             self.step();
-            let is_complete = numbers.peek().is_none() && self.domain.serving() >= serving_after;
+            let is_complete =
+                numbers.peek().is_none() && self.domain.serving_count() >= serving_after;
             complete_since = is_complete.then_some(complete_since.unwrap_or(self.domain.now()));
         }
-        assert_eq!(self.domain.faults, Vec::<String>::new());
+        assert_eq!(self.domain.violations, Vec::<String>::new());
         let complete_since = complete_since.expect("serves again");
         (self.formations, complete_since.since(start))
     }
--- a/crates/cherrystand_testkit/src/site/box_answers.rs
+++ b/crates/cherrystand_testkit/src/site/box_answers.rs
@@ -13,69 +13,69 @@
 use serde_json::Value;
 
 use crate::http::read_json;
-use crate::site::box_wishes::{LimitIn, Sheds, Told, Wish};
-use crate::site::site_box::ColdTold;
+use crate::site::box_wishes::{LimitIn, SentSignal, Sheds, Signal};
+use crate::site::site_box::ColdReport;
 use crate::site::site_stand_in::SiteStandIn;
-use crate::{Arrival, BoxMood};
+use crate::{Arrival, BoxMode};
 
-pub(super) type OutBody = Pin<Box<dyn Body<Data = Bytes, Error = std::io::Error>>>;
+pub(super) type AnswerBody = Pin<Box<dyn Body<Data = Bytes, Error = std::io::Error>>>;
 
-pub(super) type Out = Response<OutBody>;
+pub(super) type Answer = Response<AnswerBody>;
 
 /// How many events a stream has.
 pub const EVENTS: u64 = 40;
 /// The time between two events.
-const EVENT_EVERY: Duration = Duration::from_millis(20);
+const EVENT_INTERVAL: Duration = Duration::from_millis(20);
 
 /// With this the body of a request begins that ends the box that runs it; how many events of it the box
 /// makes before follows, or nothing where it ends before its answer.
 pub const CRASHES: &str = "crashes after ";
 
 impl SiteStandIn {
-    pub(super) async fn answer(&self, id: &str, req: Request<Incoming>) -> Out {
+    pub(super) async fn answer(&self, id: &str, req: Request<Incoming>) -> Answer {
         let successor = self.world.borrow().successors.get(id).cloned();
         let id = successor.as_deref().unwrap_or(id);
-        if self.mood(id) == BoxMood::Dark {
+        if self.mode(id) == BoxMode::Dark {
             std::future::pending::<()>().await;
         }
-        self.held_up().await;
+        self.wait_while_held().await;
         let request = req.headers().get("cherrystand-request-id").cloned();
-        let mut answer = self.answer_well(id, req).await;
-        if let Some(limit) = self.names_limit(id, answer.status()) {
-            set(&mut answer, "server-limit", limit);
+        let mut answer = self.handle(id, req).await;
+        if let Some(limit) = self.limit_in_answer(id, answer.status()) {
+            set_header(&mut answer, "server-limit", limit);
             let named = limit.parse().ok().filter(|limit: &f64| *limit >= 0.0);
             let request = request.as_ref().and_then(|request| request.to_str().ok());
             if let Some((limit, request)) = named.zip(request) {
-                self.note_told(id, request, Wish::Limit(limit));
+                self.record_signal(id, request, Signal::RateLimit(limit));
             }
         }
-        if let Some(left) = self.tells_cold(id) {
-            set(&mut answer, "cherrystand-cold-ms", &left.as_millis().to_string());
+        if let Some(left) = self.cold_time_in_answer(id) {
+            set_header(&mut answer, "cherrystand-cold-ms", &left.as_millis().to_string());
         }
-        if self.leaves(id) {
-            set(&mut answer, "server-leaving", "1");
+        if self.is_leaving(id) {
+            set_header(&mut answer, "server-leaving", "1");
             if let Some(request) = request.as_ref().and_then(|request| request.to_str().ok()) {
-                self.note_told(id, request, Wish::Leaves);
+                self.record_signal(id, request, Signal::Leaving);
             }
         }
         answer
     }
 
-    pub(super) async fn answer_well(&self, id: &str, req: Request<Incoming>) -> Out {
+    pub(super) async fn handle(&self, id: &str, req: Request<Incoming>) -> Answer {
         match (req.method(), req.uri().path()) {
-            (_, "/report" | "/order") if !is_meant(&req, id) => {
-                plain(StatusCode::MISDIRECTED_REQUEST, "")
+            (_, "/report" | "/order") if !is_addressed_to(&req, id) => {
+                plain_answer(StatusCode::MISDIRECTED_REQUEST, "")
             }
-            (&Method::GET, "/report") => plain(StatusCode::OK, "{}"),
+            (&Method::GET, "/report") => plain_answer(StatusCode::OK, "{}"),
             (&Method::POST, "/order") => match read_json::<Value>(req).await {
                 Some(order) => self.order(id, &order),
-                None => plain(StatusCode::BAD_REQUEST, ""),
+                None => plain_answer(StatusCode::BAD_REQUEST, ""),
             },
-            _ => self.run(id, req).await,
+            _ => self.run_request(id, req).await,
         }
     }
 
-    pub(super) async fn run(&self, id: &str, req: Request<Incoming>) -> Out {
+    pub(super) async fn run_request(&self, id: &str, req: Request<Incoming>) -> Answer {
         let head: BTreeMap<String, String> = req
             .headers()
             .iter()
@@ -89,99 +89,99 @@
         let (service, leads) = {
             let world = self.world.borrow();
             let held = &world.boxes[id];
-            let open = held.held.as_ref().is_some_and(|group| group.state == "open");
+            let open = held.membership.as_ref().is_some_and(|group| group.state == "open");
             (held.service, open)
         };
         let arrival = Arrival {
             request: request.clone(),
             body: String::new(),
             target: id.to_owned(),
-            life: self.start_of(id).filter(|_| meant),
+            incarnation: self.start_of(id).filter(|_| meant),
             at: Instant::now(),
         };
         self.world.borrow_mut().arrivals.push(arrival);
         let arrival = self.world.borrow().arrivals.len() - 1;
         if !meant || (service == "models" && !leads) {
-            return plain(StatusCode::MISDIRECTED_REQUEST, "");
+            return plain_answer(StatusCode::MISDIRECTED_REQUEST, "");
         }
         // A caller whose body does not come whole has left.
         let body = req.into_body().collect().await.map(|body| body.to_bytes()).unwrap_or_default();
         let body = String::from_utf8_lossy(&body).into_owned();
         self.world.borrow_mut().arrivals[arrival].body.clone_from(&body);
-        if self.turns_away(id, &request) {
+        if self.should_refuse(id, &request) {
             return self.refusal(id, &request);
         }
         if service == "models" {
-            self.note_run(id);
+            self.check_run(id);
         }
         if let Some(held) = self.world.borrow_mut().boxes.get_mut(id) {
             held.runs.push((request.clone(), last));
-            held.heads.push(head);
+            held.request_headers.push(head);
         }
         let crash_after = body.strip_prefix(CRASHES).map(|events| events.parse::<u64>().ok());
         if crash_after == Some(None) {
             return self.crash(id, &body).await;
         }
-        while self.mood(id) == BoxMood::Pauses {
-            tokio::time::sleep(EVENT_EVERY).await;
+        while self.mode(id) == BoxMode::Pauses {
+            tokio::time::sleep(EVENT_INTERVAL).await;
         }
-        let mut answer = match self.mood(id) {
-            BoxMood::LosesAnswers => broken(),
-            BoxMood::Fails => plain(StatusCode::INTERNAL_SERVER_ERROR, "failed"),
+        let mut answer = match self.mode(id) {
+            BoxMode::LosesAnswers => interrupted_answer(),
+            BoxMode::Fails => plain_answer(StatusCode::INTERNAL_SERVER_ERROR, "failed"),
             _ if service == "models" => {
                 let first = last.map_or(0, |id| id + 1);
                 let ends = crash_after.flatten().map(|events| (first + events, body));
                 self.stream(id, &request, first, ends)
             }
-            _ => plain(StatusCode::OK, &format!("answer to {request}")),
+            _ => plain_answer(StatusCode::OK, &format!("answer to {request}")),
         };
-        set(&mut answer, "cherrystand-request-id", &request);
+        set_header(&mut answer, "cherrystand-request-id", &request);
         if !self.world.borrow().boxes.get(id).is_some_and(|held| held.wishes.unsealed) {
-            set(&mut answer, "cherrystand-response-seal", &format!("seal.{id}"));
+            set_header(&mut answer, "cherrystand-response-seal", &format!("seal.{id}"));
         }
         answer
     }
 
     /// Tells whether a box turns a request away.
-    pub(super) fn turns_away(&self, id: &str, request: &str) -> bool {
+    pub(super) fn should_refuse(&self, id: &str, request: &str) -> bool {
         let mut world = self.world.borrow_mut();
         let Some(held) = world.boxes.get_mut(id) else { return false };
-        held.asked += 1;
+        held.requests += 1;
         let sheds = match held.wishes.sheds {
             Sheds::None => false,
             Sheds::All => true,
-            Sheds::EverySecond => held.asked.is_multiple_of(2),
-            Sheds::Beyond(most) => Rc::strong_count(&held.working) > most,
+            Sheds::EverySecond => held.requests.is_multiple_of(2),
+            Sheds::Beyond(most) => Rc::strong_count(&held.active) > most,
             Sheds::From(daemon) => request.starts_with(daemon),
         };
-        sheds || held.mood == BoxMood::Sheds
+        sheds || held.mode == BoxMode::Sheds
     }
 
     /// Makes a box's answer to a request that it turns away.
-    pub(super) fn refusal(&self, id: &str, request: &str) -> Out {
+    pub(super) fn refusal(&self, id: &str, request: &str) -> Answer {
         let wishes = self.world.borrow().boxes.get(id).map(|held| held.wishes).unwrap_or_default();
-        let mut answer = plain(StatusCode::SERVICE_UNAVAILABLE, "");
-        set(&mut answer, "cherrystand-not-executed", "1");
-        set(&mut answer, "cherrystand-request-id", wishes.names.unwrap_or(request));
+        let mut answer = plain_answer(StatusCode::SERVICE_UNAVAILABLE, "");
+        set_header(&mut answer, "cherrystand-not-executed", "1");
+        set_header(&mut answer, "cherrystand-request-id", wishes.names.unwrap_or(request));
         if let Some(rest) = wishes.rest {
-            set(&mut answer, "retry-after", rest);
+            set_header(&mut answer, "retry-after", rest);
             let secs = rest.parse().ok().and_then(|secs| Duration::try_from_secs_f64(secs).ok());
             if let Some(rest) = secs {
-                self.note_told(id, request, Wish::Rest(rest));
+                self.record_signal(id, request, Signal::Backoff(rest));
             }
         }
         answer
     }
 
-    pub(super) fn note_told(&self, id: &str, request: &str, wish: Wish) {
-        let Some(life) = self.start_of(id) else { return };
+    pub(super) fn record_signal(&self, id: &str, request: &str, signal: Signal) {
+        let Some(incarnation) = self.start_of(id) else { return };
         let (request, target) = (request.to_owned(), id.to_owned());
-        let told = Told { request, target, life, at: Instant::now(), wish };
-        self.world.borrow_mut().told.push(told);
+        let told = SentSignal { request, target, incarnation, at: Instant::now(), signal };
+        self.world.borrow_mut().signals.push(told);
     }
 
     /// Returns the limit that a box names in its next answer, where it does.
-    fn names_limit(&self, id: &str, status: StatusCode) -> Option<&'static str> {
+    fn limit_in_answer(&self, id: &str, status: StatusCode) -> Option<&'static str> {
         let mut world = self.world.borrow_mut();
         let held = world.boxes.get_mut(id)?;
         held.answers += 1;
@@ -194,24 +194,24 @@
     }
 
     /// Notes that a box broke off an answer that nobody read.
-    fn note_cut(&self, id: &str) {
-        self.world.borrow_mut().cuts_unread.push(id.to_owned());
+    fn record_unread_abort(&self, id: &str) {
+        self.world.borrow_mut().unread_aborts.push(id.to_owned());
     }
 
     /// Returns how much longer a box is cold, where it says so in its answers.
-    fn tells_cold(&self, id: &str) -> Option<Duration> {
+    fn cold_time_in_answer(&self, id: &str) -> Option<Duration> {
         let cold = self.world.borrow().boxes.get(id)?.cold;
-        let (until, _) = cold.filter(|(_, told)| *told == ColdTold::Answers)?;
+        let (until, _) = cold.filter(|(_, told)| *told == ColdReport::Answers)?;
         let left = until.saturating_duration_since(Instant::now());
         (!left.is_zero()).then_some(left)
     }
 
-    pub(super) fn leaves(&self, id: &str) -> bool {
+    pub(super) fn is_leaving(&self, id: &str) -> bool {
         self.world.borrow().boxes.get(id).is_some_and(|held| held.wishes.leaves)
     }
 
     pub(crate) fn start_of(&self, id: &str) -> Option<u64> {
-        self.world.borrow().boxes.get(id).map(|held| held.start)
+        self.world.borrow().boxes.get(id).map(|held| held.start_ms)
     }
 
     /// Makes a stream from an event on; `ends` is where its body ends the box.
@@ -221,10 +221,10 @@
         request: &str,
         first: u64,
         ends: Option<(u64, String)>,
-    ) -> Out {
+    ) -> Answer {
         let (site, id, request) = (self.clone(), id.to_owned(), request.to_owned());
         let start = self.start_of(&id);
-        let working = self.world.borrow().boxes.get(&id).map(|held| held.working.clone());
+        let working = self.world.borrow().boxes.get(&id).map(|held| held.active.clone());
         let wishes = self.world.borrow().boxes.get(&id).map(|held| held.wishes).unwrap_or_default();
         let padding = "x".repeat(wishes.event_bytes);
         let events = stream::unfold((first, Instant::now()), move |(number, made)| {
@@ -234,7 +234,7 @@
             let (ends, padding) = (ends.clone(), padding.clone());
             async move {
                 if wishes.cuts_unread.is_some_and(|unread| made.elapsed() > unread) {
-                    site.note_cut(&id);
+                    site.record_unread_abort(&id);
                     return Some((Err(std::io::ErrorKind::ConnectionReset.into()), (EVENTS, made)));
                 }
                 if let Some((_, body)) = ends.filter(|(event, _)| number >= *event) {
@@ -243,12 +243,12 @@
                 if number >= EVENTS {
                     return None;
                 }
-                tokio::time::sleep(EVENT_EVERY).await;
-                site.held_up().await;
-                while site.start_of(&id) == start && !site.is_whole(&id)
-                    || site.mood(&id) == BoxMood::Pauses
+                tokio::time::sleep(EVENT_INTERVAL).await;
+                site.wait_while_held().await;
+                while site.start_of(&id) == start && !site.is_complete(&id)
+                    || site.mode(&id) == BoxMode::Pauses
                 {
-                    tokio::time::sleep(EVENT_EVERY).await;
+                    tokio::time::sleep(EVENT_INTERVAL).await;
                 }
                 if site.start_of(&id) != start {
                     // Its connections ended with its life.
@@ -259,34 +259,34 @@
                 Some((Ok::<_, std::io::Error>(frame), (number + 1, Instant::now())))
             }
         });
-        let mut answer = Response::new(Box::pin(StreamBody::new(events)) as OutBody);
-        set(&mut answer, "content-type", "text/event-stream");
+        let mut answer = Response::new(Box::pin(StreamBody::new(events)) as AnswerBody);
+        set_header(&mut answer, "content-type", "text/event-stream");
         answer
     }
 }
 
-pub(super) fn whole(body: Full<Bytes>) -> OutBody {
+pub(super) fn full_body(body: Full<Bytes>) -> AnswerBody {
     Box::pin(body.map_err(|never| match never {}))
 }
 
-pub(super) fn plain(status: StatusCode, text: &str) -> Out {
-    let mut answer = Response::new(whole(Full::new(Bytes::from(text.to_owned()))));
+pub(super) fn plain_answer(status: StatusCode, text: &str) -> Answer {
+    let mut answer = Response::new(full_body(Full::new(Bytes::from(text.to_owned()))));
     *answer.status_mut() = status;
     answer
 }
 
 /// Makes an answer whose body breaks off at once.
-fn broken() -> Out {
+fn interrupted_answer() -> Answer {
     let failed = stream::once(async { Err(std::io::ErrorKind::ConnectionReset.into()) });
     Response::new(Box::pin(StreamBody::new(failed)))
 }
 
 /// Tells whether a call names this box, or none.
-fn is_meant(req: &Request<Incoming>, id: &str) -> bool {
+fn is_addressed_to(req: &Request<Incoming>, id: &str) -> bool {
     req.headers().get("cherrystand-expect-instance").is_none_or(|meant| meant == id)
 }
 
-fn set(answer: &mut Out, name: &'static str, value: &str) {
+fn set_header(answer: &mut Answer, name: &'static str, value: &str) {
     if let Ok(value) = value.parse() {
         answer.headers_mut().insert(name, value);
     }
--- a/crates/cherrystand_testkit/src/site/box_orders.rs
+++ b/crates/cherrystand_testkit/src/site/box_orders.rs
@@ -5,34 +5,34 @@
 use hyper::StatusCode;
 use serde_json::Value;
 
-use crate::BoxMood;
-use crate::site::box_answers::{Out, plain};
-use crate::site::site_box::Held;
+use crate::BoxMode;
+use crate::site::box_answers::{Answer, plain_answer};
+use crate::site::site_box::Membership;
 use crate::site::site_stand_in::SiteStandIn;
 
 /// How long a join takes.
-const JOIN: Duration = Duration::from_millis(30);
+const JOIN_TIME: Duration = Duration::from_millis(30);
 
 impl SiteStandIn {
-    pub(super) fn order(&self, id: &str, order: &Value) -> Out {
-        let status = self.follow(id, order);
+    pub(super) fn order(&self, id: &str, order: &Value) -> Answer {
+        let status = self.apply_order(id, order);
         match status {
-            StatusCode::ACCEPTED => self.tell(id),
+            StatusCode::ACCEPTED => self.write_own_entry(id),
             StatusCode::OK => {}
             _ => {
                 let operation = order["operation"].as_str().unwrap_or_default().to_owned();
                 let refused = (id.to_owned(), operation, status.as_u16());
-                self.world.borrow_mut().refused.push(refused);
+                self.world.borrow_mut().refused_orders.push(refused);
             }
         }
-        plain(status, "")
+        plain_answer(status, "")
     }
 
-    pub(super) fn follow(&self, id: &str, order: &Value) -> StatusCode {
+    pub(super) fn apply_order(&self, id: &str, order: &Value) -> StatusCode {
         let name = order["group"].as_str().unwrap_or_default().to_owned();
         let epoch = order["epoch"].as_u64().unwrap_or_default();
         if order["operation"] == "join" {
-            self.note_join(id, &name, epoch);
+            self.check_join(id, &name, epoch);
         }
         let mut world = self.world.borrow_mut();
         let Some(held) = world.boxes.get_mut(id) else {
@@ -45,10 +45,10 @@
         held.fence = fence;
         let model = order["model"].as_str().map(str::to_owned);
         let in_group =
-            held.held.as_ref().is_some_and(|held| held.group == name && held.epoch == epoch);
+            held.membership.as_ref().is_some_and(|held| held.group == name && held.epoch == epoch);
         match order["operation"].as_str().unwrap_or_default() {
             "stage" => held.staged = model,
-            "join" if epoch < held.highest => return StatusCode::PRECONDITION_FAILED,
+            "join" if epoch < held.highest_epoch => return StatusCode::PRECONDITION_FAILED,
             "join" if in_group => return StatusCode::OK,
             "join" => {
                 let members = order["members"].as_array().cloned().unwrap_or_default();
@@ -57,17 +57,18 @@
                 }
                 let members = members.iter().filter_map(|id| id.as_str().map(str::to_owned));
                 held.staged = model;
-                held.highest = epoch;
+                held.highest_epoch = epoch;
                 let members = members.collect();
-                held.held = Some(Held { group: name, epoch, members, state: "joining" });
+                held.membership =
+                    Some(Membership { group: name, epoch, members, state: "joining" });
                 let (site, id) = (self.clone(), id.to_owned());
-                tokio::task::spawn_local(async move { site.get_ready(&id, epoch).await });
+                tokio::task::spawn_local(async move { site.finish_join(&id, epoch).await });
             }
             _ if !in_group => return StatusCode::CONFLICT,
-            "leave" => held.held = None,
+            "leave" => held.membership = None,
             "open" | "close" => {
                 let opens = order["operation"] == "open";
-                if let Some(group) = held.held.as_mut() {
+                if let Some(group) = held.membership.as_mut() {
                     group.state = if opens { "open" } else { "ready" };
                 }
             }
@@ -77,63 +78,66 @@
     }
 
     /// Notes a join that a box would take out of a replica whose leader serves.
-    pub(super) fn note_join(&self, id: &str, name: &str, epoch: u64) {
+    pub(super) fn check_join(&self, id: &str, name: &str, epoch: u64) {
         let mut world = self.world.borrow_mut();
         let Some(held) = world.boxes.get(id) else { return };
-        let Some(last) = held.held.as_ref().filter(|_| epoch >= held.highest) else { return };
+        let Some(last) = held.membership.as_ref().filter(|_| epoch >= held.highest_epoch) else {
+            return;
+        };
         let leader = last.members.first().and_then(|leader| world.boxes.get(leader));
-        let leads = leader.and_then(|leader| leader.held.as_ref()).is_some_and(|group| {
+        let leads = leader.and_then(|leader| leader.membership.as_ref()).is_some_and(|group| {
             group.group == last.group && group.epoch == last.epoch && group.state == "open"
         });
         let another = last.group != name || last.epoch != epoch;
-        let answers = leader.is_some_and(|leader| leader.mood != BoxMood::Dark);
+        let answers = leader.is_some_and(|leader| leader.mode != BoxMode::Dark);
         if leads && another && answers {
             let fault = format!("{id} joined {name} {epoch} out of {} {}", last.group, last.epoch);
-            world.faults.push(fault);
+            world.violations.push(fault);
         }
     }
 
     /// Notes a request that a leader runs though some member of its replica was never ready.
-    pub(super) fn note_run(&self, leader: &str) {
+    pub(super) fn check_run(&self, leader: &str) {
         let mut world = self.world.borrow_mut();
-        let Some(group) = world.boxes.get(leader).and_then(|held| held.held.clone()) else {
+        let Some(group) = world.boxes.get(leader).and_then(|held| held.membership.clone()) else {
             return;
         };
-        let was_ready =
-            |id: &String| world.ready.contains(&(group.group.clone(), group.epoch, id.clone()));
+        let was_ready = |id: &String| {
+            world.ever_ready.contains(&(group.group.clone(), group.epoch, id.clone()))
+        };
         if let Some(id) = group.members.iter().find(|id| !was_ready(id)) {
             let fault =
                 format!("{leader} ran a request, and {id} was never ready in {}", group.group);
-            world.faults.push(fault);
+            world.violations.push(fault);
         }
     }
 
-    pub(super) async fn get_ready(&self, id: &str, epoch: u64) {
-        tokio::time::sleep(JOIN).await;
+    pub(super) async fn finish_join(&self, id: &str, epoch: u64) {
+        tokio::time::sleep(JOIN_TIME).await;
         let mut world = self.world.borrow_mut();
         if let Some(held) = world.boxes.get_mut(id)
-            && let Some(group) = held.held.as_mut().filter(|group| group.epoch == epoch)
+            && let Some(group) = held.membership.as_mut().filter(|group| group.epoch == epoch)
         {
             group.state = "ready";
             let place = (group.group.clone(), epoch, id.to_owned());
-            world.ready.insert(place);
+            world.ever_ready.insert(place);
         }
         drop(world);
-        self.tell(id);
+        self.write_own_entry(id);
     }
 
     /// Tells whether the replica that a box leads has all its members.
-    pub(super) fn is_whole(&self, leader: &str) -> bool {
+    pub(super) fn is_complete(&self, leader: &str) -> bool {
         let world = self.world.borrow();
-        let Some(group) = world.boxes.get(leader).and_then(|held| held.held.clone()) else {
+        let Some(group) = world.boxes.get(leader).and_then(|held| held.membership.clone()) else {
             return false;
         };
-        if world.torn.contains(&(group.group.clone(), group.epoch)) {
+        if world.restarted.contains(&(group.group.clone(), group.epoch)) {
             return false;
         }
         group.members.iter().all(|id| {
-            let member = world.boxes.get(id).filter(|held| held.mood != BoxMood::Dark);
-            let held = member.and_then(|held| held.held.as_ref());
+            let member = world.boxes.get(id).filter(|held| held.mode != BoxMode::Dark);
+            let held = member.and_then(|held| held.membership.as_ref());
             held.is_some_and(|held| held.group == group.group && held.epoch == group.epoch)
         })
     }
--- a/crates/cherrystand_testkit/src/site/box_wishes.rs
+++ b/crates/cherrystand_testkit/src/site/box_wishes.rs
@@ -79,63 +79,65 @@
 
 /// What a box told a daemon in an answer.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Wish {
+pub enum Signal {
     /// It wants nothing for so long.
-    Rest(Duration),
+    Backoff(Duration),
     /// It leaves.
-    Leaves,
+    Leaving,
     /// It takes so many requests a second from all daemons together.
-    Limit(f64),
+    RateLimit(f64),
 }
 
 /// A wish in an answer.
 #[derive(Clone, Debug)]
-pub struct Told {
+pub struct SentSignal {
     /// The request that was answered.
     pub request: String,
     /// The box.
     pub target: String,
     /// When its life began, in Unix milliseconds.
-    pub life: u64,
+    pub incarnation: u64,
     /// When it answered.
     pub at: Instant,
     /// What it asked for.
-    pub wish: Wish,
+    pub signal: Signal,
 }
 
 /// Requests that were already on their way as a box asked for rest arrive within this time.
-const ON_THEIR_WAY: Duration = Duration::from_millis(500);
+const BACKOFF_DELAY: Duration = Duration::from_millis(500);
 
 /// How many requests of one daemon may reach a box within a rest.
-const MOST_IN_REST: usize = 2;
+const MAX_REQUESTS_IN_BACKOFF: usize = 2;
 
 /// Within this time nothing new reaches a box that leaves.
-const LEFT_ALONE_WITHIN: Duration = Duration::from_millis(2_000);
+const LEAVING_DELAY: Duration = Duration::from_millis(2_000);
 
 /// Names each wish that a daemon did not follow; `daemon_of` finds the daemon of a request, where its
 /// daemon counts at that moment.
-pub fn broken_wishes<D: PartialEq>(
-    told: &[Told],
+pub fn ignored_signals<D: PartialEq>(
+    told: &[SentSignal],
     arrivals: &[Arrival],
     daemon_of: impl Fn(&str, Instant) -> Option<D>,
 ) -> Vec<String> {
     let broken = told.iter().filter_map(|told| {
         let daemon = daemon_of(&told.request, told.at)?;
-        let (from, until, most) = match told.wish {
-            Wish::Rest(rest) => (told.at + ON_THEIR_WAY, Some(told.at + rest), MOST_IN_REST),
-            Wish::Leaves => (told.at + LEFT_ALONE_WITHIN, None, 0),
-            // Of all daemons together: `broken_limits`.
-            Wish::Limit(_) => return None,
+        let (from, until, most) = match told.signal {
+            Signal::Backoff(rest) => {
+                (told.at + BACKOFF_DELAY, Some(told.at + rest), MAX_REQUESTS_IN_BACKOFF)
+            }
+            Signal::Leaving => (told.at + LEAVING_DELAY, None, 0),
+            // Of all daemons together: `exceeded_limits`.
+            Signal::RateLimit(_) => return None,
         };
         let late = arrivals.iter().filter(|arrival| {
             arrival.target == told.target
-                && arrival.life == Some(told.life)
+                && arrival.incarnation == Some(told.incarnation)
                 && arrival.at > from
                 && until.is_none_or(|until| arrival.at <= until)
                 && daemon_of(&arrival.request, arrival.at).as_ref() == Some(&daemon)
         });
         let late = late.count();
-        let (id, wish) = (&told.target, told.wish);
+        let (id, wish) = (&told.target, told.signal);
         (late > most).then(|| format!("{id} told {}: {wish:?}, and got {late}", told.request))
     });
     broken.collect()
--- a/crates/cherrystand_testkit/src/site/limit_checks.rs
+++ b/crates/cherrystand_testkit/src/site/limit_checks.rs
@@ -3,19 +3,19 @@
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
 
-use crate::{Arrival, Told, Wish};
+use crate::{Arrival, SentSignal, Signal};
 
 /// The span over which arrivals are counted.
 const WINDOW: Duration = Duration::from_secs(4);
 
 /// The platform counts from this time after a box first named its limit.
-const CONTACT: Duration = Duration::from_secs(3);
+const LIMIT_GRACE: Duration = Duration::from_secs(3);
 
 /// The platform counts the daemons that were told this long ago.
-const TOLD_BEFORE: Duration = Duration::from_millis(500);
+const KNOWN_AFTER: Duration = Duration::from_millis(500);
 
 /// Within this time after a box first named its limit all daemons follow it.
-const KNOWN_WITHIN: Duration = Duration::from_secs(1);
+const SPREAD_TIME: Duration = Duration::from_secs(1);
 
 /// Says which bound arrivals are held to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -29,20 +29,20 @@
 /// Names each box that got more than it had said it takes, with the worst span of each.
 ///
 /// `daemon_of` finds the daemon of a request, where its daemon counts at that moment.
-pub fn broken_limits<D: Ord>(
-    told: &[Told],
+pub fn exceeded_limits<D: Ord>(
+    told: &[SentSignal],
     arrivals: &[Arrival],
     bound: LimitBound,
     daemon_of: impl Fn(&str, Instant) -> Option<D>,
 ) -> Vec<String> {
     let lives: BTreeSet<(&str, u64)> =
-        named(told).map(|(told, _)| (told.target.as_str(), told.life)).collect();
+        rate_limits(told).map(|(told, _)| (told.target.as_str(), told.incarnation)).collect();
     let broken = lives.into_iter().filter_map(|(id, life)| {
-        let told: Vec<(&Told, f64)> = named(told)
-            .filter(|(told, _)| (told.target.as_str(), told.life) == (id, life))
+        let told: Vec<(&SentSignal, f64)> = rate_limits(told)
+            .filter(|(told, _)| (told.target.as_str(), told.incarnation) == (id, life))
             .collect();
         let own = arrivals.iter();
-        let own = own.filter(|arrival| arrival.target == id && arrival.life == Some(life));
+        let own = own.filter(|arrival| arrival.target == id && arrival.incarnation == Some(life));
         let own: Vec<&Arrival> = own.collect();
         let worst = own.iter().filter_map(|last| excess(&told, &own, last.at, bound, &daemon_of));
         let (over, count, allowed) = worst.max_by(|one, two| one.0.total_cmp(&two.0))?;
@@ -51,9 +51,9 @@
     broken.collect()
 }
 
-fn named(told: &[Told]) -> impl Iterator<Item = (&Told, f64)> {
-    told.iter().filter_map(|told| match told.wish {
-        Wish::Limit(limit) => Some((told, limit)),
+fn rate_limits(told: &[SentSignal]) -> impl Iterator<Item = (&SentSignal, f64)> {
+    told.iter().filter_map(|told| match told.signal {
+        Signal::RateLimit(limit) => Some((told, limit)),
         _ => None,
     })
 }
@@ -61,7 +61,7 @@
 /// Returns by how much the arrivals of the span that ends at a time exceed what is allowed, their number and that
 /// figure; nothing where the bound does not hold yet, or not any more.
 fn excess<D: Ord>(
-    told: &[(&Told, f64)],
+    told: &[(&SentSignal, f64)],
     arrivals: &[&Arrival],
     ends: Instant,
     bound: LimitBound,
@@ -70,15 +70,15 @@
     let begins = ends - WINDOW;
     let (first, last) = (told.first()?.0.at, told.last()?.0.at);
     let holds = match bound {
-        LimitBound::Platform => ends >= first + CONTACT && ends <= last,
-        LimitBound::Own => begins >= first + KNOWN_WITHIN && ends <= last,
+        LimitBound::Platform => ends >= first + LIMIT_GRACE && ends <= last,
+        LimitBound::Own => begins >= first + SPREAD_TIME && ends <= last,
     };
     if !holds {
         return None;
     }
     let counted: Vec<D> = told
         .iter()
-        .filter(|(told, _)| told.at + TOLD_BEFORE <= ends)
+        .filter(|(told, _)| told.at + KNOWN_AFTER <= ends)
         .filter_map(|(told, _)| daemon_of(&told.request, ends))
         .collect();
     let counts = |arrival: &&&Arrival| {
@@ -90,7 +90,7 @@
     // A limit that changes within the span, or shortly before, allows what its highest value does.
     let until = told.iter().filter(|(told, _)| told.at <= ends);
     let (before, within): (Vec<_>, Vec<_>) =
-        until.partition(|(told, _)| told.at + CONTACT < begins);
+        until.partition(|(told, _)| told.at + LIMIT_GRACE < begins);
     let in_force = before.last().into_iter().chain(&within);
     let limit = in_force.map(|(_, limit)| *limit).fold(0.0, f64::max) * WINDOW.as_secs_f64();
     let allowed = match bound {
--- a/crates/cherrystand_testkit/src/site/metadata_stand_in.rs
+++ b/crates/cherrystand_testkit/src/site/metadata_stand_in.rs
@@ -12,10 +12,10 @@
 use serde::Deserialize;
 use serde_json::{Value, json};
 
-use crate::http::{FullBody, empty, json as told, query_number, read_json};
+use crate::http::{FullBody, empty, json as json_answer, query_number, read_json};
 
 /// How often a watch that waits looks for changes.
-const LOOK_EVERY: Duration = Duration::from_millis(5);
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// One change, as watches tell it.
 #[derive(Clone, Debug)]
@@ -27,7 +27,7 @@
 
 /// What a copy of the store holds.
 #[derive(Clone, Debug)]
-struct StoreCopy {
+struct Backup {
     revision: u64,
     items: BTreeMap<String, (u64, String)>,
 }
@@ -39,17 +39,17 @@
     revision: u64,
     items: BTreeMap<String, (u64, String)>,
     changes: Vec<Change>,
-    /// Changes up to this revision are forgotten.
-    forgotten: u64,
+    /// Changes up to this revision are dropped_up_to.
+    dropped_up_to: u64,
     /// What the next writes get: done without an answer.
-    lose_answers: u32,
+    dropped_answers: u32,
     /// Items that are written right after they were first asked for and found missing.
-    late: BTreeMap<String, String>,
+    after_miss: BTreeMap<String, String>,
     calls: u64,
     /// How often the store came back from a copy, told in all answers once it did.
     era: u64,
     /// The copy that it comes back from.
-    copy: Option<StoreCopy>,
+    backup: Option<Backup>,
 }
 
 /// A store that all nodes share; each node may be given a door of its own.
@@ -60,7 +60,7 @@
 
 /// Says how one door to the store behaves.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Door {
+pub enum StoreMode {
     /// It answers.
     #[default]
     Open,
@@ -113,7 +113,7 @@
     }
 
     /// Tells whether an item is there.
-    pub fn holds(&self, key: &str) -> bool {
+    pub fn contains(&self, key: &str) -> bool {
         self.state.borrow().items.contains_key(key)
     }
 
@@ -136,9 +136,9 @@
     }
 
     /// Forgets the history, so that watches from before have to read anew.
-    pub fn forget(&self) {
+    pub fn drop_history(&self) {
         let mut state = self.state.borrow_mut();
-        state.forgotten = state.revision;
+        state.dropped_up_to = state.revision;
         state.changes.clear();
     }
 
@@ -149,35 +149,35 @@
     }
 
     /// Copies everything as it is, for a drill.
-    pub fn keep_copy(&self) {
+    pub fn back_up(&self) {
         let mut state = self.state.borrow_mut();
-        state.copy = Some(StoreCopy { revision: state.revision, items: state.items.clone() });
+        state.backup = Some(Backup { revision: state.revision, items: state.items.clone() });
     }
 
     /// Comes back from the copy kept: what was written since is gone, revisions are given out again, and the era
     /// rises. Watches begin anew.
-    pub fn drill(&self) {
+    pub fn restore(&self) {
         let mut state = self.state.borrow_mut();
-        let Some(StoreCopy { revision, items }) = state.copy.clone() else { return };
+        let Some(Backup { revision, items }) = state.backup.clone() else { return };
         (state.revision, state.items) = (revision, items);
         state.changes.retain(|change| change.revision <= revision);
         state.era += 1;
     }
 
     /// Lets the next writes be done and not answered.
-    pub fn lose_answers(&self, count: u32) {
-        self.state.borrow_mut().lose_answers = count;
+    pub fn drop_next_answers(&self, count: u32) {
+        self.state.borrow_mut().dropped_answers = count;
     }
 
     /// Returns how many calls came.
-    pub fn calls(&self) -> u64 {
+    pub fn call_count(&self) -> u64 {
         self.state.borrow().calls
     }
 
     /// Answers one call that came through a door, and tells the era once it is not the first.
-    pub async fn handle(self, door: Door, req: Request<Incoming>) -> Response<FullBody> {
+    pub async fn handle(self, mode: StoreMode, req: Request<Incoming>) -> Response<FullBody> {
         let state = self.state.clone();
-        let mut answer = self.answer(door, req).await;
+        let mut answer = self.answer(mode, req).await;
         let era = state.borrow().era;
         if era > 0 {
             answer.headers_mut().insert("store-era", era.into());
@@ -185,20 +185,20 @@
         answer
     }
 
-    async fn answer(self, door: Door, req: Request<Incoming>) -> Response<FullBody> {
+    async fn answer(self, mode: StoreMode, req: Request<Incoming>) -> Response<FullBody> {
         self.state.borrow_mut().calls += 1;
-        match door {
-            Door::Open => {}
-            Door::Busy => return empty(StatusCode::SERVICE_UNAVAILABLE),
-            Door::Silent => std::future::pending().await,
+        match mode {
+            StoreMode::Open => {}
+            StoreMode::Busy => return empty(StatusCode::SERVICE_UNAVAILABLE),
+            StoreMode::Silent => std::future::pending().await,
         }
-        let parameter = |name| text(&req, name);
+        let text = |name| parameter(&req, name);
         match (req.method(), req.uri().path()) {
-            (&Method::GET, "/kv-key") => self.key(&parameter("tls_key")),
+            (&Method::GET, "/kv-key") => self.key(&text("tls_key")),
             (&Method::GET, "/kv-range") => {
-                let prefix = parameter("path_prefix");
-                let listed = self.range(&prefix, &parameter("since_rev"));
-                self.put_late(&prefix);
+                let prefix = text("path_prefix");
+                let listed = self.range(&prefix, &text("since_rev"));
+                self.put_after_missed_read(&prefix);
                 listed
             }
             (&Method::GET, "/kv-watch") => self.watch(&req).await,
@@ -211,22 +211,22 @@
     }
 
     /// Writes an item as soon as somebody has found it missing.
-    pub fn put_once_missed(&self, key: &str, value: String) {
-        self.state.borrow_mut().late.insert(key.to_owned(), value);
+    pub fn put_after_miss(&self, key: &str, value: String) {
+        self.state.borrow_mut().after_miss.insert(key.to_owned(), value);
     }
 
     fn key(&self, key: &str) -> Response<FullBody> {
         let found = self.state.borrow().items.get(key).cloned();
         if let Some((revision, value)) = found {
-            return told(StatusCode::OK, &item(key, revision, &value));
+            return json_answer(StatusCode::OK, &item(key, revision, &value));
         }
-        self.put_late(key);
+        self.put_after_missed_read(key);
         empty(StatusCode::NOT_FOUND)
     }
 
     /// Writes the items below a prefix that were to come once they were found missing.
-    fn put_late(&self, prefix: &str) {
-        let mut late = std::mem::take(&mut self.state.borrow_mut().late);
+    fn put_after_missed_read(&self, prefix: &str) {
+        let mut late = std::mem::take(&mut self.state.borrow_mut().after_miss);
         late.retain(|key, value| {
             let is_missed = key.starts_with(prefix);
             if is_missed {
@@ -234,11 +234,11 @@
             }
             !is_missed
         });
-        self.state.borrow_mut().late.extend(late);
+        self.state.borrow_mut().after_miss.extend(late);
     }
 
     /// Lists in pages from now on, with a fault in all but the first.
-    pub fn list_in_pages(&self, length: usize, fault: PageFault) {
+    pub fn set_paging(&self, length: usize, fault: PageFault) {
         self.state.borrow_mut().pages = Some((length, fault));
     }
 
@@ -251,36 +251,36 @@
             _ => (after, length),
         };
         let found = state.items.iter().filter(|(key, _)| key.starts_with(prefix));
-        let left = found.filter(|(key, _)| after.is_empty() || key.as_str() > after);
+        let rest = found.filter(|(key, _)| after.is_empty() || key.as_str() > after);
         let mut items: Vec<Value> =
-            left.map(|(key, (revision, value))| item(key, *revision, value)).collect();
+            rest.map(|(key, (revision, value))| item(key, *revision, value)).collect();
         let has_more = items.len() > length;
         items.truncate(length);
         let page = json!({"items": items, "has_more": has_more, "timestamp": state.revision});
-        told(StatusCode::OK, &page)
+        json_answer(StatusCode::OK, &page)
     }
 
     async fn watch(&self, req: &Request<Incoming>) -> Response<FullBody> {
-        let prefix = text(req, "path_prefix");
+        let prefix = parameter(req, "path_prefix");
         let since = query_number(req, "since_rev").unwrap_or_default();
         let wait = query_number(req, "wait_ms").unwrap_or_default();
-        let until = tokio::time::Instant::now() + Duration::from_millis(wait);
+        let deadline = tokio::time::Instant::now() + Duration::from_millis(wait);
         let era = self.state.borrow().era;
         loop {
             {
                 let state = self.state.borrow();
-                if since < state.forgotten || since > state.revision || state.era != era {
+                if since < state.dropped_up_to || since > state.revision || state.era != era {
                     return empty(StatusCode::GONE);
                 }
-                let new = state.changes.iter().filter(|change| change.revision > since);
-                let new = new.filter(|change| change.key.starts_with(&prefix));
-                let events: Vec<Value> = new.map(event).collect();
-                if !events.is_empty() || tokio::time::Instant::now() >= until {
-                    let found = json!({"events": events, "timestamp": state.revision});
-                    return told(StatusCode::OK, &found);
+                let newer = state.changes.iter().filter(|change| change.revision > since);
+                let newer = newer.filter(|change| change.key.starts_with(&prefix));
+                let events: Vec<Value> = newer.map(event).collect();
+                if !events.is_empty() || tokio::time::Instant::now() >= deadline {
+                    let page = json!({"events": events, "timestamp": state.revision});
+                    return json_answer(StatusCode::OK, &page);
                 }
             }
-            tokio::time::sleep(LOOK_EVERY).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
@@ -296,25 +296,25 @@
                 .iter()
                 .map(|row| item(&row.tls_key, revision_of(&row.tls_key), ""))
                 .collect();
-            return told(StatusCode::PRECONDITION_FAILED, &json!({"items": items}));
+            return json_answer(StatusCode::PRECONDITION_FAILED, &json!({"items": items}));
         }
         for setting in transaction.set_keys {
             self.put(&setting.tls_key, setting.value);
         }
-        let lost = {
+        let drop_answer = {
             let mut state = self.state.borrow_mut();
-            let lost = state.lose_answers > 0;
-            state.lose_answers = state.lose_answers.saturating_sub(1);
-            lost
+            let drop_answer = state.dropped_answers > 0;
+            state.dropped_answers = state.dropped_answers.saturating_sub(1);
+            drop_answer
         };
-        if lost {
+        if drop_answer {
             std::future::pending::<()>().await;
         }
-        told(StatusCode::OK, &json!({"revision": self.state.borrow().revision}))
+        json_answer(StatusCode::OK, &json!({"revision": self.state.borrow().revision}))
     }
 }
 
-fn text(req: &Request<Incoming>, name: &str) -> String {
+fn parameter(req: &Request<Incoming>, name: &str) -> String {
     let value = crate::http::query(req, name).unwrap_or_default();
     value.replace("%2F", "/")
 }
--- a/crates/cherrystand_testkit/src/site/site_box.rs
+++ b/crates/cherrystand_testkit/src/site/site_box.rs
@@ -5,15 +5,15 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-use crate::site::box_wishes::{BoxWishes, Told};
-use crate::site::metadata_stand_in::Door;
+use crate::site::box_wishes::{BoxWishes, SentSignal};
+use crate::site::metadata_stand_in::StoreMode;
 
 /// When boxes started, in Unix milliseconds.
-pub(crate) const FIRST_START: u64 = 1_790_000_000_000;
+pub(crate) const FIRST_START_MS: u64 = 1_790_000_000_000;
 
 /// What a box does with requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum BoxMood {
+pub enum BoxMode {
     /// It serves.
     #[default]
     Well,
@@ -31,7 +31,7 @@
 
 /// Says how a box that is cold tells so.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ColdTold {
+pub enum ColdReport {
     /// By its entry, at once.
     Entry,
     /// In its answers alone.
@@ -41,7 +41,7 @@
 }
 
 #[derive(Clone, Debug)]
-pub(super) struct Held {
+pub(super) struct Membership {
     pub(super) group: String,
     pub(super) epoch: u64,
     pub(super) members: Vec<String>,
@@ -52,32 +52,32 @@
     /// Where it says that it is reached.
     pub(super) address: SocketAddr,
     /// Where it listens.
-    pub(super) listens: SocketAddr,
+    pub(super) listen_address: SocketAddr,
     pub(super) service: &'static str,
     pub(super) zone: &'static str,
     /// Until when it is cold, and whether its entry tells so.
-    pub(super) cold: Option<(Instant, ColdTold)>,
-    pub(super) mood: BoxMood,
+    pub(super) cold: Option<(Instant, ColdReport)>,
+    pub(super) mode: BoxMode,
     /// Whether its entry says that it leaves.
-    pub(super) drains: bool,
+    pub(super) draining: bool,
     pub(super) wishes: BoxWishes,
     /// How many requests came that it could turn away.
-    pub(super) asked: usize,
+    pub(super) requests: usize,
     /// How many answers it gave.
     pub(super) answers: usize,
-    /// Held by each request that it works on.
-    pub(super) working: Rc<()>,
+    /// Membership by each request that it works on.
+    pub(super) active: Rc<()>,
     /// When it started, in Unix milliseconds.
-    pub(super) start: u64,
+    pub(super) start_ms: u64,
     pub(super) staged: Option<String>,
-    pub(super) held: Option<Held>,
-    pub(super) highest: u64,
+    pub(super) membership: Option<Membership>,
+    pub(super) highest_epoch: u64,
     /// The highest fence seen.
     pub(super) fence: u64,
     /// Requests run, by id, and the event each began after.
     pub(super) runs: Vec<(String, Option<u64>)>,
     /// Tenants and headers that reached it.
-    pub(super) heads: Vec<BTreeMap<String, String>>,
+    pub(super) request_headers: Vec<BTreeMap<String, String>>,
 }
 
 impl SiteBoxState {
@@ -85,51 +85,51 @@
     pub(super) fn new(address: SocketAddr, service: &'static str, zone: &'static str) -> Self {
         Self {
             address,
-            listens: address,
+            listen_address: address,
             service,
             zone,
             cold: None,
-            mood: BoxMood::Well,
-            drains: false,
+            mode: BoxMode::Well,
+            draining: false,
             wishes: BoxWishes::default(),
-            asked: 0,
+            requests: 0,
             answers: 0,
-            working: Rc::default(),
-            start: FIRST_START,
+            active: Rc::default(),
+            start_ms: FIRST_START_MS,
             staged: None,
-            held: None,
-            highest: 0,
+            membership: None,
+            highest_epoch: 0,
             fence: 0,
             runs: Vec::new(),
-            heads: Vec::new(),
+            request_headers: Vec::new(),
         }
     }
 }
 
 #[derive(Default)]
-pub(super) struct World {
+pub(super) struct SiteState {
     pub(super) boxes: BTreeMap<String, SiteBoxState>,
-    pub(super) doors: BTreeMap<usize, Door>,
+    pub(super) store_modes: BTreeMap<usize, StoreMode>,
     /// Whether nothing that boxes say arrives for now.
-    pub(super) held: bool,
+    pub(super) holds_answers: bool,
     /// Whether boxes tell when they started.
-    pub(super) tells_starts: bool,
+    pub(super) reports_starts: bool,
     /// Replicas of which a member started again: nothing moves in them.
-    pub(super) torn: BTreeSet<(String, u64)>,
+    pub(super) restarted: BTreeSet<(String, u64)>,
     /// Which members have ever been ready, by replica and epoch.
-    pub(super) ready: BTreeSet<(String, u64, String)>,
+    pub(super) ever_ready: BTreeSet<(String, u64, String)>,
     /// What must never happen and did.
-    pub(super) faults: Vec<String>,
+    pub(super) violations: Vec<String>,
     /// Every request that reached a box, run or not.
     pub(super) arrivals: Vec<Arrival>,
     /// What boxes asked of daemons in their answers.
-    pub(super) told: Vec<Told>,
+    pub(super) signals: Vec<SentSignal>,
     /// Boxes that have the address of an earlier one, by the id of that one.
     pub(super) successors: BTreeMap<String, String>,
     /// Orders that were refused: the box, the operation and the status.
-    pub(super) refused: Vec<(String, String, u16)>,
+    pub(super) refused_orders: Vec<(String, String, u16)>,
     /// Boxes that broke off an answer which nobody read, each as often as it did.
-    pub(super) cuts_unread: Vec<String>,
+    pub(super) unread_aborts: Vec<String>,
     /// Boxes that ended by a request, in their order.
     pub(super) crashes: Vec<Crash>,
 }
@@ -156,7 +156,7 @@
     pub target: String,
     /// When the life of the box began that it reached, in Unix milliseconds; nothing where another box
     /// was meant.
-    pub life: Option<u64>,
+    pub incarnation: Option<u64>,
     /// When it came.
     pub at: Instant,
 }
--- a/crates/cherrystand_testkit/src/site/site_stand_in.rs
+++ b/crates/cherrystand_testkit/src/site/site_stand_in.rs
@@ -15,29 +15,31 @@
 use tokio::net::TcpListener;
 use tokio::task::JoinHandle;
 
-use crate::site::box_answers::{Out, whole};
-use crate::site::box_wishes::{BoxWishes, Told};
-use crate::site::metadata_stand_in::{Door, MetadataStandIn};
-use crate::site::site_box::{Arrival, BoxMood, ColdTold, Crash, Held, SiteBoxState, World};
+use crate::site::box_answers::{Answer, full_body};
+use crate::site::box_wishes::{BoxWishes, SentSignal};
+use crate::site::metadata_stand_in::{MetadataStandIn, StoreMode};
+use crate::site::site_box::{
+    Arrival, BoxMode, ColdReport, Crash, Membership, SiteBoxState, SiteState,
+};
 
 /// How often what is held up looks whether it may go on.
-const LOOK_EVERY: Duration = Duration::from_millis(5);
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// The availability zone of boxes that are added without one.
-const FIRST_ZONE: &str = "z1";
+const DEFAULT_ZONE: &str = "z1";
 
 /// The prefix of the keys under which boxes tell of themselves.
-const ENTRIES: &str = "servers/";
+const ENTRY_PREFIX: &str = "servers/";
 
 /// How long a box is away that a request ended.
-const AWAY: Duration = Duration::from_millis(1_200);
+const CRASH_DOWNTIME: Duration = Duration::from_millis(1_200);
 
 /// A site on loopback addresses; it runs on the test's own thread.
 #[derive(Clone)]
 pub struct SiteStandIn {
     /// The store.
     pub store: MetadataStandIn,
-    pub(super) world: Rc<RefCell<World>>,
+    pub(super) world: Rc<RefCell<SiteState>>,
     tasks: Rc<RefCell<Vec<JoinHandle<()>>>>,
     /// What serves each box; the connections to it end with it.
     box_tasks: Rc<RefCell<BTreeMap<String, JoinHandle<()>>>>,
@@ -59,24 +61,24 @@
     /// # Errors
     ///
     /// Returns an error where no address can be listened at.
-    pub async fn open_door(&self) -> std::io::Result<SocketAddr> {
+    pub async fn open_store(&self) -> std::io::Result<SocketAddr> {
         let listener = TcpListener::bind(("127.0.0.1", 0)).await?;
         let address = listener.local_addr()?;
-        let number = self.world.borrow().doors.len();
-        self.world.borrow_mut().doors.insert(number, Door::Open);
+        let number = self.world.borrow().store_modes.len();
+        self.world.borrow_mut().store_modes.insert(number, StoreMode::Open);
         let site = self.clone();
         let serving = serve(listener, move |req| {
-            let door = site.world.borrow().doors.get(&number).copied().unwrap_or_default();
+            let door = site.world.borrow().store_modes.get(&number).copied().unwrap_or_default();
             let store = site.store.clone();
-            async move { store.handle(door, req).await.map(whole) }
+            async move { store.handle(door, req).await.map(full_body) }
         });
         self.tasks.borrow_mut().push(serving);
         Ok(address)
     }
 
     /// Says how a door behaves from now on.
-    pub fn set_door(&self, number: usize, door: Door) {
-        self.world.borrow_mut().doors.insert(number, door);
+    pub fn set_store_mode(&self, number: usize, door: StoreMode) {
+        self.world.borrow_mut().store_modes.insert(number, door);
     }
 
     /// Puts a configuration in force.
@@ -85,8 +87,8 @@
     }
 
     /// Puts a configuration in force right after somebody found that there is none.
-    pub fn configure_once_missed(&self, config: &Value) {
-        self.store.put_once_missed("op/config", STANDARD.encode(config.to_string()));
+    pub fn configure_after_miss(&self, config: &Value) {
+        self.store.put_after_miss("op/config", STANDARD.encode(config.to_string()));
     }
 
     /// Adds a box, or a plain endpoint, of a service and lists it.
@@ -95,7 +97,7 @@
     ///
     /// Returns an error where no address can be listened at.
     pub async fn add_box(&self, id: &str, service: &'static str) -> std::io::Result<()> {
-        self.add_box_in(FIRST_ZONE, id, service).await
+        self.add_box_in(DEFAULT_ZONE, id, service).await
     }
 
     /// The same in an availability zone, each of which has a domain of its own.
@@ -112,7 +114,7 @@
         let listener = TcpListener::bind(("127.0.0.1", 0)).await?;
         let state = SiteBoxState::new(listener.local_addr()?, service, zone);
         self.world.borrow_mut().boxes.insert(id.to_owned(), state);
-        self.tell(id);
+        self.write_own_entry(id);
         self.serve_box(id, listener);
         Ok(())
     }
@@ -137,8 +139,8 @@
             // Another request may have ended it in the same moment, and has it come back.
             let Some(serving) = site.box_tasks.borrow_mut().remove(&id) else { return };
             serving.abort();
-            tokio::time::sleep(AWAY).await;
-            let listens = site.world.borrow().boxes.get(&id).map(|held| held.listens);
+            tokio::time::sleep(CRASH_DOWNTIME).await;
+            let listens = site.world.borrow().boxes.get(&id).map(|held| held.listen_address);
             let Some(listens) = listens else { return };
             // Nobody else has the address meanwhile.
             let listener = TcpListener::bind(listens).await.expect("the box's address");
@@ -157,19 +159,19 @@
     }
 
     /// Changes what a box does.
-    pub fn set_mood(&self, id: &str, mood: BoxMood) {
+    pub fn set_mode(&self, id: &str, mode: BoxMode) {
         if let Some(held) = self.world.borrow_mut().boxes.get_mut(id) {
-            held.mood = mood;
+            held.mode = mode;
         }
     }
 
     /// Has a box be cold for a while.
-    pub fn turn_cold(&self, id: &str, lasts: Duration, told: ColdTold) {
+    pub fn turn_cold(&self, id: &str, lasts: Duration, told: ColdReport) {
         if let Some(held) = self.world.borrow_mut().boxes.get_mut(id) {
             held.cold = Some((Instant::now() + lasts, told));
         }
-        if told == ColdTold::Entry {
-            self.tell(id);
+        if told == ColdReport::Entry {
+            self.write_own_entry(id);
         }
     }
 
@@ -179,13 +181,13 @@
     }
 
     /// Takes an availability zone back.
-    pub fn take_back(&self, zone: &str) {
+    pub fn end_evacuation(&self, zone: &str) {
         self.store.remove(&format!("op/evacuate/{zone}"));
     }
 
     /// Returns the boxes that broke off an answer which nobody read, each as often as it did.
-    pub fn cuts_unread(&self) -> Vec<String> {
-        self.world.borrow().cuts_unread.clone()
+    pub fn unread_aborts(&self) -> Vec<String> {
+        self.world.borrow().unread_aborts.clone()
     }
 
     /// Returns the boxes of an availability zone.
@@ -203,38 +205,38 @@
     }
 
     /// Returns what boxes asked of daemons in their answers.
-    pub fn told(&self) -> Vec<Told> {
-        self.world.borrow().told.clone()
+    pub fn signals(&self) -> Vec<SentSignal> {
+        self.world.borrow().signals.clone()
     }
 
     /// Holds up all that boxes say, as a link does that is full, or lets it through again.
-    pub fn hold(&self, held: bool) {
-        self.world.borrow_mut().held = held;
+    pub fn hold_answers(&self, held: bool) {
+        self.world.borrow_mut().holds_answers = held;
     }
 
-    pub(super) async fn held_up(&self) {
-        while self.world.borrow().held {
-            tokio::time::sleep(LOOK_EVERY).await;
+    pub(super) async fn wait_while_held(&self) {
+        while self.world.borrow().holds_answers {
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
     /// Has a box's entry say that it leaves, while it serves on.
     pub fn drain(&self, id: &str) {
         if let Some(held) = self.world.borrow_mut().boxes.get_mut(id) {
-            held.drains = true;
+            held.draining = true;
         }
-        self.tell(id);
+        self.write_own_entry(id);
     }
 
     /// Returns the boxes that are listed.
     pub fn listed(&self) -> Vec<String> {
-        let keys = self.store.keys(ENTRIES).into_iter();
-        keys.filter_map(|key| key.strip_prefix(ENTRIES).map(str::to_owned)).collect()
+        let keys = self.store.keys(ENTRY_PREFIX).into_iter();
+        keys.filter_map(|key| key.strip_prefix(ENTRY_PREFIX).map(str::to_owned)).collect()
     }
 
     /// Lists a box again as it is.
     pub fn list(&self, id: &str) {
-        self.tell(id);
+        self.write_own_entry(id);
     }
 
     /// Takes a box out of the list.
@@ -252,14 +254,14 @@
         if let Some(held) = self.world.borrow_mut().boxes.get_mut(id) {
             held.address = address;
         }
-        self.tell(id);
+        self.write_own_entry(id);
     }
 
     /// Has boxes tell when they started from now on.
-    pub fn tell_starts(&self) {
-        self.world.borrow_mut().tells_starts = true;
+    pub fn report_starts(&self) {
+        self.world.borrow_mut().reports_starts = true;
         let ids: Vec<String> = self.world.borrow().boxes.keys().cloned().collect();
-        ids.iter().for_each(|id| self.tell(id));
+        ids.iter().for_each(|id| self.write_own_entry(id));
     }
 
     /// Has a box start again under its id, empty, and tell so at once; the last join that it took may
@@ -268,20 +270,20 @@
         let mut world = self.world.borrow_mut();
         let Some(before) = world.boxes.remove(id) else { return };
         let mut fresh = SiteBoxState::new(before.address, before.service, before.zone);
-        fresh.listens = before.listens;
-        fresh.start = before.start + 1;
-        (fresh.runs, fresh.heads) = (before.runs, before.heads);
-        if let Some(group) = before.held {
-            world.torn.insert((group.group.clone(), group.epoch));
+        fresh.listen_address = before.listen_address;
+        fresh.start_ms = before.start_ms + 1;
+        (fresh.runs, fresh.request_headers) = (before.runs, before.request_headers);
+        if let Some(group) = before.membership {
+            world.restarted.insert((group.group.clone(), group.epoch));
             if last_join_again {
                 fresh.staged = before.staged;
-                fresh.highest = group.epoch;
-                fresh.held = Some(Held { state: "ready", ..group });
+                fresh.highest_epoch = group.epoch;
+                fresh.membership = Some(Membership { state: "ready", ..group });
             }
         }
         world.boxes.insert(id.to_owned(), fresh);
         drop(world);
-        self.tell(id);
+        self.write_own_entry(id);
     }
 
     /// Writes any bytes where a box tells of itself.
@@ -291,7 +293,7 @@
 
     /// Has a box start again under another id, at its address and empty; its old entry stays and the
     /// new one is not listed, as behind a cut from the store.
-    pub fn start_again_as(&self, id: &str, new_id: &str) {
+    pub fn restart_as(&self, id: &str, new_id: &str) {
         let mut world = self.world.borrow_mut();
         let Some(old) = world.boxes.remove(id) else { return };
         let state = SiteBoxState::new(old.address, old.service, old.zone);
@@ -301,12 +303,12 @@
 
     /// Returns the orders that were refused: the box, the operation and the status.
     pub fn refused_orders(&self) -> Vec<(String, String, u16)> {
-        self.world.borrow().refused.clone()
+        self.world.borrow().refused_orders.clone()
     }
 
     /// Returns what must never happen and did.
-    pub fn faults(&self) -> Vec<String> {
-        self.world.borrow().faults.clone()
+    pub fn violations(&self) -> Vec<String> {
+        self.world.borrow().violations.clone()
     }
 
     /// Returns every request that reached a box.
@@ -318,19 +320,19 @@
     pub fn leaders(&self) -> BTreeMap<String, Vec<String>> {
         let world = self.world.borrow();
         let leads = |(id, held): (&String, &SiteBoxState)| {
-            let group = held.held.as_ref().filter(|group| group.state == "open")?;
+            let group = held.membership.as_ref().filter(|group| group.state == "open")?;
             Some((id.clone(), group.members.clone()))
         };
         world.boxes.iter().filter_map(leads).collect()
     }
 
     /// Returns how many replicas serve with all their members.
-    pub fn whole_replicas(&self) -> usize {
-        self.leaders().keys().filter(|leader| self.is_whole(leader)).count()
+    pub fn complete_replicas(&self) -> usize {
+        self.leaders().keys().filter(|leader| self.is_complete(leader)).count()
     }
 
     /// Tells whether a box holds a model on its host.
-    pub fn staged(&self, id: &str) -> bool {
+    pub fn has_staged(&self, id: &str) -> bool {
         self.world.borrow().boxes.get(id).is_some_and(|held| held.staged.is_some())
     }
 
@@ -345,24 +347,24 @@
     }
 
     /// Returns the heads of requests that reached any box.
-    pub fn heads(&self) -> Vec<BTreeMap<String, String>> {
+    pub fn request_headers(&self) -> Vec<BTreeMap<String, String>> {
         let world = self.world.borrow();
-        world.boxes.values().flat_map(|held| held.heads.clone()).collect()
+        world.boxes.values().flat_map(|held| held.request_headers.clone()).collect()
     }
 
     /// Writes what a box tells of itself.
-    pub(super) fn tell(&self, id: &str) {
+    pub(super) fn write_own_entry(&self, id: &str) {
         let world = self.world.borrow();
         let Some(held) = world.boxes.get(id) else { return };
-        let group = held.held.as_ref().map(|group| {
+        let group = held.membership.as_ref().map(|group| {
             let rank = group.members.iter().position(|member| member == id);
             json!({"name": group.group, "epoch": group.epoch, "rank": rank, "state": group.state})
         });
-        let cold = held.cold.filter(|(_, told)| *told == ColdTold::Entry);
+        let cold = held.cold.filter(|(_, told)| *told == ColdReport::Entry);
         let cold_left = cold.map(|(until, _)| until.saturating_duration_since(Instant::now()));
         let cold_left = cold_left.unwrap_or_default().as_millis() as u64;
-        let state = if held.drains { "draining" } else { "ready" };
-        let loaded = held.held.is_some().then(|| held.staged.clone()).flatten();
+        let state = if held.draining { "draining" } else { "ready" };
+        let loaded = held.membership.is_some().then(|| held.staged.clone()).flatten();
         let mut entry = json!({
             "service": held.service, "address": held.address.to_string(), "zone": held.zone,
             "version": "v1", "slots": 8, "state": state, "cold_left_ms": cold_left, "seq_no": 0,
@@ -370,22 +372,22 @@
             "staged": held.staged.iter().collect::<Vec<_>>(), "group": group,
             "models": loaded.iter().map(|name| json!({"name": name})).collect::<Vec<_>>(),
         });
-        if world.tells_starts {
-            entry["born"] = json!(held.start);
+        if world.reports_starts {
+            entry["born"] = json!(held.start_ms);
         }
         drop(world);
         self.store.put(&format!("servers/{id}"), STANDARD.encode(entry.to_string()));
     }
 
-    pub(super) fn mood(&self, id: &str) -> BoxMood {
-        self.world.borrow().boxes.get(id).map(|held| held.mood).unwrap_or(BoxMood::Dark)
+    pub(super) fn mode(&self, id: &str) -> BoxMode {
+        self.world.borrow().boxes.get(id).map(|held| held.mode).unwrap_or(BoxMode::Dark)
     }
 }
 
 fn serve<H, F>(listener: TcpListener, handle: H) -> JoinHandle<()>
 where
     H: Fn(Request<Incoming>) -> F + 'static,
-    F: Future<Output = Out> + 'static,
+    F: Future<Output = Answer> + 'static,
 {
     let (stop, stopped) = tokio::sync::watch::channel(false);
     tokio::task::spawn_local(async move {
--- a/crates/cherrystand_testkit/src/soak/run.rs
+++ b/crates/cherrystand_testkit/src/soak/run.rs
@@ -17,7 +17,7 @@
     CallKind, CallOutcome, ColdInterval, Disturbance, RunRecord, UnlistedInterval,
 };
 use crate::soak::schedule::{Fault, FaultKind, Targets};
-use crate::{BoxMood, BoxWishes, ColdTold, Door, SiteStandIn, site_config};
+use crate::{BoxMode, BoxWishes, ColdReport, SiteStandIn, StoreMode, site_config};
 
 /// Number of boxes that replicas of two boxes are formed from.
 const MODEL_BOXES: usize = 9;
@@ -158,7 +158,7 @@
     async fn start(setup: &SoakSetup) -> std::io::Result<Self> {
         let site = SiteStandIn::new();
         if setup.report_starts {
-            site.tell_starts();
+            site.report_starts();
         }
         let mut boxes = Vec::new();
         let models = (0..MODEL_BOXES).map(|number| (format!("i-{number}"), "models"));
@@ -174,7 +174,7 @@
         }
         let (mut store_links, mut daemons) = (Vec::new(), Vec::new());
         for number in 0..setup.daemons {
-            let link = Link::open(site.open_door().await?).await?;
+            let link = Link::open(site.open_store().await?).await?;
             daemons.push(Daemon::new(number, &setup.program, &setup.dir, link.address())?);
             store_links.push(link);
         }
@@ -202,14 +202,14 @@
 
     /// Restores the store from a backup of the given age. Operators and boxes write their keys again soon after.
     async fn restore_store(&self, backup_age: Duration) {
-        self.site.store.keep_copy();
+        self.site.store.back_up();
         tokio::time::sleep(backup_age).await;
         let numbers = || 0..self.store_links.len();
-        numbers().for_each(|number| self.site.set_door(number, Door::Silent));
+        numbers().for_each(|number| self.site.set_store_mode(number, StoreMode::Silent));
         tokio::time::sleep(RESTORE_OUTAGE).await;
         let listed = self.site.listed();
-        self.site.store.drill();
-        numbers().for_each(|number| self.site.set_door(number, Door::Open));
+        self.site.store.restore();
+        numbers().for_each(|number| self.site.set_store_mode(number, StoreMode::Open));
         tokio::time::sleep(REWRITE_DELAY).await;
         self.site.configure(&self.config.borrow());
         for (id, _) in &self.boxes {
@@ -263,9 +263,9 @@
         match fault.kind {
             FaultKind::Box(number, mood) => {
                 let id = &self.boxes[number].0;
-                self.site.set_mood(id, mood);
+                self.site.set_mode(id, mood);
                 tokio::time::sleep(duration).await;
-                self.site.set_mood(id, BoxMood::Well);
+                self.site.set_mode(id, BoxMode::Well);
             }
             FaultKind::BoxLink(number, mode) => {
                 disturb_link(&self.boxes[number].1, mode, duration).await
@@ -304,22 +304,23 @@
                 self.site.list(id);
             }
             FaultKind::Door(number, door) => {
-                self.site.set_door(number, door);
+                self.site.set_store_mode(number, door);
                 tokio::time::sleep(duration).await;
-                self.site.set_door(number, Door::Open);
+                self.site.set_store_mode(number, StoreMode::Open);
             }
             FaultKind::StoreLink(number, mode) => {
                 disturb_link(&self.store_links[number], mode, duration).await
             }
             FaultKind::StoreOut(door) => {
-                (0..self.store_links.len()).for_each(|number| self.site.set_door(number, door));
+                (0..self.store_links.len())
+                    .for_each(|number| self.site.set_store_mode(number, door));
                 tokio::time::sleep(duration).await;
                 (0..self.store_links.len())
-                    .for_each(|number| self.site.set_door(number, Door::Open));
+                    .for_each(|number| self.site.set_store_mode(number, StoreMode::Open));
             }
             FaultKind::Drill => self.restore_store(duration).await,
-            FaultKind::StoreForgets => self.site.store.forget(),
-            FaultKind::StoreLosesAnswers(count) => self.site.store.lose_answers(count),
+            FaultKind::StoreForgets => self.site.store.drop_history(),
+            FaultKind::StoreLosesAnswers(count) => self.site.store.drop_next_answers(count),
             FaultKind::Paused(number) => {
                 self.daemons.borrow()[number].signal("STOP");
                 tokio::time::sleep(duration).await;
@@ -413,7 +414,7 @@
         tokio::time::sleep(duration).await;
         let boxes = self.site.boxes_in(EVACUATED_ZONE);
         boxes.iter().for_each(|id| self.turn_cold(id, COLD_DURATION, Duration::ZERO));
-        self.site.take_back(EVACUATED_ZONE);
+        self.site.end_evacuation(EVACUATED_ZONE);
         let until = Instant::now();
         let intervals = boxes.into_iter().map(|target| UnlistedInterval { target, from, until });
         self.unlisted.borrow_mut().extend(intervals);
@@ -421,7 +422,7 @@
 
     fn turn_cold(&self, id: &str, duration: Duration, propagation: Duration) {
         let (from, until) = (Instant::now() + propagation, Instant::now() + duration);
-        self.site.turn_cold(id, duration, ColdTold::Entry);
+        self.site.turn_cold(id, duration, ColdReport::Entry);
         let requests_per_s = self.cold_per_s.unwrap_or(f64::INFINITY);
         let (target, incarnation) = (id.to_owned(), self.site.start_of(id));
         self.cold_intervals.borrow_mut().push(ColdInterval {
@@ -473,9 +474,9 @@
             disturbances: self.disturbances.borrow().clone(),
             unlisted: self.unlisted.borrow().clone(),
             cold_intervals: self.cold_intervals.borrow().clone(),
-            box_faults: self.site.faults(),
+            box_faults: self.site.violations(),
             crashes: self.site.crashes(),
-            told: self.site.told(),
+            told: self.site.signals(),
         }
     }
 }
--- a/crates/cherrystand_testkit/src/soak/run_record.rs
+++ b/crates/cherrystand_testkit/src/soak/run_record.rs
@@ -6,7 +6,7 @@
 use hyper::StatusCode;
 
 use crate::site::site_setup::{RETRY_RATIO, RETRY_WINDOW_S};
-use crate::{Arrival, Crash, LimitBound, Told, broken_limits, broken_wishes};
+use crate::{Arrival, Crash, LimitBound, SentSignal, exceeded_limits, ignored_signals};
 
 /// A kind of request that callers send.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -128,7 +128,7 @@
     /// The crashes of boxes by requests.
     pub crashes: Vec<Crash>,
     /// The signals that boxes sent to daemons in their answers.
-    pub told: Vec<Told>,
+    pub told: Vec<SentSignal>,
 }
 
 /// How long a disturbance excuses violations after it ended.
@@ -282,7 +282,7 @@
     fn overloaded_cold_boxes(&self) -> Vec<String> {
         let violations = self.cold_intervals.iter().filter_map(|cold| {
             let own = self.arrivals.iter().filter(|arrival| {
-                let is_own = arrival.target == cold.target && arrival.life == cold.incarnation;
+                let is_own = arrival.target == cold.target && arrival.incarnation == cold.incarnation;
                 is_own && arrival.at >= cold.from && arrival.at < cold.until
             });
             let requests: Vec<&str> = own.clone().map(|arrival| arrival.request.as_str()).collect();
@@ -312,7 +312,7 @@
     fn ignored_signals(&self) -> Vec<String> {
         let daemon_of: BTreeMap<&str, usize> =
             self.calls.iter().map(|call| (call.id.as_str(), call.daemon)).collect();
-        broken_wishes(&self.told, &self.arrivals, |request, at| {
+        ignored_signals(&self.told, &self.arrivals, |request, at| {
             let daemon = *daemon_of.get(request)?;
             (!self.may_lose_answers(at)).then(|| (daemon, self.incarnation_of(daemon, at)))
         })
@@ -328,7 +328,7 @@
         let targets: BTreeSet<&str> = self.told.iter().map(|told| told.target.as_str()).collect();
         let violations = targets.into_iter().flat_map(|target| {
             let own = self.told.iter().filter(|told| told.target == target);
-            let told: Vec<Told> = own.cloned().collect();
+            let told: Vec<SentSignal> = own.cloned().collect();
             let is_excused = |daemon: usize, at: Instant| {
                 let concerns = |disturbance: &&Disturbance| {
                     let all_exit = disturbance.ends_processes && disturbance.daemon.is_none();
@@ -338,7 +338,7 @@
                 };
                 self.disturbances.iter().filter(concerns).any(|disturbance| disturbance.affects(at))
             };
-            broken_limits(&told, &self.arrivals, LimitBound::Platform, |request, at| {
+            exceeded_limits(&told, &self.arrivals, LimitBound::Platform, |request, at| {
                 let daemon = *daemon_of.get(request)?;
                 (!is_excused(daemon, at)).then(|| (daemon, self.incarnation_of(daemon, at)))
             })
--- a/crates/cherrystand_testkit/src/soak/schedule.rs
+++ b/crates/cherrystand_testkit/src/soak/schedule.rs
@@ -6,7 +6,7 @@
 use cherrystand_core::{Millis, SeededRng};
 
 use crate::soak::link::LinkMode;
-use crate::{BoxMood, BoxWishes, Door, LimitIn, Sheds};
+use crate::{BoxMode, BoxWishes, LimitIn, Sheds, StoreMode};
 
 /// A kind of fault, with its target.
 ///
@@ -14,7 +14,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum FaultKind {
     /// A box serves requests in a faulty way.
-    Box(usize, BoxMood),
+    Box(usize, BoxMode),
     /// The link to a box is slow or blocked in one direction.
     BoxLink(usize, LinkMode),
     /// All connections to a box are closed abruptly.
@@ -35,11 +35,11 @@
     /// Another writer overwrites the entry of a box, until the box writes it again.
     Overwritten(usize, CorruptEntry),
     /// The store refuses or ignores the requests of one daemon.
-    Door(usize, Door),
+    Door(usize, StoreMode),
     /// The link of one daemon to the store is slow or blocked in one direction.
     StoreLink(usize, LinkMode),
     /// The store refuses or ignores the requests of all daemons.
-    StoreOut(Door),
+    StoreOut(StoreMode),
     /// The store loses its change history.
     StoreForgets,
     /// The store is restored from a backup as old as the fault is long.
@@ -297,10 +297,10 @@
 fn draw_kind(rng: &mut SeededRng, targets: Targets) -> FaultKind {
     let (a_box, daemon) = (rng.below(targets.boxes), rng.below(targets.daemons));
     let box_modes =
-        [BoxMood::Dark, BoxMood::Dark, BoxMood::Sheds, BoxMood::LosesAnswers, BoxMood::Fails];
+        [BoxMode::Dark, BoxMode::Dark, BoxMode::Sheds, BoxMode::LosesAnswers, BoxMode::Fails];
     let link_modes =
         [LinkMode::Slow(Duration::from_millis(30)), LinkMode::SilentThere, LinkMode::SilentBack];
-    let store_modes = [Door::Busy, Door::Silent];
+    let store_modes = [StoreMode::Busy, StoreMode::Silent];
     match rng.below(20) {
         0..=3 => FaultKind::Box(a_box, box_modes[rng.below(box_modes.len())]),
         4..=5 => FaultKind::BoxLink(a_box, link_modes[rng.below(link_modes.len())]),
--- a/crates/cherrystand_testkit/tests/soak_checks.rs
+++ b/crates/cherrystand_testkit/tests/soak_checks.rs
@@ -6,7 +6,7 @@
 use cherrystand_core::Millis;
 use cherrystand_testkit::{
     Arrival, CallKind, CallOutcome, CallRecord, ColdInterval, Crash, Disturbance, FaultKind,
-    RunRecord, Targets, Told, UnlistedInterval, Wish, draw_schedule,
+    RunRecord, SentSignal, Signal, Targets, UnlistedInterval, draw_schedule,
 };
 use hyper::StatusCode;
 
@@ -25,7 +25,8 @@
         outcome: CallOutcome::Whole(StatusCode::OK),
     };
     let (request, body) = ("r1".to_owned(), String::new());
-    let arrival = Arrival { request, body, target: "a-0".to_owned(), life: Some(1), at: sent };
+    let arrival =
+        Arrival { request, body, target: "a-0".to_owned(), incarnation: Some(1), at: sent };
     let mut record =
         RunRecord { calls: vec![call], arrivals: vec![arrival], ..RunRecord::default() };
     record.runs.insert("r1".to_owned(), 1);
@@ -48,10 +49,10 @@
 }
 
 /// Records that a box sent a signal to a daemon five seconds before three requests of that daemon reach it.
-fn told(record: &mut RunRecord, wish: Wish) {
+fn told(record: &mut RunRecord, signal: Signal) {
     let at = record.calls[0].sent - Duration::from_secs(5);
     let (request, target) = ("r1".to_owned(), "a-0".to_owned());
-    record.told = vec![Told { request, target, life: 1, at, wish }];
+    record.told = vec![SentSignal { request, target, incarnation: 1, at, signal }];
     record.arrivals = vec![record.arrivals[0].clone(); 3];
 }
 
@@ -61,7 +62,7 @@
     let (last, sent) = (Duration::from_secs(10), record.calls[0].sent);
     let told = |at| {
         let (request, target) = ("r1".to_owned(), "a-0".to_owned());
-        Told { request, target, life: 1, at, wish: Wish::Limit(limit) }
+        SentSignal { request, target, incarnation: 1, at, signal: Signal::RateLimit(limit) }
     };
     record.told = vec![told(sent - last), told(sent + Duration::from_secs(1))];
     record.arrivals = vec![record.arrivals[0].clone(); arrivals];
@@ -130,7 +131,7 @@
         case("cold box overloaded", Some("was cold"), &|record, _| cold(record, 9)),
         case("next incarnation of a cold box got more requests", None, &|record, _| {
             cold(record, 9);
-            record.arrivals.iter_mut().for_each(|arrival| arrival.life = Some(2));
+            record.arrivals.iter_mut().for_each(|arrival| arrival.incarnation = Some(2));
         }),
         case("cold box got as many requests as the platform allows", None, &|record, _| {
             cold(record, 8)
@@ -247,22 +248,22 @@
                 record.disturbances.push(interval);
             },
         ),
-        case("sent three times during backoff", Some("Rest(10s), and got 3"), &|record, _| {
-            told(record, Wish::Rest(Duration::from_secs(10)));
+        case("sent three times during backoff", Some("Backoff(10s), and got 3"), &|record, _| {
+            told(record, Signal::Backoff(Duration::from_secs(10)));
         }),
         case("sent twice during backoff", None, &|record, _| {
-            told(record, Wish::Rest(Duration::from_secs(10)));
+            told(record, Signal::Backoff(Duration::from_secs(10)));
             record.arrivals.truncate(2);
         }),
         case("sent after backoff", None, &|record, _| {
-            told(record, Wish::Rest(Duration::from_secs(4)));
+            told(record, Signal::Backoff(Duration::from_secs(4)));
         }),
         case("sent during backoff of an earlier incarnation", None, &|record, _| {
-            told(record, Wish::Rest(Duration::from_secs(10)));
-            record.told[0].life = 0;
+            told(record, Signal::Backoff(Duration::from_secs(10)));
+            record.told[0].incarnation = 0;
         }),
         case("sent during backoff by a daemon that was suspended", None, &|record, began| {
-            told(record, Wish::Rest(Duration::from_secs(10)));
+            told(record, Signal::Backoff(Duration::from_secs(10)));
             let since = began + Duration::from_secs(57);
             record.disturbances.push(Disturbance {
                 ends_processes: true,
@@ -271,9 +272,9 @@
         }),
         case(
             "sent to a leaving box while another daemon was suspended",
-            Some("Leaves, and got 3"),
+            Some("Leaving, and got 3"),
             &|record, began| {
-                told(record, Wish::Leaves);
+                told(record, Signal::Leaving);
                 let since = began + Duration::from_secs(57);
                 record.disturbances.push(Disturbance {
                     ends_processes: true,
@@ -282,7 +283,7 @@
             },
         ),
         case("signal lost on its way", None, &|record, began| {
-            told(record, Wish::Leaves);
+            told(record, Signal::Leaving);
             record.disturbances.push(Disturbance {
                 affects_answers: true,
                 ..disturbance(None, false, began + Duration::from_secs(54), 2)
--- a/crates/cherrystandd/tests/evacuations.rs
+++ b/crates/cherrystandd/tests/evacuations.rs
@@ -5,7 +5,7 @@
 
 use std::time::{Duration, Instant};
 
-use cherrystand_testkit::{ColdTold, Door};
+use cherrystand_testkit::{ColdReport, StoreMode};
 use futures_util::future::join_all;
 use serde_json::json;
 use support::caller_requests::{
@@ -73,7 +73,7 @@
         let all = cases.into_iter().map(|case| async move {
             let mut site = Site::in_two_zones(3, &config(1, "/calls/", &["k1"])).await;
             if let Condition::NodeRejected = case.condition {
-                site.site.set_door(1, Door::Busy);
+                site.site.set_store_mode(1, StoreMode::Busy);
             }
             let asking = send_to_all(&site.nodes, case.path, REQUEST_INTERVAL, REQUESTS_FOR);
             let evacuating = async {
@@ -139,7 +139,7 @@
         }
         assert_eq!(sent_to(&site, "z1", from) + sent_to(&site, "z2", from), 0);
         // The zone serves at once, because its replicas were kept.
-        site.site.take_back("z1");
+        site.site.end_evacuation("z1");
         tokio::time::sleep(PROPAGATION_LIMIT).await;
         let asked =
             send_to_all(&site.nodes, STREAM, REQUEST_INTERVAL, Duration::from_secs(1)).await;
@@ -175,7 +175,7 @@
     #[derive(Clone, Copy, PartialEq)]
     enum ColdCause {
         /// The endpoint turns cold at any moment and reports it.
-        Cold(ColdTold),
+        Cold(ColdReport),
         /// The endpoint turns cold while its zone is evacuated, and its entry states so only later.
         ZoneReturned,
     }
@@ -190,8 +190,8 @@
     /// How long after the return of its zone the endpoint's entry states that it is cold.
     const REPORTED_AFTER: Duration = Duration::from_secs(1);
     let cases = [
-        Case { name: "its entry states so", cause: ColdCause::Cold(ColdTold::Entry) },
-        Case { name: "only its answers state so", cause: ColdCause::Cold(ColdTold::Answers) },
+        Case { name: "its entry states so", cause: ColdCause::Cold(ColdReport::Entry) },
+        Case { name: "only its answers state so", cause: ColdCause::Cold(ColdReport::Answers) },
         Case { name: "its zone returns to traffic", cause: ColdCause::ZoneReturned },
     ];
     support::run(async {
@@ -208,11 +208,11 @@
                 let ColdCause::Cold(reported) = case.cause else {
                     site.site.evacuate(EVACUATED, b"{}");
                     tokio::time::sleep(Duration::from_secs(2)).await;
-                    site.site.turn_cold("a-1", COLD, ColdTold::Nowhere);
-                    site.site.take_back(EVACUATED);
+                    site.site.turn_cold("a-1", COLD, ColdReport::Nowhere);
+                    site.site.end_evacuation(EVACUATED);
                     let returned_at = Instant::now();
                     tokio::time::sleep(REPORTED_AFTER).await;
-                    site.site.turn_cold("a-1", COLD - REPORTED_AFTER, ColdTold::Entry);
+                    site.site.turn_cold("a-1", COLD - REPORTED_AFTER, ColdReport::Entry);
                     return returned_at;
                 };
                 site.site.turn_cold("a-1", COLD, reported);
--- a/crates/cherrystandd/tests/large_configuration.rs
+++ b/crates/cherrystandd/tests/large_configuration.rs
@@ -91,9 +91,9 @@
         let before = site.site.leaders();
         let hold_up = async {
             tokio::time::sleep(Duration::from_millis(250)).await;
-            site.site.hold(true);
+            site.site.hold_answers(true);
             tokio::time::sleep(HOLD_TIME).await;
-            site.site.hold(false);
+            site.site.hold_answers(false);
         };
         let (answers, ()) = tokio::join!(six_streams(node), hold_up);
         for (answer, id) in answers {
--- a/crates/cherrystandd/tests/leaving.rs
+++ b/crates/cherrystandd/tests/leaving.rs
@@ -5,7 +5,7 @@
 
 use std::time::{Duration, Instant};
 
-use cherrystand_testkit::{Door, LinkMode};
+use cherrystand_testkit::{LinkMode, StoreMode};
 use support::caller_requests::{daemon_of, prefix_with_case, run_cases, send_to_all};
 use support::site::{CALL, Site};
 
@@ -49,7 +49,7 @@
         match self {
             Self::StalledConnections => site.store_links[reader].silence_open_connections(),
             Self::Partitioned => site.store_links[reader].set(LinkMode::SilentBack),
-            Self::Rejected => site.site.set_door(reader, Door::Busy),
+            Self::Rejected => site.site.set_store_mode(reader, StoreMode::Busy),
             Self::Paused => site.nodes[reader].process.signal("STOP"),
             Self::Killed => site.nodes[reader].process.signal("KILL"),
         }
@@ -58,7 +58,7 @@
     fn end(self, site: &Site, reader: usize) {
         match self {
             Self::Partitioned => site.store_links[reader].set(LinkMode::Open),
-            Self::Rejected => site.site.set_door(reader, Door::Open),
+            Self::Rejected => site.site.set_store_mode(reader, StoreMode::Open),
             Self::Paused => site.nodes[reader].process.signal("CONT"),
             Self::StalledConnections | Self::Killed => {}
         }
--- a/crates/cherrystandd/tests/limits.rs
+++ b/crates/cherrystandd/tests/limits.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use cherrystand_testkit::{BoxWishes, LimitBound, LimitIn, Sheds, broken_limits};
+use cherrystand_testkit::{BoxWishes, LimitBound, LimitIn, Sheds, exceeded_limits};
 use futures_util::future::join_all;
 use support::caller_requests::{
     CallerRequest, daemon_of, describe_first_failure, is_served, prefix_with_case, run_cases,
@@ -25,9 +25,9 @@
 
 /// Lists the boxes that got more requests than they had named.
 fn violations(site: &Site) -> Vec<String> {
-    let (told, arrivals) = (site.site.told(), site.site.arrivals());
+    let (told, arrivals) = (site.site.signals(), site.site.arrivals());
     let bounds = [LimitBound::Platform, LimitBound::Own];
-    bounds.iter().flat_map(|bound| broken_limits(&told, &arrivals, *bound, daemon_of)).collect()
+    bounds.iter().flat_map(|bound| exceeded_limits(&told, &arrivals, *bound, daemon_of)).collect()
 }
 
 /// Returns the boxes that serve a path.
@@ -217,8 +217,8 @@
             let final_count = arrivals.iter().filter(|arrival| arrival.target == "a-1");
             let final_count =
                 final_count.filter(|arrival| arrival.at + COUNTED_PERIOD >= ended).count();
-            let (told, mut wrong) = (site.site.told(), Vec::new());
-            wrong.extend(broken_limits(&told, &arrivals, LimitBound::Platform, daemon_of));
+            let (told, mut wrong) = (site.site.signals(), Vec::new());
+            wrong.extend(exceeded_limits(&told, &arrivals, LimitBound::Platform, daemon_of));
             if !case.final_count.contains(&final_count) {
                 wrong.push(format!("{final_count} at the end, expected {:?}", case.final_count));
             }
--- a/crates/cherrystandd/tests/site.rs
+++ b/crates/cherrystandd/tests/site.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use cherrystand_testkit::{BoxMood, Door, whole_stream};
+use cherrystand_testkit::{BoxMode, StoreMode, whole_stream};
 use hyper::StatusCode;
 use support::site::{CALL, Node, STREAM, Site, call, config, is_ready, send, six_streams};
 use support::{call_at, wait_until};
@@ -51,7 +51,7 @@
             "{}",
             metrics.text()
         );
-        for head in site.site.heads() {
+        for head in site.site.request_headers() {
             assert!(!head.contains_key("authorization"), "the key was forwarded");
             assert_eq!(head["cherrystand-tenant"], "families");
             // Only engines take a priority.
@@ -149,7 +149,7 @@
         let fail_member = async {
             tokio::time::sleep(Duration::from_millis(250)).await;
             let (_, members) = site.site.leaders().pop_first().expect("a leader");
-            site.site.set_mood(&members[1], BoxMood::Dark);
+            site.site.set_mode(&members[1], BoxMode::Dark);
         };
         let (answers, ()) = tokio::join!(six_streams(node), fail_member);
         let mut resumed = 0;
@@ -197,9 +197,9 @@
                 let wait = if case.before { 0 } else { 250 };
                 tokio::time::sleep(Duration::from_millis(wait)).await;
                 let (leader, _) = site.site.leaders().pop_first().expect("a leader");
-                site.site.set_mood(&leader, BoxMood::Pauses);
+                site.site.set_mode(&leader, BoxMode::Pauses);
                 tokio::time::sleep(Duration::from_millis(case.stall_ms)).await;
-                site.site.set_mood(&leader, BoxMood::Well);
+                site.site.set_mode(&leader, BoxMode::Well);
             };
             let (answers, ()) = tokio::join!(six_streams(node), pause);
             let mut runs = 0;
@@ -232,26 +232,26 @@
         /// For how long they are silent, in milliseconds.
         stall_ms: u64,
         /// What the other replica does in that time.
-        other: BoxMood,
+        other: BoxMode,
         retry_slack: f64,
     }
     let both = Case {
         name: "both fall silent in the middle of their streams",
         after_ms: 250,
         stall_ms: 1_500,
-        other: BoxMood::Pauses,
+        other: BoxMode::Pauses,
         retry_slack: 136.0,
     };
     let cases = [
         Case { name: "both are silent before their answers begin", after_ms: 0, ..both },
-        Case { name: "the other one refuses", other: BoxMood::Sheds, ..both },
+        Case { name: "the other one refuses", other: BoxMode::Sheds, ..both },
         Case {
             name: "the other one refuses, no answer has begun",
             after_ms: 0,
-            other: BoxMood::Sheds,
+            other: BoxMode::Sheds,
             ..both
         },
-        Case { name: "the other one fails", other: BoxMood::LosesAnswers, ..both },
+        Case { name: "the other one fails", other: BoxMode::LosesAnswers, ..both },
         Case { name: "no retry is left", retry_slack: 0.0, ..both },
         Case {
             name: "no retry is left, no answer has begun",
@@ -268,18 +268,18 @@
             let leaders: Vec<String> = site.site.leaders().into_keys().collect();
             let pause = async {
                 tokio::time::sleep(Duration::from_millis(case.after_ms)).await;
-                site.site.set_mood(&leaders[0], BoxMood::Pauses);
-                site.site.set_mood(&leaders[1], case.other);
+                site.site.set_mode(&leaders[0], BoxMode::Pauses);
+                site.site.set_mode(&leaders[1], case.other);
                 tokio::time::sleep(Duration::from_millis(case.stall_ms)).await;
-                site.site.set_mood(&leaders[0], BoxMood::Well);
-                site.site.set_mood(&leaders[1], BoxMood::Well);
+                site.site.set_mode(&leaders[0], BoxMode::Well);
+                site.site.set_mode(&leaders[1], BoxMode::Well);
             };
             let (answers, ()) = tokio::join!(six_streams(&site.nodes[0]), pause);
             let mut ended = Vec::new();
             for (answer, id) in answers {
                 let runs = site.site.runs_of(&id);
                 // A box may break off its own answer; nothing else ends one.
-                let broken_off = case.other == BoxMood::LosesAnswers
+                let broken_off = case.other == BoxMode::LosesAnswers
                     && runs.len() == 1
                     && runs[0].0 == leaders[1];
                 let is_whole = answer.text() == whole_stream(&id);
@@ -303,9 +303,9 @@
         let leaders: Vec<String> = site.site.leaders().into_keys().collect();
         let pause = async {
             tokio::time::sleep(Duration::from_millis(250)).await;
-            leaders.iter().for_each(|leader| site.site.set_mood(leader, BoxMood::Pauses));
+            leaders.iter().for_each(|leader| site.site.set_mode(leader, BoxMode::Pauses));
             tokio::time::sleep(Duration::from_millis(700)).await;
-            leaders.iter().for_each(|leader| site.site.set_mood(leader, BoxMood::Well));
+            leaders.iter().for_each(|leader| site.site.set_mode(leader, BoxMode::Well));
         };
         let (answers, ()) = tokio::join!(six_streams(&site.nodes[0]), pause);
         for (answer, id) in answers {
@@ -338,7 +338,7 @@
         let all = cases.into_iter().map(|case| async move {
             let site = Site::serving_with(case.daemons, 0.0).await;
             let (_, members) = site.site.leaders().pop_first().expect("a leader");
-            site.site.set_mood(&members[case.rank], BoxMood::Dark);
+            site.site.set_mode(&members[case.rank], BoxMode::Dark);
             let began = std::time::Instant::now();
             let all = site.nodes.iter().map(six_streams);
             let answers = futures_util::future::join_all(all).await;
@@ -361,7 +361,7 @@
     support::run(async {
         let site = Site::serving_with(2, 0.0).await;
         for leader in site.site.leaders().into_keys() {
-            site.site.set_mood(&leader, BoxMood::Pauses);
+            site.site.set_mode(&leader, BoxMode::Pauses);
         }
         let began = std::time::Instant::now();
         let answers = six_streams(&site.nodes[0]).await;
@@ -381,10 +381,10 @@
     support::run(async {
         let site = Site::serving(1).await;
         site.site.add_box("i-6", "models").await.expect("a box");
-        wait_until("the new box is staged", async || site.site.staged("i-6")).await;
-        site.site.start_again_as("i-5", "i-95");
+        wait_until("the new box is staged", async || site.site.has_staged("i-6")).await;
+        site.site.restart_as("i-5", "i-95");
         let (_, members) = site.site.leaders().pop_first().expect("a leader");
-        site.site.set_mood(&members[1], BoxMood::Dark);
+        site.site.set_mode(&members[1], BoxMode::Dark);
         let ended = six_streams(&site.nodes[0]).await;
         assert!(ended.iter().all(|(answer, id)| answer.text() == whole_stream(id)));
         wait_until("the other spare took the place", async || {
@@ -420,13 +420,13 @@
             let site = Site::serving_with_start_times(2).await;
             // Boxes report their starts from now on, so that incarnations can be told apart, and
             // keep serving.
-            assert_eq!(site.site.whole_replicas(), 2, "{}", case.name);
+            assert_eq!(site.site.complete_replicas(), 2, "{}", case.name);
             let (leader, members) = site.site.leaders().pop_first().expect("a leader");
             let restart = async {
                 tokio::time::sleep(Duration::from_millis(250)).await;
                 site.site.restart(&members[case.rank], case.joins_again);
                 let restarted = std::time::Instant::now();
-                wait_until("two whole replicas serve", async || site.site.whole_replicas() == 2)
+                wait_until("two whole replicas serve", async || site.site.complete_replicas() == 2)
                     .await;
                 restarted
             };
@@ -443,7 +443,7 @@
             let at_broken_replica =
                 at_broken_replica.filter(|arrival| arrival.at > late && arrival.at < repaired_at);
             assert_eq!(at_broken_replica.count(), 0, "{}", case.name);
-            assert_eq!(site.site.faults(), Vec::<String>::new(), "{}", case.name);
+            assert_eq!(site.site.violations(), Vec::<String>::new(), "{}", case.name);
         });
         futures_util::future::join_all(all).await;
     });
@@ -496,11 +496,11 @@
     support::run(async {
         let site = Site::serving(1).await;
         site.site.add_box("i-6", "models").await.expect("a box");
-        wait_until("the new box is staged", async || site.site.staged("i-6")).await;
+        wait_until("the new box is staged", async || site.site.has_staged("i-6")).await;
         // It is still listed, as a box is for some seconds after it lost power.
-        site.site.set_mood("i-5", BoxMood::Dark);
+        site.site.set_mode("i-5", BoxMode::Dark);
         let (_, members) = site.site.leaders().pop_first().expect("a leader");
-        site.site.set_mood(&members[1], BoxMood::Dark);
+        site.site.set_mode(&members[1], BoxMode::Dark);
         // Requests detect the stalled replica.
         let calls = (0..6).map(|number| {
             let id = format!("s{number}");
@@ -521,37 +521,37 @@
 fn a_non_idempotent_request_is_retried_only_if_it_was_not_run() {
     struct Case {
         name: &'static str,
-        mood: BoxMood,
+        mood: BoxMode,
         path: &'static str,
         status: StatusCode,
         runs: usize,
     }
     let cases = [
-        Case { name: "shed", mood: BoxMood::Sheds, path: CALL, status: StatusCode::OK, runs: 1 },
+        Case { name: "shed", mood: BoxMode::Sheds, path: CALL, status: StatusCode::OK, runs: 1 },
         Case {
             name: "lost",
-            mood: BoxMood::LosesAnswers,
+            mood: BoxMode::LosesAnswers,
             path: CALL,
             status: StatusCode::BAD_GATEWAY,
             runs: 1,
         },
         Case {
             name: "lost, idempotent",
-            mood: BoxMood::LosesAnswers,
+            mood: BoxMode::LosesAnswers,
             path: "/looks/1",
             status: StatusCode::OK,
             runs: 2,
         },
         Case {
             name: "failed",
-            mood: BoxMood::Fails,
+            mood: BoxMode::Fails,
             path: CALL,
             status: StatusCode::INTERNAL_SERVER_ERROR,
             runs: 1,
         },
         Case {
             name: "failed, idempotent",
-            mood: BoxMood::Fails,
+            mood: BoxMode::Fails,
             path: "/looks/1",
             status: StatusCode::OK,
             runs: 2,
@@ -563,7 +563,7 @@
             // own site.
             let site = Site::serving(1).await;
             let node = &site.nodes[0];
-            site.site.set_mood("a-1", case.mood);
+            site.site.set_mode("a-1", case.mood);
             // Enough requests that some reach the endpoint with the mood: with 12 requests and two
             // endpoints chosen at random, none did in 85 of 400,000 draws.
             let mut reached = false;
@@ -573,7 +573,7 @@
                 let runs = site.site.runs_of(&id);
                 assert!(runs.len() <= 2, "{}: {runs:?}", case.name);
                 let is_at_endpoint = match case.mood {
-                    BoxMood::Sheds => true,
+                    BoxMode::Sheds => true,
                     _ => runs.iter().any(|(id, _)| id == "a-1"),
                 };
                 if is_at_endpoint && !reached {
@@ -595,7 +595,7 @@
 fn a_refusal_that_claims_not_run_holds_for_every_attempt() {
     struct Case {
         name: &'static str,
-        moods: [BoxMood; 2],
+        moods: [BoxMode; 2],
         /// The statuses that callers may get.
         allowed: &'static [StatusCode],
     }
@@ -603,20 +603,20 @@
     const FAILED: StatusCode = StatusCode::INTERNAL_SERVER_ERROR;
     const NOT_RUN: StatusCode = StatusCode::SERVICE_UNAVAILABLE;
     let cases = [
-        Case { name: "both refuse", moods: [BoxMood::Sheds, BoxMood::Sheds], allowed: &[NOT_RUN] },
+        Case { name: "both refuse", moods: [BoxMode::Sheds, BoxMode::Sheds], allowed: &[NOT_RUN] },
         Case {
             name: "one loses its answer, one refuses",
-            moods: [BoxMood::LosesAnswers, BoxMood::Sheds],
+            moods: [BoxMode::LosesAnswers, BoxMode::Sheds],
             allowed: &[LOST, NOT_RUN],
         },
         Case {
             name: "one fails, one refuses",
-            moods: [BoxMood::Fails, BoxMood::Sheds],
+            moods: [BoxMode::Fails, BoxMode::Sheds],
             allowed: &[FAILED, NOT_RUN],
         },
         Case {
             name: "one fails, one loses its answer",
-            moods: [BoxMood::Fails, BoxMood::LosesAnswers],
+            moods: [BoxMode::Fails, BoxMode::LosesAnswers],
             allowed: &[FAILED],
         },
     ];
@@ -626,8 +626,8 @@
             let node = &site.nodes[0];
             let leaders: Vec<String> = site.site.leaders().into_keys().collect();
             for (index, mood) in case.moods.into_iter().enumerate() {
-                site.site.set_mood(["a-1", "a-2"][index], mood);
-                site.site.set_mood(&leaders[index], mood);
+                site.site.set_mode(["a-1", "a-2"][index], mood);
+                site.site.set_mode(&leaders[index], mood);
             }
             for path in ["/looks/1", STREAM] {
                 for attempt in 0..6 {
@@ -648,7 +648,7 @@
 fn a_node_that_the_store_rejects_gets_the_configuration_from_peers() {
     support::run(async {
         let site = Site::serving(2).await;
-        site.site.set_door(1, Door::Busy);
+        site.site.set_store_mode(1, StoreMode::Busy);
         tokio::time::sleep(Duration::from_millis(300)).await;
         site.site.configure(&config(2, "/moved/", &["k2"]));
         for node in &site.nodes {
@@ -670,13 +670,13 @@
     support::run(async {
         let site = Site::serving(1).await;
         let node = &site.nodes[0];
-        site.site.set_door(0, Door::Silent);
+        site.site.set_store_mode(0, StoreMode::Silent);
         tokio::time::sleep(Duration::from_millis(500)).await;
         assert_eq!(call(node, "POST", STREAM, "s1", "k1").await.text(), whole_stream("s1"));
         assert!(is_ready(node).await);
-        site.site.store.forget();
+        site.site.store.drop_history();
         site.site.configure(&config(2, "/moved/", &["k1"]));
-        site.site.set_door(0, Door::Open);
+        site.site.set_store_mode(0, StoreMode::Open);
         wait_until("the change is in force", async || {
             call(node, "POST", "/moved/1", "m", "k1").await.status == StatusCode::OK
         })
@@ -690,13 +690,13 @@
         let site = Site::serving(1).await;
         let node = &site.nodes[0];
         let before = site.site.leaders();
-        site.site.set_door(0, Door::Silent);
+        site.site.set_store_mode(0, StoreMode::Silent);
         tokio::time::sleep(Duration::from_millis(4_500)).await;
         let all = ["i-1", "i-2", "i-3", "i-4", "i-5", "a-1", "a-2"];
         for id in all {
             site.site.unlist(id);
         }
-        site.site.set_door(0, Door::Open);
+        site.site.set_store_mode(0, StoreMode::Open);
         tokio::time::sleep(Duration::from_millis(1_500)).await;
         assert_eq!(call(node, "POST", STREAM, "s1", "k1").await.text(), whole_stream("s1"));
         for id in all {
@@ -733,7 +733,7 @@
 fn a_configuration_written_during_the_first_read_is_not_missed() {
     support::run(async {
         let site = Site::start(1).await;
-        site.site.configure_once_missed(&config(1, "/calls/", &["k1"]));
+        site.site.configure_after_miss(&config(1, "/calls/", &["k1"]));
         let node = &site.nodes[0];
         wait_until("the node is ready", async || is_ready(node).await).await;
     });
@@ -747,7 +747,7 @@
     const MAX_CALLS: u64 = CHANGES + 15;
     support::run(async {
         let mut site = Site::serving(5).await;
-        let before = site.site.store.calls();
+        let before = site.site.store.call_count();
         for number in 0..CHANGES {
             match number % 2 {
                 0 => site.site.unlist("a-1"),
@@ -755,7 +755,7 @@
             }
             tokio::time::sleep(Duration::from_millis(100)).await;
         }
-        let calls = site.site.store.calls() - before;
+        let calls = site.site.store.call_count() - before;
         assert!(calls <= MAX_CALLS, "{calls} calls by five nodes for {CHANGES} changes");
         for version in 2..5 {
             // Whichever node reads for the others, at most one reader is left after two nodes are
@@ -783,16 +783,16 @@
     struct Case {
         name: &'static str,
         path: &'static str,
-        door: Door,
+        door: StoreMode,
         status: StatusCode,
     }
     let cases = [
-        Case { name: "a call", path: CALL, door: Door::Open, status: StatusCode::OK },
-        Case { name: "a stream", path: STREAM, door: Door::Open, status: StatusCode::OK },
+        Case { name: "a call", path: CALL, door: StoreMode::Open, status: StatusCode::OK },
+        Case { name: "a stream", path: STREAM, door: StoreMode::Open, status: StatusCode::OK },
         Case {
             name: "no store and no peer answers",
             path: CALL,
-            door: Door::Silent,
+            door: StoreMode::Silent,
             status: StatusCode::SERVICE_UNAVAILABLE,
         },
     ];
@@ -801,9 +801,9 @@
         for case in cases {
             let known = site.nodes.len();
             let no_peer = site.nodes[0].ready;
-            let seed = if case.door == Door::Open { site.nodes[0].peers } else { no_peer };
+            let seed = if case.door == StoreMode::Open { site.nodes[0].peers } else { no_peer };
             site.add_daemon(seed).await;
-            site.site.set_door(known, case.door);
+            site.site.set_store_mode(known, case.door);
             let began = std::time::Instant::now();
             let answer = loop {
                 let answer = call(&site.nodes[known], "POST", case.path, case.name, "k1").await;
@@ -836,7 +836,7 @@
     support::run(async {
         let mut site = Site::serving(2).await;
         wait_until("the readers are noted", async || {
-            site.site.store.holds("cherrystand/readers/z1")
+            site.site.store.contains("cherrystand/readers/z1")
         })
         .await;
         for case in cases {
--- a/crates/cherrystandd/tests/slow_readers.rs
+++ b/crates/cherrystandd/tests/slow_readers.rs
@@ -66,7 +66,7 @@
             all
         }));
         let read = read.await;
-        assert_eq!(site.site.cuts_unread().len(), CALLERS, "{read:?}");
+        assert_eq!(site.site.unread_aborts().len(), CALLERS, "{read:?}");
         for number in 0..CALLERS {
             let runs = site.site.runs_of(&format!("slow-{number}"));
             assert_eq!(runs.len(), 1, "{runs:?}");
--- a/crates/cherrystandd/tests/store_drills.rs
+++ b/crates/cherrystandd/tests/store_drills.rs
@@ -6,7 +6,7 @@
 
 use std::time::{Duration, Instant};
 
-use cherrystand_testkit::Door;
+use cherrystand_testkit::StoreMode;
 use futures_util::future::join_all;
 use hyper::StatusCode;
 use support::caller_requests::{describe_failures, run_cases, send_to_all};
@@ -46,7 +46,7 @@
 /// Restores the store from a backup that lacks many writes, after which operators and boxes rewrite
 /// theirs.
 async fn restore_from_backup(site: &Site, config: &serde_json::Value) {
-    site.site.store.keep_copy();
+    site.site.store.back_up();
     for number in 0..LOST_WRITES {
         site.site.list(BOXES[number % BOXES.len()]);
     }
@@ -54,10 +54,10 @@
     // Gives all daemons time to read the configuration.
     tokio::time::sleep(Duration::from_millis(300)).await;
     let doors = || 0..site.nodes.len();
-    doors().for_each(|door| site.site.set_door(door, Door::Silent));
+    doors().for_each(|door| site.site.set_store_mode(door, StoreMode::Silent));
     tokio::time::sleep(STEP).await;
-    site.site.store.drill();
-    doors().for_each(|door| site.site.set_door(door, Door::Open));
+    site.site.store.restore();
+    doors().for_each(|door| site.site.set_store_mode(door, StoreMode::Open));
     tokio::time::sleep(STEP).await;
     site.site.configure(config);
     BOXES.iter().for_each(|id| site.site.list(id));
@@ -128,8 +128,9 @@
         let (leader, members) = leaders.first_key_value().expect("a replica");
         let member = members.iter().find(|member| *member != leader).expect("a member");
         site.site.restart(member, false);
-        wait_until("both replicas are whole again", async || site.site.whole_replicas() == 2).await;
-        assert_eq!(site.site.faults(), Vec::<String>::new());
+        wait_until("both replicas are whole again", async || site.site.complete_replicas() == 2)
+            .await;
+        assert_eq!(site.site.violations(), Vec::<String>::new());
         let fenced = site.site.refused_orders().into_iter().filter(|(_, _, status)| *status == 412);
         assert_eq!(fenced.collect::<Vec<_>>(), Vec::new());
         let node = &site.nodes[0];
--- a/crates/cherrystandd/tests/support/site.rs
+++ b/crates/cherrystandd/tests/support/site.rs
@@ -64,7 +64,7 @@
         let all = free_addresses(daemons * NODE_ADDRESSES);
         let (mut nodes, mut store_links) = (Vec::new(), Vec::new());
         for (number, own) in all.chunks(NODE_ADDRESSES).enumerate() {
-            let door = site.open_door().await.expect("a door");
+            let door = site.open_store().await.expect("a door");
             let link = Link::open(door).await.expect("a link");
             nodes.push(start_node(number, own, all[3], link.address(), true, retry_slack));
             store_links.push(link);
@@ -105,7 +105,7 @@
     /// Does the same as [`Self::serving`] with boxes that report when they started.
     pub(crate) async fn serving_with_start_times(daemons: usize) -> Self {
         let site = Self::serving(daemons).await;
-        site.site.tell_starts();
+        site.site.report_starts();
         // The records contain the boxes' incarnations once a daemon has read them.
         wait_until("the records contain incarnations", async || {
             let record = site.site.store.read("cherrystand/shared/domain/z1-d0");
@@ -118,7 +118,7 @@
     /// Starts one more daemon that knows only a seed, as a daemon does after a power loss.
     pub(crate) async fn add_daemon(&mut self, seed: SocketAddr) {
         let own = free_addresses(NODE_ADDRESSES);
-        let door = self.site.open_door().await.expect("a door");
+        let door = self.site.open_store().await.expect("a door");
         let link = Link::open(door).await.expect("a link");
         let number = self.nodes.len();
         self.nodes.push(start_node(number, &own, seed, link.address(), false, RETRY_SLACK));
--- a/crates/cherrystandd/tests/suspensions.rs
+++ b/crates/cherrystandd/tests/suspensions.rs
@@ -5,7 +5,7 @@
 
 use std::time::{Duration, Instant};
 
-use cherrystand_testkit::{BoxMood, whole_stream};
+use cherrystand_testkit::{BoxMode, whole_stream};
 use hyper::StatusCode;
 use support::site::{CALL, STREAM, Site, call, is_ready};
 use support::{call_at, wait_until};
@@ -34,7 +34,7 @@
         let all = cases.into_iter().map(|case| async move {
             let site = Site::serving(1).await;
             let node = &site.nodes[0];
-            case.stalled.iter().for_each(|id| site.site.set_mood(id, BoxMood::Pauses));
+            case.stalled.iter().for_each(|id| site.site.set_mode(id, BoxMode::Pauses));
             let began = Instant::now();
             let suspended = async {
                 tokio::time::sleep(SUSPENDED_AFTER).await;
--- a/crates/cherrystandd/tests/wishes.rs
+++ b/crates/cherrystandd/tests/wishes.rs
@@ -5,7 +5,7 @@
 
 use std::time::{Duration, Instant};
 
-use cherrystand_testkit::{BoxWishes, Door, Sheds, Wish, broken_wishes};
+use cherrystand_testkit::{BoxWishes, Sheds, Signal, StoreMode, ignored_signals};
 use hyper::StatusCode;
 use support::caller_requests::{
     CallerRequest, ask, daemon_of, describe_failures, describe_first_failure, is_served,
@@ -31,7 +31,7 @@
 
 /// Lists the requests that daemons sent during a backoff or to boxes that are leaving.
 fn violations(site: &Site) -> Vec<String> {
-    broken_wishes(&site.site.told(), &site.site.arrivals(), daemon_of)
+    ignored_signals(&site.site.signals(), &site.site.arrivals(), daemon_of)
 }
 
 /// Half of the replicas refused everything for nine seconds and asked each daemon for a backoff of
@@ -162,14 +162,14 @@
             site.site.set_wishes(leader, BoxWishes::rest(Sheds::All, "2"));
         }
         let asked = send_requests(&site.nodes, STREAM).await;
-        let told = site.site.told();
+        let told = site.site.signals();
         let backoff_end = |target: &String, asked: &CallerRequest| {
             let own = told.iter().filter(|told| &told.target == target);
             let own = own.filter(|told| {
                 daemon_of(&told.request, told.at) == daemon_of(&asked.id, asked.sent_at)
             });
-            let ends = own.filter_map(|told| match told.wish {
-                Wish::Rest(rest) if told.at < asked.sent_at => Some(told.at + rest),
+            let ends = own.filter_map(|told| match told.signal {
+                Signal::Backoff(rest) if told.at < asked.sent_at => Some(told.at + rest),
                 _ => None,
             });
             ends.max().filter(|end| *end > asked.sent_at)
@@ -212,7 +212,7 @@
         site.site.set_wishes("a-1", foreign_signals);
         wait_until("a-1 has answered with signals for another request", async || {
             ask(node, CALL, "n0-lied".to_owned()).await;
-            site.site.told().iter().any(|told| told.target == "a-1")
+            site.site.signals().iter().any(|told| told.target == "a-1")
         })
         .await;
         site.site.set_wishes("a-1", BoxWishes::default());
@@ -239,7 +239,7 @@
         let node = &site.nodes[0];
         wait_until("both are in backoff", async || {
             ask(node, CALL, "n0-rest".to_owned()).await;
-            site.site.told().len() >= 2
+            site.site.signals().len() >= 2
         })
         .await;
         site.site.restart("a-1", false);
@@ -261,14 +261,18 @@
         path: &'static str,
         sheds: Sheds,
         /// How the store treats the first daemon in that time.
-        door: Door,
+        door: StoreMode,
     }
     let case =
-        Case { name: "in streams' heads", path: STREAM, sheds: Sheds::None, door: Door::Open };
+        Case { name: "in streams' heads", path: STREAM, sheds: Sheds::None, door: StoreMode::Open };
     let cases = [
         Case { name: "in whole answers", path: CALL, ..case },
         Case { name: "in refusals", sheds: Sheds::All, ..case },
-        Case { name: "to a daemon that the store does not answer", door: Door::Silent, ..case },
+        Case {
+            name: "to a daemon that the store does not answer",
+            door: StoreMode::Silent,
+            ..case
+        },
         case,
     ];
     support::run(async {
@@ -276,12 +280,12 @@
             let site = Site::serving_with_start_times(2).await;
             let leaders = site.site.leaders().into_keys().collect::<Vec<_>>();
             let leaving = if case.path == CALL { "a-1" } else { &leaders[0] };
-            site.site.set_door(0, case.door);
+            site.site.set_store_mode(0, case.door);
             let wishes = BoxWishes { sheds: case.sheds, ..BoxWishes::leaving() };
             site.site.set_wishes(leaving, wishes);
             let asked = send_requests(&site.nodes, case.path).await;
             let mut wrong = violations(&site);
-            if !site.site.told().iter().any(|told| told.wish == Wish::Leaves) {
+            if !site.site.signals().iter().any(|told| told.signal == Signal::Leaving) {
                 wrong.push("it never announced that it leaves".to_owned());
             }
             // A stop that a box announces costs callers nothing.
