--- a/crates/cherrystandd/src/main.rs
+++ b/crates/cherrystandd/src/main.rs
@@ -24,7 +24,7 @@
     let args: Args = argh::from_env();
     let settings = Settings::load(&args.settings)?;
     if args.check {
-        println!("{}: the settings are valid", args.settings.display());
+        println!("{}: the settings are sound", args.settings.display());
         return Ok(());
     }
     start_logging();
@@ -69,7 +69,7 @@
                     _ = interrupt.recv() => return,
                     () = wait_for(suspend.as_mut()) => advance_clock(suspended),
                     _ = hangup.recv() => log::info!(
-                        "received SIGHUP; changed settings take effect at the next start"
+                        "settings changed; they count from the next start"
                     ),
                 }
             }
--- a/crates/cherrystandd/tests/settings.rs
+++ b/crates/cherrystandd/tests/settings.rs
@@ -50,7 +50,7 @@
         message: &'static str,
     }
     let cases = [
-        Case { text: VALID.to_owned(), code: 0, message: "the settings are valid" },
+        Case { text: VALID.to_owned(), code: 0, message: "the settings are sound" },
         Case { text: format!("{VALID}port = 1\n"), code: 1, message: "line 9: key `port`" },
     ];
     let file = std::env::temp_dir().join(format!("cherrystand-check-{}.toml", std::process::id()));
