--- a/crates/cherrystand_core/src/lib.rs
+++ b/crates/cherrystand_core/src/lib.rs
@@ -51,11 +51,11 @@
     pub(crate) mod claim;
     pub(crate) mod cold_period;
     pub(crate) mod concurrency_limit;
-    pub(crate) mod draining_incarnations;
     pub(crate) mod endpoint_backpressure;
     pub(crate) mod endpoint_rate_limits;
     pub(crate) mod idle_connections;
     pub(crate) mod known_rate_limit;
+    pub(crate) mod leaving_incarnations;
     pub(crate) mod outcome;
     pub(crate) mod rate_limit_ledger;
     pub(crate) mod rate_limit_message;
@@ -206,12 +206,12 @@
 };
 pub use requests::cold_period::{ColdPeriod, ColdPeriodUpdate, ColdStart};
 pub use requests::concurrency_limit::ConcurrencyLimit;
-pub use requests::draining_incarnations::DrainingIncarnations;
 pub use requests::endpoint_backpressure::{BackpressureState, EndpointBackpressure, MAX_BACKOFF};
 pub use requests::endpoint_rate_limits::{
     EndpointRateLimits, ObservedRateLimit, RateLimitOwner, RateLimitRecipient, RateLimitStep,
 };
 pub use requests::idle_connections::{DEFAULT_IDLE_CONNECTIONS, max_idle_connections};
+pub use requests::leaving_incarnations::LeavingIncarnations;
 pub use requests::outcome::{AttemptEnd, Outcome};
 pub use requests::rate_limit_message::{RateLimitMessage, RateLimitReport};
 pub use requests::refusal::{Refusal, RefusalReason};
--- a/crates/cherrystand_core/src/requests/endpoint_backpressure.rs
+++ b/crates/cherrystand_core/src/requests/endpoint_backpressure.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::{DrainingIncarnations, EndpointRateLimits, Millis, SendPermit};
+use crate::{EndpointRateLimits, LeavingIncarnations, Millis, SendPermit};
 
 /// The longest backoff that is honoured.
 ///
@@ -48,7 +48,7 @@
     /// Operators evacuated its availability zone at the given time.
     Evacuated(Millis),
     /// It has announced that it is shutting down.
-    Draining,
+    Leaving,
 }
 
 impl BackpressureState {
@@ -87,7 +87,7 @@
 #[derive(Clone, Debug)]
 pub struct EndpointBackpressure<K> {
     backoffs: BTreeMap<K, Backoff>,
-    draining: DrainingIncarnations<K>,
+    leaving: LeavingIncarnations<K>,
     /// Endpoints in evacuated availability zones, and since when they are evacuated.
     evacuated: BTreeMap<K, Millis>,
     /// The rate limits of endpoints over all nodes.
@@ -98,7 +98,7 @@
     fn default() -> Self {
         Self {
             backoffs: BTreeMap::new(),
-            draining: DrainingIncarnations::default(),
+            leaving: LeavingIncarnations::default(),
             evacuated: BTreeMap::new(),
             limits: EndpointRateLimits::default(),
         }
@@ -133,13 +133,13 @@
     }
 
     /// Records that an endpoint is shutting down; returns whether that is new.
-    pub fn record_draining(&mut self, id: &K) -> bool {
-        self.draining.insert(id)
+    pub fn record_leaving(&mut self, id: &K) -> bool {
+        self.leaving.insert(id)
     }
 
     /// Tells whether an endpoint has announced that it is shutting down.
-    pub fn is_draining(&self, id: &K) -> bool {
-        self.draining.contains(id)
+    pub fn is_leaving(&self, id: &K) -> bool {
+        self.leaving.contains(id)
     }
 
     /// Replaces the set of endpoints in evacuated availability zones, with the time of each
@@ -150,14 +150,14 @@
 
     /// Returns the state of an endpoint at which this node has `in_flight` requests.
     pub fn state(&self, id: &K, in_flight: u32, now: Millis) -> BackpressureState {
-        match (self.is_draining(id), self.evacuated.get(id)) {
-            (true, _) => BackpressureState::Draining,
+        match (self.is_leaving(id), self.evacuated.get(id)) {
+            (true, _) => BackpressureState::Leaving,
             (false, Some(since)) => BackpressureState::Evacuated(*since),
             (false, None) => self.active_state(id, in_flight, now),
         }
     }
 
-    /// Returns the state of an endpoint that is known to be neither draining nor evacuated; the
+    /// Returns the state of an endpoint that is known to be neither leaving nor evacuated; the
     /// strictest of its backpressure applies.
     pub(crate) fn active_state(&self, id: &K, in_flight: u32, now: Millis) -> BackpressureState {
         // Fast path: usually no endpoint asks for anything.
--- a/crates/cherrystand_core/src/requests/draining_incarnations.rs
+++ b/crates/cherrystand_core/src/requests/leaving_incarnations.rs
@@ -2,27 +2,27 @@
 
 use std::collections::{BTreeSet, VecDeque};
 
-/// How many draining incarnations are remembered, the newest ones. At 100 bytes each they take 1.6
+/// How many leaving incarnations are remembered, the newest ones. At 100 bytes each they take 1.6
 /// MB, and with 1,900 boxes restarted or replaced a day they reach back eight days.
 const MAX_REMEMBERED: usize = 16_384;
 
-/// Remembers which incarnations of endpoints are draining. Once an incarnation has announced that,
+/// Remembers which incarnations of endpoints are leaving. Once an incarnation has announced that,
 /// it is sent nothing new, whatever its entry in the store says later.
 #[derive(Clone, Debug)]
-pub struct DrainingIncarnations<K> {
+pub struct LeavingIncarnations<K> {
     incarnations: BTreeSet<K>,
     /// The same incarnations, the oldest first.
     by_age: VecDeque<K>,
 }
 
-impl<K> Default for DrainingIncarnations<K> {
+impl<K> Default for LeavingIncarnations<K> {
     fn default() -> Self {
         Self { incarnations: BTreeSet::new(), by_age: VecDeque::new() }
     }
 }
 
-impl<K: Ord + Clone> DrainingIncarnations<K> {
-    /// Records that an endpoint is draining; returns whether that is new.
+impl<K: Ord + Clone> LeavingIncarnations<K> {
+    /// Records that an endpoint is leaving; returns whether that is new.
     pub fn insert(&mut self, id: &K) -> bool {
         if !self.incarnations.insert(id.clone()) {
             return false;
@@ -36,12 +36,12 @@
         true
     }
 
-    /// Tells whether an endpoint is draining.
+    /// Tells whether an endpoint is leaving.
     pub fn contains(&self, id: &K) -> bool {
         self.incarnations.contains(id)
     }
 
-    /// Tells whether no endpoint is draining.
+    /// Tells whether no endpoint is leaving.
     pub fn is_empty(&self) -> bool {
         self.incarnations.is_empty()
     }
--- a/crates/cherrystand_core/src/site/load_balancer.rs
+++ b/crates/cherrystand_core/src/site/load_balancer.rs
@@ -124,7 +124,7 @@
                 Some(target) => target.spec = spec,
                 None => {
                     let mut target = Target::new(spec);
-                    target.is_draining = self.backpressure.is_draining(&id);
+                    target.is_leaving = self.backpressure.is_leaving(&id);
                     let key = self.targets.insert(target);
                     self.keys.insert(id, key);
                 }
--- a/crates/cherrystand_core/src/site/load_balancer_limits.rs
+++ b/crates/cherrystand_core/src/site/load_balancer_limits.rs
@@ -1,4 +1,4 @@
-//! The backpressure of endpoints (backoff, draining and rate limits) in the load balancer's choice.
+//! The backpressure of endpoints (backoff, leaving and rate limits) in the load balancer's choice.
 
 use crate::site::target::Target;
 use crate::{
@@ -68,8 +68,8 @@
 
     /// Returns the backpressure state of an endpoint.
     pub(super) fn backpressure_state(&self, target: &Target, now: Millis) -> BackpressureState {
-        match (target.is_draining, target.spec.evacuated_since) {
-            (true, _) => BackpressureState::Draining,
+        match (target.is_leaving, target.spec.evacuated_since) {
+            (true, _) => BackpressureState::Leaving,
             (false, Some(since)) => BackpressureState::Evacuated(since),
             (false, None) => self.backpressure.active_state(&target.spec.id, target.in_flight, now),
         }
@@ -98,7 +98,7 @@
                     until
                 }
                 BackpressureState::Saturated => now + SATURATED_RETRY_AFTER,
-                BackpressureState::Draining => continue,
+                BackpressureState::Leaving => continue,
                 BackpressureState::Open | BackpressureState::Recovering => return None,
             };
             first = Some(first.map_or(until, |first| first.min(until)));
@@ -113,17 +113,17 @@
         self.backpressure.record_backoff(id, asked, in_flight, now)
     }
 
-    /// Records that an endpoint is draining, and returns whether that is new.
-    pub fn record_draining(&mut self, id: &BoxId) -> bool {
+    /// Records that an endpoint is leaving, and returns whether that is new.
+    pub fn record_leaving(&mut self, id: &BoxId) -> bool {
         if let Some(target) = self.keys.get(id).and_then(|key| self.targets.get_mut(*key)) {
-            target.is_draining = true;
+            target.is_leaving = true;
         }
-        self.backpressure.record_draining(id)
+        self.backpressure.record_leaving(id)
     }
 
-    /// Returns whether an endpoint announced that it drains.
-    pub fn is_draining(&self, id: &BoxId) -> bool {
-        self.backpressure.is_draining(id)
+    /// Returns whether an endpoint announced that it is leaving.
+    pub fn is_leaving(&self, id: &BoxId) -> bool {
+        self.backpressure.is_leaving(id)
     }
 
     /// Returns a permit to send one request to an endpoint, or `None` if it takes none.
--- a/crates/cherrystand_core/src/site/target.rs
+++ b/crates/cherrystand_core/src/site/target.rs
@@ -58,7 +58,7 @@
     pub(crate) last_progress: Millis,
     /// Whether it announced that it leaves; kept here since a lookup among all that ever did would
     /// slow down each choice.
-    pub(crate) is_draining: bool,
+    pub(crate) is_leaving: bool,
     failure_rate: f64,
     /// The time for which `failure_rate` holds; it decays afterwards.
     failure_rate_at: Millis,
@@ -74,7 +74,7 @@
             unread: 0.0,
             peer_load: EngineLoad::default(),
             last_progress: Millis(0),
-            is_draining: false,
+            is_leaving: false,
             failure_rate: 0.0,
             failure_rate_at: Millis(0),
             ejected_until: Millis(0),
--- a/crates/cherrystand_core/tests/endpoint_backpressure.rs
+++ b/crates/cherrystand_core/tests/endpoint_backpressure.rs
@@ -71,15 +71,15 @@
         (BoxId::new("i-1").with_incarnation(8), BoxId::new("i-2").with_incarnation(7));
     let mut backpressure = EndpointBackpressure::default();
     backpressure.record_backoff(&first_incarnation(), Millis(60_000), 1, NOW);
-    assert!(backpressure.record_draining(&another));
-    assert!(!backpressure.record_draining(&another), "already known");
+    assert!(backpressure.record_leaving(&another));
+    assert!(!backpressure.record_leaving(&another), "already known");
     assert!(backpressure.acquire_permit(&first_incarnation(), 0, NOW).is_none());
     assert!(
         backpressure
             .acquire_permit(&next_incarnation, 0, NOW)
             .is_some_and(|permit| !permit.is_after_backoff())
     );
-    // Draining is final, however long ago it was announced.
+    // Leaving is final, however long ago it was announced.
     for later in [0, 10_000, 100_000_000] {
         assert!(
             backpressure.acquire_permit(&another, 0, NOW + Millis(later)).is_none(),
@@ -218,12 +218,12 @@
 /// The load balancer skips an endpoint that backs off even if no other is left, and also after its
 /// entry has disappeared and returned meanwhile.
 #[test]
-fn load_balancer_skips_endpoints_that_back_off_or_drain() {
+fn load_balancer_skips_endpoints_that_back_off_or_leave() {
     struct Case {
         name: &'static str,
         /// The backoff of each endpoint in seconds, if it has one.
         backoffs: [Option<u64>; 2],
-        draining: [bool; 2],
+        leaving: [bool; 2],
         chosen: Option<usize>,
         /// The end of the first backoff, if all endpoints are unavailable.
         unavailable_until: Option<u64>,
@@ -231,7 +231,7 @@
     let case = Case {
         name: "no backoff",
         backoffs: [None; 2],
-        draining: [false; 2],
+        leaving: [false; 2],
         chosen: Some(0),
         unavailable_until: None,
     };
@@ -249,15 +249,15 @@
             unavailable_until: Some(2),
             ..case
         },
-        Case { name: "one draining", draining: [true, false], chosen: Some(1), ..case },
+        Case { name: "one leaving", leaving: [true, false], chosen: Some(1), ..case },
         Case {
-            name: "one draining, the other backing off",
+            name: "one leaving, the other backing off",
             backoffs: [None, Some(2)],
-            draining: [true, false],
+            leaving: [true, false],
             chosen: None,
             unavailable_until: Some(2),
         },
-        Case { name: "both draining", draining: [true; 2], chosen: None, ..case },
+        Case { name: "both leaving", leaving: [true; 2], chosen: None, ..case },
         case,
     ];
     let service = ServiceName::new("app");
@@ -278,8 +278,8 @@
             if let Some(secs) = case.backoffs[number] {
                 balancer.record_backoff(&spec(number).id, Millis::from_secs(secs), NOW);
             }
-            if case.draining[number] {
-                balancer.record_draining(&spec(number).id);
+            if case.leaving[number] {
+                balancer.record_leaving(&spec(number).id);
             }
         }
         // The entries disappear and return.
--- a/crates/cherrystand_core/tests/endpoint_rate_limits.rs
+++ b/crates/cherrystand_core/tests/endpoint_rate_limits.rs
@@ -152,7 +152,7 @@
     assert_eq!(close.count(), 0, "{sent:?}");
 }
 
-/// Backoff, draining and rate limit of one endpoint: the strictest applies.
+/// Backoff, leaving and rate limit of one endpoint: the strictest applies.
 #[test]
 fn strictest_backpressure_applies() {
     #[derive(Clone, Copy)]
@@ -161,7 +161,7 @@
         is_backing_off: bool,
         limited: bool,
         has_permit: bool,
-        is_draining: bool,
+        is_leaving: bool,
         state: BackpressureState,
     }
     let until = NOW + Millis(60_000);
@@ -170,7 +170,7 @@
         is_backing_off: false,
         limited: false,
         has_permit: false,
-        is_draining: false,
+        is_leaving: false,
         state: BackpressureState::Open,
     };
     let limited = Case { limited: true, ..case };
@@ -196,10 +196,10 @@
             ..limited
         },
         Case {
-            name: "limited, draining, with a permit",
-            is_draining: true,
+            name: "limited, leaving, with a permit",
+            is_leaving: true,
             has_permit: true,
-            state: BackpressureState::Draining,
+            state: BackpressureState::Leaving,
             ..limited
         },
     ];
@@ -221,8 +221,8 @@
         if case.is_backing_off {
             backpressure.record_backoff(&1, Millis(60_000), 1, NOW);
         }
-        if case.is_draining {
-            backpressure.record_draining(&1);
+        if case.is_leaving {
+            backpressure.record_leaving(&1);
         }
         let state = backpressure.state(&1, 0, now);
         assert_eq!(state, case.state, "{}", case.name);
--- a/crates/cherrystand_core/tests/evacuations.rs
+++ b/crates/cherrystand_core/tests/evacuations.rs
@@ -331,7 +331,7 @@
         balancer.set_targets(specs.clone());
         for (spec, (_, _, leaves)) in specs.iter().zip(&endpoints) {
             if *leaves {
-                balancer.record_draining(&spec.id);
+                balancer.record_leaving(&spec.id);
             }
         }
         let service = ServiceName::new("app");
--- a/crates/cherrystandd/src/metrics.rs
+++ b/crates/cherrystandd/src/metrics.rs
@@ -29,7 +29,7 @@
     pub attempts: IntCounterVec,
     /// Requests that endpoints rejected, by whether the endpoint asked for a backoff.
     pub endpoint_refusals: IntCounterVec,
-    /// Endpoints that announced in an answer that they are draining.
+    /// Endpoints that announced in an answer that they are leaving.
     pub endpoints_leaving: IntCounter,
     /// Answers in which endpoints stated a rate limit, by whether it could be parsed.
     pub limits_named: IntCounterVec,
--- a/crates/cherrystandd/src/settings.rs
+++ b/crates/cherrystandd/src/settings.rs
@@ -87,7 +87,8 @@
     pub retry_slack: f64,
     /// The sliding window for both, in seconds.
     pub retry_window_s: u64,
-    /// The time within which all daemons stop sending to a draining endpoint, in milliseconds.
+    /// The time within which all daemons stop sending to an endpoint that is leaving, in
+    /// milliseconds.
     #[serde(default = "default_propagation_ms")]
     pub drain_ms: u64,
     /// The time within which a configuration is in force at all daemons, in milliseconds.
--- a/crates/cherrystandd/src/site/crash_watch.rs
+++ b/crates/cherrystandd/src/site/crash_watch.rs
@@ -170,7 +170,7 @@
         request: Fingerprint,
     ) {
         // A box that has announced that it is leaving stops as planned.
-        if frontend.is_draining(incarnation) {
+        if frontend.is_leaving(incarnation) {
             return;
         }
         let step = self.interrupted.borrow_mut().record(incarnation, request, self.cx.clock.now());
--- a/crates/cherrystandd/src/site/endpoint_signals.rs
+++ b/crates/cherrystandd/src/site/endpoint_signals.rs
@@ -44,7 +44,7 @@
             return;
         }
         let mut balancer = self.balancer.borrow_mut();
-        if headers.leaving && balancer.record_draining(&attempt.target) {
+        if headers.leaving && balancer.record_leaving(&attempt.target) {
             self.signal_log.leaving(&attempt.target);
             self.cx.hint(Hint::Leaving(attempt.target.clone()));
             self.loads.broadcast(LoadMessage::Leaving(attempt.target.clone()));
--- a/crates/cherrystandd/src/site/frontend.rs
+++ b/crates/cherrystandd/src/site/frontend.rs
@@ -194,8 +194,8 @@
     }
 
     /// Returns whether a box has announced that it is leaving.
-    pub(crate) fn is_draining(&self, id: &BoxId) -> bool {
-        let by_answer = self.balancer.borrow().is_draining(id);
+    pub(crate) fn is_leaving(&self, id: &BoxId) -> bool {
+        let by_answer = self.balancer.borrow().is_leaving(id);
         by_answer || self.view.borrow().boxes.get(id).is_some_and(|known| known.leaving)
     }
 
--- a/crates/cherrystandd/src/site/site_state.rs
+++ b/crates/cherrystandd/src/site/site_state.rs
@@ -5,8 +5,8 @@
 use std::sync::Arc;
 
 use cherrystand_core::{
-    AssignedBoxes, BoxId, BoxIncarnations, ChangeLog, ChangesSince, ColdBoxes, Document,
-    DrainingIncarnations, Epoch, MemberOrder, MemberState, Millis, Revision, RouteTable, SiteBox,
+    AssignedBoxes, BoxId, BoxIncarnations, ChangeLog, ChangesSince, ColdBoxes, Document, Epoch,
+    LeavingIncarnations, MemberOrder, MemberState, Millis, Revision, RouteTable, SiteBox,
     SiteConfig, SiteView, StoreOutage, SuspectRecord, Tombstones,
 };
 use cherrystand_peer::ChangeUpdate;
@@ -74,7 +74,7 @@
     pub(super) silent_since: BTreeMap<BoxId, Millis>,
     /// Incarnations of boxes that announced in an answer that they are leaving, whatever their
     /// entries say.
-    pub(super) leaving: DrainingIncarnations<BoxId>,
+    pub(super) leaving: LeavingIncarnations<BoxId>,
     /// Replica members whose entries are gone and that have not been probed since.
     pub(super) unverified: Vec<SiteBox>,
     /// Replicas whose leaders left them, by name and epoch, with the last epoch of the domain
