--- a/crates/cherrystand/examples/plan.rs
+++ b/crates/cherrystand/examples/plan.rs
@@ -1,4 +1,4 @@
-//! Works out what a configuration would change, without a daemon.
+//! Computes what a configuration would change, without a daemon.
 
 use cherrystand::{
     BoxId, BoxInfo, BoxesByReplica, DomainId, Fleet, PlanId, WorkspaceConfig, WorkspaceRecord,
--- a/crates/cherrystand/examples/route.rs
+++ b/crates/cherrystand/examples/route.rs
@@ -1,4 +1,4 @@
-//! Sends a burst to endpoints of which one has failed, and shows where it went.
+//! Routes a burst of requests to endpoints, one of which has failed, and prints the distribution.
 
 use cherrystand::{AttemptEnd, EndpointSpec, Millis, Router, SeededRng};
 
@@ -7,11 +7,11 @@
     let group = router.add_group();
     let spec = EndpointSpec { near: true, initial_limit: 8, max_limit: 8 };
     let endpoints: Vec<_> = (0..4).map(|_| router.add_endpoint(group, spec)).collect();
-    let mut seed = SeededRng::new(1);
+    let mut rng = SeededRng::new(1);
     let now = Millis(1_000);
     assert!(router.start(endpoints[0], now).is_some());
     router.finish(endpoints[0], AttemptEnd::ConnectFailed, now, None);
-    while let Ok(chosen) = router.choose(group, None, now, &mut seed) {
+    while let Ok(chosen) = router.choose(group, None, now, &mut rng) {
         assert!(router.start(chosen, now).is_some());
     }
     for (number, endpoint) in endpoints.iter().enumerate() {
--- a/crates/cherrystand/src/lib.rs
+++ b/crates/cherrystand/src/lib.rs
@@ -1,7 +1,7 @@
 //! A serving system for models that span several machines.
 //!
-//! This crate is the door for those who build on it: the pure decisions, the clients of the
-//! platform, and the messages between daemons, each re-exported as it is.
+//! This crate is the public API. It re-exports the decision logic, the clients for the platform, and
+//! the messages between daemons.
 //!
 //! # Examples
 //!
@@ -25,12 +25,12 @@
 
 pub use cherrystand_core::*;
 
-/// Messages between daemons and the transport that carries them.
+/// Messages between daemons, and their transport.
 pub mod peer {
     pub use cherrystand_peer::*;
 }
 
-/// Clients of what lies outside the system.
+/// Clients for external services.
 pub mod platform {
     pub use cherrystand_platform::*;
 }
--- a/crates/cherrystand_cli/src/args.rs
+++ b/crates/cherrystand_cli/src/args.rs
@@ -1,21 +1,21 @@
-//! The command line.
+//! The command line arguments.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
 use argh::FromArgs;
 
-/// Plans, confirms and shows what cherrystand does.
+/// Plans and confirms configuration changes, and shows the state of cherrystand.
 ///
-/// Exit codes: 0 done; 1 a file or the command line is at fault; 2 the request is refused as it
-/// is; 3 another change got in first; 4 the daemon or the platform is out of reach and nothing was
+/// Exit codes: 0 success; 1 a file or the command line is invalid; 2 the request was rejected; 3 the
+/// change conflicts with another one; 4 the daemon or the platform is unreachable and nothing was
 /// changed; 5 the change may have taken effect.
 #[derive(FromArgs)]
 pub(crate) struct Args {
-    /// address at which any daemon listens for operators
+    /// operator address of any daemon
     #[argh(option, default = "default_address()")]
     pub(crate) at: SocketAddr,
-    /// print JSON for programs
+    /// print the answer as JSON
     #[argh(switch)]
     pub(crate) json: bool,
     #[argh(subcommand)]
@@ -40,20 +40,20 @@
     Zones(Zones),
 }
 
-/// say what putting a workspace's configuration in force would change
+/// show what applying a workspace's configuration would change
 #[derive(FromArgs)]
 #[argh(subcommand, name = "plan")]
 pub(crate) struct Plan {
-    /// the configuration, in TOML
+    /// the configuration file, in TOML
     #[argh(positional)]
     pub(crate) file: PathBuf,
 }
 
-/// put a plan in force
+/// apply a plan
 #[derive(FromArgs)]
 #[argh(subcommand, name = "confirm")]
 pub(crate) struct Confirm {
-    /// the plan's name
+    /// the id of the plan
     #[argh(positional)]
     pub(crate) plan: String,
 }
@@ -63,11 +63,11 @@
 #[argh(subcommand, name = "plans")]
 pub(crate) struct Plans {}
 
-/// show the configuration of a workspace that is in force
+/// show the active configuration of a workspace
 #[derive(FromArgs)]
 #[argh(subcommand, name = "get")]
 pub(crate) struct Get {
-    /// the workspace's name
+    /// the name of the workspace
     #[argh(positional)]
     pub(crate) workspace: String,
 }
@@ -77,26 +77,26 @@
 #[argh(subcommand, name = "status")]
 pub(crate) struct Status {}
 
-/// say why a replica or a request was decided as it was
+/// explain the decisions about a replica or a request
 #[derive(FromArgs)]
 #[argh(subcommand, name = "explain")]
 pub(crate) struct Explain {
-    /// a replica (WORKSPACE/GROUP/SLOT), or the id of a request that this daemon took
+    /// a replica (WORKSPACE/GROUP/SLOT), or the id of a request that this daemon received
     #[argh(positional)]
     pub(crate) name: String,
 }
 
-/// list the changes accepted
+/// list the accepted changes
 #[derive(FromArgs)]
 #[argh(subcommand, name = "history")]
 pub(crate) struct History {}
 
-/// begin a planned stop of the daemon
+/// drain the daemon and stop it
 #[derive(FromArgs)]
 #[argh(subcommand, name = "drain")]
 pub(crate) struct Drain {}
 
-/// list the availability zones that are emptied, and the endpoints that are cold, where routes are served
+/// list the evacuated availability zones and the cold endpoints, if the daemon serves routes
 #[derive(FromArgs)]
 #[argh(subcommand, name = "zones")]
 pub(crate) struct Zones {}
--- a/crates/cherrystand_cli/src/client.rs
+++ b/crates/cherrystand_cli/src/client.rs
@@ -1,4 +1,4 @@
-//! Calls to a daemon.
+//! The client for the operator API of a daemon.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,29 +11,29 @@
 
 use crate::cli_error::CliError;
 
-/// How long a daemon may take, retries at the platform included.
-const CALL_WITHIN: Duration = Duration::from_secs(30);
+/// Timeout of a call, which includes the daemon's retries of calls to the platform.
+const CALL_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Talks to one daemon.
+/// A client for one daemon.
 pub(crate) struct Client {
-    at: SocketAddr,
+    address: SocketAddr,
     runtime: Runtime,
     pool: HttpPool,
 }
 
 impl Client {
-    /// Creates a client of the daemon at an address.
-    pub(crate) fn new(at: SocketAddr) -> Result<Self, CliError> {
+    /// Creates a client for the daemon at an address.
+    pub(crate) fn new(address: SocketAddr) -> Result<Self, CliError> {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-        Ok(Self { at, runtime, pool: HttpPool::default() })
+        Ok(Self { address, runtime, pool: HttpPool::default() })
     }
 
-    /// Reads something.
+    /// Reads a resource of the operator API.
     pub(crate) fn get(&self, what: &str) -> Result<Value, CliError> {
         self.call(Method::GET, what, String::new())
     }
 
-    /// Has something done.
+    /// Calls an action of the operator API.
     pub(crate) fn post(&self, what: &str, body: String) -> Result<Value, CliError> {
         self.call(Method::POST, what, body)
     }
@@ -41,17 +41,17 @@
     fn call(&self, method: Method, what: &str, body: String) -> Result<Value, CliError> {
         let path = format!("/operator/{what}");
         let body = Bytes::from(body);
-        let sent = call(&self.pool, self.at, method, &path, body, CALL_WITHIN);
-        let answer = self.runtime.block_on(sent)?;
-        read(&answer)
+        let exchange = call(&self.pool, self.address, method, &path, body, CALL_TIMEOUT);
+        let answer = self.runtime.block_on(exchange)?;
+        parse(&answer)
     }
 }
 
-fn read(answer: &Answer) -> Result<Value, CliError> {
+fn parse(answer: &Answer) -> Result<Value, CliError> {
     let value: Value = answer.json()?;
     let Some(error) = value.get("error") else {
         return Ok(value);
     };
     let text = |key: &str| error.get(key).and_then(Value::as_str).unwrap_or_default().to_owned();
-    Err(CliError::Refused { kind: text("kind"), message: text("message") })
+    Err(CliError::Rejected { kind: text("kind"), message: text("message") })
 }
--- a/crates/cherrystand_cli/src/main.rs
+++ b/crates/cherrystand_cli/src/main.rs
@@ -1,4 +1,4 @@
-//! The command `cherrystand`, by which operators plan, confirm and look.
+//! The command `cherrystand`, with which operators plan and confirm changes and inspect the system.
 
 mod args;
 mod cli_error;
@@ -30,7 +30,7 @@
     let value = match &args.command {
         Command::Plan(plan) => {
             let text = std::fs::read_to_string(&plan.file)
-                .map_err(|source| CliError::Unreadable { file: plan.file.clone(), source })?;
+                .map_err(|source| CliError::ReadFile { file: plan.file.clone(), source })?;
             client.post("plan", text)?
         }
         Command::Confirm(confirm) => {
@@ -47,5 +47,5 @@
     if args.json {
         return Ok(value.to_string());
     }
-    Ok(render::for_people(&args.command, &value))
+    Ok(render::to_text(&args.command, &value))
 }
--- a/crates/cherrystand_cli/src/render.rs
+++ b/crates/cherrystand_cli/src/render.rs
@@ -1,11 +1,11 @@
-//! Tables for people.
+//! Formats answers as text and tables for the terminal.
 
 use serde_json::Value;
 
 use crate::args::Command;
 
-/// Writes an answer as people read it.
-pub(crate) fn for_people(command: &Command, value: &Value) -> String {
+/// Formats the answer to a command as text.
+pub(crate) fn to_text(command: &Command, value: &Value) -> String {
     let text = match command {
         Command::Plan(_) => plan(value),
         Command::Plans(_) => {
@@ -22,7 +22,7 @@
         Command::Status(_) => status(value),
         Command::History(_) => history(value),
         Command::Explain(_) => explain(value),
-        Command::Drain(_) => format!("{} begins to stop", field(value, "node")),
+        Command::Drain(_) => format!("{} starts to drain", field(value, "node")),
         Command::Get(_) => pretty(value),
         Command::Zones(_) => zones(value),
     };
@@ -42,9 +42,9 @@
         Some(Value::String(text)) => text.clone(),
         Some(Value::Null) | None => "-".to_owned(),
         Some(Value::Array(all)) => {
-            let words: Vec<String> =
+            let texts: Vec<String> =
                 all.iter().map(|item| item.as_str().unwrap_or_default().to_owned()).collect();
-            words.join(" ")
+            texts.join(" ")
         }
         Some(other) => other.to_string(),
     }
@@ -62,7 +62,7 @@
     }
     for cost in items(&value["costs"]) {
         text.push_str(&format!(
-            "  {}: {} replicas now, {} at the least on the way, {} afterwards\n",
+            "  {}: {} replicas now, at least {} during the change, {} afterwards\n",
             field(cost, "group"),
             field(cost, "before"),
             field(cost, "least"),
@@ -70,7 +70,7 @@
         ));
     }
     text.push_str(&format!(
-        "nothing has changed yet; put it in force with: cherrystand confirm {}\n",
+        "nothing has changed yet; apply it with: cherrystand confirm {}\n",
         field(value, "id")
     ));
     text
@@ -79,7 +79,7 @@
 fn status(value: &Value) -> String {
     let node = &value["node"];
     let mut text = format!(
-        "as known by {} ({}): serves by {}, hears {} of {} daemons\n\n",
+        "state as seen by {} ({}): serves by {}, receives heartbeats of {} of {} daemons\n\n",
         field(node, "node"),
         field(node, "zone"),
         field(node, "serves_by").to_lowercase(),
@@ -122,11 +122,11 @@
 
 fn history(value: &Value) -> String {
     let mut text = String::new();
-    for past in items(value) {
-        let accepted = &past["accepted"];
+    for change in items(value) {
+        let accepted = &change["accepted"];
         text.push_str(&format!(
             "{} generation {} by {} at {}\n",
-            field(past, "workspace"),
+            field(change, "workspace"),
             field(accepted, "generation"),
             field(accepted, "operator"),
             field(accepted, "at_unix_secs"),
@@ -135,7 +135,7 @@
             text.push_str(&format!("  {}\n", line.as_str().unwrap_or_default()));
         }
     }
-    if text.is_empty() { "no change was accepted yet".to_owned() } else { text }
+    if text.is_empty() { "no change has been accepted yet".to_owned() } else { text }
 }
 
 fn explain(value: &Value) -> String {
