--- a/crates/cherrystandd/tests/connections.rs
+++ b/crates/cherrystandd/tests/connections.rs
@@ -8,8 +8,8 @@
 
 use futures_util::future::join_all;
 use serde_json::json;
-use support::caller_requests::{ask, is_served};
-use support::site::{CALL, Site, config};
+use support::caller_requests::{is_served, send_request};
+use support::site::{SERVICE_PATH, Site, config};
 use support::wait_until;
 
 /// How many requests each daemon gets at once.
@@ -46,14 +46,14 @@
         site.site.configure(&bounded);
         for node in &site.nodes {
             wait_until("the configuration is in force", async || {
-                ask(node, CALL, "n0-early".to_owned()).await.answer.status == 404
+                send_request(node, SERVICE_PATH, "n0-early".to_owned()).await.answer.status == 404
             })
             .await;
         }
         let ids = (0..REQUESTS_PER_DAEMON).flat_map(|number| {
             site.nodes.iter().map(move |node| (node, format!("n{}-{number}", node.number)))
         });
-        let asked = join_all(ids.map(|(node, id)| ask(node, "/bounded/1", id))).await;
+        let asked = join_all(ids.map(|(node, id)| send_request(node, "/bounded/1", id))).await;
         assert!(asked.iter().all(is_served), "all are served");
         tokio::time::sleep(Duration::from_millis(200)).await;
         let kept = ["a-1", "a-2"].map(|id| open_connections(site.site.address_of(id).expect("it")));
--- a/crates/cherrystandd/tests/crashing_requests.rs
+++ b/crates/cherrystandd/tests/crashing_requests.rs
@@ -7,7 +7,7 @@
 
 use cherrystand_testkit::{CRASHES, whole_stream};
 use hyper::StatusCode;
-use support::site::{Node, STREAM, Site, send};
+use support::site::{MODEL_PATH, Node, Site, send};
 use support::{Answer, wait_until};
 
 /// How long daemons have to learn of the third crash.
@@ -30,7 +30,7 @@
 const MAX_CRASHES: usize = 4;
 
 async fn stream(node: &Node, id: &str, body: &str) -> Answer {
-    send(node, "POST", STREAM, id, &[("authorization", "Bearer k1")], body).await
+    send(node, "POST", MODEL_PATH, id, &[("authorization", "Bearer k1")], body).await
 }
 
 /// Sends a request that crashes replicas to one daemon after another, each time as a new request.
--- a/crates/cherrystandd/tests/evacuations.rs
+++ b/crates/cherrystandd/tests/evacuations.rs
@@ -9,9 +9,10 @@
 use futures_util::future::join_all;
 use serde_json::json;
 use support::caller_requests::{
-    CallerRequest, ask, describe_failures, is_served, prefix_with_case, run_cases, send_to_all,
+    CallerRequest, describe_failures, is_served, prefix_with_case, run_cases, send_request,
+    send_to_all,
 };
-use support::site::{CALL, STREAM, Site, config};
+use support::site::{MODEL_PATH, SERVICE_PATH, Site, config};
 
 /// How often each daemon gets a request.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(50);
@@ -56,9 +57,10 @@
         value: &'static [u8],
         condition: Condition,
     }
-    let case = Case { name: "streams", path: STREAM, value: b"{}", condition: Condition::Nothing };
+    let case =
+        Case { name: "streams", path: MODEL_PATH, value: b"{}", condition: Condition::Nothing };
     let cases = [
-        Case { name: "a plain service", path: CALL, ..case },
+        Case { name: "a plain service", path: SERVICE_PATH, ..case },
         Case { name: "an unreadable value", value: b"\xff\x00{", ..case },
         Case {
             name: "a daemon that the store rejects",
@@ -94,7 +96,8 @@
                 let seed = site.nodes[0].peers;
                 site.add_daemon(seed).await;
                 let node = site.nodes.last().expect("a node");
-                let first = (0..40).map(|number| ask(node, case.path, format!("n3-{number}")));
+                let first =
+                    (0..40).map(|number| send_request(node, case.path, format!("n3-{number}")));
                 let first = join_all(first).await;
                 // Requests sent before it listens do not count.
                 asked.extend(first.into_iter().filter(is_served));
@@ -123,7 +126,7 @@
         }
         tokio::time::sleep(PROPAGATION_LIMIT).await;
         let from = Instant::now();
-        for path in [STREAM, CALL] {
+        for path in [MODEL_PATH, SERVICE_PATH] {
             let asked =
                 send_to_all(&site.nodes, path, REQUEST_INTERVAL, Duration::from_secs(1)).await;
             let wrong: Vec<&CallerRequest> = asked
@@ -142,7 +145,7 @@
         site.site.end_evacuation("z1");
         tokio::time::sleep(PROPAGATION_LIMIT).await;
         let asked =
-            send_to_all(&site.nodes, STREAM, REQUEST_INTERVAL, Duration::from_secs(1)).await;
+            send_to_all(&site.nodes, MODEL_PATH, REQUEST_INTERVAL, Duration::from_secs(1)).await;
         assert_eq!(describe_failures(&asked), None);
     });
 }
@@ -202,7 +205,8 @@
                 config["services"][service]["cold_start_s"] = json!(COLD_S);
             }
             let site = Site::in_two_zones(3, &config).await;
-            let asking = send_to_all(&site.nodes, CALL, REQUEST_INTERVAL, Duration::from_secs(8));
+            let asking =
+                send_to_all(&site.nodes, SERVICE_PATH, REQUEST_INTERVAL, Duration::from_secs(8));
             let turning_cold = async {
                 tokio::time::sleep(EVACUATED_AFTER).await;
                 let ColdCause::Cold(reported) = case.cause else {
--- a/crates/cherrystandd/tests/failures.rs
+++ b/crates/cherrystandd/tests/failures.rs
@@ -24,7 +24,7 @@
         let mut cluster =
             Cluster::serving(Setup { replicas: 1, boxes: 3, ..Setup::default() }).await;
         cluster.set(cluster.boxes[0].address, json!({"token_us": 100_000})).await;
-        let stream = cluster.ask_model(1, "long", 100, true).await.expect("a stream");
+        let stream = cluster.send_model_request(1, "long", 100, true).await.expect("a stream");
         assert_eq!(stream.status(), StatusCode::OK);
         let reading = tokio::task::spawn_local(stream.into_body().collect());
         tokio::time::sleep(Duration::from_millis(500)).await;
@@ -35,7 +35,8 @@
         assert!(!text.contains("[DONE]"), "{text}");
         for daemon in 0..3 {
             let is_repaired = || async {
-                let answer = cluster.ask_model(daemon, "again", 2, false).await.expect("an answer");
+                let answer =
+                    cluster.send_model_request(daemon, "again", 2, false).await.expect("an answer");
                 let told = answer.headers()["cherrystand-outcome"].clone();
                 assert!(told == "ran" || told == "not-run", "{told:?}");
                 answer.status() == StatusCode::OK
@@ -74,7 +75,7 @@
     run(async {
         let cluster = Cluster::serving(Setup { replicas: 1, boxes: 2, ..Setup::default() }).await;
         cluster.set(cluster.boxes[0].address, json!({"token_us": 11_000_000})).await;
-        let stream = cluster.ask_model(1, "slow", 2, true).await.expect("a stream");
+        let stream = cluster.send_model_request(1, "slow", 2, true).await.expect("a stream");
         let body = stream.into_body().collect().await.expect("an end").to_bytes();
         let text = String::from_utf8_lossy(&body).into_owned();
         assert!(text.contains("[DONE]") && !text.contains("event: error"), "{text}");
@@ -89,12 +90,14 @@
             cluster.set(stand_in.address, json!({"token_us": 50_000})).await;
         }
         let stopping = cluster.daemons[0].callers;
-        let stream = cluster.ask_model(0, "slow", 40, true).await.expect("a stream");
+        let stream = cluster.send_model_request(0, "slow", 40, true).await.expect("a stream");
         cluster.daemons[0].process.signal("TERM");
         let not_ready = || async { !cluster.is_ready(stopping).await };
         cluster.wait_until("the daemon is not ready", not_ready).await;
-        let late_answer =
-            cluster.ask_model(0, "late", 2, false).await.expect("an answer while it lingers");
+        let late_answer = cluster
+            .send_model_request(0, "late", 2, false)
+            .await
+            .expect("an answer while it lingers");
         assert_eq!(late_answer.status(), StatusCode::OK);
         let body = stream.into_body().collect().await.expect("a whole stream").to_bytes();
         let text = "slow".to_owned();
@@ -116,7 +119,7 @@
     while !stop.get() {
         requests += 1;
         let text = format!("daemon {daemon} asks {requests}");
-        let stream = cluster.ask_model(daemon, &text, 30, true).await.expect("a stream");
+        let stream = cluster.send_model_request(daemon, &text, 30, true).await.expect("a stream");
         assert_eq!(stream.status(), StatusCode::OK, "{text}");
         let body = stream.into_body().collect().await.expect("a whole stream").to_bytes();
         let prompt = Prompt { text, tokens: 30, stream: true, model: "m".to_owned(), chat: true };
@@ -160,7 +163,8 @@
             let to = cluster.daemons[daemon].callers;
             let checked = cluster.send(to, Method::GET, "/consent/1", &[], "").await;
             assert_eq!(checked.expect("an answer").status, StatusCode::OK, "daemon {daemon}");
-            let answer = cluster.ask_model(daemon, "outage", 2, false).await.expect("an answer");
+            let answer =
+                cluster.send_model_request(daemon, "outage", 2, false).await.expect("an answer");
             assert_eq!(answer.status(), StatusCode::OK, "daemon {daemon}");
         }
         let key = [("idempotency-key", "k"), ("cherrystand-deadline-ms", "700")];
--- a/crates/cherrystandd/tests/homes.rs
+++ b/crates/cherrystandd/tests/homes.rs
@@ -10,7 +10,7 @@
 use support::caller_requests::{
     CallerRequest, describe_first_failure, is_served, prefix_with_case, run_cases, send_to_all,
 };
-use support::site::{CALL, STREAM, Site, config};
+use support::site::{MODEL_PATH, SERVICE_PATH, Site, config};
 
 /// How often each daemon gets a request, and for how long requests are sent.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(50);
@@ -69,7 +69,7 @@
             set_regions(&mut config["tenants"][0], case.tenant);
             let site = Site::in_two_zones(2, &config).await;
             let mut wrong = Vec::new();
-            for path in [STREAM, CALL] {
+            for path in [MODEL_PATH, SERVICE_PATH] {
                 let before = site.site.arrivals().len();
                 let asked = send_to_all(&site.nodes, path, REQUEST_INTERVAL, REQUEST_PERIOD).await;
                 let arrivals = site.site.arrivals().split_off(before);
@@ -81,7 +81,9 @@
                 // Endpoints of a plain service in the daemons' own zone come first.
                 let allowed: BTreeSet<&str> = case.zones.iter().copied().collect();
                 let is_right = match path {
-                    CALL => reached.is_subset(&allowed) && reached.is_empty() == allowed.is_empty(),
+                    SERVICE_PATH => {
+                        reached.is_subset(&allowed) && reached.is_empty() == allowed.is_empty()
+                    }
                     _ => reached == allowed,
                 };
                 if !is_right {
--- a/crates/cherrystandd/tests/large_configuration.rs
+++ b/crates/cherrystandd/tests/large_configuration.rs
@@ -15,7 +15,7 @@
 use cherrystand_testkit::whole_stream;
 use hyper::{Method, StatusCode};
 use serde_json::{Value, json};
-use support::site::{CALL, Node, Site, call, config, six_streams};
+use support::site::{Node, SERVICE_PATH, Site, call, config, six_streams};
 use support::{call_at, peer_bytes, wait_until};
 
 /// The number of routes that the configuration grows by.
@@ -63,7 +63,7 @@
             for node in &site.nodes {
                 wait_until("a node has the new key", async || {
                     let id = format!("v{version}-{}", node.callers.port());
-                    call(node, "POST", CALL, &id, &key).await.status == StatusCode::OK
+                    call(node, "POST", SERVICE_PATH, &id, &key).await.status == StatusCode::OK
                 })
                 .await;
             }
--- a/crates/cherrystandd/tests/leaving.rs
+++ b/crates/cherrystandd/tests/leaving.rs
@@ -7,7 +7,7 @@
 
 use cherrystand_testkit::{LinkMode, StoreMode};
 use support::caller_requests::{daemon_of, prefix_with_case, run_cases, send_to_all};
-use support::site::{CALL, Site};
+use support::site::{SERVICE_PATH, Site};
 
 /// How often each daemon gets a request.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(50);
@@ -122,8 +122,12 @@
         let all = cases.into_iter().map(|case| async move {
             let site = Site::serving(3).await;
             let reader = site.store_reader().await;
-            let asking =
-                send_to_all(&site.nodes, CALL, REQUEST_INTERVAL, Duration::from_millis(3_800));
+            let asking = send_to_all(
+                &site.nodes,
+                SERVICE_PATH,
+                REQUEST_INTERVAL,
+                Duration::from_millis(3_800),
+            );
             let leaving = async {
                 tokio::time::sleep(Duration::from_millis(500)).await;
                 // A watch starts right after a change, so that it has long to wait.
@@ -161,8 +165,12 @@
 fn a_resumed_daemon_does_not_keep_boxes_that_left_during_its_pause() {
     support::run(async {
         let site = Site::serving(1).await;
-        let asking =
-            send_to_all(&site.nodes, CALL, REQUEST_INTERVAL, PAUSE + Duration::from_secs(3));
+        let asking = send_to_all(
+            &site.nodes,
+            SERVICE_PATH,
+            REQUEST_INTERVAL,
+            PAUSE + Duration::from_secs(3),
+        );
         let leaving = async {
             ReaderFault::Paused.begin(&site, 0);
             tokio::time::sleep(Duration::from_millis(300)).await;
--- a/crates/cherrystandd/tests/limits.rs
+++ b/crates/cherrystandd/tests/limits.rs
@@ -11,7 +11,7 @@
     CallerRequest, daemon_of, describe_first_failure, is_served, prefix_with_case, run_cases,
     send_to_all,
 };
-use support::site::{CALL, STREAM, Site};
+use support::site::{MODEL_PATH, SERVICE_PATH, Site};
 
 /// How often each daemon gets a request.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(100);
@@ -33,7 +33,7 @@
 /// Returns the boxes that serve a path.
 fn boxes_of(site: &Site, path: &str) -> Vec<String> {
     match path {
-        CALL => ["a-1", "a-2"].map(str::to_owned).to_vec(),
+        SERVICE_PATH => ["a-1", "a-2"].map(str::to_owned).to_vec(),
         _ => site.site.leaders().into_keys().collect(),
     }
 }
@@ -73,13 +73,13 @@
     let (healthy, limit) = (BoxWishes::default(), BoxWishes::limit("3.5"));
     let case = Case {
         name: "one of two",
-        path: STREAM,
+        path: MODEL_PATH,
         wishes: [limit, healthy],
         every: [Some(REQUEST_INTERVAL); 3],
         min_served: 1.0,
     };
     let cases = [
-        Case { name: "one of two, a plain service", path: CALL, ..case },
+        Case { name: "one of two, a plain service", path: SERVICE_PATH, ..case },
         Case {
             name: "in every other answer",
             wishes: [BoxWishes { limit_in: LimitIn::EverySecond, ..limit }, healthy],
@@ -100,7 +100,7 @@
         Case { name: "both", wishes: [limit; 2], min_served: 0.15, ..case },
         Case {
             name: "both, a plain service",
-            path: CALL,
+            path: SERVICE_PATH,
             wishes: [limit; 2],
             min_served: 0.15,
             ..case
@@ -201,7 +201,7 @@
         let all = cases.into_iter().map(|case| async move {
             let site = Site::serving_with_start_times(3).await;
             site.site.set_wishes("a-1", BoxWishes::limit(case.first));
-            let asking = send_to_all(&site.nodes, CALL, REQUEST_INTERVAL, REQUEST_PERIOD);
+            let asking = send_to_all(&site.nodes, SERVICE_PATH, REQUEST_INTERVAL, REQUEST_PERIOD);
             let changing = async {
                 tokio::time::sleep(CHANGE_AFTER).await;
                 match case.change {
--- a/crates/cherrystandd/tests/site.rs
+++ b/crates/cherrystandd/tests/site.rs
@@ -7,7 +7,9 @@
 
 use cherrystand_testkit::{BoxMode, StoreMode, whole_stream};
 use hyper::StatusCode;
-use support::site::{CALL, Node, STREAM, Site, call, config, is_ready, send, six_streams};
+use support::site::{
+    MODEL_PATH, Node, SERVICE_PATH, Site, call, config, is_ready, send, six_streams,
+};
 use support::{call_at, wait_until};
 
 #[test]
@@ -21,28 +23,29 @@
         .await;
         assert!(!is_ready(node).await);
         // A node without a configuration refuses and names a time to retry.
-        let early = call(node, "POST", CALL, "early", "k1").await;
+        let early = call(node, "POST", SERVICE_PATH, "early", "k1").await;
         assert_eq!(early.status, StatusCode::SERVICE_UNAVAILABLE);
         assert!(!early.header("retry-after").is_empty());
         site.site.configure(&config(1, "/calls/", &["k1"]));
         wait_until("the node is ready", async || is_ready(node).await).await;
         wait_until("two replicas serve", async || site.site.leaders().len() == 2).await;
         wait_until("models answer", async || {
-            call(node, "GET", STREAM, "warm", "k1").await.status == StatusCode::OK
+            call(node, "GET", MODEL_PATH, "warm", "k1").await.status == StatusCode::OK
         })
         .await;
-        let story = call(node, "POST", STREAM, "s1", "k1").await;
+        let story = call(node, "POST", MODEL_PATH, "s1", "k1").await;
         assert_eq!((story.status, story.text()), (StatusCode::OK, whole_stream("s1")));
         assert!(story.header("cherrystand-response-seal").starts_with("seal."));
-        let answer = call(node, "POST", CALL, "c1", "k1").await;
+        let answer = call(node, "POST", SERVICE_PATH, "c1", "k1").await;
         assert_eq!((answer.status, answer.text().as_str()), (StatusCode::OK, "answer to c1"));
-        for (path, key, status) in
-            [(CALL, "k2", StatusCode::UNAUTHORIZED), ("/elsewhere", "k1", StatusCode::NOT_FOUND)]
-        {
+        for (path, key, status) in [
+            (SERVICE_PATH, "k2", StatusCode::UNAUTHORIZED),
+            ("/elsewhere", "k1", StatusCode::NOT_FOUND),
+        ] {
             assert_eq!(call(node, "POST", path, "x", key).await.status, status, "{path} {key}");
         }
         let bearer = [("authorization", "Bearer k1")];
-        let large = send(node, "POST", CALL, "l1", &bearer, &"x".repeat(3_000)).await;
+        let large = send(node, "POST", SERVICE_PATH, "l1", &bearer, &"x".repeat(3_000)).await;
         assert_eq!(large.status, StatusCode::PAYLOAD_TOO_LARGE);
         assert!(site.site.runs_of("l1").is_empty() && site.site.runs_of("x").is_empty());
         let metrics = call_at(node.operators, "GET", "/metrics", &[], "").await;
@@ -131,8 +134,10 @@
         let mut site = Site::serving(1).await;
         let node = &site.nodes[0];
         for case in &cases {
-            let (answer, story) =
-                tokio::join!(raw(node, &case.bytes), call(node, "POST", STREAM, case.name, "k1"));
+            let (answer, story) = tokio::join!(
+                raw(node, &case.bytes),
+                call(node, "POST", MODEL_PATH, case.name, "k1")
+            );
             assert_eq!(answer, case.answer, "{}", case.name);
             assert_eq!(story.text(), whole_stream(case.name), "{}", case.name);
         }
@@ -470,7 +475,7 @@
         tokio::time::sleep(Duration::from_millis(400)).await;
         let before = site.site.arrivals().len();
         for number in 0..8 {
-            let answer = call(node, "POST", CALL, &format!("c{number}"), "k1").await;
+            let answer = call(node, "POST", SERVICE_PATH, &format!("c{number}"), "k1").await;
             assert_eq!(answer.status, StatusCode::OK);
         }
         let arrivals = site.site.arrivals().split_off(before);
@@ -484,7 +489,7 @@
         site.site.list("a-1");
         site.site.store.put("op/config", "not base64!".to_owned());
         wait_until("a-1 is chosen again", async || {
-            let _ = call(node, "POST", CALL, "again", "k1").await;
+            let _ = call(node, "POST", SERVICE_PATH, "again", "k1").await;
             site.site.runs_of("again").iter().any(|(id, _)| id == "a-1")
         })
         .await;
@@ -505,7 +510,7 @@
         let calls = (0..6).map(|number| {
             let id = format!("s{number}");
             let node = &site.nodes[0];
-            async move { call(node, "POST", STREAM, &id, "k1").await.status }
+            async move { call(node, "POST", MODEL_PATH, &id, "k1").await.status }
         });
         let answers = futures_util::future::join_all(calls).await;
         assert!(answers.iter().all(|status| *status == StatusCode::OK), "{answers:?}");
@@ -527,11 +532,17 @@
         runs: usize,
     }
     let cases = [
-        Case { name: "shed", mood: BoxMode::Sheds, path: CALL, status: StatusCode::OK, runs: 1 },
+        Case {
+            name: "shed",
+            mood: BoxMode::Sheds,
+            path: SERVICE_PATH,
+            status: StatusCode::OK,
+            runs: 1,
+        },
         Case {
             name: "lost",
             mood: BoxMode::LosesAnswers,
-            path: CALL,
+            path: SERVICE_PATH,
             status: StatusCode::BAD_GATEWAY,
             runs: 1,
         },
@@ -545,7 +556,7 @@
         Case {
             name: "failed",
             mood: BoxMode::Fails,
-            path: CALL,
+            path: SERVICE_PATH,
             status: StatusCode::INTERNAL_SERVER_ERROR,
             runs: 1,
         },
@@ -629,7 +640,7 @@
                 site.site.set_mode(["a-1", "a-2"][index], mood);
                 site.site.set_mode(&leaders[index], mood);
             }
-            for path in ["/looks/1", STREAM] {
+            for path in ["/looks/1", MODEL_PATH] {
                 for attempt in 0..6 {
                     let id = format!("t{number}-{attempt}{path}").replace('/', "-");
                     let answer = call(node, "POST", path, &id, "k1").await;
@@ -660,7 +671,10 @@
                 call(node, "POST", "/moved/1", "m", "k1").await.status,
                 StatusCode::UNAUTHORIZED
             );
-            assert_eq!(call(node, "POST", CALL, "m", "k2").await.status, StatusCode::NOT_FOUND);
+            assert_eq!(
+                call(node, "POST", SERVICE_PATH, "m", "k2").await.status,
+                StatusCode::NOT_FOUND
+            );
         }
     });
 }
@@ -672,7 +686,7 @@
         let node = &site.nodes[0];
         site.site.set_store_mode(0, StoreMode::Silent);
         tokio::time::sleep(Duration::from_millis(500)).await;
-        assert_eq!(call(node, "POST", STREAM, "s1", "k1").await.text(), whole_stream("s1"));
+        assert_eq!(call(node, "POST", MODEL_PATH, "s1", "k1").await.text(), whole_stream("s1"));
         assert!(is_ready(node).await);
         site.site.store.drop_history();
         site.site.configure(&config(2, "/moved/", &["k1"]));
@@ -698,13 +712,13 @@
         }
         site.site.set_store_mode(0, StoreMode::Open);
         tokio::time::sleep(Duration::from_millis(1_500)).await;
-        assert_eq!(call(node, "POST", STREAM, "s1", "k1").await.text(), whole_stream("s1"));
+        assert_eq!(call(node, "POST", MODEL_PATH, "s1", "k1").await.text(), whole_stream("s1"));
         for id in all {
             site.site.list(id);
         }
         tokio::time::sleep(Duration::from_millis(4_500)).await;
         assert_eq!(site.site.leaders(), before);
-        assert_eq!(call(node, "POST", CALL, "c1", "k1").await.status, StatusCode::OK);
+        assert_eq!(call(node, "POST", SERVICE_PATH, "c1", "k1").await.status, StatusCode::OK);
     });
 }
 
@@ -719,7 +733,7 @@
             tokio::time::sleep(Duration::from_millis(100)).await;
             assert!(!is_ready(node).await);
         };
-        let (story, ()) = tokio::join!(call(node, "POST", STREAM, "s1", "k1"), stop);
+        let (story, ()) = tokio::join!(call(node, "POST", MODEL_PATH, "s1", "k1"), stop);
         assert_eq!((story.status, story.text()), (StatusCode::OK, whole_stream("s1")));
         wait_until("the daemon exits", || {
             let ended = site.nodes[0].process.has_ended();
@@ -765,7 +779,7 @@
             for (number, node) in site.nodes.iter().enumerate() {
                 wait_until("a node has the new key", async || {
                     let id = format!("v{version}-{number}");
-                    call(node, "POST", CALL, &id, &key).await.status == StatusCode::OK
+                    call(node, "POST", SERVICE_PATH, &id, &key).await.status == StatusCode::OK
                 })
                 .await;
             }
@@ -787,11 +801,11 @@
         status: StatusCode,
     }
     let cases = [
-        Case { name: "a call", path: CALL, door: StoreMode::Open, status: StatusCode::OK },
-        Case { name: "a stream", path: STREAM, door: StoreMode::Open, status: StatusCode::OK },
+        Case { name: "a call", path: SERVICE_PATH, door: StoreMode::Open, status: StatusCode::OK },
+        Case { name: "a stream", path: MODEL_PATH, door: StoreMode::Open, status: StatusCode::OK },
         Case {
             name: "no store and no peer answers",
-            path: CALL,
+            path: SERVICE_PATH,
             door: StoreMode::Silent,
             status: StatusCode::SERVICE_UNAVAILABLE,
         },
@@ -848,7 +862,7 @@
             site.add_daemon(no_peer).await;
             let node = site.nodes.last().expect("just started");
             wait_until(case.name, async || {
-                call(node, "GET", STREAM, case.name, "k1").await.status == StatusCode::OK
+                call(node, "GET", MODEL_PATH, case.name, "k1").await.status == StatusCode::OK
             })
             .await;
             let metrics = call_at(node.operators, "GET", "/metrics", &[], "").await.text();
--- a/crates/cherrystandd/tests/slow_readers.rs
+++ b/crates/cherrystandd/tests/slow_readers.rs
@@ -7,8 +7,8 @@
 
 use cherrystand_testkit::BoxWishes;
 use futures_util::future::join_all;
-use support::caller_requests::{ask, describe_failures, is_served, send_to_all};
-use support::site::{CALL, Node, STREAM, Site};
+use support::caller_requests::{describe_failures, is_served, send_request, send_to_all};
+use support::site::{MODEL_PATH, Node, SERVICE_PATH, Site};
 use support::{call_at, wait_until};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
@@ -22,7 +22,7 @@
     socket.set_recv_buffer_size(RECEIVE_BUFFER_BYTES).expect("a small window");
     let mut caller = socket.connect(node.callers).await.expect("a connection");
     let head = format!(
-        "POST {STREAM} HTTP/1.1\r\nHost: site.example\r\nCherrystand-Request-Id: {id}\r\n\
+        "POST {MODEL_PATH} HTTP/1.1\r\nHost: site.example\r\nCherrystand-Request-Id: {id}\r\n\
          Cherrystand-Deadline-Ms: 5000\r\nCherrystand-Model: m\r\n\
          Cherrystand-Token-Usage: 100,80\r\nAuthorization: Bearer k1\r\n\
          Content-Length: 4\r\nConnection: close\r\n\r\nbody"
@@ -84,7 +84,7 @@
             site.site.set_wishes(&leader, BoxWishes::default());
         }
         let asked =
-            send_to_all(&site.nodes, STREAM, Duration::from_millis(50), Duration::from_secs(1));
+            send_to_all(&site.nodes, MODEL_PATH, Duration::from_millis(50), Duration::from_secs(1));
         let asked = asked.await;
         assert_eq!(describe_failures(&asked), None);
     });
@@ -119,10 +119,10 @@
             site.site.set_wishes(leader, BoxWishes::default());
         }
         let asked =
-            send_to_all(&site.nodes, STREAM, Duration::from_millis(40), Duration::from_secs(2));
+            send_to_all(&site.nodes, MODEL_PATH, Duration::from_millis(40), Duration::from_secs(2));
         let asked = asked.await;
         assert_eq!(describe_failures(&asked), None);
-        let peak = node.process.peak_kb();
+        let peak = node.process.peak_memory_kb();
         assert!(peak < MAX_MEMORY_KB, "{peak} KB");
         drop(slow);
         wait_until("no memory is held", async || {
@@ -159,14 +159,14 @@
             let answering = answer_once(&listener, case.length);
             let asking = async {
                 tokio::time::sleep(Duration::from_millis(300)).await;
-                ask(&site.nodes[0], CALL, "r-1".to_owned()).await
+                send_request(&site.nodes[0], SERVICE_PATH, "r-1".to_owned()).await
             };
             let (asked, _held) = tokio::join!(asking, answering);
             assert_eq!(asked.answer.status, 502, "{}", case.name);
             assert!(asked.elapsed < ANSWER_TIMEOUT, "{}: {:?}", case.name, asked.elapsed);
             assert!(!site.nodes[0].process.has_ended(), "{}", case.name);
         }
-        let asked = ask(&site.nodes[0], STREAM, "n0-1".to_owned()).await;
+        let asked = send_request(&site.nodes[0], MODEL_PATH, "n0-1".to_owned()).await;
         assert!(is_served(&asked), "{}", asked.answer.status);
         assert!(metrics(&site.nodes[0]).await.contains("cherrystand_bytes_held 0"));
     });
--- a/crates/cherrystandd/tests/store_drills.rs
+++ b/crates/cherrystandd/tests/store_drills.rs
@@ -10,7 +10,7 @@
 use futures_util::future::join_all;
 use hyper::StatusCode;
 use support::caller_requests::{describe_failures, run_cases, send_to_all};
-use support::site::{CALL, Node, STREAM, Site, call, config};
+use support::site::{MODEL_PATH, Node, SERVICE_PATH, Site, call, config};
 use support::wait_until;
 
 /// The length of each step: the outage of the store, the time until keys are rewritten, and the
@@ -68,17 +68,19 @@
     let status = async |path, key| call(node, "POST", path, "after", key).await.status;
     match change {
         Change::RouteMoved => {
-            let (moved, before) = (status("/moved/1", "k1").await, status(CALL, "k1").await);
+            let (moved, before) =
+                (status("/moved/1", "k1").await, status(SERVICE_PATH, "k1").await);
             let is_right = moved == StatusCode::OK && before == StatusCode::NOT_FOUND;
             (!is_right).then(|| format!("{moved} at the new place, {before} at the old one"))
         }
         Change::KeyRevoked => {
-            let revoked = status(CALL, "k2").await;
+            let revoked = status(SERVICE_PATH, "k2").await;
             (revoked != StatusCode::UNAUTHORIZED).then(|| format!("{revoked} with a revoked key"))
         }
         Change::Leaving | Change::EntryRemoved => {
             let from = Instant::now();
-            let asked = send_to_all(&site.nodes, CALL, Duration::from_millis(50), STEP).await;
+            let asked =
+                send_to_all(&site.nodes, SERVICE_PATH, Duration::from_millis(50), STEP).await;
             let arrivals = site.site.arrivals().into_iter();
             let late = arrivals.filter(|got| got.target == "a-1" && got.at > from).count();
             let is_right = late == 0 && describe_failures(&asked).is_none();
@@ -134,6 +136,6 @@
         let fenced = site.site.refused_orders().into_iter().filter(|(_, _, status)| *status == 412);
         assert_eq!(fenced.collect::<Vec<_>>(), Vec::new());
         let node = &site.nodes[0];
-        assert_eq!(call(node, "POST", STREAM, "last", "k1").await.status, StatusCode::OK);
+        assert_eq!(call(node, "POST", MODEL_PATH, "last", "k1").await.status, StatusCode::OK);
     });
 }
--- a/crates/cherrystandd/tests/support/caller_requests.rs
+++ b/crates/cherrystandd/tests/support/caller_requests.rs
@@ -25,7 +25,7 @@
     request.split_once('-').map(|(daemon, _)| daemon.to_owned())
 }
 
-pub(crate) async fn ask(node: &Node, path: &str, id: String) -> CallerRequest {
+pub(crate) async fn send_request(node: &Node, path: &str, id: String) -> CallerRequest {
     let sent_at = Instant::now();
     let answer = call(node, "POST", path, &id, "k1").await;
     CallerRequest { id, sent_at, elapsed: sent_at.elapsed(), answer }
@@ -42,7 +42,8 @@
     let all = (0..rounds as u32).flat_map(|round| {
         nodes.iter().map(move |node| async move {
             tokio::time::sleep(interval * round).await;
-            ask(node, path, format!("n{}-{round}{}", node.number, path.replace('/', "-"))).await
+            send_request(node, path, format!("n{}-{round}{}", node.number, path.replace('/', "-")))
+                .await
         })
     });
     futures_util::future::join_all(all).await
--- a/crates/cherrystandd/tests/support/mod.rs
+++ b/crates/cherrystandd/tests/support/mod.rs
@@ -33,7 +33,7 @@
     }
 
     /// Returns the peak memory use of the process, in KB.
-    pub(crate) fn peak_kb(&self) -> u64 {
+    pub(crate) fn peak_memory_kb(&self) -> u64 {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id()));
         let status = status.expect("its status");
         let line = status.lines().find_map(|line| line.strip_prefix("VmHWM:"));
@@ -326,7 +326,7 @@
     }
 
     /// Sends a model request to a daemon.
-    pub(crate) async fn ask_model(
+    pub(crate) async fn send_model_request(
         &self,
         daemon: usize,
         text: &str,
@@ -444,7 +444,7 @@
 }
 
 /// Starts a program with the given settings.
-pub(crate) fn start_in(name: &str, settings: &str, address: SocketAddr) -> Process {
+pub(crate) fn start_with_settings(name: &str, settings: &str, address: SocketAddr) -> Process {
     let dir = std::env::temp_dir().join(format!("cherrystand-test-{}", address.port()));
     std::fs::create_dir_all(&dir).expect("a directory");
     let file = dir.join("settings.toml");
--- a/crates/cherrystandd/tests/support/site.rs
+++ b/crates/cherrystandd/tests/support/site.rs
@@ -7,12 +7,12 @@
 use hyper::StatusCode;
 use serde_json::Value;
 
-use super::{Answer, Process, call_at, free_addresses, start_in, wait_until};
+use super::{Answer, Process, call_at, free_addresses, start_with_settings, wait_until};
 
 /// The path of a request to a service.
-pub(crate) const CALL: &str = "/calls/1";
+pub(crate) const SERVICE_PATH: &str = "/calls/1";
 /// The path of a streaming request to a model.
-pub(crate) const STREAM: &str = "/stories/1";
+pub(crate) const MODEL_PATH: &str = "/stories/1";
 
 /// The number of addresses that one daemon listens on.
 const NODE_ADDRESSES: usize = 5;
@@ -92,7 +92,7 @@
         for node in &site.nodes {
             wait_until("a node is ready", async || is_ready(node).await).await;
             // A configuration may allow no zone to serve, so a timeout is not a failure.
-            let served = async || call(node, "GET", STREAM, "warm", "k1").await.status;
+            let served = async || call(node, "GET", MODEL_PATH, "warm", "k1").await.status;
             let _ = tokio::time::timeout(
                 WARM_UP_TIMEOUT,
                 wait_until("a node serves", async || served().await == StatusCode::OK),
@@ -160,7 +160,7 @@
         for node in &site.nodes {
             wait_until("a node is ready", async || is_ready(node).await).await;
             wait_until("a node serves", async || {
-                call(node, "GET", STREAM, "warm", "k1").await.status == StatusCode::OK
+                call(node, "GET", MODEL_PATH, "warm", "k1").await.status == StatusCode::OK
             })
             .await;
         }
@@ -189,7 +189,7 @@
         retry_slack,
         suspended_ms: SUSPENDED_MS,
     };
-    let process = start_in("cherrystandd", &settings.to_string(), own[0]);
+    let process = start_with_settings("cherrystandd", &settings.to_string(), own[0]);
     Node { number, process, callers: own[0], ready: own[2], operators: own[1], peers: own[3] }
 }
 
@@ -225,7 +225,7 @@
 pub(crate) async fn six_streams(node: &Node) -> Vec<(Answer, String)> {
     let all = (0..6).map(|number| {
         let id = format!("s{number}");
-        async move { (call(node, "POST", STREAM, &id, "k1").await, id) }
+        async move { (call(node, "POST", MODEL_PATH, &id, "k1").await, id) }
     });
     futures_util::future::join_all(all).await
 }
--- a/crates/cherrystandd/tests/suspensions.rs
+++ b/crates/cherrystandd/tests/suspensions.rs
@@ -7,7 +7,7 @@
 
 use cherrystand_testkit::{BoxMode, whole_stream};
 use hyper::StatusCode;
-use support::site::{CALL, STREAM, Site, call, is_ready};
+use support::site::{MODEL_PATH, SERVICE_PATH, Site, call, is_ready};
 use support::{call_at, wait_until};
 
 /// How long after the request arrived the machine is suspended.
@@ -27,8 +27,8 @@
         stalled: &'static [&'static str],
     }
     let cases = [
-        Case { name: "a stream", path: STREAM, stalled: &["i-1", "i-2", "i-3", "i-4", "i-5"] },
-        Case { name: "a call", path: CALL, stalled: &["a-1", "a-2"] },
+        Case { name: "a stream", path: MODEL_PATH, stalled: &["i-1", "i-2", "i-3", "i-4", "i-5"] },
+        Case { name: "a call", path: SERVICE_PATH, stalled: &["a-1", "a-2"] },
     ];
     support::run(async {
         let all = cases.into_iter().map(|case| async move {
@@ -68,9 +68,9 @@
         let began = Instant::now();
         for number in 0..20 {
             let (stream, id) = (format!("s{number}"), format!("c{number}"));
-            let answer = call(node, "POST", STREAM, &stream, "k1").await;
+            let answer = call(node, "POST", MODEL_PATH, &stream, "k1").await;
             assert_eq!(answer.text(), whole_stream(&stream));
-            assert_eq!(call(node, "POST", CALL, &id, "k1").await.status, StatusCode::OK);
+            assert_eq!(call(node, "POST", SERVICE_PATH, &id, "k1").await.status, StatusCode::OK);
             if began.elapsed() > Duration::from_secs(4) {
                 break;
             }
--- a/crates/cherrystandd/tests/unsealed_answers.rs
+++ b/crates/cherrystandd/tests/unsealed_answers.rs
@@ -4,8 +4,8 @@
 mod support;
 
 use cherrystand_testkit::BoxWishes;
-use support::caller_requests::{ask, is_served};
-use support::site::{CALL, STREAM, Site, call};
+use support::caller_requests::{is_served, send_request};
+use support::site::{MODEL_PATH, SERVICE_PATH, Site, call};
 
 /// A success that its endpoint did not seal reaches no caller. An idempotent request is retried at
 /// another endpoint; the caller of a non-idempotent one learns that it may have run.
@@ -20,9 +20,9 @@
             site.site.set_wishes(id, unsealed);
         }
         for number in 0..8 {
-            let asked = ask(node, STREAM, format!("n0-{number}")).await;
+            let asked = send_request(node, MODEL_PATH, format!("n0-{number}")).await;
             assert!(is_served(&asked), "{}", asked.answer.status);
-            let once = call(node, "POST", CALL, &format!("once-{number}"), "k1").await;
+            let once = call(node, "POST", SERVICE_PATH, &format!("once-{number}"), "k1").await;
             let runs = site.site.runs_of(&format!("once-{number}"));
             let is_sealed = runs.iter().all(|(id, _)| id == "a-2");
             assert_eq!(once.status, if is_sealed { 200 } else { 502 }, "{runs:?}");
--- a/crates/cherrystandd/tests/whole_path.rs
+++ b/crates/cherrystandd/tests/whole_path.rs
@@ -22,7 +22,8 @@
         for daemon in 0..cluster.daemons.len() {
             for stream in [false, true] {
                 let text = format!("daemon {daemon}");
-                let answer = cluster.ask_model(daemon, &text, 5, stream).await.expect("an answer");
+                let answer =
+                    cluster.send_model_request(daemon, &text, 5, stream).await.expect("an answer");
                 assert_eq!(answer.headers()["cherrystand-outcome"], "ran");
                 let body = answer.into_body().collect().await.expect("a body").to_bytes();
                 let expected = prompt(&text, 5, stream);
@@ -154,7 +155,7 @@
         peer.write_all(&[&sp_header[..], &message].concat()).expect("written");
         tokio::time::sleep(std::time::Duration::from_millis(600)).await;
         for number in 0..cluster.daemons.len() {
-            let answer = cluster.ask_model(number, "still there", 2, false).await;
+            let answer = cluster.send_model_request(number, "still there", 2, false).await;
             assert_eq!(answer.expect("an answer").status(), StatusCode::OK);
         }
         let hears_both = || async { cluster.reachable_daemons(0).await == 2 };
--- a/crates/cherrystandd/tests/wishes.rs
+++ b/crates/cherrystandd/tests/wishes.rs
@@ -8,10 +8,10 @@
 use cherrystand_testkit::{BoxWishes, Sheds, Signal, StoreMode, ignored_signals};
 use hyper::StatusCode;
 use support::caller_requests::{
-    CallerRequest, ask, daemon_of, describe_failures, describe_first_failure, is_served,
-    prefix_with_case, run_cases, send_to_all,
+    CallerRequest, daemon_of, describe_failures, describe_first_failure, is_served,
+    prefix_with_case, run_cases, send_request, send_to_all,
 };
-use support::site::{CALL, Node, STREAM, Site, call};
+use support::site::{MODEL_PATH, Node, SERVICE_PATH, Site, call};
 use support::wait_until;
 
 /// How often each daemon gets a request of each kind.
@@ -54,11 +54,16 @@
     }
     let (healthy, backoff) = (BoxWishes::default(), BoxWishes::rest(Sheds::All, "1.5"));
     let case =
-        Case { name: "one of two", wishes: [backoff, healthy], path: STREAM, min_served: 0.95 };
+        Case { name: "one of two", wishes: [backoff, healthy], path: MODEL_PATH, min_served: 0.95 };
     let cases = [
-        Case { name: "one of two, a plain service", path: CALL, ..case },
+        Case { name: "one of two, a plain service", path: SERVICE_PATH, ..case },
         Case { name: "both", wishes: [backoff; 2], min_served: 0.0, ..case },
-        Case { name: "both, a plain service", wishes: [backoff; 2], min_served: 0.0, path: CALL },
+        Case {
+            name: "both, a plain service",
+            wishes: [backoff; 2],
+            min_served: 0.0,
+            path: SERVICE_PATH,
+        },
         Case {
             name: "one daemon alone is refused",
             wishes: [BoxWishes::rest(Sheds::From("n0-"), "1.5"), healthy],
@@ -85,7 +90,7 @@
         let all = cases.into_iter().map(|case| async move {
             let site = Site::serving_with_start_times(3).await;
             let boxes: Vec<String> = match case.path {
-                CALL => ["a-1", "a-2"].map(str::to_owned).to_vec(),
+                SERVICE_PATH => ["a-1", "a-2"].map(str::to_owned).to_vec(),
                 _ => site.site.leaders().into_keys().collect(),
             };
             for (id, wishes) in boxes.iter().zip(case.wishes) {
@@ -119,9 +124,9 @@
         /// The maximum share of requests that may reach it.
         max_share: f64,
     }
-    let case = Case { name: "all", sheds: Sheds::All, path: STREAM, max_share: 0.2 };
+    let case = Case { name: "all", sheds: Sheds::All, path: MODEL_PATH, max_share: 0.2 };
     let cases = [
-        Case { name: "all, a plain service", path: CALL, ..case },
+        Case { name: "all, a plain service", path: SERVICE_PATH, ..case },
         // A replica that serves half of its requests is slow, not dead.
         Case { name: "every other one", sheds: Sheds::EverySecond, max_share: 0.5, ..case },
         case,
@@ -130,7 +135,7 @@
         let all = cases.into_iter().map(|case| async move {
             let site = Site::serving_with_start_times(1).await;
             let leaders = site.site.leaders().into_keys().collect::<Vec<_>>();
-            let sheds = if case.path == CALL { "a-1" } else { &leaders[0] };
+            let sheds = if case.path == SERVICE_PATH { "a-1" } else { &leaders[0] };
             let wishes = BoxWishes { sheds: case.sheds, ..BoxWishes::default() };
             site.site.set_wishes(sheds, wishes);
             let before = site.site.arrivals().len();
@@ -161,7 +166,7 @@
         for leader in &leaders {
             site.site.set_wishes(leader, BoxWishes::rest(Sheds::All, "2"));
         }
-        let asked = send_requests(&site.nodes, STREAM).await;
+        let asked = send_requests(&site.nodes, MODEL_PATH).await;
         let told = site.site.signals();
         let backoff_end = |target: &String, asked: &CallerRequest| {
             let own = told.iter().filter(|told| &told.target == target);
@@ -211,7 +216,7 @@
         };
         site.site.set_wishes("a-1", foreign_signals);
         wait_until("a-1 has answered with signals for another request", async || {
-            ask(node, CALL, "n0-lied".to_owned()).await;
+            send_request(node, SERVICE_PATH, "n0-lied".to_owned()).await;
             site.site.signals().iter().any(|told| told.target == "a-1")
         })
         .await;
@@ -220,7 +225,7 @@
         site.site.set_wishes("a-2", BoxWishes { sheds: Sheds::All, ..BoxWishes::default() });
         wait_until("a-1 gets requests again", async || {
             let id = format!("n0-{}", site.site.arrivals().len());
-            ask(node, CALL, id.clone()).await;
+            send_request(node, SERVICE_PATH, id.clone()).await;
             site.site.runs_of(&id).iter().any(|(target, _)| target == "a-1")
         })
         .await;
@@ -238,13 +243,13 @@
         }
         let node = &site.nodes[0];
         wait_until("both are in backoff", async || {
-            ask(node, CALL, "n0-rest".to_owned()).await;
+            send_request(node, SERVICE_PATH, "n0-rest".to_owned()).await;
             site.site.signals().len() >= 2
         })
         .await;
         site.site.restart("a-1", false);
         wait_until("the new incarnation serves", async || {
-            is_served(&ask(node, CALL, "n0-again".to_owned()).await)
+            is_served(&send_request(node, SERVICE_PATH, "n0-again".to_owned()).await)
         })
         .await;
         assert_eq!(violations(&site), Vec::<String>::new());
@@ -263,10 +268,14 @@
         /// How the store treats the first daemon in that time.
         door: StoreMode,
     }
-    let case =
-        Case { name: "in streams' heads", path: STREAM, sheds: Sheds::None, door: StoreMode::Open };
+    let case = Case {
+        name: "in streams' heads",
+        path: MODEL_PATH,
+        sheds: Sheds::None,
+        door: StoreMode::Open,
+    };
     let cases = [
-        Case { name: "in whole answers", path: CALL, ..case },
+        Case { name: "in whole answers", path: SERVICE_PATH, ..case },
         Case { name: "in refusals", sheds: Sheds::All, ..case },
         Case {
             name: "to a daemon that the store does not answer",
@@ -279,7 +288,7 @@
         let all = cases.into_iter().map(|case| async move {
             let site = Site::serving_with_start_times(2).await;
             let leaders = site.site.leaders().into_keys().collect::<Vec<_>>();
-            let leaving = if case.path == CALL { "a-1" } else { &leaders[0] };
+            let leaving = if case.path == SERVICE_PATH { "a-1" } else { &leaders[0] };
             site.site.set_store_mode(0, case.door);
             let wishes = BoxWishes { sheds: case.sheds, ..BoxWishes::leaving() };
             site.site.set_wishes(leaving, wishes);
@@ -306,7 +315,7 @@
         let leaving = site.site.leaders().into_keys().next().expect("a leader");
         site.site.set_wishes(&leaving, BoxWishes::leaving());
         wait_until("a replica without it serves in its place", async || {
-            call(&site.nodes[0], "POST", STREAM, "n0-s", "k1").await;
+            call(&site.nodes[0], "POST", MODEL_PATH, "n0-s", "k1").await;
             let leaders = site.site.leaders();
             leaders.len() == 2 && !leaders.values().flatten().any(|member| member == &leaving)
         })
