--- a/crates/cherrystand_core/benches/routing.rs
+++ b/crates/cherrystand_core/benches/routing.rs
@@ -35,13 +35,13 @@
     println!("{:>9} {:>9} {:>9}", "endpoints", "plain", "prefix");
     for endpoints in [10, 100, 1_000, 5_000] {
         let (mut router, group, _) = router(endpoints);
-        let mut seed = SeededRng::new(1);
+        let mut rng = SeededRng::new(1);
         let mut time = |prefixes: bool| {
             let began = Instant::now();
             for number in 0..u64::from(CHOICES) {
                 let prefix = prefixes.then_some(number.wrapping_mul(0x9e37_79b9));
                 let now = Millis(number);
-                if let Ok(key) = router.choose(group, prefix, now, &mut seed) {
+                if let Ok(key) = router.choose(group, prefix, now, &mut rng) {
                     let _ = router.start(key, now);
                     router.finish(black_box(key), AttemptEnd::Answered, now, Some(Millis(5)));
                 }
@@ -117,12 +117,12 @@
     for replicas in [10, 100, 1_000, 5_000] {
         for (name, rule) in rules {
             let mut balancer = balancer(rule, replicas);
-            let mut seed = SeededRng::new(1);
+            let mut rng = SeededRng::new(1);
             let choices = if rule == ChoiceRule::ExpectedCredit { CHOICES } else { CHOICES / 100 };
             let began = Instant::now();
             for number in 0..u64::from(choices) {
                 let now = Millis(number);
-                if let Some(key) = balancer.choose(ask, Some(&engine), &[], now, &mut seed) {
+                if let Some(key) = balancer.choose(ask, Some(&engine), &[], now, &mut rng) {
                     balancer.record_start(key, 700.0, false);
                     balancer.record_first_event(key, 700.0, false);
                     balancer.record_finish(black_box(key), 0.0, false);
@@ -154,7 +154,7 @@
 fn latencies(strategy: Strategy, load: f64, slow: u64) -> Vec<u64> {
     let (mut router, group, keys) = router(SERVERS);
     let mut servers = [Server::default(); SERVERS];
-    let mut seed = SeededRng::new(11);
+    let mut rng = SeededRng::new(11);
     let mut open: Vec<(u64, usize, u64)> = Vec::new();
     let mut reported = [0_u64; SERVERS];
     let (mut last_report, mut latencies) = (0, Vec::new());
@@ -176,11 +176,11 @@
             }
         }
         let server = match strategy {
-            Strategy::Cherrystand => match router.choose(group, None, Millis(now), &mut seed) {
+            Strategy::Cherrystand => match router.choose(group, None, Millis(now), &mut rng) {
                 Ok(key) => keys.iter().position(|other| *other == key).unwrap_or(0),
                 Err(_) => continue,
             },
-            Strategy::Random => seed.below(SERVERS),
+            Strategy::Random => rng.below(SERVERS),
             Strategy::RoundRobin => number as usize % SERVERS,
             Strategy::LeastReported => {
                 let least = reported.iter().min().copied().unwrap_or(0);
@@ -188,7 +188,7 @@
             }
         };
         let _ = router.start(keys[server], Millis(now));
-        let jitter = service / 2 + seed.below(service as usize) as u64;
+        let jitter = service / 2 + rng.below(service as usize) as u64;
         let takes = if server == 0 { jitter * slow } else { jitter };
         let begin = servers[server].free_at.max(now);
         servers[server].free_at = begin + takes;
--- a/crates/cherrystand_core/tests/choice.rs
+++ b/crates/cherrystand_core/tests/choice.rs
@@ -42,10 +42,10 @@
         regions: AllowedRegions::default(),
     };
     let engine = site_engine();
-    let mut seed = SeededRng::new(5);
+    let mut rng = SeededRng::new(5);
     let mut chosen = BTreeMap::new();
     for _ in 0..count {
-        let key = balancer.choose(request, Some(&engine), &[], now, &mut seed).expect("a replica");
+        let key = balancer.choose(request, Some(&engine), &[], now, &mut rng).expect("a replica");
         let id = balancer.box_id(key).expect("known").as_str().to_owned();
         *chosen.entry(id).or_default() += 1;
     }
--- a/crates/cherrystand_core/tests/crash_suspects.rs
+++ b/crates/cherrystand_core/tests/crash_suspects.rs
@@ -185,7 +185,7 @@
     /// meet a crash.
     const CRASHES_PER_MILLE: usize = 13;
     const REQUESTS: u128 = 200_000;
-    let mut seed = SeededRng::new(1);
+    let mut rng = SeededRng::new(1);
     let mut suspects = CrashSuspects::default();
     let mut refused = 0;
     for number in 0..REQUESTS {
@@ -198,7 +198,7 @@
                 break;
             }
             sent += 1;
-            if seed.below(1_000) >= CRASHES_PER_MILLE {
+            if rng.below(1_000) >= CRASHES_PER_MILLE {
                 suspects.record_served(request, at);
                 break;
             }
--- a/crates/cherrystand_core/tests/crash_trials.rs
+++ b/crates/cherrystand_core/tests/crash_trials.rs
@@ -68,7 +68,7 @@
 
 struct Simulation {
     scenario: Scenario,
-    seed: SeededRng,
+    rng: SeededRng,
     nodes: Vec<CrashSuspects>,
     replicas: Vec<Replica>,
     flights: Vec<Flight>,
@@ -92,7 +92,7 @@
         replicas.resize_with(scenario.replicas, Replica::default);
         Self {
             scenario,
-            seed: SeededRng::new(scenario.seed),
+            rng: SeededRng::new(scenario.seed),
             nodes,
             replicas,
             flights: Vec::new(),
@@ -120,7 +120,7 @@
             }
             let crash_interval = self.scenario.crashes_every_s * 1_000;
             if crash_interval > 0 && now.0.is_multiple_of(crash_interval) && now.0 > 0 {
-                let replica = self.seed.below(self.replicas.len());
+                let replica = self.rng.below(self.replicas.len());
                 self.crash_replica(replica, now);
             }
             now = now + STEP;
@@ -131,7 +131,7 @@
     }
 
     fn send_harmless(&mut self, node: usize, now: Millis) {
-        let is_identical = self.seed.below(100) < self.scenario.identical;
+        let is_identical = self.rng.below(100) < self.scenario.identical;
         let request = match is_identical {
             true => IDENTICAL,
             false => Fingerprint(1_000_000 + u128::from(now.0) * 100 + node as u128),
@@ -199,7 +199,7 @@
         let there: Vec<usize> = there.collect();
         let free: Vec<usize> = there.iter().copied().filter(|at| !taken.contains(at)).collect();
         let from = if free.is_empty() { &there } else { &free };
-        (!from.is_empty()).then(|| from[self.seed.below(from.len())])
+        (!from.is_empty()).then(|| from[self.rng.below(from.len())])
     }
 
     fn finish_flights(&mut self, now: Millis) {
--- a/crates/cherrystand_core/tests/lent_retries.rs
+++ b/crates/cherrystand_core/tests/lent_retries.rs
@@ -45,7 +45,7 @@
 struct Simulation {
     scenario: Scenario,
     bounds: RetryBounds,
-    seed: SeededRng,
+    rng: SeededRng,
     shares: Vec<RetryShare>,
     pools: Vec<EndpointRateLimits<usize>>,
     in_transit: BTreeMap<Millis, Vec<(usize, usize, RateLimitMessage)>>,
@@ -64,7 +64,7 @@
         Self {
             scenario,
             bounds,
-            seed: SeededRng::new(seed),
+            rng: SeededRng::new(seed),
             shares: vec![RetryShare::new(bounds); scenario.nodes],
             pools,
             in_transit: BTreeMap::new(),
@@ -85,7 +85,7 @@
         while now < DURATION {
             self.arrive(now);
             for _ in 0..self.draw(self.scenario.requests) {
-                let node = self.seed.below(self.scenario.nodes);
+                let node = self.rng.below(self.scenario.nodes);
                 self.shares[node].record_request(now);
                 self.requests.push(now);
             }
@@ -107,12 +107,12 @@
 
     fn draw(&mut self, per_second: f64) -> usize {
         let chance = per_second * STEP.as_secs_f64();
-        let more = (self.seed.below(1_000_000) as f64) < chance.fract() * 1e6;
+        let more = (self.rng.below(1_000_000) as f64) < chance.fract() * 1e6;
         chance as usize + usize::from(more)
     }
 
     fn fail(&mut self, now: Millis) {
-        let node = self.seed.below(self.scenario.nodes);
+        let node = self.rng.below(self.scenario.nodes);
         self.failed += 1;
         if self.shares[node].try_spend(now, self.scenario.nodes) {
             self.retries.push(now);
@@ -131,7 +131,7 @@
         self.pools[node].reassign_owners(now, owner_of);
         for (to, _, news) in self.pools[node].step(now, owner_of).messages {
             let RateLimitRecipient::Node(to) = to else { continue };
-            let delay = Millis(self.seed.below(2) as u64 * STEP.0);
+            let delay = Millis(self.rng.below(2) as u64 * STEP.0);
             let to = usize::from(to.port()) - 1_000;
             self.in_transit.entry(now + STEP + delay).or_default().push((node, to, news));
         }
--- a/crates/cherrystand_core/tests/site_formation.rs
+++ b/crates/cherrystand_core/tests/site_formation.rs
@@ -20,7 +20,7 @@
     record: DomainRecord,
     revision: u64,
     nodes: Vec<Node>,
-    seed: SeededRng,
+    rng: SeededRng,
     /// The percentage of orders that get no answer and are executed later.
     delayed_percent: usize,
     /// The home model of the domain.
@@ -53,13 +53,13 @@
             left_epochs: BTreeMap::new(),
         };
         let nodes = (0..nodes).map(|_| node()).collect();
-        let seed = SeededRng::new(seed);
+        let rng = SeededRng::new(seed);
         Self {
             domain,
             record,
             revision: 0,
             nodes,
-            seed,
+            rng,
             delayed_percent: 0,
             home: "large",
             second: None,
@@ -82,8 +82,8 @@
         let departed: Vec<&SiteBox> = node.departed.iter().collect();
         let engine = site_engine();
         // Occasionally a box is being probed.
-        let probed = self.seed.below(6) == 0;
-        let probed = boxes.get(self.seed.below(boxes.len().max(1))).filter(|_| probed);
+        let probed = self.rng.below(6) == 0;
+        let probed = boxes.get(self.rng.below(boxes.len().max(1))).filter(|_| probed);
         let probed: BTreeSet<BoxId> = probed.iter().map(|site_box| site_box.id.clone()).collect();
         let step = node.formation.step(FormationInput {
             now: self.domain.now(),
@@ -103,8 +103,8 @@
             policy: Policy::default(),
         });
         for order in &step.orders {
-            let is_late = self.seed.below(100) < self.delayed_percent;
-            let delay = is_late.then(|| Millis(2_000 + self.seed.below(10_000) as u64));
+            let is_late = self.rng.below(100) < self.delayed_percent;
+            let delay = is_late.then(|| Millis(2_000 + self.rng.below(10_000) as u64));
             let fence = order.fence(Revision::new(node.last_read.0));
             let end = self.domain.order(order, fence, delay);
             node.formation.record_order_end(order, end, silent.contains(&order.target));
@@ -375,9 +375,9 @@
         // A node may read the new record and still use an old list of boxes for seconds.
         let old_list = (kind == 4).then_some(number % 2);
         for _ in 0..steps {
-            let number = site.seed.below(2);
-            let reads = site.seed.below(4) > 0;
-            let lists = site.seed.below(4) > 0 && old_list != Some(number);
+            let number = site.rng.below(2);
+            let reads = site.rng.below(4) > 0;
+            let lists = site.rng.below(4) > 0 && old_list != Some(number);
             site.decide(number, reads, lists);
             site.domain.advance_time(STEP);
         }
@@ -496,7 +496,7 @@
             }
             for _ in 0..steps {
                 for node in 0..2 {
-                    let (reads, lists) = (site.seed.below(3) > 0, site.seed.below(3) > 0);
+                    let (reads, lists) = (site.rng.below(3) > 0, site.rng.below(3) > 0);
                     site.decide(node, reads, lists);
                 }
                 site.domain.advance_time(STEP);
--- a/crates/cherrystand_core/tests/site_losses.rs
+++ b/crates/cherrystand_core/tests/site_losses.rs
@@ -212,9 +212,9 @@
 }
 
 fn random_boxes(shape: Shape, count: usize, seed: u64) -> Vec<usize> {
-    let mut seed = SeededRng::new(seed);
+    let mut rng = SeededRng::new(seed);
     let mut all: Vec<usize> = (0..shape.boxes).collect();
-    (0..count).map(|_| all.swap_remove(seed.below(all.len()))).collect()
+    (0..count).map(|_| all.swap_remove(rng.below(all.len()))).collect()
 }
 
 #[test]
--- a/crates/cherrystandd/src/site/peer_selector.rs
+++ b/crates/cherrystandd/src/site/peer_selector.rs
@@ -19,13 +19,13 @@
 pub(crate) struct PeerSelector {
     cx: DutyContext,
     source_chooser: RefCell<SourceSelector>,
-    seed: Cell<SeededRng>,
+    rng: Cell<SeededRng>,
 }
 
 impl PeerSelector {
     pub(crate) fn new(cx: DutyContext) -> Self {
-        let seed = Cell::new(SeededRng::new(clock::unix_millis()));
-        Self { cx, source_chooser: RefCell::default(), seed }
+        let rng = Cell::new(SeededRng::new(clock::unix_millis()));
+        Self { cx, source_chooser: RefCell::default(), rng }
     }
 
     /// Returns whether this node is a reader of its zone.
@@ -103,9 +103,9 @@
     }
 
     fn random_below(&self, bound: usize) -> usize {
-        let mut seed = self.seed.get();
-        let picked = seed.below(bound);
-        self.seed.set(seed);
+        let mut rng = self.rng.get();
+        let picked = rng.below(bound);
+        self.rng.set(rng);
         picked
     }
 }
