--- a/crates/cherrystand_testkit/src/site/box_answers.rs
+++ b/crates/cherrystand_testkit/src/site/box_answers.rs
@@ -33,7 +33,7 @@
 
 impl SiteStandIn {
     pub(super) async fn answer(&self, id: &str, req: Request<Incoming>) -> Answer {
-        let successor = self.world.borrow().successors.get(id).cloned();
+        let successor = self.state.borrow().successors.get(id).cloned();
         let id = successor.as_deref().unwrap_or(id);
         if self.mode(id) == BoxMode::Dark {
             std::future::pending::<()>().await;
@@ -87,10 +87,10 @@
         let meant = head.get("cherrystand-expect-instance").is_some_and(|meant| meant == id);
         let last: Option<u64> = head.get("last-event-id").and_then(|id| id.parse().ok());
         let (service, leads) = {
-            let world = self.world.borrow();
-            let held = &world.boxes[id];
-            let open = held.membership.as_ref().is_some_and(|group| group.state == "open");
-            (held.service, open)
+            let state = self.state.borrow();
+            let site_box = &state.boxes[id];
+            let open = site_box.membership.as_ref().is_some_and(|group| group.state == "open");
+            (site_box.service, open)
         };
         let arrival = Arrival {
             request: request.clone(),
@@ -99,24 +99,24 @@
             incarnation: self.start_of(id).filter(|_| meant),
             at: Instant::now(),
         };
-        self.world.borrow_mut().arrivals.push(arrival);
-        let arrival = self.world.borrow().arrivals.len() - 1;
+        self.state.borrow_mut().arrivals.push(arrival);
+        let arrival = self.state.borrow().arrivals.len() - 1;
         if !meant || (service == "models" && !leads) {
             return plain_answer(StatusCode::MISDIRECTED_REQUEST, "");
         }
         // A caller whose body does not come whole has left.
         let body = req.into_body().collect().await.map(|body| body.to_bytes()).unwrap_or_default();
         let body = String::from_utf8_lossy(&body).into_owned();
-        self.world.borrow_mut().arrivals[arrival].body.clone_from(&body);
+        self.state.borrow_mut().arrivals[arrival].body.clone_from(&body);
         if self.should_refuse(id, &request) {
             return self.refusal(id, &request);
         }
         if service == "models" {
             self.check_run(id);
         }
-        if let Some(held) = self.world.borrow_mut().boxes.get_mut(id) {
-            held.runs.push((request.clone(), last));
-            held.request_headers.push(head);
+        if let Some(site_box) = self.state.borrow_mut().boxes.get_mut(id) {
+            site_box.runs.push((request.clone(), last));
+            site_box.request_headers.push(head);
         }
         let crash_after = body.strip_prefix(CRASHES).map(|events| events.parse::<u64>().ok());
         if crash_after == Some(None) {
@@ -136,7 +136,7 @@
             _ => plain_answer(StatusCode::OK, &format!("answer to {request}")),
         };
         set_header(&mut answer, "cherrystand-request-id", &request);
-        if !self.world.borrow().boxes.get(id).is_some_and(|held| held.wishes.unsealed) {
+        if !self.state.borrow().boxes.get(id).is_some_and(|site_box| site_box.wishes.unsealed) {
             set_header(&mut answer, "cherrystand-response-seal", &format!("seal.{id}"));
         }
         answer
@@ -144,22 +144,23 @@
 
     /// Tells whether a box turns a request away.
     pub(super) fn should_refuse(&self, id: &str, request: &str) -> bool {
-        let mut world = self.world.borrow_mut();
-        let Some(held) = world.boxes.get_mut(id) else { return false };
-        held.requests += 1;
-        let sheds = match held.wishes.sheds {
+        let mut state = self.state.borrow_mut();
+        let Some(site_box) = state.boxes.get_mut(id) else { return false };
+        site_box.requests += 1;
+        let sheds = match site_box.wishes.sheds {
             Sheds::None => false,
             Sheds::All => true,
-            Sheds::EverySecond => held.requests.is_multiple_of(2),
-            Sheds::Beyond(most) => Rc::strong_count(&held.active) > most,
+            Sheds::EverySecond => site_box.requests.is_multiple_of(2),
+            Sheds::Beyond(most) => Rc::strong_count(&site_box.active) > most,
             Sheds::From(daemon) => request.starts_with(daemon),
         };
-        sheds || held.mode == BoxMode::Sheds
+        sheds || site_box.mode == BoxMode::Sheds
     }
 
     /// Makes a box's answer to a request that it turns away.
     pub(super) fn refusal(&self, id: &str, request: &str) -> Answer {
-        let wishes = self.world.borrow().boxes.get(id).map(|held| held.wishes).unwrap_or_default();
+        let wishes =
+            self.state.borrow().boxes.get(id).map(|site_box| site_box.wishes).unwrap_or_default();
         let mut answer = plain_answer(StatusCode::SERVICE_UNAVAILABLE, "");
         set_header(&mut answer, "cherrystand-not-executed", "1");
         set_header(&mut answer, "cherrystand-request-id", wishes.names.unwrap_or(request));
@@ -176,42 +177,42 @@
     pub(super) fn record_signal(&self, id: &str, request: &str, signal: Signal) {
         let Some(incarnation) = self.start_of(id) else { return };
         let (request, target) = (request.to_owned(), id.to_owned());
-        let told = SentSignal { request, target, incarnation, at: Instant::now(), signal };
-        self.world.borrow_mut().signals.push(told);
+        let sent = SentSignal { request, target, incarnation, at: Instant::now(), signal };
+        self.state.borrow_mut().signals.push(sent);
     }
 
     /// Returns the limit that a box names in its next answer, where it does.
     fn limit_in_answer(&self, id: &str, status: StatusCode) -> Option<&'static str> {
-        let mut world = self.world.borrow_mut();
-        let held = world.boxes.get_mut(id)?;
-        held.answers += 1;
-        let says = match held.wishes.limit_in {
+        let mut state = self.state.borrow_mut();
+        let site_box = state.boxes.get_mut(id)?;
+        site_box.answers += 1;
+        let says = match site_box.wishes.limit_in {
             LimitIn::All => true,
-            LimitIn::EverySecond => held.answers.is_multiple_of(2),
+            LimitIn::EverySecond => site_box.answers.is_multiple_of(2),
             LimitIn::Served => status.is_success(),
         };
-        held.wishes.limit.filter(|_| says)
+        site_box.wishes.limit.filter(|_| says)
     }
 
     /// Notes that a box broke off an answer that nobody read.
     fn record_unread_abort(&self, id: &str) {
-        self.world.borrow_mut().unread_aborts.push(id.to_owned());
+        self.state.borrow_mut().unread_aborts.push(id.to_owned());
     }
 
     /// Returns how much longer a box is cold, where it says so in its answers.
     fn cold_time_in_answer(&self, id: &str) -> Option<Duration> {
-        let cold = self.world.borrow().boxes.get(id)?.cold;
+        let cold = self.state.borrow().boxes.get(id)?.cold;
         let (until, _) = cold.filter(|(_, told)| *told == ColdReport::Answers)?;
         let left = until.saturating_duration_since(Instant::now());
         (!left.is_zero()).then_some(left)
     }
 
     pub(super) fn is_leaving(&self, id: &str) -> bool {
-        self.world.borrow().boxes.get(id).is_some_and(|held| held.wishes.leaves)
+        self.state.borrow().boxes.get(id).is_some_and(|site_box| site_box.wishes.leaves)
     }
 
     pub(crate) fn start_of(&self, id: &str) -> Option<u64> {
-        self.world.borrow().boxes.get(id).map(|held| held.start_ms)
+        self.state.borrow().boxes.get(id).map(|site_box| site_box.start_ms)
     }
 
     /// Makes a stream from an event on; `ends` is where its body ends the box.
@@ -224,8 +225,9 @@
     ) -> Answer {
         let (site, id, request) = (self.clone(), id.to_owned(), request.to_owned());
         let start = self.start_of(&id);
-        let working = self.world.borrow().boxes.get(&id).map(|held| held.active.clone());
-        let wishes = self.world.borrow().boxes.get(&id).map(|held| held.wishes).unwrap_or_default();
+        let working = self.state.borrow().boxes.get(&id).map(|site_box| site_box.active.clone());
+        let wishes =
+            self.state.borrow().boxes.get(&id).map(|site_box| site_box.wishes).unwrap_or_default();
         let padding = "x".repeat(wishes.event_bytes);
         let events = stream::unfold((first, Instant::now()), move |(number, made)| {
             // It is worked on until its last event.
--- a/crates/cherrystand_testkit/src/site/box_orders.rs
+++ b/crates/cherrystand_testkit/src/site/box_orders.rs
@@ -22,7 +22,7 @@
             _ => {
                 let operation = order["operation"].as_str().unwrap_or_default().to_owned();
                 let refused = (id.to_owned(), operation, status.as_u16());
-                self.world.borrow_mut().refused_orders.push(refused);
+                self.state.borrow_mut().refused_orders.push(refused);
             }
         }
         plain_answer(status, "")
@@ -34,21 +34,23 @@
         if order["operation"] == "join" {
             self.check_join(id, &name, epoch);
         }
-        let mut world = self.world.borrow_mut();
-        let Some(held) = world.boxes.get_mut(id) else {
+        let mut state = self.state.borrow_mut();
+        let Some(site_box) = state.boxes.get_mut(id) else {
             return StatusCode::NOT_FOUND;
         };
         let fence = order["fence_token"].as_u64().unwrap_or_default();
-        if fence < held.fence {
+        if fence < site_box.fence {
             return StatusCode::PRECONDITION_FAILED;
         }
-        held.fence = fence;
+        site_box.fence = fence;
         let model = order["model"].as_str().map(str::to_owned);
-        let in_group =
-            held.membership.as_ref().is_some_and(|held| held.group == name && held.epoch == epoch);
+        let in_group = site_box
+            .membership
+            .as_ref()
+            .is_some_and(|membership| membership.group == name && membership.epoch == epoch);
         match order["operation"].as_str().unwrap_or_default() {
-            "stage" => held.staged = model,
-            "join" if epoch < held.highest_epoch => return StatusCode::PRECONDITION_FAILED,
+            "stage" => site_box.staged = model,
+            "join" if epoch < site_box.highest_epoch => return StatusCode::PRECONDITION_FAILED,
             "join" if in_group => return StatusCode::OK,
             "join" => {
                 let members = order["members"].as_array().cloned().unwrap_or_default();
@@ -56,19 +58,19 @@
                     return StatusCode::BAD_REQUEST;
                 }
                 let members = members.iter().filter_map(|id| id.as_str().map(str::to_owned));
-                held.staged = model;
-                held.highest_epoch = epoch;
+                site_box.staged = model;
+                site_box.highest_epoch = epoch;
                 let members = members.collect();
-                held.membership =
+                site_box.membership =
                     Some(Membership { group: name, epoch, members, state: "joining" });
                 let (site, id) = (self.clone(), id.to_owned());
                 tokio::task::spawn_local(async move { site.finish_join(&id, epoch).await });
             }
             _ if !in_group => return StatusCode::CONFLICT,
-            "leave" => held.membership = None,
+            "leave" => site_box.membership = None,
             "open" | "close" => {
                 let opens = order["operation"] == "open";
-                if let Some(group) = held.membership.as_mut() {
+                if let Some(group) = site_box.membership.as_mut() {
                     group.state = if opens { "open" } else { "ready" };
                 }
             }
@@ -79,12 +81,13 @@
 
     /// Notes a join that a box would take out of a replica whose leader serves.
     pub(super) fn check_join(&self, id: &str, name: &str, epoch: u64) {
-        let mut world = self.world.borrow_mut();
-        let Some(held) = world.boxes.get(id) else { return };
-        let Some(last) = held.membership.as_ref().filter(|_| epoch >= held.highest_epoch) else {
+        let mut state = self.state.borrow_mut();
+        let Some(site_box) = state.boxes.get(id) else { return };
+        let Some(last) = site_box.membership.as_ref().filter(|_| epoch >= site_box.highest_epoch)
+        else {
             return;
         };
-        let leader = last.members.first().and_then(|leader| world.boxes.get(leader));
+        let leader = last.members.first().and_then(|leader| state.boxes.get(leader));
         let leads = leader.and_then(|leader| leader.membership.as_ref()).is_some_and(|group| {
             group.group == last.group && group.epoch == last.epoch && group.state == "open"
         });
@@ -92,53 +95,57 @@
         let answers = leader.is_some_and(|leader| leader.mode != BoxMode::Dark);
         if leads && another && answers {
             let fault = format!("{id} joined {name} {epoch} out of {} {}", last.group, last.epoch);
-            world.violations.push(fault);
+            state.violations.push(fault);
         }
     }
 
     /// Notes a request that a leader runs though some member of its replica was never ready.
     pub(super) fn check_run(&self, leader: &str) {
-        let mut world = self.world.borrow_mut();
-        let Some(group) = world.boxes.get(leader).and_then(|held| held.membership.clone()) else {
+        let mut state = self.state.borrow_mut();
+        let Some(group) = state.boxes.get(leader).and_then(|site_box| site_box.membership.clone())
+        else {
             return;
         };
         let was_ready = |id: &String| {
-            world.ever_ready.contains(&(group.group.clone(), group.epoch, id.clone()))
+            state.ever_ready.contains(&(group.group.clone(), group.epoch, id.clone()))
         };
         if let Some(id) = group.members.iter().find(|id| !was_ready(id)) {
             let fault =
                 format!("{leader} ran a request, and {id} was never ready in {}", group.group);
-            world.violations.push(fault);
+            state.violations.push(fault);
         }
     }
 
     pub(super) async fn finish_join(&self, id: &str, epoch: u64) {
         tokio::time::sleep(JOIN_TIME).await;
-        let mut world = self.world.borrow_mut();
-        if let Some(held) = world.boxes.get_mut(id)
-            && let Some(group) = held.membership.as_mut().filter(|group| group.epoch == epoch)
+        let mut state = self.state.borrow_mut();
+        if let Some(site_box) = state.boxes.get_mut(id)
+            && let Some(group) = site_box.membership.as_mut().filter(|group| group.epoch == epoch)
         {
             group.state = "ready";
             let place = (group.group.clone(), epoch, id.to_owned());
-            world.ever_ready.insert(place);
+            state.ever_ready.insert(place);
         }
-        drop(world);
+        drop(state);
         self.write_own_entry(id);
     }
 
     /// Tells whether the replica that a box leads has all its members.
     pub(super) fn is_complete(&self, leader: &str) -> bool {
-        let world = self.world.borrow();
-        let Some(group) = world.boxes.get(leader).and_then(|held| held.membership.clone()) else {
+        let state = self.state.borrow();
+        let Some(group) = state.boxes.get(leader).and_then(|site_box| site_box.membership.clone())
+        else {
             return false;
         };
-        if world.restarted.contains(&(group.group.clone(), group.epoch)) {
+        if state.restarted.contains(&(group.group.clone(), group.epoch)) {
             return false;
         }
         group.members.iter().all(|id| {
-            let member = world.boxes.get(id).filter(|held| held.mode != BoxMode::Dark);
-            let held = member.and_then(|held| held.membership.as_ref());
-            held.is_some_and(|held| held.group == group.group && held.epoch == group.epoch)
+            let member = state.boxes.get(id).filter(|site_box| site_box.mode != BoxMode::Dark);
+            let membership = member.and_then(|site_box| site_box.membership.as_ref());
+            membership.is_some_and(|membership| {
+                membership.group == group.group && membership.epoch == group.epoch
+            })
         })
     }
 }
--- a/crates/cherrystand_testkit/src/site/box_wishes.rs
+++ b/crates/cherrystand_testkit/src/site/box_wishes.rs
@@ -115,30 +115,30 @@
 /// Names each wish that a daemon did not follow; `daemon_of` finds the daemon of a request, where its
 /// daemon counts at that moment.
 pub fn ignored_signals<D: PartialEq>(
-    told: &[SentSignal],
+    signals: &[SentSignal],
     arrivals: &[Arrival],
     daemon_of: impl Fn(&str, Instant) -> Option<D>,
 ) -> Vec<String> {
-    let broken = told.iter().filter_map(|told| {
-        let daemon = daemon_of(&told.request, told.at)?;
-        let (from, until, most) = match told.signal {
+    let violations = signals.iter().filter_map(|sent| {
+        let daemon = daemon_of(&sent.request, sent.at)?;
+        let (from, until, most) = match sent.signal {
             Signal::Backoff(rest) => {
-                (told.at + BACKOFF_DELAY, Some(told.at + rest), MAX_REQUESTS_IN_BACKOFF)
+                (sent.at + BACKOFF_DELAY, Some(sent.at + rest), MAX_REQUESTS_IN_BACKOFF)
             }
-            Signal::Leaving => (told.at + LEAVING_DELAY, None, 0),
+            Signal::Leaving => (sent.at + LEAVING_DELAY, None, 0),
             // Of all daemons together: `exceeded_limits`.
             Signal::RateLimit(_) => return None,
         };
         let late = arrivals.iter().filter(|arrival| {
-            arrival.target == told.target
-                && arrival.incarnation == Some(told.incarnation)
+            arrival.target == sent.target
+                && arrival.incarnation == Some(sent.incarnation)
                 && arrival.at > from
                 && until.is_none_or(|until| arrival.at <= until)
                 && daemon_of(&arrival.request, arrival.at).as_ref() == Some(&daemon)
         });
         let late = late.count();
-        let (id, wish) = (&told.target, told.signal);
-        (late > most).then(|| format!("{id} told {}: {wish:?}, and got {late}", told.request))
+        let (id, signal) = (&sent.target, sent.signal);
+        (late > most).then(|| format!("{id} told {}: {signal:?}, and got {late}", sent.request))
     });
-    broken.collect()
+    violations.collect()
 }
--- a/crates/cherrystand_testkit/src/site/fake_site_domain.rs
+++ b/crates/cherrystand_testkit/src/site/fake_site_domain.rs
@@ -158,25 +158,26 @@
     pub fn restart(&mut self, number: usize, last_join_again: bool) {
         let fresh = self.new_box();
         let now = self.now;
-        let Some(held) = self.box_mut(number).filter(|held| held.alive) else { return };
-        let before = std::mem::replace(held, FakeMember { start_ms: fresh.start_ms + 1, ..fresh });
-        let Some(belongs) = before.membership else { return };
-        self.restarted.insert((belongs.replica.clone(), belongs.epoch), now);
-        if let Some(held) = self.box_mut(number).filter(|_| last_join_again) {
-            held.loaded = before.loaded;
-            held.highest_epoch = belongs.epoch;
-            held.orders_taken = 1;
-            held.membership = Some(Membership {
+        let Some(member) = self.box_mut(number).filter(|member| member.alive) else { return };
+        let before =
+            std::mem::replace(member, FakeMember { start_ms: fresh.start_ms + 1, ..fresh });
+        let Some(membership) = before.membership else { return };
+        self.restarted.insert((membership.replica.clone(), membership.epoch), now);
+        if let Some(member) = self.box_mut(number).filter(|_| last_join_again) {
+            member.loaded = before.loaded;
+            member.highest_epoch = membership.epoch;
+            member.orders_taken = 1;
+            member.membership = Some(Membership {
                 state: MemberState::Joining,
                 due: now + LOADED_JOIN_TIME,
-                ..belongs
+                ..membership
             });
         }
     }
 
     /// Returns the id under which a box is listed.
-    fn id_of(&self, name: &BoxId, held: &FakeMember) -> BoxId {
-        if self.reports_starts { name.with_incarnation(held.start_ms) } else { name.clone() }
+    fn id_of(&self, name: &BoxId, member: &FakeMember) -> BoxId {
+        if self.reports_starts { name.with_incarnation(member.start_ms) } else { name.clone() }
     }
 
     fn box_mut(&mut self, number: usize) -> Option<&mut FakeMember> {
@@ -216,46 +217,47 @@
     /// Returns the boxes that are listed.
     pub fn listed(&self) -> Vec<SiteBox> {
         let listed =
-            self.boxes.iter().filter(|(_, held)| self.now.since(held.last_heard) < ENTRY_TTL);
-        listed.map(|(id, held)| self.entry(id, held)).collect()
+            self.boxes.iter().filter(|(_, member)| self.now.since(member.last_heard) < ENTRY_TTL);
+        listed.map(|(id, member)| self.entry(id, member)).collect()
     }
 
     /// Returns the boxes that are not listed any more.
     pub fn departed(&self) -> Vec<SiteBox> {
         let gone =
-            self.boxes.iter().filter(|(_, held)| self.now.since(held.last_heard) >= ENTRY_TTL);
-        gone.map(|(id, held)| self.entry(id, held)).collect()
+            self.boxes.iter().filter(|(_, member)| self.now.since(member.last_heard) >= ENTRY_TTL);
+        gone.map(|(id, member)| self.entry(id, member)).collect()
     }
 
     /// Returns the boxes that do not answer when they are asked.
     pub fn silent(&self) -> BTreeSet<BoxId> {
-        let silent = self.boxes.iter().filter(|(_, held)| !held.alive || held.disconnected);
-        silent.map(|(name, held)| self.id_of(name, held)).collect()
+        let silent = self.boxes.iter().filter(|(_, member)| !member.alive || member.disconnected);
+        silent.map(|(name, member)| self.id_of(name, member)).collect()
     }
 
     /// Counts the boxes that live.
     pub fn alive_count(&self) -> usize {
-        self.boxes.values().filter(|held| held.alive).count()
+        self.boxes.values().filter(|member| member.alive).count()
     }
 
     /// Counts the replicas that serve with all their members.
     pub fn serving_count(&self) -> usize {
-        let leaders = self.boxes.values().filter_map(|held| {
-            let belongs = held.membership.as_ref().filter(|belongs| belongs.rank == 0)?;
-            (held.alive && belongs.state == MemberState::Open).then_some(belongs)
+        let leaders = self.boxes.values().filter_map(|member| {
+            let membership =
+                member.membership.as_ref().filter(|membership| membership.rank == 0)?;
+            (member.alive && membership.state == MemberState::Open).then_some(membership)
         });
-        leaders.filter(|belongs| self.is_complete(belongs)).count()
+        leaders.filter(|membership| self.is_complete(membership)).count()
     }
 
-    fn entry(&self, id: &BoxId, held: &FakeMember) -> SiteBox {
+    fn entry(&self, id: &BoxId, member: &FakeMember) -> SiteBox {
         SiteBox {
-            id: self.id_of(id, held),
+            id: self.id_of(id, member),
             start: if self.reports_starts {
-                BoxStart::At(held.start_ms)
+                BoxStart::At(member.start_ms)
             } else {
                 BoxStart::Unreported
             },
-            orders_taken: held.orders_taken,
+            orders_taken: member.orders_taken,
             service: ServiceName::new("captions"),
             address: "127.0.0.1:1".parse().expect("an address"),
             zone: ZoneId::new("hall"),
@@ -263,20 +265,20 @@
             leaving: false,
             cold_remaining: None,
             domain: Some(self.domain.clone()),
-            staged: held.staged.iter().cloned().collect(),
-            loaded: held.loaded.iter().filter(|_| held.membership.is_some()).cloned().collect(),
-            member: held.reported.clone(),
+            staged: member.staged.iter().cloned().collect(),
+            loaded: member.loaded.iter().filter(|_| member.membership.is_some()).cloned().collect(),
+            member: member.reported.clone(),
         }
     }
 
-    fn is_complete(&self, belongs: &Membership) -> bool {
-        let key = (belongs.replica.clone(), belongs.epoch);
+    fn is_complete(&self, membership: &Membership) -> bool {
+        let key = (membership.replica.clone(), membership.epoch);
         !self.restarted.contains_key(&key)
-            && belongs.members.iter().all(|id| {
+            && membership.members.iter().all(|id| {
                 let member = self.boxes.get(id).filter(|member| member.alive);
-                let held = member.and_then(|member| member.membership.as_ref());
-                held.is_some_and(|held| {
-                    held.replica == belongs.replica && held.epoch == belongs.epoch
+                let current = member.and_then(|member| member.membership.as_ref());
+                current.is_some_and(|current| {
+                    current.replica == membership.replica && current.epoch == membership.epoch
                 })
             })
     }
@@ -299,53 +301,60 @@
 
     fn advance(&mut self, id: &BoxId) {
         let now = self.now;
-        let Some(mut held) = self.boxes.get(id).cloned() else { return };
-        if !held.alive {
+        let Some(mut member) = self.boxes.get(id).cloned() else { return };
+        if !member.alive {
             return;
         }
-        if let Some((model, at)) = held.staging.clone()
+        if let Some((model, at)) = member.staging.clone()
             && at <= now
         {
-            held.staged = Some(model);
-            held.staging = None;
+            member.staged = Some(model);
+            member.staging = None;
         }
-        if let Some(belongs) = held.membership.as_mut() {
-            if belongs.state == MemberState::Joining && belongs.due <= now {
-                belongs.state = MemberState::Ready;
-                let list = belongs.members.clone();
-                self.ever_ready.insert((belongs.replica.clone(), belongs.epoch, list, id.clone()));
+        if let Some(membership) = member.membership.as_mut() {
+            if membership.state == MemberState::Joining && membership.due <= now {
+                membership.state = MemberState::Ready;
+                let list = membership.members.clone();
+                self.ever_ready.insert((
+                    membership.replica.clone(),
+                    membership.epoch,
+                    list,
+                    id.clone(),
+                ));
             }
-            let serves = matches!(belongs.state, MemberState::Open | MemberState::Closing);
-            let torn = self.restarted.get(&(belongs.replica.clone(), belongs.epoch));
-            if let Some(since) = torn.filter(|_| serves && belongs.rank == 0) {
+            let serves = matches!(membership.state, MemberState::Open | MemberState::Closing);
+            let torn = self.restarted.get(&(membership.replica.clone(), membership.epoch));
+            if let Some(since) = torn.filter(|_| serves && membership.rank == 0) {
                 self.longest_incomplete = self.longest_incomplete.max(now.since(*since));
             }
-            if serves && self.is_complete(belongs) {
-                belongs.stalled_since = None;
+            if serves && self.is_complete(membership) {
+                membership.stalled_since = None;
             } else if serves
-                && now.since(*belongs.stalled_since.get_or_insert(now)) >= STALL_TIMEOUT
+                && now.since(*membership.stalled_since.get_or_insert(now)) >= STALL_TIMEOUT
             {
-                belongs.state = MemberState::Broken;
+                membership.state = MemberState::Broken;
             }
         }
-        if !held.disconnected && !held.disconnected_from_store {
-            held.last_heard = now;
-            held.reported = held.membership.as_ref().map(|belongs| Member {
-                replica: belongs.replica.clone(),
-                epoch: belongs.epoch,
-                rank: belongs.rank,
-                state: belongs.state,
+        if !member.disconnected && !member.disconnected_from_store {
+            member.last_heard = now;
+            member.reported = member.membership.as_ref().map(|membership| Member {
+                replica: membership.replica.clone(),
+                epoch: membership.epoch,
+                rank: membership.rank,
+                state: membership.state,
             });
         }
-        self.boxes.insert(id.clone(), held);
+        self.boxes.insert(id.clone(), member);
     }
 
     /// Takes an order under a fence; with a delay it gets no answer and is carried out that much
     /// later.
     pub fn order(&mut self, order: &MemberOrder, fence: u64, delay: Option<Millis>) -> OrderEnd {
         let order = &without_incarnations(order);
-        let reached =
-            self.boxes.get(&order.target).is_some_and(|held| held.alive && !held.disconnected);
+        let reached = self
+            .boxes
+            .get(&order.target)
+            .is_some_and(|member| member.alive && !member.disconnected);
         if !reached {
             return OrderEnd::Dark;
         }
@@ -357,62 +366,62 @@
     }
 
     fn execute(&mut self, order: &MemberOrder, fence: u64) -> OrderEnd {
-        let Some(mut held) = self.boxes.get(&order.target).cloned() else {
+        let Some(mut member) = self.boxes.get(&order.target).cloned() else {
             return OrderEnd::Dark;
         };
-        if !held.alive {
+        if !member.alive {
             return OrderEnd::Dark;
         }
-        if fence < held.fence {
+        if fence < member.fence {
             return OrderEnd::Fenced;
         }
-        held.fence = fence;
-        held.orders_taken += 1;
+        member.fence = fence;
+        member.orders_taken += 1;
         let end = match &order.task {
-            MemberTask::Join { model, members } => self.join(&mut held, order, model, members),
-            MemberTask::Open => self.open(&mut held, order),
-            MemberTask::Close => match held.membership.as_mut() {
-                Some(belongs) if is_for(belongs, order) => {
-                    belongs.state = MemberState::Ready;
+            MemberTask::Join { model, members } => self.join(&mut member, order, model, members),
+            MemberTask::Open => self.open(&mut member, order),
+            MemberTask::Close => match member.membership.as_mut() {
+                Some(membership) if is_for(membership, order) => {
+                    membership.state = MemberState::Ready;
                     OrderEnd::Taken
                 }
                 _ => OrderEnd::Unfit,
             },
-            MemberTask::Leave => match &held.membership {
-                Some(belongs) if is_for(belongs, order) => {
-                    held.membership = None;
+            MemberTask::Leave => match &member.membership {
+                Some(membership) if is_for(membership, order) => {
+                    member.membership = None;
                     OrderEnd::Taken
                 }
                 _ => OrderEnd::Unfit,
             },
             MemberTask::Stage { model } => {
-                if held.staging.is_some() {
+                if member.staging.is_some() {
                     return OrderEnd::Unfit;
                 }
-                held.staging = Some((model.clone(), self.now + WEIGHT_LOAD_TIME));
+                member.staging = Some((model.clone(), self.now + WEIGHT_LOAD_TIME));
                 OrderEnd::Taken
             }
         };
-        self.boxes.insert(order.target.clone(), held);
+        self.boxes.insert(order.target.clone(), member);
         end
     }
 
     fn join(
         &mut self,
-        held: &mut FakeMember,
+        member: &mut FakeMember,
         order: &MemberOrder,
         model: &str,
         members: &[BoxId],
     ) -> OrderEnd {
-        let same = held.membership.as_ref().filter(|belongs| is_for(belongs, order));
-        let other_list = same.is_some_and(|belongs| belongs.members != members);
-        if order.epoch < held.highest_epoch || other_list {
+        let same = member.membership.as_ref().filter(|membership| is_for(membership, order));
+        let other_list = same.is_some_and(|membership| membership.members != members);
+        if order.epoch < member.highest_epoch || other_list {
             return OrderEnd::Fenced;
         }
         if same.is_some() {
             return OrderEnd::Taken;
         }
-        if let Some(left) = &held.membership
+        if let Some(left) = &member.membership
             && (left.replica != order.replica || left.epoch != order.epoch)
             && self.is_leader_serving(left)
         {
@@ -421,18 +430,18 @@
                 order.target, order.replica, order.epoch, left.replica, left.epoch
             ));
         }
-        let took = if held.loaded.as_deref() == Some(model) {
+        let took = if member.loaded.as_deref() == Some(model) {
             LOADED_JOIN_TIME
-        } else if held.staged.as_deref() == Some(model) {
+        } else if member.staged.as_deref() == Some(model) {
             STAGED_JOIN_TIME
         } else {
             WEIGHT_LOAD_TIME
         };
-        held.loaded = Some(model.to_owned());
-        held.staged = Some(model.to_owned());
-        held.highest_epoch = order.epoch;
+        member.loaded = Some(model.to_owned());
+        member.staged = Some(model.to_owned());
+        member.highest_epoch = order.epoch;
         let rank = members.iter().position(|id| *id == order.target).unwrap_or_default();
-        held.membership = Some(Membership {
+        member.membership = Some(Membership {
             replica: order.replica.clone(),
             epoch: order.epoch,
             members: members.to_vec(),
@@ -446,34 +455,36 @@
 
     /// Tells whether the leader of a replica is open or closing, or stands still unbroken.
     fn is_leader_serving(&self, left: &Membership) -> bool {
-        self.boxes.values().filter(|held| held.alive).any(|held| {
-            held.membership.as_ref().is_some_and(|belongs| {
-                belongs.replica == left.replica
-                    && belongs.epoch == left.epoch
-                    && belongs.rank == 0
-                    && matches!(belongs.state, MemberState::Open | MemberState::Closing)
+        self.boxes.values().filter(|member| member.alive).any(|member| {
+            member.membership.as_ref().is_some_and(|membership| {
+                membership.replica == left.replica
+                    && membership.epoch == left.epoch
+                    && membership.rank == 0
+                    && matches!(membership.state, MemberState::Open | MemberState::Closing)
             })
         })
     }
 
-    fn open(&mut self, held: &mut FakeMember, order: &MemberOrder) -> OrderEnd {
-        let Some(belongs) = held.membership.as_mut().filter(|belongs| is_for(belongs, order))
+    fn open(&mut self, member: &mut FakeMember, order: &MemberOrder) -> OrderEnd {
+        let Some(membership) =
+            member.membership.as_mut().filter(|membership| is_for(membership, order))
         else {
             return OrderEnd::Unfit;
         };
-        if belongs.state != MemberState::Ready || belongs.rank != 0 {
+        if membership.state != MemberState::Ready || membership.rank != 0 {
             return OrderEnd::Unfit;
         }
-        let never = belongs.members.iter().find(|id| {
-            let list = belongs.members.clone();
-            let key = (belongs.replica.clone(), belongs.epoch, list, (*id).clone());
+        let never = membership.members.iter().find(|id| {
+            let list = membership.members.clone();
+            let key = (membership.replica.clone(), membership.epoch, list, (*id).clone());
             !self.ever_ready.contains(&key)
         });
         if let Some(id) = never {
-            self.violations.push(format!("{} opened though {id} was never ready", belongs.replica));
+            self.violations
+                .push(format!("{} opened though {id} was never ready", membership.replica));
         }
-        belongs.state = MemberState::Open;
-        belongs.due = self.now + OPEN_TIME;
+        membership.state = MemberState::Open;
+        membership.due = self.now + OPEN_TIME;
         OrderEnd::Taken
     }
 }
@@ -489,6 +500,6 @@
     sent
 }
 
-fn is_for(belongs: &Membership, order: &MemberOrder) -> bool {
-    belongs.replica == order.replica && belongs.epoch == order.epoch
+fn is_for(membership: &Membership, order: &MemberOrder) -> bool {
+    membership.replica == order.replica && membership.epoch == order.epoch
 }
--- a/crates/cherrystand_testkit/src/site/limit_checks.rs
+++ b/crates/cherrystand_testkit/src/site/limit_checks.rs
@@ -30,67 +30,68 @@
 ///
 /// `daemon_of` finds the daemon of a request, where its daemon counts at that moment.
 pub fn exceeded_limits<D: Ord>(
-    told: &[SentSignal],
+    signals: &[SentSignal],
     arrivals: &[Arrival],
     bound: LimitBound,
     daemon_of: impl Fn(&str, Instant) -> Option<D>,
 ) -> Vec<String> {
-    let lives: BTreeSet<(&str, u64)> =
-        rate_limits(told).map(|(told, _)| (told.target.as_str(), told.incarnation)).collect();
-    let broken = lives.into_iter().filter_map(|(id, life)| {
-        let told: Vec<(&SentSignal, f64)> = rate_limits(told)
-            .filter(|(told, _)| (told.target.as_str(), told.incarnation) == (id, life))
+    let incarnations: BTreeSet<(&str, u64)> =
+        rate_limits(signals).map(|(sent, _)| (sent.target.as_str(), sent.incarnation)).collect();
+    let violations = incarnations.into_iter().filter_map(|(id, incarnation)| {
+        let limits: Vec<(&SentSignal, f64)> = rate_limits(signals)
+            .filter(|(sent, _)| (sent.target.as_str(), sent.incarnation) == (id, incarnation))
             .collect();
         let own = arrivals.iter();
-        let own = own.filter(|arrival| arrival.target == id && arrival.incarnation == Some(life));
+        let own =
+            own.filter(|arrival| arrival.target == id && arrival.incarnation == Some(incarnation));
         let own: Vec<&Arrival> = own.collect();
-        let worst = own.iter().filter_map(|last| excess(&told, &own, last.at, bound, &daemon_of));
+        let worst = own.iter().filter_map(|last| excess(&limits, &own, last.at, bound, &daemon_of));
         let (over, count, allowed) = worst.max_by(|one, two| one.0.total_cmp(&two.0))?;
         (over > 0.0).then(|| format!("{id} got {count} within 4 s, {allowed} allowed ({bound:?})"))
     });
-    broken.collect()
+    violations.collect()
 }
 
-fn rate_limits(told: &[SentSignal]) -> impl Iterator<Item = (&SentSignal, f64)> {
-    told.iter().filter_map(|told| match told.signal {
-        Signal::RateLimit(limit) => Some((told, limit)),
+fn rate_limits(signals: &[SentSignal]) -> impl Iterator<Item = (&SentSignal, f64)> {
+    signals.iter().filter_map(|sent| match sent.signal {
+        Signal::RateLimit(limit) => Some((sent, limit)),
         _ => None,
     })
 }
 
-/// Returns by how much the arrivals of the span that ends at a time exceed what is allowed, their number and that
+/// Returns by how much the arrivals of the span that end at a time exceed what is allowed, their number and that
 /// figure; nothing where the bound does not hold yet, or not any more.
 fn excess<D: Ord>(
-    told: &[(&SentSignal, f64)],
+    signals: &[(&SentSignal, f64)],
     arrivals: &[&Arrival],
-    ends: Instant,
+    end: Instant,
     bound: LimitBound,
     daemon_of: &impl Fn(&str, Instant) -> Option<D>,
 ) -> Option<(f64, usize, f64)> {
-    let begins = ends - WINDOW;
-    let (first, last) = (told.first()?.0.at, told.last()?.0.at);
+    let start = end - WINDOW;
+    let (first, last) = (signals.first()?.0.at, signals.last()?.0.at);
     let holds = match bound {
-        LimitBound::Platform => ends >= first + LIMIT_GRACE && ends <= last,
-        LimitBound::Own => begins >= first + SPREAD_TIME && ends <= last,
+        LimitBound::Platform => end >= first + LIMIT_GRACE && end <= last,
+        LimitBound::Own => start >= first + SPREAD_TIME && end <= last,
     };
     if !holds {
         return None;
     }
-    let counted: Vec<D> = told
+    let informed: Vec<D> = signals
         .iter()
-        .filter(|(told, _)| told.at + KNOWN_AFTER <= ends)
-        .filter_map(|(told, _)| daemon_of(&told.request, ends))
+        .filter(|(sent, _)| sent.at + KNOWN_AFTER <= end)
+        .filter_map(|(sent, _)| daemon_of(&sent.request, end))
         .collect();
-    let counts = |arrival: &&&Arrival| {
+    let is_counted = |arrival: &&&Arrival| {
         let daemon = daemon_of(&arrival.request, arrival.at);
-        let is_told = daemon.is_some_and(|daemon| counted.contains(&daemon));
-        arrival.at > begins && arrival.at <= ends && (bound == LimitBound::Own || is_told)
+        let is_informed = daemon.is_some_and(|daemon| informed.contains(&daemon));
+        arrival.at > start && arrival.at <= end && (bound == LimitBound::Own || is_informed)
     };
-    let count = arrivals.iter().filter(counts).count();
+    let count = arrivals.iter().filter(is_counted).count();
     // A limit that changes within the span, or shortly before, allows what its highest value does.
-    let until = told.iter().filter(|(told, _)| told.at <= ends);
+    let until = signals.iter().filter(|(sent, _)| sent.at <= end);
     let (before, within): (Vec<_>, Vec<_>) =
-        until.partition(|(told, _)| told.at + LIMIT_GRACE < begins);
+        until.partition(|(sent, _)| sent.at + LIMIT_GRACE < start);
     let in_force = before.last().into_iter().chain(&within);
     let limit = in_force.map(|(_, limit)| *limit).fold(0.0, f64::max) * WINDOW.as_secs_f64();
     let allowed = match bound {
--- a/crates/cherrystand_testkit/src/site/site_stand_in.rs
+++ b/crates/cherrystand_testkit/src/site/site_stand_in.rs
@@ -39,7 +39,7 @@
 pub struct SiteStandIn {
     /// The store.
     pub store: MetadataStandIn,
-    pub(super) world: Rc<RefCell<SiteState>>,
+    pub(super) state: Rc<RefCell<SiteState>>,
     tasks: Rc<RefCell<Vec<JoinHandle<()>>>>,
     /// What serves each box; the connections to it end with it.
     box_tasks: Rc<RefCell<BTreeMap<String, JoinHandle<()>>>>,
@@ -50,7 +50,7 @@
     pub fn new() -> Self {
         Self {
             store: MetadataStandIn::default(),
-            world: Rc::default(),
+            state: Rc::default(),
             tasks: Rc::default(),
             box_tasks: Rc::default(),
         }
@@ -64,11 +64,11 @@
     pub async fn open_store(&self) -> std::io::Result<SocketAddr> {
         let listener = TcpListener::bind(("127.0.0.1", 0)).await?;
         let address = listener.local_addr()?;
-        let number = self.world.borrow().store_modes.len();
-        self.world.borrow_mut().store_modes.insert(number, StoreMode::Open);
+        let number = self.state.borrow().store_modes.len();
+        self.state.borrow_mut().store_modes.insert(number, StoreMode::Open);
         let site = self.clone();
         let serving = serve(listener, move |req| {
-            let door = site.world.borrow().store_modes.get(&number).copied().unwrap_or_default();
+            let door = site.state.borrow().store_modes.get(&number).copied().unwrap_or_default();
             let store = site.store.clone();
             async move { store.handle(door, req).await.map(full_body) }
         });
@@ -78,7 +78,7 @@
 
     /// Says how a door behaves from now on.
     pub fn set_store_mode(&self, number: usize, door: StoreMode) {
-        self.world.borrow_mut().store_modes.insert(number, door);
+        self.state.borrow_mut().store_modes.insert(number, door);
     }
 
     /// Puts a configuration in force.
@@ -112,8 +112,8 @@
         service: &'static str,
     ) -> std::io::Result<()> {
         let listener = TcpListener::bind(("127.0.0.1", 0)).await?;
-        let state = SiteBoxState::new(listener.local_addr()?, service, zone);
-        self.world.borrow_mut().boxes.insert(id.to_owned(), state);
+        let site_box = SiteBoxState::new(listener.local_addr()?, service, zone);
+        self.state.borrow_mut().boxes.insert(id.to_owned(), site_box);
         self.write_own_entry(id);
         self.serve_box(id, listener);
         Ok(())
@@ -132,7 +132,7 @@
     /// it starts again under its id.
     pub(super) async fn crash<T>(&self, id: &str, body: &str) -> T {
         let crash = Crash { body: body.to_owned(), target: id.to_owned(), at: Instant::now() };
-        self.world.borrow_mut().crashes.push(crash);
+        self.state.borrow_mut().crashes.push(crash);
         let (site, id) = (self.clone(), id.to_owned());
         let start = self.start_of(&id);
         tokio::task::spawn_local(async move {
@@ -140,7 +140,8 @@
             let Some(serving) = site.box_tasks.borrow_mut().remove(&id) else { return };
             serving.abort();
             tokio::time::sleep(CRASH_DOWNTIME).await;
-            let listens = site.world.borrow().boxes.get(&id).map(|held| held.listen_address);
+            let listens =
+                site.state.borrow().boxes.get(&id).map(|site_box| site_box.listen_address);
             let Some(listens) = listens else { return };
             // Nobody else has the address meanwhile.
             let listener = TcpListener::bind(listens).await.expect("the box's address");
@@ -155,20 +156,20 @@
 
     /// Returns the boxes that requests ended, in their order.
     pub fn crashes(&self) -> Vec<Crash> {
-        self.world.borrow().crashes.clone()
+        self.state.borrow().crashes.clone()
     }
 
     /// Changes what a box does.
     pub fn set_mode(&self, id: &str, mode: BoxMode) {
-        if let Some(held) = self.world.borrow_mut().boxes.get_mut(id) {
-            held.mode = mode;
+        if let Some(site_box) = self.state.borrow_mut().boxes.get_mut(id) {
+            site_box.mode = mode;
         }
     }
 
     /// Has a box be cold for a while.
     pub fn turn_cold(&self, id: &str, lasts: Duration, told: ColdReport) {
-        if let Some(held) = self.world.borrow_mut().boxes.get_mut(id) {
-            held.cold = Some((Instant::now() + lasts, told));
+        if let Some(site_box) = self.state.borrow_mut().boxes.get_mut(id) {
+            site_box.cold = Some((Instant::now() + lasts, told));
         }
         if told == ColdReport::Entry {
             self.write_own_entry(id);
@@ -187,43 +188,43 @@
 
     /// Returns the boxes that broke off an answer which nobody read, each as often as it did.
     pub fn unread_aborts(&self) -> Vec<String> {
-        self.world.borrow().unread_aborts.clone()
+        self.state.borrow().unread_aborts.clone()
     }
 
     /// Returns the boxes of an availability zone.
     pub fn boxes_in(&self, zone: &str) -> Vec<String> {
-        let world = self.world.borrow();
-        let boxes = world.boxes.iter().filter(|(_, held)| held.zone == zone);
+        let state = self.state.borrow();
+        let boxes = state.boxes.iter().filter(|(_, site_box)| site_box.zone == zone);
         boxes.map(|(id, _)| id.clone()).collect()
     }
 
     /// Changes what a box asks of daemons, for as long as its life lasts.
     pub fn set_wishes(&self, id: &str, wishes: BoxWishes) {
-        if let Some(held) = self.world.borrow_mut().boxes.get_mut(id) {
-            held.wishes = wishes;
+        if let Some(site_box) = self.state.borrow_mut().boxes.get_mut(id) {
+            site_box.wishes = wishes;
         }
     }
 
     /// Returns what boxes asked of daemons in their answers.
     pub fn signals(&self) -> Vec<SentSignal> {
-        self.world.borrow().signals.clone()
+        self.state.borrow().signals.clone()
     }
 
     /// Holds up all that boxes say, as a link does that is full, or lets it through again.
     pub fn hold_answers(&self, held: bool) {
-        self.world.borrow_mut().holds_answers = held;
+        self.state.borrow_mut().holds_answers = held;
     }
 
     pub(super) async fn wait_while_held(&self) {
-        while self.world.borrow().holds_answers {
+        while self.state.borrow().holds_answers {
             tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
     /// Has a box's entry say that it leaves, while it serves on.
     pub fn drain(&self, id: &str) {
-        if let Some(held) = self.world.borrow_mut().boxes.get_mut(id) {
-            held.draining = true;
+        if let Some(site_box) = self.state.borrow_mut().boxes.get_mut(id) {
+            site_box.draining = true;
         }
         self.write_own_entry(id);
     }
@@ -246,43 +247,43 @@
 
     /// Returns where a box is reached.
     pub fn address_of(&self, id: &str) -> Option<SocketAddr> {
-        self.world.borrow().boxes.get(id).map(|held| held.address)
+        self.state.borrow().boxes.get(id).map(|site_box| site_box.address)
     }
 
     /// Has a box tell another address from now on, as one that stands behind a link.
     pub fn set_address(&self, id: &str, address: SocketAddr) {
-        if let Some(held) = self.world.borrow_mut().boxes.get_mut(id) {
-            held.address = address;
+        if let Some(site_box) = self.state.borrow_mut().boxes.get_mut(id) {
+            site_box.address = address;
         }
         self.write_own_entry(id);
     }
 
     /// Has boxes tell when they started from now on.
     pub fn report_starts(&self) {
-        self.world.borrow_mut().reports_starts = true;
-        let ids: Vec<String> = self.world.borrow().boxes.keys().cloned().collect();
+        self.state.borrow_mut().reports_starts = true;
+        let ids: Vec<String> = self.state.borrow().boxes.keys().cloned().collect();
         ids.iter().for_each(|id| self.write_own_entry(id));
     }
 
     /// Has a box start again under its id, empty, and tell so at once; the last join that it took may
     /// be carried out late, in its new life.
     pub fn restart(&self, id: &str, last_join_again: bool) {
-        let mut world = self.world.borrow_mut();
-        let Some(before) = world.boxes.remove(id) else { return };
+        let mut state = self.state.borrow_mut();
+        let Some(before) = state.boxes.remove(id) else { return };
         let mut fresh = SiteBoxState::new(before.address, before.service, before.zone);
         fresh.listen_address = before.listen_address;
         fresh.start_ms = before.start_ms + 1;
         (fresh.runs, fresh.request_headers) = (before.runs, before.request_headers);
         if let Some(group) = before.membership {
-            world.restarted.insert((group.group.clone(), group.epoch));
+            state.restarted.insert((group.group.clone(), group.epoch));
             if last_join_again {
                 fresh.staged = before.staged;
                 fresh.highest_epoch = group.epoch;
                 fresh.membership = Some(Membership { state: "ready", ..group });
             }
         }
-        world.boxes.insert(id.to_owned(), fresh);
-        drop(world);
+        state.boxes.insert(id.to_owned(), fresh);
+        drop(state);
         self.write_own_entry(id);
     }
 
@@ -294,36 +295,36 @@
     /// Has a box start again under another id, at its address and empty; its old entry stays and the
     /// new one is not listed, as behind a cut from the store.
     pub fn restart_as(&self, id: &str, new_id: &str) {
-        let mut world = self.world.borrow_mut();
-        let Some(old) = world.boxes.remove(id) else { return };
-        let state = SiteBoxState::new(old.address, old.service, old.zone);
-        world.boxes.insert(new_id.to_owned(), state);
-        world.successors.insert(id.to_owned(), new_id.to_owned());
+        let mut state = self.state.borrow_mut();
+        let Some(old) = state.boxes.remove(id) else { return };
+        let site_box = SiteBoxState::new(old.address, old.service, old.zone);
+        state.boxes.insert(new_id.to_owned(), site_box);
+        state.successors.insert(id.to_owned(), new_id.to_owned());
     }
 
     /// Returns the orders that were refused: the box, the operation and the status.
     pub fn refused_orders(&self) -> Vec<(String, String, u16)> {
-        self.world.borrow().refused_orders.clone()
+        self.state.borrow().refused_orders.clone()
     }
 
     /// Returns what must never happen and did.
     pub fn violations(&self) -> Vec<String> {
-        self.world.borrow().violations.clone()
+        self.state.borrow().violations.clone()
     }
 
     /// Returns every request that reached a box.
     pub fn arrivals(&self) -> Vec<Arrival> {
-        self.world.borrow().arrivals.clone()
+        self.state.borrow().arrivals.clone()
     }
 
     /// Returns the leaders that serve and the members of each.
     pub fn leaders(&self) -> BTreeMap<String, Vec<String>> {
-        let world = self.world.borrow();
-        let leads = |(id, held): (&String, &SiteBoxState)| {
-            let group = held.membership.as_ref().filter(|group| group.state == "open")?;
+        let state = self.state.borrow();
+        let leads = |(id, site_box): (&String, &SiteBoxState)| {
+            let group = site_box.membership.as_ref().filter(|group| group.state == "open")?;
             Some((id.clone(), group.members.clone()))
         };
-        world.boxes.iter().filter_map(leads).collect()
+        state.boxes.iter().filter_map(leads).collect()
     }
 
     /// Returns how many replicas serve with all their members.
@@ -333,14 +334,14 @@
 
     /// Tells whether a box holds a model on its host.
     pub fn has_staged(&self, id: &str) -> bool {
-        self.world.borrow().boxes.get(id).is_some_and(|held| held.staged.is_some())
+        self.state.borrow().boxes.get(id).is_some_and(|site_box| site_box.staged.is_some())
     }
 
     /// Returns who ran a request, and after which event each run began.
     pub fn runs_of(&self, request: &str) -> Vec<(String, Option<u64>)> {
-        let world = self.world.borrow();
-        let runs = world.boxes.iter().flat_map(|(id, held)| {
-            let own = held.runs.iter().filter(|(ran, _)| ran == request);
+        let state = self.state.borrow();
+        let runs = state.boxes.iter().flat_map(|(id, site_box)| {
+            let own = site_box.runs.iter().filter(|(ran, _)| ran == request);
             own.map(|(_, after)| (id.clone(), *after))
         });
         runs.collect()
@@ -348,39 +349,39 @@
 
     /// Returns the heads of requests that reached any box.
     pub fn request_headers(&self) -> Vec<BTreeMap<String, String>> {
-        let world = self.world.borrow();
-        world.boxes.values().flat_map(|held| held.request_headers.clone()).collect()
+        let state = self.state.borrow();
+        state.boxes.values().flat_map(|site_box| site_box.request_headers.clone()).collect()
     }
 
     /// Writes what a box tells of itself.
     pub(super) fn write_own_entry(&self, id: &str) {
-        let world = self.world.borrow();
-        let Some(held) = world.boxes.get(id) else { return };
-        let group = held.membership.as_ref().map(|group| {
+        let state = self.state.borrow();
+        let Some(site_box) = state.boxes.get(id) else { return };
+        let group = site_box.membership.as_ref().map(|group| {
             let rank = group.members.iter().position(|member| member == id);
             json!({"name": group.group, "epoch": group.epoch, "rank": rank, "state": group.state})
         });
-        let cold = held.cold.filter(|(_, told)| *told == ColdReport::Entry);
+        let cold = site_box.cold.filter(|(_, told)| *told == ColdReport::Entry);
         let cold_left = cold.map(|(until, _)| until.saturating_duration_since(Instant::now()));
         let cold_left = cold_left.unwrap_or_default().as_millis() as u64;
-        let state = if held.draining { "draining" } else { "ready" };
-        let loaded = held.membership.is_some().then(|| held.staged.clone()).flatten();
+        let readiness = if site_box.draining { "draining" } else { "ready" };
+        let loaded = site_box.membership.is_some().then(|| site_box.staged.clone()).flatten();
         let mut entry = json!({
-            "service": held.service, "address": held.address.to_string(), "zone": held.zone,
-            "version": "v1", "slots": 8, "state": state, "cold_left_ms": cold_left, "seq_no": 0,
-            "domain": (held.service == "models").then(|| format!("{}-d0", held.zone)),
-            "staged": held.staged.iter().collect::<Vec<_>>(), "group": group,
+            "service": site_box.service, "address": site_box.address.to_string(), "zone": site_box.zone,
+            "version": "v1", "slots": 8, "state": readiness, "cold_left_ms": cold_left, "seq_no": 0,
+            "domain": (site_box.service == "models").then(|| format!("{}-d0", site_box.zone)),
+            "staged": site_box.staged.iter().collect::<Vec<_>>(), "group": group,
             "models": loaded.iter().map(|name| json!({"name": name})).collect::<Vec<_>>(),
         });
-        if world.reports_starts {
-            entry["born"] = json!(held.start_ms);
+        if state.reports_starts {
+            entry["born"] = json!(site_box.start_ms);
         }
-        drop(world);
+        drop(state);
         self.store.put(&format!("servers/{id}"), STANDARD.encode(entry.to_string()));
     }
 
     pub(super) fn mode(&self, id: &str) -> BoxMode {
-        self.world.borrow().boxes.get(id).map(|held| held.mode).unwrap_or(BoxMode::Dark)
+        self.state.borrow().boxes.get(id).map(|site_box| site_box.mode).unwrap_or(BoxMode::Dark)
     }
 }
 
--- a/crates/cherrystand_testkit/src/soak/run.rs
+++ b/crates/cherrystand_testkit/src/soak/run.rs
@@ -476,7 +476,7 @@
             cold_intervals: self.cold_intervals.borrow().clone(),
             box_faults: self.site.violations(),
             crashes: self.site.crashes(),
-            told: self.site.signals(),
+            signals: self.site.signals(),
         }
     }
 }
--- a/crates/cherrystand_testkit/src/soak/run_record.rs
+++ b/crates/cherrystand_testkit/src/soak/run_record.rs
@@ -128,7 +128,7 @@
     /// The crashes of boxes by requests.
     pub crashes: Vec<Crash>,
     /// The signals that boxes sent to daemons in their answers.
-    pub told: Vec<SentSignal>,
+    pub signals: Vec<SentSignal>,
 }
 
 /// How long a disturbance excuses violations after it ended.
@@ -312,7 +312,7 @@
     fn ignored_signals(&self) -> Vec<String> {
         let daemon_of: BTreeMap<&str, usize> =
             self.calls.iter().map(|call| (call.id.as_str(), call.daemon)).collect();
-        ignored_signals(&self.told, &self.arrivals, |request, at| {
+        ignored_signals(&self.signals, &self.arrivals, |request, at| {
             let daemon = *daemon_of.get(request)?;
             (!self.may_lose_answers(at)).then(|| (daemon, self.incarnation_of(daemon, at)))
         })
@@ -325,10 +325,11 @@
     fn exceeded_rate_limits(&self) -> Vec<String> {
         let daemon_of: BTreeMap<&str, usize> =
             self.calls.iter().map(|call| (call.id.as_str(), call.daemon)).collect();
-        let targets: BTreeSet<&str> = self.told.iter().map(|told| told.target.as_str()).collect();
+        let targets: BTreeSet<&str> =
+            self.signals.iter().map(|sent| sent.target.as_str()).collect();
         let violations = targets.into_iter().flat_map(|target| {
-            let own = self.told.iter().filter(|told| told.target == target);
-            let told: Vec<SentSignal> = own.cloned().collect();
+            let own = self.signals.iter().filter(|sent| sent.target == target);
+            let signals: Vec<SentSignal> = own.cloned().collect();
             let is_excused = |daemon: usize, at: Instant| {
                 let concerns = |disturbance: &&Disturbance| {
                     let all_exit = disturbance.ends_processes && disturbance.daemon.is_none();
@@ -338,7 +339,7 @@
                 };
                 self.disturbances.iter().filter(concerns).any(|disturbance| disturbance.affects(at))
             };
-            exceeded_limits(&told, &self.arrivals, LimitBound::Platform, |request, at| {
+            exceeded_limits(&signals, &self.arrivals, LimitBound::Platform, |request, at| {
                 let daemon = *daemon_of.get(request)?;
                 (!is_excused(daemon, at)).then(|| (daemon, self.incarnation_of(daemon, at)))
             })
--- a/crates/cherrystand_testkit/tests/soak_checks.rs
+++ b/crates/cherrystand_testkit/tests/soak_checks.rs
@@ -49,22 +49,22 @@
 }
 
 /// Records that a box sent a signal to a daemon five seconds before three requests of that daemon reach it.
-fn told(record: &mut RunRecord, signal: Signal) {
+fn signal_sent(record: &mut RunRecord, signal: Signal) {
     let at = record.calls[0].sent - Duration::from_secs(5);
     let (request, target) = ("r1".to_owned(), "a-0".to_owned());
-    record.told = vec![SentSignal { request, target, incarnation: 1, at, signal }];
+    record.signals = vec![SentSignal { request, target, incarnation: 1, at, signal }];
     record.arrivals = vec![record.arrivals[0].clone(); 3];
 }
 
 /// Records that a box advertised a limit for eleven seconds, and the requests that reached it ten seconds after the
 /// start of that time.
 fn limited(record: &mut RunRecord, limit: f64, arrivals: usize) {
-    let (last, sent) = (Duration::from_secs(10), record.calls[0].sent);
-    let told = |at| {
+    let (last, request_at) = (Duration::from_secs(10), record.calls[0].sent);
+    let sent = |at| {
         let (request, target) = ("r1".to_owned(), "a-0".to_owned());
         SentSignal { request, target, incarnation: 1, at, signal: Signal::RateLimit(limit) }
     };
-    record.told = vec![told(sent - last), told(sent + Duration::from_secs(1))];
+    record.signals = vec![sent(request_at - last), sent(request_at + Duration::from_secs(1))];
     record.arrivals = vec![record.arrivals[0].clone(); arrivals];
 }
 
@@ -249,21 +249,21 @@
             },
         ),
         case("sent three times during backoff", Some("Backoff(10s), and got 3"), &|record, _| {
-            told(record, Signal::Backoff(Duration::from_secs(10)));
+            signal_sent(record, Signal::Backoff(Duration::from_secs(10)));
         }),
         case("sent twice during backoff", None, &|record, _| {
-            told(record, Signal::Backoff(Duration::from_secs(10)));
+            signal_sent(record, Signal::Backoff(Duration::from_secs(10)));
             record.arrivals.truncate(2);
         }),
         case("sent after backoff", None, &|record, _| {
-            told(record, Signal::Backoff(Duration::from_secs(4)));
+            signal_sent(record, Signal::Backoff(Duration::from_secs(4)));
         }),
         case("sent during backoff of an earlier incarnation", None, &|record, _| {
-            told(record, Signal::Backoff(Duration::from_secs(10)));
-            record.told[0].incarnation = 0;
+            signal_sent(record, Signal::Backoff(Duration::from_secs(10)));
+            record.signals[0].incarnation = 0;
         }),
         case("sent during backoff by a daemon that was suspended", None, &|record, began| {
-            told(record, Signal::Backoff(Duration::from_secs(10)));
+            signal_sent(record, Signal::Backoff(Duration::from_secs(10)));
             let since = began + Duration::from_secs(57);
             record.disturbances.push(Disturbance {
                 ends_processes: true,
@@ -274,7 +274,7 @@
             "sent to a leaving box while another daemon was suspended",
             Some("Leaving, and got 3"),
             &|record, began| {
-                told(record, Signal::Leaving);
+                signal_sent(record, Signal::Leaving);
                 let since = began + Duration::from_secs(57);
                 record.disturbances.push(Disturbance {
                     ends_processes: true,
@@ -283,7 +283,7 @@
             },
         ),
         case("signal lost on its way", None, &|record, began| {
-            told(record, Signal::Leaving);
+            signal_sent(record, Signal::Leaving);
             record.disturbances.push(Disturbance {
                 affects_answers: true,
                 ..disturbance(None, false, began + Duration::from_secs(54), 2)
