--- a/crates/cherrystandd/tests/connections.rs
+++ b/crates/cherrystandd/tests/connections.rs
@@ -43,7 +43,7 @@
         bounded["services"][1]["max_conns"] = json!(MAX_CONNECTIONS);
         // A daemon that answers on the new route has the limit.
         bounded["routes"][1]["path_prefix"] = json!("/bounded/");
-        site.site.configure(&bounded);
+        site.stand_in.configure(&bounded);
         for node in &site.nodes {
             wait_until("the configuration is in force", async || {
                 send_request(node, SERVICE_PATH, "n0-early".to_owned()).await.answer.status == 404
@@ -56,7 +56,8 @@
         let asked = join_all(ids.map(|(node, id)| send_request(node, "/bounded/1", id))).await;
         assert!(asked.iter().all(is_served), "all are served");
         tokio::time::sleep(Duration::from_millis(200)).await;
-        let kept = ["a-1", "a-2"].map(|id| open_connections(site.site.address_of(id).expect("it")));
+        let kept =
+            ["a-1", "a-2"].map(|id| open_connections(site.stand_in.address_of(id).expect("it")));
         assert!(
             kept.iter().all(|kept| *kept > 0 && *kept <= MAX_CONNECTIONS),
             "{kept:?}, {MAX_CONNECTIONS} are allowed"
--- a/crates/cherrystandd/tests/crashing_requests.rs
+++ b/crates/cherrystandd/tests/crashing_requests.rs
@@ -181,9 +181,9 @@
     support::run(async {
         let site = Site::serving_with_start_times(3).await;
         for id in ["i-6", "i-7", "i-8", "i-9", "i-10", "i-11", "i-12"] {
-            site.site.add_box(id, "models").await.expect("a box");
+            site.stand_in.add_box(id, "models").await.expect("a box");
         }
-        wait_until("six replicas serve", async || site.site.leaders().len() == 6).await;
+        wait_until("six replicas serve", async || site.stand_in.leaders().len() == 6).await;
         let body = format!("{CRASHES}{CRASHES_AFTER_EVENTS}");
         let copies = (0..COPIES).map(|number| {
             let (node, body) = (&site.nodes[number % site.nodes.len()], body.as_str());
@@ -209,12 +209,12 @@
 
 /// Returns when a request crashed boxes.
 fn crashes_by(site: &Site, body: &str) -> Vec<Instant> {
-    let crashes = site.site.crashes();
+    let crashes = site.stand_in.crashes();
     crashes.iter().filter(|crash| crash.body == body).map(|crash| crash.at).collect()
 }
 
 /// Returns how often a request reached boxes after a time.
 fn sent_since(site: &Site, body: &str, since: Instant) -> usize {
-    let arrivals = site.site.arrivals();
+    let arrivals = site.stand_in.arrivals();
     arrivals.iter().filter(|arrival| arrival.body == body && arrival.at > since).count()
 }
--- a/crates/cherrystandd/tests/evacuations.rs
+++ b/crates/cherrystandd/tests/evacuations.rs
@@ -32,8 +32,8 @@
 
 /// Returns how many requests reached the boxes of a zone after a time.
 fn sent_to(site: &Site, zone: &str, from: Instant) -> usize {
-    let boxes = site.site.boxes_in(zone);
-    let arrivals = site.site.arrivals();
+    let boxes = site.stand_in.boxes_in(zone);
+    let arrivals = site.stand_in.arrivals();
     arrivals.iter().filter(|arrival| boxes.contains(&arrival.target) && arrival.at > from).count()
 }
 
@@ -75,21 +75,21 @@
         let all = cases.into_iter().map(|case| async move {
             let mut site = Site::in_two_zones(3, &config(1, "/calls/", &["k1"])).await;
             if let Condition::NodeRejected = case.condition {
-                site.site.set_store_mode(1, StoreMode::Busy);
+                site.stand_in.set_store_mode(1, StoreMode::Busy);
             }
             let asking = send_to_all(&site.nodes, case.path, REQUEST_INTERVAL, REQUESTS_FOR);
             let evacuating = async {
                 tokio::time::sleep(EVACUATED_AFTER).await;
                 if let Condition::UnknownZones = case.condition {
-                    site.site.evacuate("nowhere", b"{}");
-                    site.site.evacuate("", b"{}");
+                    site.stand_in.evacuate("nowhere", b"{}");
+                    site.stand_in.evacuate("", b"{}");
                 }
-                site.site.evacuate(EVACUATED, case.value);
+                site.stand_in.evacuate(EVACUATED, case.value);
                 Instant::now()
             };
             let (mut asked, evacuated_at) = tokio::join!(asking, evacuating);
-            let before = site.site.arrivals();
-            let boxes = site.site.boxes_in(EVACUATED);
+            let before = site.stand_in.arrivals();
+            let boxes = site.stand_in.boxes_in(EVACUATED);
             let before = before.iter().filter(|arrival| arrival.at < evacuated_at);
             let before = before.filter(|arrival| boxes.contains(&arrival.target)).count();
             if let Condition::NodeStarts = case.condition {
@@ -122,7 +122,7 @@
     support::run(async {
         let site = Site::in_two_zones(2, &config(1, "/calls/", &["k1"])).await;
         for zone in ["z1", "z2"] {
-            site.site.evacuate(zone, b"{}");
+            site.stand_in.evacuate(zone, b"{}");
         }
         tokio::time::sleep(PROPAGATION_LIMIT).await;
         let from = Instant::now();
@@ -142,7 +142,7 @@
         }
         assert_eq!(sent_to(&site, "z1", from) + sent_to(&site, "z2", from), 0);
         // The zone serves at once, because its replicas were kept.
-        site.site.end_evacuation("z1");
+        site.stand_in.end_evacuation("z1");
         tokio::time::sleep(PROPAGATION_LIMIT).await;
         let asked =
             send_to_all(&site.nodes, MODEL_PATH, REQUEST_INTERVAL, Duration::from_secs(1)).await;
@@ -161,7 +161,7 @@
 
 /// Returns the most requests that reached a box within one second between two times.
 fn most_in_a_second(site: &Site, id: &str, from: Instant, until: Instant) -> usize {
-    let arrivals = site.site.arrivals();
+    let arrivals = site.stand_in.arrivals();
     let own = arrivals.iter().filter(|arrival| arrival.target == id);
     let own: Vec<Instant> =
         own.map(|arrival| arrival.at).filter(|at| *at >= from && *at < until).collect();
@@ -210,16 +210,16 @@
             let turning_cold = async {
                 tokio::time::sleep(EVACUATED_AFTER).await;
                 let ColdCause::Cold(reported) = case.cause else {
-                    site.site.evacuate(EVACUATED, b"{}");
+                    site.stand_in.evacuate(EVACUATED, b"{}");
                     tokio::time::sleep(Duration::from_secs(2)).await;
-                    site.site.turn_cold("a-1", COLD, ColdReport::Nowhere);
-                    site.site.end_evacuation(EVACUATED);
+                    site.stand_in.turn_cold("a-1", COLD, ColdReport::Nowhere);
+                    site.stand_in.end_evacuation(EVACUATED);
                     let returned_at = Instant::now();
                     tokio::time::sleep(REPORTED_AFTER).await;
-                    site.site.turn_cold("a-1", COLD - REPORTED_AFTER, ColdReport::Entry);
+                    site.stand_in.turn_cold("a-1", COLD - REPORTED_AFTER, ColdReport::Entry);
                     return returned_at;
                 };
-                site.site.turn_cold("a-1", COLD, reported);
+                site.stand_in.turn_cold("a-1", COLD, reported);
                 Instant::now() + DETECTION_LIMIT
             };
             let (asked, from) = tokio::join!(asking, turning_cold);
--- a/crates/cherrystandd/tests/homes.rs
+++ b/crates/cherrystandd/tests/homes.rs
@@ -70,11 +70,11 @@
             let site = Site::in_two_zones(2, &config).await;
             let mut wrong = Vec::new();
             for path in [MODEL_PATH, SERVICE_PATH] {
-                let before = site.site.arrivals().len();
+                let before = site.stand_in.arrivals().len();
                 let asked = send_to_all(&site.nodes, path, REQUEST_INTERVAL, REQUEST_PERIOD).await;
-                let arrivals = site.site.arrivals().split_off(before);
+                let arrivals = site.stand_in.arrivals().split_off(before);
                 let reached = ["z1", "z2"].into_iter().filter(|zone| {
-                    let boxes = site.site.boxes_in(zone);
+                    let boxes = site.stand_in.boxes_in(zone);
                     arrivals.iter().any(|arrival| boxes.contains(&arrival.target))
                 });
                 let reached: BTreeSet<&str> = reached.collect();
--- a/crates/cherrystandd/tests/large_configuration.rs
+++ b/crates/cherrystandd/tests/large_configuration.rs
@@ -59,7 +59,7 @@
         let began = std::time::Instant::now();
         for version in 2..2 + VERSIONS {
             let key = format!("k{version}");
-            site.site.configure(&large_config(version, &key));
+            site.stand_in.configure(&large_config(version, &key));
             for node in &site.nodes {
                 wait_until("a node has the new key", async || {
                     let id = format!("v{version}-{}", node.callers.port());
@@ -88,19 +88,19 @@
     support::run(async {
         let site = Site::serving(1).await;
         let node = &site.nodes[0];
-        let before = site.site.leaders();
+        let before = site.stand_in.leaders();
         let hold_up = async {
             tokio::time::sleep(Duration::from_millis(250)).await;
-            site.site.hold_answers(true);
+            site.stand_in.hold_answers(true);
             tokio::time::sleep(HOLD_TIME).await;
-            site.site.hold_answers(false);
+            site.stand_in.hold_answers(false);
         };
         let (answers, ()) = tokio::join!(six_streams(node), hold_up);
         for (answer, id) in answers {
             assert_eq!((answer.status, answer.text()), (StatusCode::OK, whole_stream(&id)));
-            assert_eq!(site.site.runs_of(&id).len(), 1, "{id} was resumed elsewhere");
+            assert_eq!(site.stand_in.runs_of(&id).len(), 1, "{id} was resumed elsewhere");
         }
         tokio::time::sleep(VERDICT_DELAY).await;
-        assert_eq!(site.site.leaders(), before, "replicas were formed again");
+        assert_eq!(site.stand_in.leaders(), before, "replicas were formed again");
     });
 }
--- a/crates/cherrystandd/tests/leaving.rs
+++ b/crates/cherrystandd/tests/leaving.rs
@@ -49,7 +49,7 @@
         match self {
             Self::StalledConnections => site.store_links[reader].silence_open_connections(),
             Self::Partitioned => site.store_links[reader].set(LinkMode::SilentBack),
-            Self::Rejected => site.site.set_store_mode(reader, StoreMode::Busy),
+            Self::Rejected => site.stand_in.set_store_mode(reader, StoreMode::Busy),
             Self::Paused => site.nodes[reader].process.signal("STOP"),
             Self::Killed => site.nodes[reader].process.signal("KILL"),
         }
@@ -58,7 +58,7 @@
     fn end(self, site: &Site, reader: usize) {
         match self {
             Self::Partitioned => site.store_links[reader].set(LinkMode::Open),
-            Self::Rejected => site.site.set_store_mode(reader, StoreMode::Open),
+            Self::Rejected => site.stand_in.set_store_mode(reader, StoreMode::Open),
             Self::Paused => site.nodes[reader].process.signal("CONT"),
             Self::StalledConnections | Self::Killed => {}
         }
@@ -74,15 +74,15 @@
 impl Departure {
     fn leave(self, site: &Site) {
         match self {
-            Self::Announced => site.site.drain(LEAVING),
-            Self::EntryRemoved => site.site.unlist(LEAVING),
+            Self::Announced => site.stand_in.drain(LEAVING),
+            Self::EntryRemoved => site.stand_in.unlist(LEAVING),
         }
     }
 }
 
 /// Returns which daemons sent requests to the endpoint after a time, and how late each request was.
 fn sent_after(site: &Site, from: Instant, is_counted: impl Fn(&str) -> bool) -> Vec<String> {
-    let arrivals = site.site.arrivals().into_iter();
+    let arrivals = site.stand_in.arrivals().into_iter();
     let late = arrivals.filter(|arrival| arrival.target == LEAVING && arrival.at > from);
     let late = late.filter_map(|arrival| {
         let daemon = daemon_of(&arrival.request, arrival.at)?;
@@ -131,7 +131,7 @@
             let leaving = async {
                 tokio::time::sleep(Duration::from_millis(500)).await;
                 // A watch starts right after a change, so that it has long to wait.
-                site.site.list(STAYING);
+                site.stand_in.list(STAYING);
                 tokio::time::sleep(Duration::from_millis(110)).await;
                 case.fault.begin(&site, reader);
                 tokio::time::sleep(Duration::from_millis(10)).await;
--- a/crates/cherrystandd/tests/limits.rs
+++ b/crates/cherrystandd/tests/limits.rs
@@ -25,7 +25,7 @@
 
 /// Lists the boxes that got more requests than they had named.
 fn violations(site: &Site) -> Vec<String> {
-    let (told, arrivals) = (site.site.signals(), site.site.arrivals());
+    let (told, arrivals) = (site.stand_in.signals(), site.stand_in.arrivals());
     let bounds = [LimitBound::Platform, LimitBound::Own];
     bounds.iter().flat_map(|bound| exceeded_limits(&told, &arrivals, *bound, daemon_of)).collect()
 }
@@ -34,7 +34,7 @@
 fn boxes_of(site: &Site, path: &str) -> Vec<String> {
     match path {
         SERVICE_PATH => ["a-1", "a-2"].map(str::to_owned).to_vec(),
-        _ => site.site.leaders().into_keys().collect(),
+        _ => site.stand_in.leaders().into_keys().collect(),
     }
 }
 
@@ -116,7 +116,7 @@
         let all = cases.into_iter().map(|case| async move {
             let site = Site::serving_with_start_times(3).await;
             for (id, wishes) in boxes_of(&site, case.path).iter().zip(case.wishes) {
-                site.site.set_wishes(id, wishes);
+                site.stand_in.set_wishes(id, wishes);
             }
             let of = |number: usize| {
                 let nodes = &site.nodes;
@@ -200,24 +200,26 @@
     support::run(async {
         let all = cases.into_iter().map(|case| async move {
             let site = Site::serving_with_start_times(3).await;
-            site.site.set_wishes("a-1", BoxWishes::limit(case.first));
+            site.stand_in.set_wishes("a-1", BoxWishes::limit(case.first));
             let asking = send_to_all(&site.nodes, SERVICE_PATH, REQUEST_INTERVAL, REQUEST_PERIOD);
             let changing = async {
                 tokio::time::sleep(CHANGE_AFTER).await;
                 match case.change {
-                    Change::Names(limit) => site.site.set_wishes("a-1", BoxWishes::limit(limit)),
-                    Change::NamesNoLimit => site.site.set_wishes("a-1", BoxWishes::default()),
-                    Change::Restarts => site.site.restart("a-1", false),
+                    Change::Names(limit) => {
+                        site.stand_in.set_wishes("a-1", BoxWishes::limit(limit))
+                    }
+                    Change::NamesNoLimit => site.stand_in.set_wishes("a-1", BoxWishes::default()),
+                    Change::Restarts => site.stand_in.restart("a-1", false),
                     Change::DaemonKilled(number) => site.nodes[number].process.signal("KILL"),
                 }
             };
             let (asked, ()) = tokio::join!(asking, changing);
-            let arrivals = site.site.arrivals();
+            let arrivals = site.stand_in.arrivals();
             let ended = arrivals.iter().map(|arrival| arrival.at).max().expect("arrivals");
             let final_count = arrivals.iter().filter(|arrival| arrival.target == "a-1");
             let final_count =
                 final_count.filter(|arrival| arrival.at + COUNTED_PERIOD >= ended).count();
-            let (told, mut wrong) = (site.site.signals(), Vec::new());
+            let (told, mut wrong) = (site.stand_in.signals(), Vec::new());
             wrong.extend(exceeded_limits(&told, &arrivals, LimitBound::Platform, daemon_of));
             if !case.final_count.contains(&final_count) {
                 wrong.push(format!("{final_count} at the end, expected {:?}", case.final_count));
--- a/crates/cherrystandd/tests/site.rs
+++ b/crates/cherrystandd/tests/site.rs
@@ -26,9 +26,9 @@
         let early = call(node, "POST", SERVICE_PATH, "early", "k1").await;
         assert_eq!(early.status, StatusCode::SERVICE_UNAVAILABLE);
         assert!(!early.header("retry-after").is_empty());
-        site.site.configure(&config(1, "/calls/", &["k1"]));
+        site.stand_in.configure(&config(1, "/calls/", &["k1"]));
         wait_until("the node is ready", async || is_ready(node).await).await;
-        wait_until("two replicas serve", async || site.site.leaders().len() == 2).await;
+        wait_until("two replicas serve", async || site.stand_in.leaders().len() == 2).await;
         wait_until("models answer", async || {
             call(node, "GET", MODEL_PATH, "warm", "k1").await.status == StatusCode::OK
         })
@@ -47,14 +47,14 @@
         let bearer = [("authorization", "Bearer k1")];
         let large = send(node, "POST", SERVICE_PATH, "l1", &bearer, &"x".repeat(3_000)).await;
         assert_eq!(large.status, StatusCode::PAYLOAD_TOO_LARGE);
-        assert!(site.site.runs_of("l1").is_empty() && site.site.runs_of("x").is_empty());
+        assert!(site.stand_in.runs_of("l1").is_empty() && site.stand_in.runs_of("x").is_empty());
         let metrics = call_at(node.operators, "GET", "/metrics", &[], "").await;
         assert!(
             metrics.text().contains("cherrystand_refusals_total{reason=\"no-key\"} 1"),
             "{}",
             metrics.text()
         );
-        for head in site.site.request_headers() {
+        for head in site.stand_in.request_headers() {
             assert!(!head.contains_key("authorization"), "the key was forwarded");
             assert_eq!(head["cherrystand-tenant"], "families");
             // Only engines take a priority.
@@ -141,7 +141,7 @@
             assert_eq!(answer, case.answer, "{}", case.name);
             assert_eq!(story.text(), whole_stream(case.name), "{}", case.name);
         }
-        assert!(site.site.runs_of("raw").is_empty(), "{:?}", site.site.runs_of("raw"));
+        assert!(site.stand_in.runs_of("raw").is_empty(), "{:?}", site.stand_in.runs_of("raw"));
         assert!(!site.nodes[0].process.has_ended());
     });
 }
@@ -153,21 +153,21 @@
         let node = &site.nodes[0];
         let fail_member = async {
             tokio::time::sleep(Duration::from_millis(250)).await;
-            let (_, members) = site.site.leaders().pop_first().expect("a leader");
-            site.site.set_mode(&members[1], BoxMode::Dark);
+            let (_, members) = site.stand_in.leaders().pop_first().expect("a leader");
+            site.stand_in.set_mode(&members[1], BoxMode::Dark);
         };
         let (answers, ()) = tokio::join!(six_streams(node), fail_member);
         let mut resumed = 0;
         for (answer, id) in answers {
             assert_eq!((answer.status, answer.text()), (StatusCode::OK, whole_stream(&id)));
-            let runs = site.site.runs_of(&id);
+            let runs = site.stand_in.runs_of(&id);
             assert!(runs.len() <= 2, "{id} ran {runs:?}");
             resumed += runs.len() - 1;
         }
         assert!(resumed > 0, "no stream was at the stalled replica");
         // The spare replaces the dark member.
         wait_until("both replicas serve", async || {
-            let leaders = site.site.leaders();
+            let leaders = site.stand_in.leaders();
             leaders.len() == 2
                 && leaders.values().any(|members| members.contains(&"i-5".to_owned()))
         })
@@ -201,16 +201,16 @@
             let pause = async {
                 let wait = if case.before { 0 } else { 250 };
                 tokio::time::sleep(Duration::from_millis(wait)).await;
-                let (leader, _) = site.site.leaders().pop_first().expect("a leader");
-                site.site.set_mode(&leader, BoxMode::Pauses);
+                let (leader, _) = site.stand_in.leaders().pop_first().expect("a leader");
+                site.stand_in.set_mode(&leader, BoxMode::Pauses);
                 tokio::time::sleep(Duration::from_millis(case.stall_ms)).await;
-                site.site.set_mode(&leader, BoxMode::Well);
+                site.stand_in.set_mode(&leader, BoxMode::Well);
             };
             let (answers, ()) = tokio::join!(six_streams(node), pause);
             let mut runs = 0;
             for (answer, id) in answers {
                 assert_eq!(answer.text(), whole_stream(&id), "{}: {id}", case.name);
-                runs += site.site.runs_of(&id).len();
+                runs += site.stand_in.runs_of(&id).len();
             }
             // Without slack, the six requests themselves earn one retry at most.
             let max_runs = if case.retry_slack > 0.0 { 12 } else { 7 };
@@ -270,19 +270,19 @@
         let all = cases.into_iter().map(|case| async move {
             // The second node is a peer that confirms that nothing arrives from the replicas.
             let site = Site::serving_with(2, case.retry_slack).await;
-            let leaders: Vec<String> = site.site.leaders().into_keys().collect();
+            let leaders: Vec<String> = site.stand_in.leaders().into_keys().collect();
             let pause = async {
                 tokio::time::sleep(Duration::from_millis(case.after_ms)).await;
-                site.site.set_mode(&leaders[0], BoxMode::Pauses);
-                site.site.set_mode(&leaders[1], case.other);
+                site.stand_in.set_mode(&leaders[0], BoxMode::Pauses);
+                site.stand_in.set_mode(&leaders[1], case.other);
                 tokio::time::sleep(Duration::from_millis(case.stall_ms)).await;
-                site.site.set_mode(&leaders[0], BoxMode::Well);
-                site.site.set_mode(&leaders[1], BoxMode::Well);
+                site.stand_in.set_mode(&leaders[0], BoxMode::Well);
+                site.stand_in.set_mode(&leaders[1], BoxMode::Well);
             };
             let (answers, ()) = tokio::join!(six_streams(&site.nodes[0]), pause);
             let mut ended = Vec::new();
             for (answer, id) in answers {
-                let runs = site.site.runs_of(&id);
+                let runs = site.stand_in.runs_of(&id);
                 // A box may break off its own answer; nothing else ends one.
                 let broken_off = case.other == BoxMode::LosesAnswers
                     && runs.len() == 1
@@ -305,17 +305,17 @@
 fn a_pause_of_all_replicas_at_once_causes_no_retries() {
     support::run(async {
         let site = Site::serving_with(2, 136.0).await;
-        let leaders: Vec<String> = site.site.leaders().into_keys().collect();
+        let leaders: Vec<String> = site.stand_in.leaders().into_keys().collect();
         let pause = async {
             tokio::time::sleep(Duration::from_millis(250)).await;
-            leaders.iter().for_each(|leader| site.site.set_mode(leader, BoxMode::Pauses));
+            leaders.iter().for_each(|leader| site.stand_in.set_mode(leader, BoxMode::Pauses));
             tokio::time::sleep(Duration::from_millis(700)).await;
-            leaders.iter().for_each(|leader| site.site.set_mode(leader, BoxMode::Well));
+            leaders.iter().for_each(|leader| site.stand_in.set_mode(leader, BoxMode::Well));
         };
         let (answers, ()) = tokio::join!(six_streams(&site.nodes[0]), pause);
         for (answer, id) in answers {
             assert_eq!(answer.text(), whole_stream(&id));
-            let runs = site.site.runs_of(&id);
+            let runs = site.stand_in.runs_of(&id);
             assert_eq!(runs.len(), 1, "{id} ran {runs:?}");
         }
     });
@@ -342,8 +342,8 @@
     support::run(async {
         let all = cases.into_iter().map(|case| async move {
             let site = Site::serving_with(case.daemons, 0.0).await;
-            let (_, members) = site.site.leaders().pop_first().expect("a leader");
-            site.site.set_mode(&members[case.rank], BoxMode::Dark);
+            let (_, members) = site.stand_in.leaders().pop_first().expect("a leader");
+            site.stand_in.set_mode(&members[case.rank], BoxMode::Dark);
             let began = std::time::Instant::now();
             let all = site.nodes.iter().map(six_streams);
             let answers = futures_util::future::join_all(all).await;
@@ -365,8 +365,8 @@
 fn a_request_at_a_live_replica_stays_until_its_deadline() {
     support::run(async {
         let site = Site::serving_with(2, 0.0).await;
-        for leader in site.site.leaders().into_keys() {
-            site.site.set_mode(&leader, BoxMode::Pauses);
+        for leader in site.stand_in.leaders().into_keys() {
+            site.stand_in.set_mode(&leader, BoxMode::Pauses);
         }
         let began = std::time::Instant::now();
         let answers = six_streams(&site.nodes[0]).await;
@@ -385,19 +385,19 @@
 fn an_order_reaches_only_the_box_that_it_is_meant_for() {
     support::run(async {
         let site = Site::serving(1).await;
-        site.site.add_box("i-6", "models").await.expect("a box");
-        wait_until("the new box is staged", async || site.site.has_staged("i-6")).await;
-        site.site.restart_as("i-5", "i-95");
-        let (_, members) = site.site.leaders().pop_first().expect("a leader");
-        site.site.set_mode(&members[1], BoxMode::Dark);
+        site.stand_in.add_box("i-6", "models").await.expect("a box");
+        wait_until("the new box is staged", async || site.stand_in.has_staged("i-6")).await;
+        site.stand_in.restart_as("i-5", "i-95");
+        let (_, members) = site.stand_in.leaders().pop_first().expect("a leader");
+        site.stand_in.set_mode(&members[1], BoxMode::Dark);
         let ended = six_streams(&site.nodes[0]).await;
         assert!(ended.iter().all(|(answer, id)| answer.text() == whole_stream(id)));
         wait_until("the other spare took the place", async || {
-            let leaders = site.site.leaders();
+            let leaders = site.stand_in.leaders();
             leaders.values().any(|members| members.contains(&"i-6".to_owned()))
         })
         .await;
-        let refused = site.site.refused_orders();
+        let refused = site.stand_in.refused_orders();
         assert!(refused.iter().all(|(id, ..)| id != "i-95"), "refused: {refused:?}");
     });
 }
@@ -425,14 +425,16 @@
             let site = Site::serving_with_start_times(2).await;
             // Boxes report their starts from now on, so that incarnations can be told apart, and
             // keep serving.
-            assert_eq!(site.site.complete_replicas(), 2, "{}", case.name);
-            let (leader, members) = site.site.leaders().pop_first().expect("a leader");
+            assert_eq!(site.stand_in.complete_replicas(), 2, "{}", case.name);
+            let (leader, members) = site.stand_in.leaders().pop_first().expect("a leader");
             let restart = async {
                 tokio::time::sleep(Duration::from_millis(250)).await;
-                site.site.restart(&members[case.rank], case.joins_again);
+                site.stand_in.restart(&members[case.rank], case.joins_again);
                 let restarted = std::time::Instant::now();
-                wait_until("two whole replicas serve", async || site.site.complete_replicas() == 2)
-                    .await;
+                wait_until("two whole replicas serve", async || {
+                    site.stand_in.complete_replicas() == 2
+                })
+                .await;
                 restarted
             };
             let (answers, restarted) = tokio::join!(six_streams(&site.nodes[0]), restart);
@@ -443,12 +445,12 @@
             // second is for propagation.
             let late = restarted + Duration::from_millis(500);
             let repaired_at = std::time::Instant::now();
-            let arrivals = site.site.arrivals();
+            let arrivals = site.stand_in.arrivals();
             let at_broken_replica = arrivals.iter().filter(|arrival| arrival.target == leader);
             let at_broken_replica =
                 at_broken_replica.filter(|arrival| arrival.at > late && arrival.at < repaired_at);
             assert_eq!(at_broken_replica.count(), 0, "{}", case.name);
-            assert_eq!(site.site.violations(), Vec::<String>::new(), "{}", case.name);
+            assert_eq!(site.stand_in.violations(), Vec::<String>::new(), "{}", case.name);
         });
         futures_util::future::join_all(all).await;
     });
@@ -470,15 +472,15 @@
             ("i-7", b"{\"service\": \"models\", \"address\": 7}"),
         ];
         for (id, value) in invalid {
-            site.site.write_entry(id, value);
+            site.stand_in.write_entry(id, value);
         }
         tokio::time::sleep(Duration::from_millis(400)).await;
-        let before = site.site.arrivals().len();
+        let before = site.stand_in.arrivals().len();
         for number in 0..8 {
             let answer = call(node, "POST", SERVICE_PATH, &format!("c{number}"), "k1").await;
             assert_eq!(answer.status, StatusCode::OK);
         }
-        let arrivals = site.site.arrivals().split_off(before);
+        let arrivals = site.stand_in.arrivals().split_off(before);
         assert!(arrivals.iter().all(|arrival| arrival.target == "a-2"), "{arrivals:?}");
         let answers = six_streams(node).await;
         assert!(answers.iter().all(|(answer, id)| answer.text() == whole_stream(id)));
@@ -486,11 +488,11 @@
         assert!(metrics.contains("values_refused_total{kind=\"entry\"} 5"), "{metrics}");
         // The box is back once its entry is readable, and the configuration in force survives an
         // invalid one.
-        site.site.list("a-1");
-        site.site.store.put("op/config", "not base64!".to_owned());
+        site.stand_in.list("a-1");
+        site.stand_in.store.put("op/config", "not base64!".to_owned());
         wait_until("a-1 is chosen again", async || {
             let _ = call(node, "POST", SERVICE_PATH, "again", "k1").await;
-            site.site.runs_of("again").iter().any(|(id, _)| id == "a-1")
+            site.stand_in.runs_of("again").iter().any(|(id, _)| id == "a-1")
         })
         .await;
     });
@@ -500,12 +502,12 @@
 fn a_dark_spare_is_detected_by_its_first_order() {
     support::run(async {
         let site = Site::serving(1).await;
-        site.site.add_box("i-6", "models").await.expect("a box");
-        wait_until("the new box is staged", async || site.site.has_staged("i-6")).await;
+        site.stand_in.add_box("i-6", "models").await.expect("a box");
+        wait_until("the new box is staged", async || site.stand_in.has_staged("i-6")).await;
         // It is still listed, as a box is for some seconds after it lost power.
-        site.site.set_mode("i-5", BoxMode::Dark);
-        let (_, members) = site.site.leaders().pop_first().expect("a leader");
-        site.site.set_mode(&members[1], BoxMode::Dark);
+        site.stand_in.set_mode("i-5", BoxMode::Dark);
+        let (_, members) = site.stand_in.leaders().pop_first().expect("a leader");
+        site.stand_in.set_mode(&members[1], BoxMode::Dark);
         // Requests detect the stalled replica.
         let calls = (0..6).map(|number| {
             let id = format!("s{number}");
@@ -515,7 +517,7 @@
         let answers = futures_util::future::join_all(calls).await;
         assert!(answers.iter().all(|status| *status == StatusCode::OK), "{answers:?}");
         wait_until("the other spare took the place", async || {
-            let leaders = site.site.leaders();
+            let leaders = site.stand_in.leaders();
             leaders.values().any(|members| members.contains(&"i-6".to_owned()))
         })
         .await;
@@ -574,14 +576,14 @@
             // own site.
             let site = Site::serving(1).await;
             let node = &site.nodes[0];
-            site.site.set_mode("a-1", case.mood);
+            site.stand_in.set_mode("a-1", case.mood);
             // Enough requests that some reach the endpoint with the mood: with 12 requests and two
             // endpoints chosen at random, none did in 85 of 400,000 draws.
             let mut reached = false;
             for attempt in 0..32 {
                 let id = format!("r{number}-{attempt}");
                 let answer = call(node, "POST", case.path, &id, "k1").await;
-                let runs = site.site.runs_of(&id);
+                let runs = site.stand_in.runs_of(&id);
                 assert!(runs.len() <= 2, "{}: {runs:?}", case.name);
                 let is_at_endpoint = match case.mood {
                     BoxMode::Sheds => true,
@@ -635,16 +637,16 @@
         for (number, case) in cases.iter().enumerate() {
             let site = Site::serving(1).await;
             let node = &site.nodes[0];
-            let leaders: Vec<String> = site.site.leaders().into_keys().collect();
+            let leaders: Vec<String> = site.stand_in.leaders().into_keys().collect();
             for (index, mood) in case.moods.into_iter().enumerate() {
-                site.site.set_mode(["a-1", "a-2"][index], mood);
-                site.site.set_mode(&leaders[index], mood);
+                site.stand_in.set_mode(["a-1", "a-2"][index], mood);
+                site.stand_in.set_mode(&leaders[index], mood);
             }
             for path in ["/looks/1", MODEL_PATH] {
                 for attempt in 0..6 {
                     let id = format!("t{number}-{attempt}{path}").replace('/', "-");
                     let answer = call(node, "POST", path, &id, "k1").await;
-                    let runs = site.site.runs_of(&id);
+                    let runs = site.stand_in.runs_of(&id);
                     let context = (case.name, path, answer.status, &runs);
                     assert!(case.allowed.contains(&answer.status), "{context:?}");
                     let claims_not_run = answer.status == NOT_RUN;
@@ -659,9 +661,9 @@
 fn a_node_that_the_store_rejects_gets_the_configuration_from_peers() {
     support::run(async {
         let site = Site::serving(2).await;
-        site.site.set_store_mode(1, StoreMode::Busy);
+        site.stand_in.set_store_mode(1, StoreMode::Busy);
         tokio::time::sleep(Duration::from_millis(300)).await;
-        site.site.configure(&config(2, "/moved/", &["k2"]));
+        site.stand_in.configure(&config(2, "/moved/", &["k2"]));
         for node in &site.nodes {
             wait_until("the new key is in force", async || {
                 call(node, "POST", "/moved/1", "m", "k2").await.status == StatusCode::OK
@@ -684,13 +686,13 @@
     support::run(async {
         let site = Site::serving(1).await;
         let node = &site.nodes[0];
-        site.site.set_store_mode(0, StoreMode::Silent);
+        site.stand_in.set_store_mode(0, StoreMode::Silent);
         tokio::time::sleep(Duration::from_millis(500)).await;
         assert_eq!(call(node, "POST", MODEL_PATH, "s1", "k1").await.text(), whole_stream("s1"));
         assert!(is_ready(node).await);
-        site.site.store.drop_history();
-        site.site.configure(&config(2, "/moved/", &["k1"]));
-        site.site.set_store_mode(0, StoreMode::Open);
+        site.stand_in.store.drop_history();
+        site.stand_in.configure(&config(2, "/moved/", &["k1"]));
+        site.stand_in.set_store_mode(0, StoreMode::Open);
         wait_until("the change is in force", async || {
             call(node, "POST", "/moved/1", "m", "k1").await.status == StatusCode::OK
         })
@@ -703,21 +705,21 @@
     support::run(async {
         let site = Site::serving(1).await;
         let node = &site.nodes[0];
-        let before = site.site.leaders();
-        site.site.set_store_mode(0, StoreMode::Silent);
+        let before = site.stand_in.leaders();
+        site.stand_in.set_store_mode(0, StoreMode::Silent);
         tokio::time::sleep(Duration::from_millis(4_500)).await;
         let all = ["i-1", "i-2", "i-3", "i-4", "i-5", "a-1", "a-2"];
         for id in all {
-            site.site.unlist(id);
+            site.stand_in.unlist(id);
         }
-        site.site.set_store_mode(0, StoreMode::Open);
+        site.stand_in.set_store_mode(0, StoreMode::Open);
         tokio::time::sleep(Duration::from_millis(1_500)).await;
         assert_eq!(call(node, "POST", MODEL_PATH, "s1", "k1").await.text(), whole_stream("s1"));
         for id in all {
-            site.site.list(id);
+            site.stand_in.list(id);
         }
         tokio::time::sleep(Duration::from_millis(4_500)).await;
-        assert_eq!(site.site.leaders(), before);
+        assert_eq!(site.stand_in.leaders(), before);
         assert_eq!(call(node, "POST", SERVICE_PATH, "c1", "k1").await.status, StatusCode::OK);
     });
 }
@@ -747,7 +749,7 @@
 fn a_configuration_written_during_the_first_read_is_not_missed() {
     support::run(async {
         let site = Site::start(1).await;
-        site.site.configure_after_miss(&config(1, "/calls/", &["k1"]));
+        site.stand_in.configure_after_miss(&config(1, "/calls/", &["k1"]));
         let node = &site.nodes[0];
         wait_until("the node is ready", async || is_ready(node).await).await;
     });
@@ -761,21 +763,21 @@
     const MAX_CALLS: u64 = CHANGES + 15;
     support::run(async {
         let mut site = Site::serving(5).await;
-        let before = site.site.store.call_count();
+        let before = site.stand_in.store.call_count();
         for number in 0..CHANGES {
             match number % 2 {
-                0 => site.site.unlist("a-1"),
-                _ => site.site.list("a-1"),
+                0 => site.stand_in.unlist("a-1"),
+                _ => site.stand_in.list("a-1"),
             }
             tokio::time::sleep(Duration::from_millis(100)).await;
         }
-        let calls = site.site.store.call_count() - before;
+        let calls = site.stand_in.store.call_count() - before;
         assert!(calls <= MAX_CALLS, "{calls} calls by five nodes for {CHANGES} changes");
         for version in 2..5 {
             // Whichever node reads for the others, at most one reader is left after two nodes are
             // gone.
             let key = format!("k{version}");
-            site.site.configure(&config(version, "/calls/", &[&key]));
+            site.stand_in.configure(&config(version, "/calls/", &[&key]));
             for (number, node) in site.nodes.iter().enumerate() {
                 wait_until("a node has the new key", async || {
                     let id = format!("v{version}-{number}");
@@ -817,7 +819,7 @@
             let no_peer = site.nodes[0].ready;
             let seed = if case.door == StoreMode::Open { site.nodes[0].peers } else { no_peer };
             site.add_daemon(seed).await;
-            site.site.set_store_mode(known, case.door);
+            site.stand_in.set_store_mode(known, case.door);
             let began = std::time::Instant::now();
             let answer = loop {
                 let answer = call(&site.nodes[known], "POST", case.path, case.name, "k1").await;
@@ -850,7 +852,7 @@
     support::run(async {
         let mut site = Site::serving(2).await;
         wait_until("the readers are noted", async || {
-            site.site.store.contains("cherrystand/readers/z1")
+            site.stand_in.store.contains("cherrystand/readers/z1")
         })
         .await;
         for case in cases {
--- a/crates/cherrystandd/tests/slow_readers.rs
+++ b/crates/cherrystandd/tests/slow_readers.rs
@@ -49,8 +49,9 @@
     support::run(async {
         let site = Site::serving_with_start_times(1).await;
         let node = &site.nodes[0];
-        for leader in site.site.leaders().into_keys() {
-            site.site.set_wishes(&leader, BoxWishes::large_events(EVENT_BYTES, Some(CUT_AFTER)));
+        for leader in site.stand_in.leaders().into_keys() {
+            site.stand_in
+                .set_wishes(&leader, BoxWishes::large_events(EVENT_BYTES, Some(CUT_AFTER)));
         }
         let mut callers: Vec<TcpStream> = Vec::new();
         for number in 0..CALLERS {
@@ -66,9 +67,9 @@
             all
         }));
         let read = read.await;
-        assert_eq!(site.site.unread_aborts().len(), CALLERS, "{read:?}");
+        assert_eq!(site.stand_in.unread_aborts().len(), CALLERS, "{read:?}");
         for number in 0..CALLERS {
-            let runs = site.site.runs_of(&format!("slow-{number}"));
+            let runs = site.stand_in.runs_of(&format!("slow-{number}"));
             assert_eq!(runs.len(), 1, "{runs:?}");
         }
         let text = metrics(node).await;
@@ -80,8 +81,8 @@
             assert!(text.contains(line), "{line} is not in {text}");
         }
         // Both replicas are chosen as before.
-        for leader in site.site.leaders().into_keys() {
-            site.site.set_wishes(&leader, BoxWishes::default());
+        for leader in site.stand_in.leaders().into_keys() {
+            site.stand_in.set_wishes(&leader, BoxWishes::default());
         }
         let asked =
             send_to_all(&site.nodes, MODEL_PATH, Duration::from_millis(50), Duration::from_secs(1));
@@ -102,9 +103,9 @@
     support::run(async {
         let site = Site::serving(1).await;
         let node = &site.nodes[0];
-        let leaders: Vec<String> = site.site.leaders().into_keys().collect();
+        let leaders: Vec<String> = site.stand_in.leaders().into_keys().collect();
         for leader in &leaders {
-            site.site.set_wishes(leader, BoxWishes::large_events(EVENT_BYTES, None));
+            site.stand_in.set_wishes(leader, BoxWishes::large_events(EVENT_BYTES, None));
         }
         let slow = (0..SLOW_CALLERS).map(|number| async move {
             send_without_reading(node, &format!("slow-{number}")).await
@@ -112,11 +113,11 @@
         let slow = join_all(slow).await;
         let begun = || {
             (0..SLOW_CALLERS)
-                .filter(|number| !site.site.runs_of(&format!("slow-{number}")).is_empty())
+                .filter(|number| !site.stand_in.runs_of(&format!("slow-{number}")).is_empty())
         };
         wait_until("all slow streams have begun", async || begun().count() == SLOW_CALLERS).await;
         for leader in &leaders {
-            site.site.set_wishes(leader, BoxWishes::default());
+            site.stand_in.set_wishes(leader, BoxWishes::default());
         }
         let asked =
             send_to_all(&site.nodes, MODEL_PATH, Duration::from_millis(40), Duration::from_secs(2));
@@ -153,8 +154,8 @@
         let mut site = Site::serving(1).await;
         let listener = TcpListener::bind(("127.0.0.1", 0)).await.expect("an address");
         let address = listener.local_addr().expect("an address");
-        site.site.unlist("a-2");
-        site.site.set_address("a-1", address);
+        site.stand_in.unlist("a-2");
+        site.stand_in.set_address("a-1", address);
         for case in cases {
             let answering = answer_once(&listener, case.length);
             let asking = async {
--- a/crates/cherrystandd/tests/store_drills.rs
+++ b/crates/cherrystandd/tests/store_drills.rs
@@ -46,21 +46,21 @@
 /// Restores the store from a backup that lacks many writes, after which operators and boxes rewrite
 /// theirs.
 async fn restore_from_backup(site: &Site, config: &serde_json::Value) {
-    site.site.store.back_up();
+    site.stand_in.store.back_up();
     for number in 0..LOST_WRITES {
-        site.site.list(BOXES[number % BOXES.len()]);
+        site.stand_in.list(BOXES[number % BOXES.len()]);
     }
-    site.site.configure(config);
+    site.stand_in.configure(config);
     // Gives all daemons time to read the configuration.
     tokio::time::sleep(Duration::from_millis(300)).await;
     let doors = || 0..site.nodes.len();
-    doors().for_each(|door| site.site.set_store_mode(door, StoreMode::Silent));
+    doors().for_each(|door| site.stand_in.set_store_mode(door, StoreMode::Silent));
     tokio::time::sleep(STEP).await;
-    site.site.store.restore();
-    doors().for_each(|door| site.site.set_store_mode(door, StoreMode::Open));
+    site.stand_in.store.restore();
+    doors().for_each(|door| site.stand_in.set_store_mode(door, StoreMode::Open));
     tokio::time::sleep(STEP).await;
-    site.site.configure(config);
-    BOXES.iter().for_each(|id| site.site.list(id));
+    site.stand_in.configure(config);
+    BOXES.iter().for_each(|id| site.stand_in.list(id));
 }
 
 /// Returns what is wrong at one daemon once a change must have taken effect.
@@ -81,7 +81,7 @@
             let from = Instant::now();
             let asked =
                 send_to_all(&site.nodes, SERVICE_PATH, Duration::from_millis(50), STEP).await;
-            let arrivals = site.site.arrivals().into_iter();
+            let arrivals = site.stand_in.arrivals().into_iter();
             let late = arrivals.filter(|got| got.target == "a-1" && got.at > from).count();
             let is_right = late == 0 && describe_failures(&asked).is_none();
             (!is_right).then(|| format!("{late} sent to it, {:?}", describe_failures(&asked)))
@@ -100,12 +100,12 @@
             let site = Site::serving(3).await;
             restore_from_backup(&site, &config(2, "/calls/", &["k1", "k2"])).await;
             match change {
-                Change::RouteMoved => site.site.configure(&config(3, "/moved/", &["k1", "k2"])),
-                Change::KeyRevoked => site.site.configure(&config(3, "/calls/", &["k1"])),
-                Change::Leaving => site.site.drain("a-1"),
+                Change::RouteMoved => site.stand_in.configure(&config(3, "/moved/", &["k1", "k2"])),
+                Change::KeyRevoked => site.stand_in.configure(&config(3, "/calls/", &["k1"])),
+                Change::Leaving => site.stand_in.drain("a-1"),
                 Change::EntryRemoved => {
                     tokio::time::sleep(REWRITE_LIMIT).await;
-                    site.site.unlist("a-1");
+                    site.stand_in.unlist("a-1");
                 }
             }
             tokio::time::sleep(PROPAGATION_LIMIT).await;
@@ -126,14 +126,17 @@
         let site = Site::serving(3).await;
         restore_from_backup(&site, &config(1, "/calls/", &["k1"])).await;
         tokio::time::sleep(Duration::from_millis(2_500)).await;
-        let leaders = site.site.leaders();
+        let leaders = site.stand_in.leaders();
         let (leader, members) = leaders.first_key_value().expect("a replica");
         let member = members.iter().find(|member| *member != leader).expect("a member");
-        site.site.restart(member, false);
-        wait_until("both replicas are whole again", async || site.site.complete_replicas() == 2)
-            .await;
-        assert_eq!(site.site.violations(), Vec::<String>::new());
-        let fenced = site.site.refused_orders().into_iter().filter(|(_, _, status)| *status == 412);
+        site.stand_in.restart(member, false);
+        wait_until("both replicas are whole again", async || {
+            site.stand_in.complete_replicas() == 2
+        })
+        .await;
+        assert_eq!(site.stand_in.violations(), Vec::<String>::new());
+        let fenced =
+            site.stand_in.refused_orders().into_iter().filter(|(_, _, status)| *status == 412);
         assert_eq!(fenced.collect::<Vec<_>>(), Vec::new());
         let node = &site.nodes[0];
         assert_eq!(call(node, "POST", MODEL_PATH, "last", "k1").await.status, StatusCode::OK);
--- a/crates/cherrystandd/tests/support/site.rs
+++ b/crates/cherrystandd/tests/support/site.rs
@@ -46,7 +46,7 @@
 }
 
 pub(crate) struct Site {
-    pub(crate) site: SiteStandIn,
+    pub(crate) stand_in: SiteStandIn,
     pub(crate) nodes: Vec<Node>,
     /// The network link of each daemon to the store, by daemon.
     pub(crate) store_links: Vec<Link>,
@@ -60,22 +60,22 @@
 
     /// Starts the same with a given `retry_slack`.
     async fn start_with(daemons: usize, retry_slack: f64) -> Self {
-        let site = SiteStandIn::new();
+        let stand_in = SiteStandIn::new();
         let all = free_addresses(daemons * NODE_ADDRESSES);
         let (mut nodes, mut store_links) = (Vec::new(), Vec::new());
         for (number, own) in all.chunks(NODE_ADDRESSES).enumerate() {
-            let door = site.open_store().await.expect("a door");
-            let link = Link::open(door).await.expect("a link");
+            let store = stand_in.open_store().await.expect("a store address");
+            let link = Link::open(store).await.expect("a link");
             nodes.push(start_node(number, own, all[3], link.address(), true, retry_slack));
             store_links.push(link);
         }
         for id in ["i-1", "i-2", "i-3", "i-4", "i-5"] {
-            site.add_box(id, "models").await.expect("a box");
+            stand_in.add_box(id, "models").await.expect("a box");
         }
         for id in ["a-1", "a-2"] {
-            site.add_box(id, "app").await.expect("an endpoint");
+            stand_in.add_box(id, "app").await.expect("an endpoint");
         }
-        Self { site, nodes, store_links }
+        Self { stand_in, nodes, store_links }
     }
 
     /// Starts daemons and a site of two availability zones, and waits until five replicas serve.
@@ -83,12 +83,12 @@
         let site = Self::start(daemons).await;
         for (zone, boxes) in [("z1", &["i-6"][..]), ("z2", &["j-1", "j-2", "j-3", "j-4", "j-5"])] {
             for id in boxes {
-                site.site.add_box_in(zone, id, "models").await.expect("a box");
+                site.stand_in.add_box_in(zone, id, "models").await.expect("a box");
             }
         }
-        site.site.add_box_in("z2", "b-1", "app").await.expect("an endpoint");
-        site.site.configure(config);
-        wait_until("five replicas serve", async || site.site.leaders().len() == 5).await;
+        site.stand_in.add_box_in("z2", "b-1", "app").await.expect("an endpoint");
+        site.stand_in.configure(config);
+        wait_until("five replicas serve", async || site.stand_in.leaders().len() == 5).await;
         for node in &site.nodes {
             wait_until("a node is ready", async || is_ready(node).await).await;
             // A configuration may allow no zone to serve, so a timeout is not a failure.
@@ -105,10 +105,10 @@
     /// Does the same as [`Self::serving`] with boxes that report when they started.
     pub(crate) async fn serving_with_start_times(daemons: usize) -> Self {
         let site = Self::serving(daemons).await;
-        site.site.report_starts();
+        site.stand_in.report_starts();
         // The records contain the boxes' incarnations once a daemon has read them.
         wait_until("the records contain incarnations", async || {
-            let record = site.site.store.read("cherrystand/shared/domain/z1-d0");
+            let record = site.stand_in.store.read("cherrystand/shared/domain/z1-d0");
             record.is_some_and(|record| record.contains("i-1@"))
         })
         .await;
@@ -118,8 +118,8 @@
     /// Starts one more daemon that knows only a seed, as a daemon does after a power loss.
     pub(crate) async fn add_daemon(&mut self, seed: SocketAddr) {
         let own = free_addresses(NODE_ADDRESSES);
-        let door = self.site.open_store().await.expect("a door");
-        let link = Link::open(door).await.expect("a link");
+        let store = self.stand_in.open_store().await.expect("a store address");
+        let link = Link::open(store).await.expect("a link");
         let number = self.nodes.len();
         self.nodes.push(start_node(number, &own, seed, link.address(), false, RETRY_SLACK));
         self.store_links.push(link);
@@ -155,8 +155,8 @@
     /// Does the same as [`Self::serving`] with a given `retry_slack`.
     pub(crate) async fn serving_with(daemons: usize, retry_slack: f64) -> Self {
         let site = Self::start_with(daemons, retry_slack).await;
-        site.site.configure(&config(1, "/calls/", &["k1"]));
-        wait_until("two replicas serve", async || site.site.leaders().len() == 2).await;
+        site.stand_in.configure(&config(1, "/calls/", &["k1"]));
+        wait_until("two replicas serve", async || site.stand_in.leaders().len() == 2).await;
         for node in &site.nodes {
             wait_until("a node is ready", async || is_ready(node).await).await;
             wait_until("a node serves", async || {
--- a/crates/cherrystandd/tests/suspensions.rs
+++ b/crates/cherrystandd/tests/suspensions.rs
@@ -34,7 +34,7 @@
         let all = cases.into_iter().map(|case| async move {
             let site = Site::serving(1).await;
             let node = &site.nodes[0];
-            case.stalled.iter().for_each(|id| site.site.set_mode(id, BoxMode::Pauses));
+            case.stalled.iter().for_each(|id| site.stand_in.set_mode(id, BoxMode::Pauses));
             let began = Instant::now();
             let suspended = async {
                 tokio::time::sleep(SUSPENDED_AFTER).await;
--- a/crates/cherrystandd/tests/unsealed_answers.rs
+++ b/crates/cherrystandd/tests/unsealed_answers.rs
@@ -14,16 +14,16 @@
     support::run(async {
         let site = Site::serving(1).await;
         let node = &site.nodes[0];
-        let leaders: Vec<String> = site.site.leaders().into_keys().collect();
+        let leaders: Vec<String> = site.stand_in.leaders().into_keys().collect();
         let unsealed = BoxWishes { unsealed: true, ..BoxWishes::default() };
         for id in ["a-1", &leaders[0]] {
-            site.site.set_wishes(id, unsealed);
+            site.stand_in.set_wishes(id, unsealed);
         }
         for number in 0..8 {
             let asked = send_request(node, MODEL_PATH, format!("n0-{number}")).await;
             assert!(is_served(&asked), "{}", asked.answer.status);
             let once = call(node, "POST", SERVICE_PATH, &format!("once-{number}"), "k1").await;
-            let runs = site.site.runs_of(&format!("once-{number}"));
+            let runs = site.stand_in.runs_of(&format!("once-{number}"));
             let is_sealed = runs.iter().all(|(id, _)| id == "a-2");
             assert_eq!(once.status, if is_sealed { 200 } else { 502 }, "{runs:?}");
             assert_eq!(runs.len(), 1, "{runs:?}");
--- a/crates/cherrystandd/tests/wishes.rs
+++ b/crates/cherrystandd/tests/wishes.rs
@@ -31,7 +31,7 @@
 
 /// Lists the requests that daemons sent during a backoff or to boxes that are leaving.
 fn violations(site: &Site) -> Vec<String> {
-    ignored_signals(&site.site.signals(), &site.site.arrivals(), daemon_of)
+    ignored_signals(&site.stand_in.signals(), &site.stand_in.arrivals(), daemon_of)
 }
 
 /// Half of the replicas refused everything for nine seconds and asked each daemon for a backoff of
@@ -91,10 +91,10 @@
             let site = Site::serving_with_start_times(3).await;
             let boxes: Vec<String> = match case.path {
                 SERVICE_PATH => ["a-1", "a-2"].map(str::to_owned).to_vec(),
-                _ => site.site.leaders().into_keys().collect(),
+                _ => site.stand_in.leaders().into_keys().collect(),
             };
             for (id, wishes) in boxes.iter().zip(case.wishes) {
-                site.site.set_wishes(id, wishes);
+                site.stand_in.set_wishes(id, wishes);
             }
             let asked = send_requests(&site.nodes, case.path).await;
             let mut wrong = violations(&site);
@@ -134,13 +134,13 @@
     support::run(async {
         let all = cases.into_iter().map(|case| async move {
             let site = Site::serving_with_start_times(1).await;
-            let leaders = site.site.leaders().into_keys().collect::<Vec<_>>();
+            let leaders = site.stand_in.leaders().into_keys().collect::<Vec<_>>();
             let sheds = if case.path == SERVICE_PATH { "a-1" } else { &leaders[0] };
             let wishes = BoxWishes { sheds: case.sheds, ..BoxWishes::default() };
-            site.site.set_wishes(sheds, wishes);
-            let before = site.site.arrivals().len();
+            site.stand_in.set_wishes(sheds, wishes);
+            let before = site.stand_in.arrivals().len();
             let asked = send_requests(&site.nodes, case.path).await;
-            let arrivals = site.site.arrivals().split_off(before);
+            let arrivals = site.stand_in.arrivals().split_off(before);
             let arrived = arrivals.iter().filter(|arrival| arrival.target == sheds).count();
             let served = asked.iter().filter(|asked| is_served(asked)).count();
             let max_arrivals = (asked.len() as f64 * case.max_share) as usize;
@@ -162,12 +162,12 @@
 fn callers_are_refused_at_once_with_a_retry_after_while_all_replicas_are_in_backoff() {
     support::run(async {
         let site = Site::serving_with_start_times(2).await;
-        let leaders: Vec<String> = site.site.leaders().into_keys().collect();
+        let leaders: Vec<String> = site.stand_in.leaders().into_keys().collect();
         for leader in &leaders {
-            site.site.set_wishes(leader, BoxWishes::rest(Sheds::All, "2"));
+            site.stand_in.set_wishes(leader, BoxWishes::rest(Sheds::All, "2"));
         }
         let asked = send_requests(&site.nodes, MODEL_PATH).await;
-        let told = site.site.signals();
+        let told = site.stand_in.signals();
         let backoff_end = |target: &String, asked: &CallerRequest| {
             let own = told.iter().filter(|told| &told.target == target);
             let own = own.filter(|told| {
@@ -214,19 +214,19 @@
             names: Some("another"),
             ..BoxWishes::rest(Sheds::All, "600")
         };
-        site.site.set_wishes("a-1", foreign_signals);
+        site.stand_in.set_wishes("a-1", foreign_signals);
         wait_until("a-1 has answered with signals for another request", async || {
             send_request(node, SERVICE_PATH, "n0-lied".to_owned()).await;
-            site.site.signals().iter().any(|told| told.target == "a-1")
+            site.stand_in.signals().iter().any(|told| told.target == "a-1")
         })
         .await;
-        site.site.set_wishes("a-1", BoxWishes::default());
+        site.stand_in.set_wishes("a-1", BoxWishes::default());
         // No other endpoint serves now.
-        site.site.set_wishes("a-2", BoxWishes { sheds: Sheds::All, ..BoxWishes::default() });
+        site.stand_in.set_wishes("a-2", BoxWishes { sheds: Sheds::All, ..BoxWishes::default() });
         wait_until("a-1 gets requests again", async || {
-            let id = format!("n0-{}", site.site.arrivals().len());
+            let id = format!("n0-{}", site.stand_in.arrivals().len());
             send_request(node, SERVICE_PATH, id.clone()).await;
-            site.site.runs_of(&id).iter().any(|(target, _)| target == "a-1")
+            site.stand_in.runs_of(&id).iter().any(|(target, _)| target == "a-1")
         })
         .await;
     });
@@ -239,15 +239,15 @@
     support::run(async {
         let site = Site::serving_with_start_times(1).await;
         for id in ["a-1", "a-2"] {
-            site.site.set_wishes(id, BoxWishes::rest(Sheds::All, "60"));
+            site.stand_in.set_wishes(id, BoxWishes::rest(Sheds::All, "60"));
         }
         let node = &site.nodes[0];
         wait_until("both are in backoff", async || {
             send_request(node, SERVICE_PATH, "n0-rest".to_owned()).await;
-            site.site.signals().len() >= 2
+            site.stand_in.signals().len() >= 2
         })
         .await;
-        site.site.restart("a-1", false);
+        site.stand_in.restart("a-1", false);
         wait_until("the new incarnation serves", async || {
             is_served(&send_request(node, SERVICE_PATH, "n0-again".to_owned()).await)
         })
@@ -287,14 +287,14 @@
     support::run(async {
         let all = cases.into_iter().map(|case| async move {
             let site = Site::serving_with_start_times(2).await;
-            let leaders = site.site.leaders().into_keys().collect::<Vec<_>>();
+            let leaders = site.stand_in.leaders().into_keys().collect::<Vec<_>>();
             let leaving = if case.path == SERVICE_PATH { "a-1" } else { &leaders[0] };
-            site.site.set_store_mode(0, case.door);
+            site.stand_in.set_store_mode(0, case.door);
             let wishes = BoxWishes { sheds: case.sheds, ..BoxWishes::leaving() };
-            site.site.set_wishes(leaving, wishes);
+            site.stand_in.set_wishes(leaving, wishes);
             let asked = send_requests(&site.nodes, case.path).await;
             let mut wrong = violations(&site);
-            if !site.site.signals().iter().any(|told| told.signal == Signal::Leaving) {
+            if !site.stand_in.signals().iter().any(|told| told.signal == Signal::Leaving) {
                 wrong.push("it never announced that it leaves".to_owned());
             }
             // A stop that a box announces costs callers nothing.
@@ -312,11 +312,11 @@
 fn a_leaving_replica_is_replaced_while_its_entry_remains() {
     support::run(async {
         let site = Site::serving_with_start_times(2).await;
-        let leaving = site.site.leaders().into_keys().next().expect("a leader");
-        site.site.set_wishes(&leaving, BoxWishes::leaving());
+        let leaving = site.stand_in.leaders().into_keys().next().expect("a leader");
+        site.stand_in.set_wishes(&leaving, BoxWishes::leaving());
         wait_until("a replica without it serves in its place", async || {
             call(&site.nodes[0], "POST", MODEL_PATH, "n0-s", "k1").await;
-            let leaders = site.site.leaders();
+            let leaders = site.stand_in.leaders();
             leaders.len() == 2 && !leaders.values().flatten().any(|member| member == &leaving)
         })
         .await;
