--- a/crates/cherrystandd/tests/support/caller_requests.rs
+++ b/crates/cherrystandd/tests/support/caller_requests.rs
@@ -20,18 +20,19 @@
     pub(crate) answer: Answer,
 }
 
-/// Returns the daemon that a request was sent to, with which its id begins.
+/// Returns the daemon that a request was sent to: the part of its id before the first `-`.
 pub(crate) fn daemon_of(request: &str, _: Instant) -> Option<String> {
     request.split_once('-').map(|(daemon, _)| daemon.to_owned())
 }
 
+/// Sends a request to one path of a daemon, and measures the time until the answer is complete.
 pub(crate) async fn send_request(node: &Node, path: &str, id: String) -> CallerRequest {
     let sent_at = Instant::now();
     let answer = call(node, "POST", path, &id, "k1").await;
     CallerRequest { id, sent_at, elapsed: sent_at.elapsed(), answer }
 }
 
-/// Sends requests to one path of every daemon, one per interval to each daemon, for a given time.
+/// Sends requests to one path of every daemon for a given time. Each daemon gets one per interval.
 pub(crate) async fn send_to_all(
     nodes: &[Node],
     path: &str,
@@ -55,30 +56,35 @@
 }
 
 /// Prefixes each failure with the name of the case that it occurred in.
-pub(crate) fn prefix_with_case(name: &str, wrong: Vec<String>) -> Vec<String> {
-    wrong.into_iter().map(|wrong| format!("{name}: {wrong}")).collect()
+pub(crate) fn prefix_with_case(name: &str, failures: Vec<String>) -> Vec<String> {
+    failures.into_iter().map(|failure| format!("{name}: {failure}")).collect()
 }
 
 /// Describes the first request that was not served.
-pub(crate) fn describe_first_failure(asked: &[CallerRequest]) -> String {
-    let failed = asked.iter().find(|asked| !is_served(asked));
-    let description = failed.map(|asked| {
-        let length = asked.answer.text().len();
-        format!("{}: {}, {length} bytes, after {:?}", asked.id, asked.answer.status, asked.elapsed)
+pub(crate) fn describe_first_failure(requests: &[CallerRequest]) -> String {
+    let failed = requests.iter().find(|request| !is_served(request));
+    let description = failed.map(|request| {
+        let length = request.answer.text().len();
+        format!(
+            "{}: {}, {length} bytes, after {:?}",
+            request.id, request.answer.status, request.elapsed
+        )
     });
     description.unwrap_or_default()
 }
 
-/// Returns how many requests were not served and describes the first of them, or `None` if all were
+/// Describes how many requests were not served, and the first of them. Returns `None` if all were
 /// served.
-pub(crate) fn describe_failures(asked: &[CallerRequest]) -> Option<String> {
-    let failed = asked.iter().filter(|asked| !is_served(asked)).count();
-    let describe =
-        || format!("{failed} of {} not served; {}", asked.len(), describe_first_failure(asked));
+pub(crate) fn describe_failures(requests: &[CallerRequest]) -> Option<String> {
+    let failed = requests.iter().filter(|request| !is_served(request)).count();
+    let describe = || {
+        format!("{failed} of {} not served; {}", requests.len(), describe_first_failure(requests))
+    };
     (failed > 0).then(describe)
 }
 
-pub(crate) fn is_served(asked: &CallerRequest) -> bool {
-    let complete_answers = [whole_stream(&asked.id), format!("answer to {}", asked.id)];
-    asked.answer.status == StatusCode::OK && complete_answers.contains(&asked.answer.text())
+/// Returns whether a request got a complete answer with status 200.
+pub(crate) fn is_served(request: &CallerRequest) -> bool {
+    let complete_answers = [whole_stream(&request.id), format!("answer to {}", request.id)];
+    request.answer.status == StatusCode::OK && complete_answers.contains(&request.answer.text())
 }
--- a/crates/cherrystandd/tests/support/mod.rs
+++ b/crates/cherrystandd/tests/support/mod.rs
@@ -35,10 +35,10 @@
     /// Returns the peak memory use of the process, in KB.
     pub(crate) fn peak_memory_kb(&self) -> u64 {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id()));
-        let status = status.expect("its status");
+        let status = status.expect("the process's status");
         let line = status.lines().find_map(|line| line.strip_prefix("VmHWM:"));
         let kb = line.and_then(|line| line.split_whitespace().next()?.parse().ok());
-        kb.expect("its peak")
+        kb.expect("the peak memory use")
     }
 
     pub(crate) fn has_ended(&mut self) -> bool {
@@ -62,7 +62,7 @@
     pub(crate) peers: SocketAddr,
 }
 
-/// The composition of a cluster.
+/// The number of processes of each kind in a cluster, and of replicas in its default configuration.
 #[derive(Clone, Copy)]
 pub(crate) struct Setup {
     pub(crate) daemons: usize,
@@ -126,7 +126,7 @@
     tokio::task::LocalSet::new().block_on(&runtime.expect("a runtime"), test)
 }
 
-/// Runs a test that starts no processes on one thread and with virtual time.
+/// Runs a test on one thread and with virtual time, which fits only tests that start no processes.
 pub(crate) fn run_on_virtual_time<F: Future>(test: F) -> F::Output {
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_all().start_paused(true).build();
@@ -144,12 +144,13 @@
     cherrystand_testkit::spawn(command).expect("a process")
 }
 
-/// Returns addresses that are not in use and that no other test of this process was given.
+/// Returns addresses that are not in use and that no other test of this process has received.
 pub(crate) fn free_addresses(count: usize) -> Vec<SocketAddr> {
     cherrystand_testkit::free_addresses(count).expect("free addresses")
 }
 
-/// Sums the bytes between daemons in a page of metrics, over the series that contain a label.
+/// Returns the bytes exchanged with peers according to a page of metrics, summed over the series that
+/// contain `label`.
 pub(crate) fn peer_bytes(metrics: &str, label: &str) -> f64 {
     let lines = metrics.lines().filter(|line| line.starts_with("cherrystand_peer_bytes_total{"));
     let lines = lines.filter(|line| line.contains(label));
@@ -165,7 +166,7 @@
 }
 
 impl Cluster {
-    /// Starts all processes and waits until the daemons are ready.
+    /// Starts all processes and waits until all daemons are ready.
     pub(crate) async fn start(setup: Setup) -> Self {
         let addresses = free_addresses(1 + setup.boxes + setup.services + 3 * setup.daemons);
         let (platform, rest) = addresses.split_first().expect("an address");
@@ -287,7 +288,7 @@
         replicas.filter(|replica| replica["serving"] == json!(true)).count() as u64
     }
 
-    /// Returns how many daemons one of them has heard from recently, itself included.
+    /// Returns from how many daemons the given one has heard recently, itself included.
     pub(crate) async fn reachable_daemons(&self, daemon: usize) -> u64 {
         let status = self.status(self.daemons[daemon].operators).await;
         status["node"]["heard"].as_u64().unwrap_or(0)
@@ -338,13 +339,14 @@
         self.open(to, Method::POST, "/v1/chat/completions", &[], &body).await
     }
 
-    /// Sets the behaviour of a stand-in.
-    pub(crate) async fn set(&self, stand_in: SocketAddr, knobs: Value) {
-        let set = self.send(stand_in, Method::POST, "/control/set", &[], &knobs.to_string()).await;
+    /// Changes how a simulated box, service or platform behaves.
+    pub(crate) async fn set(&self, stand_in: SocketAddr, behaviour: Value) {
+        let set =
+            self.send(stand_in, Method::POST, "/control/set", &[], &behaviour.to_string()).await;
         assert_eq!(set.expect("set").status, StatusCode::OK);
     }
 
-    /// Returns how often the services ran each call, by key or id.
+    /// Returns how often the services executed each call, by idempotency key or request id.
     pub(crate) async fn service_executions(&self) -> std::collections::BTreeMap<String, u32> {
         let mut all = std::collections::BTreeMap::new();
         for service in &self.services {
@@ -438,12 +440,12 @@
 {
     let deadline = Instant::now() + WAIT_TIMEOUT;
     while !condition().await {
-        assert!(Instant::now() < deadline, "gave up waiting until {what}");
+        assert!(Instant::now() < deadline, "timed out waiting until {what}");
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
 }
 
-/// Starts a program with the given settings.
+/// Starts a program with the given settings in a directory of its own, which also gets its log.
 pub(crate) fn start_with_settings(name: &str, settings: &str, address: SocketAddr) -> Process {
     let dir = std::env::temp_dir().join(format!("cherrystand-test-{}", address.port()));
     std::fs::create_dir_all(&dir).expect("a directory");
--- a/crates/cherrystandd/tests/support/site.rs
+++ b/crates/cherrystandd/tests/support/site.rs
@@ -23,10 +23,10 @@
 /// The time by which SIGUSR1 advances a daemon's clock, in milliseconds.
 pub(crate) const SUSPENDED_MS: u64 = 6_000;
 
-/// How long a daemon of a site of two zones is given to serve a request before the test begins.
+/// The time that each daemon of a site of two zones gets to serve a request before the test begins.
 const WARM_UP_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The time in which the daemon that reads the store for the others calls it more often than any other.
+/// The time over which calls to the store are counted to find the daemon that reads it for the others.
 const READER_SAMPLE_TIME: Duration = Duration::from_millis(1_200);
 
 /// The timeout of requests in the configuration, in milliseconds.
@@ -36,6 +36,7 @@
     site_config(version, call_prefix, keys, TIMEOUT_MS)
 }
 
+/// One daemon and the addresses that it listens on.
 pub(crate) struct Node {
     pub(crate) number: usize,
     pub(crate) process: Process,
@@ -45,10 +46,11 @@
     pub(crate) peers: SocketAddr,
 }
 
+/// The daemons of one test, and the simulated boxes, services and store that they use.
 pub(crate) struct Site {
     pub(crate) stand_in: SiteStandIn,
     pub(crate) nodes: Vec<Node>,
-    /// The network link of each daemon to the store, by daemon.
+    /// Each daemon's link to the store, in the order of `nodes`.
     pub(crate) store_links: Vec<Link>,
 }
 
@@ -58,7 +60,7 @@
         Self::start_with(daemons, RETRY_SLACK).await
     }
 
-    /// Starts the same with a given `retry_slack`.
+    /// Does the same as [`Self::start`] with a given `retry_slack`.
     async fn start_with(daemons: usize, retry_slack: f64) -> Self {
         let stand_in = SiteStandIn::new();
         let all = free_addresses(daemons * NODE_ADDRESSES);
@@ -115,7 +117,7 @@
         site
     }
 
-    /// Starts one more daemon that knows only a seed, as a daemon does after a power loss.
+    /// Starts one more daemon that knows only one other, `seed`, as a daemon does after a power loss.
     pub(crate) async fn add_daemon(&mut self, seed: SocketAddr) {
         let own = free_addresses(NODE_ADDRESSES);
         let store = self.stand_in.open_store().await.expect("a store address");
@@ -125,8 +127,8 @@
         self.store_links.push(link);
     }
 
-    /// Returns the daemon that reads the store for the others. It alone polls the store continuously, so
-    /// it is the one with the most calls.
+    /// Returns the number of the daemon that reads the store for the others. It is the only one that
+    /// polls the store continuously, so it makes the most calls.
     pub(crate) async fn store_reader(&self) -> usize {
         let before = self.store_calls().await;
         tokio::time::sleep(READER_SAMPLE_TIME).await;
@@ -135,6 +137,7 @@
         (0..self.nodes.len()).max_by_key(calls).expect("a daemon")
     }
 
+    /// Returns how often each daemon has called the store.
     async fn store_calls(&self) -> Vec<u64> {
         let mut calls = Vec::new();
         for node in &self.nodes {
