--- a/crates/cherrystandd/src/claim_writer.rs
+++ b/crates/cherrystandd/src/claim_writer.rs
@@ -49,9 +49,9 @@
         requests: &[ClaimRequest],
         id: &WriteId,
     ) -> Option<Vec<ClaimResponse>> {
-        let until = Instant::now() + WRITE_TIMEOUT;
+        let deadline = Instant::now() + WRITE_TIMEOUT;
         let mut pending: Option<(ClaimRecord, Vec<ClaimResponse>)> = None;
-        while Instant::now() < until {
+        while Instant::now() < deadline {
             let (next, answers) = pending
                 .take()
                 .unwrap_or_else(|| self.record.apply(requests, id, clock::unix_secs()));
--- a/crates/cherrystandd/src/duties/gossip.rs
+++ b/crates/cherrystandd/src/duties/gossip.rs
@@ -79,8 +79,7 @@
         let reply = call_peer(cx, dialer, peer, &next)?;
         question = match reply {
             Reply::News(news) => {
-                query_state(cx, |next| StateEvent::PeerNews { news, asked: asked_at, next })
-                    .flatten()
+                query_state(cx, |next| StateEvent::PeerNews { news, asked_at, next }).flatten()
             }
             Reply::Compared { newer, wanted } => {
                 query_state(cx, |to_send| StateEvent::PeerComparison { newer, wanted, to_send })
--- a/crates/cherrystandd/src/duties/platform_watch.rs
+++ b/crates/cherrystandd/src/duties/platform_watch.rs
@@ -97,7 +97,7 @@
         };
         self.known_revision = Some(changes.revision);
         self.cx.send_to_state(StateEvent::Records(changes.records));
-        self.cx.send_to_state(StateEvent::PlatformRead { asked: asked_at });
+        self.cx.send_to_state(StateEvent::PlatformRead { asked_at });
         self.read_list().await
     }
 
--- a/crates/cherrystandd/src/metrics.rs
+++ b/crates/cherrystandd/src/metrics.rs
@@ -213,8 +213,8 @@
             self.attempts.with_label_values(&[end.as_str()]);
             self.retries.with_label_values(&[end.as_str()]);
         }
-        for rest in ["none", "asked", "unreadable"] {
-            self.endpoint_refusals.with_label_values(&[rest]);
+        for backoff in ["none", "asked", "unreadable"] {
+            self.endpoint_refusals.with_label_values(&[backoff]);
         }
         for limit in ["named", "unreadable"] {
             self.limits_named.with_label_values(&[limit]);
--- a/crates/cherrystandd/src/operator/api.rs
+++ b/crates/cherrystandd/src/operator/api.rs
@@ -95,7 +95,7 @@
         let holds = |view: &Arc<View>| {
             let stored = view.workspaces.get(&record.key);
             let is_current = stored.is_some_and(|stored| stored.revision >= record.revision);
-            is_current && view.majority_holds
+            is_current && view.majority_agrees
         };
         let mut view = self.cx.view.clone();
         let reached = tokio::time::timeout(MAJORITY_TIMEOUT, view.wait_for(holds)).await;
--- a/crates/cherrystandd/src/state/event.rs
+++ b/crates/cherrystandd/src/state/event.rs
@@ -17,7 +17,7 @@
         /// The news.
         news: News,
         /// When the peer was asked, on the daemon's clock.
-        asked: Millis,
+        asked_at: Millis,
         /// Receives the next question to the peer, if there is one.
         next: oneshot::Sender<Option<Question>>,
     },
@@ -35,7 +35,7 @@
     /// The platform answered, so all its records are known as of the time of the question.
     PlatformRead {
         /// When the platform was asked, on the daemon's clock.
-        asked: Millis,
+        asked_at: Millis,
     },
     /// The platform's box list was read.
     Inventory(Inventory),
--- a/crates/cherrystandd/src/state/node_state.rs
+++ b/crates/cherrystandd/src/state/node_state.rs
@@ -72,8 +72,8 @@
             StateEvent::GetGreeting(reply) => {
                 let _ = reply.send(self.greeting(now));
             }
-            StateEvent::PeerNews { news, asked, next } => {
-                let differs = self.apply_news(news, asked, now);
+            StateEvent::PeerNews { news, asked_at, next } => {
+                let differs = self.apply_news(news, asked_at, now);
                 let question = differs.then(|| Question::Compare(self.held_versions()));
                 let _ = next.send(question);
             }
@@ -86,9 +86,9 @@
                 let _ = to_send.send(question);
             }
             StateEvent::Records(records) => self.apply_records(records),
-            StateEvent::PlatformRead { asked } => {
+            StateEvent::PlatformRead { asked_at } => {
                 self.changed = true;
-                self.freshness.record_platform_read(now, now.since(asked));
+                self.freshness.record_platform_read(now, now.since(asked_at));
             }
             StateEvent::Inventory(inventory) => self.record_inventory(&inventory),
             StateEvent::Evidence(reports) => {
@@ -133,7 +133,7 @@
             serve_by: self.freshness.serve_by(now),
             may_accept: self.freshness.may_accept(now),
             heard_of_expected: self.freshness.heard_of_expected(now),
-            majority_holds: self.freshness.is_majority(self.membership.agreeing()),
+            majority_agrees: self.freshness.is_majority(self.membership.agreeing()),
             platform_age: self.freshness.platform_age(now),
             members: members.map(|(heartbeat, liveness)| (heartbeat.clone(), liveness)).collect(),
             workspaces: self.workspaces.clone(),
@@ -187,8 +187,8 @@
     /// Applies a peer's news, and returns whether its records differ from those held here.
     ///
     /// The time since the peer was asked is added to all ages in its answer.
-    fn apply_news(&mut self, news: News, asked: Millis, now: Millis) -> bool {
-        let elapsed = now.since(asked);
+    fn apply_news(&mut self, news: News, asked_at: Millis, now: Millis) -> bool {
+        let elapsed = now.since(asked_at);
         self.changed |= self.membership.merge_digest(news.members, elapsed, now);
         for (node, agreed_at) in self.membership.agreement_times() {
             self.freshness.record_agreement(node, agreed_at);
@@ -233,7 +233,7 @@
         peer_versions: &[Version],
     ) -> Vec<TransferredRecord> {
         let find_version = |key: &str| peer_versions.iter().find(|(held, _)| &**held == key);
-        let carry = |record: Document| {
+        let transfer = |record: Document| {
             let peer_revision =
                 find_version(&record.key).map(|(_, revision)| *revision).unwrap_or_default();
             let packed = match &*record.key {
@@ -245,14 +245,14 @@
                 None => TransferredRecord::Whole(record),
             }
         };
-        records.into_iter().map(carry).collect()
+        records.into_iter().map(transfer).collect()
     }
 
     /// Applies the records that a peer sent. If a packed one cannot be unpacked, its full text is
     /// requested in the next exchange.
     fn apply_transferred(&mut self, records: Vec<TransferredRecord>) {
-        for carried in records {
-            match carried {
+        for transferred in records {
+            match transferred {
                 TransferredRecord::Whole(record) => self.apply_record(record),
                 TransferredRecord::Packed { key, body } => {
                     let is_newer = self.documents.revision(&key) < body.revision;
@@ -323,8 +323,8 @@
 ) {
     match serde_json::from_str(&document.body) {
         Ok(record) => {
-            let held = Versioned { revision: document.revision, record };
-            records.insert(document.key.clone(), Arc::new(held));
+            let versioned = Versioned { revision: document.revision, record };
+            records.insert(document.key.clone(), Arc::new(versioned));
         }
         Err(err) => log::error!(key = &*document.key; "malformed record: {err}"),
     }
--- a/crates/cherrystandd/src/state/routes.rs
+++ b/crates/cherrystandd/src/state/routes.rs
@@ -72,7 +72,7 @@
     now: Millis,
 ) -> Vec<RouteGroup> {
     let builder = RouteBuilder { own_zone, domains, fleet, evidence, now };
-    let records = workspaces.values().map(|held| &held.record);
+    let records = workspaces.values().map(|versioned| &versioned.record);
     records.flat_map(|record| builder.groups(record)).collect()
 }
 
@@ -116,23 +116,23 @@
     }
 
     fn replicas(&self, group: &GroupId) -> Vec<RouteTarget> {
-        let records = self.domains.values().map(|held| &held.record);
+        let records = self.domains.values().map(|versioned| &versioned.record);
         records.flat_map(|record| self.replicas_in(record, group)).collect()
     }
 
     fn replicas_in(&self, record: &DomainRecord, group: &GroupId) -> Vec<RouteTarget> {
         let replicas = record.replicas.iter();
         let ready = replicas
-            .filter(|(replica, held)| &replica.group == group && held.phase == Phase::Ready);
+            .filter(|(replica, state)| &replica.group == group && state.phase == Phase::Ready);
         ready
-            .filter_map(|(replica, held)| {
+            .filter_map(|(replica, state)| {
                 let load =
-                    self.evidence.load_if_whole(&record.domain, replica, held.epoch, self.now);
-                let leader = self.fleet.get(held.boxes.first()?)?;
+                    self.evidence.load_if_whole(&record.domain, replica, state.epoch, self.now);
+                let leader = self.fleet.get(state.boxes.first()?)?;
                 Some(RouteTarget {
                     address: leader.address,
                     near: &leader.zone == self.own_zone,
-                    replica: Some((replica.clone(), held.epoch)),
+                    replica: Some((replica.clone(), state.epoch)),
                     load: Some(load?),
                     max_limit: MAX_REPLICA_REQUESTS,
                 })
--- a/crates/cherrystandd/src/state/view.rs
+++ b/crates/cherrystandd/src/state/view.rs
@@ -34,7 +34,7 @@
     /// How many of the expected daemons were heard from recently, and how many are expected.
     pub heard_of_expected: (usize, usize),
     /// Whether a majority of the daemons holds the same configurations as this one.
-    pub majority_holds: bool,
+    pub majority_agrees: bool,
     /// The time since this daemon or a peer that it heard from last read the platform.
     pub platform_age: Option<Millis>,
     /// The known daemons, this one first.
@@ -60,7 +60,7 @@
             serve_by: ServeBy::NotYet,
             may_accept: false,
             heard_of_expected: (1, 1),
-            majority_holds: false,
+            majority_agrees: false,
             platform_age: None,
             members: Vec::new(),
             workspaces: BTreeMap::new(),
@@ -73,7 +73,7 @@
 
     /// Returns the formed replicas of all domains.
     pub(crate) fn formed_replicas(&self) -> FormedReplicas {
-        FormedReplicas::new(self.domains.values().map(|held| &held.record))
+        FormedReplicas::new(self.domains.values().map(|versioned| &versioned.record))
     }
 
     /// Returns the heartbeats of the daemons that are alive.
