--- a/crates/cherrystand_core/src/control/workspace_record.rs
+++ b/crates/cherrystand_core/src/control/workspace_record.rs
@@ -16,7 +16,7 @@
 /// The accepted configuration of one workspace and its pending plans.
 ///
 /// Each change is one compare-and-swap of the record. Of two operators who race, one wins, and the
-/// other is told which change came first.
+/// other gets an error that names the change that came first.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct WorkspaceRecord {
     /// The number of the accepted configuration, which only increases.
--- a/crates/cherrystand_core/src/nodes/digest.rs
+++ b/crates/cherrystand_core/src/nodes/digest.rs
@@ -1,4 +1,4 @@
-//! The gossip digest: what a daemon tells a peer about all daemons that it knows.
+//! The gossip digest: what a daemon sends a peer about all daemons that it knows.
 
 use serde::{Deserialize, Serialize};
 
--- a/crates/cherrystand_core/src/nodes/era_tracker.rs
+++ b/crates/cherrystand_core/src/nodes/era_tracker.rs
@@ -45,8 +45,8 @@
     }
 
     /// Records the era of a revision that is about to be sent to the store, and returns whether the
-    /// store will understand its number. A later era than the latest known was heard of by a peer
-    /// first.
+    /// store will understand its number. If the era is later than the latest known one, a peer
+    /// learned of it first.
     pub fn is_current(&mut self, era: Era) -> bool {
         self.latest = self.latest.max(era);
         era == self.latest
--- a/crates/cherrystand_core/src/nodes/freshness.rs
+++ b/crates/cherrystand_core/src/nodes/freshness.rs
@@ -1,7 +1,7 @@
 //! Whether a node's configuration is recent enough to serve by.
 //!
 //! An accepted change has to be in force everywhere within seconds, yet an outage of the platform
-//! alone must not stop anything. Both hold because an operator is told that a change is accepted
+//! alone must not stop anything. Both hold because a change is reported to the operator as accepted
 //! only once a majority of the daemons holds it, and because a daemon that has no contact with the
 //! platform serves only while a majority has recently held the same configuration as itself. Any
 //! two majorities share a daemon, which stops counting for the old configuration when it takes the
@@ -29,11 +29,11 @@
 /// Says what allows a node to serve, or why it may not.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServeBy {
-    /// The platform's records were read recently, by this node or by one that it heard from.
+    /// The platform's records were read recently, by this node or by a peer that reported it.
     Platform,
     /// The platform is unreachable, but a majority of the daemons holds the same configuration.
     Majority,
-    /// The node has not yet heard from the platform or a majority.
+    /// The node has had no contact with the platform or a majority yet.
     NotYet,
     /// The node is cut off, and a change may have been accepted without it.
     CutOff,
@@ -71,8 +71,8 @@
         }
     }
 
-    /// Returns the time since the platform's records were last read, by this node or one that it
-    /// heard from.
+    /// Returns the time since the platform's records were last read, by this node or by a peer that
+    /// reported it.
     pub fn platform_age(&self, now: Millis) -> Option<Millis> {
         self.last_platform_read.map(|at| now.since(at))
     }
--- a/crates/cherrystand_core/src/nodes/membership.rs
+++ b/crates/cherrystand_core/src/nodes/membership.rs
@@ -7,17 +7,17 @@
 
 use crate::{Digest, Incarnation, Millis, NodeId, ZoneId, hash_bytes, mix};
 
-/// A daemon that was last heard of longer ago than this is suspected.
+/// A daemon whose last heartbeat is older than this is suspected.
 pub const SUSPECT_AFTER: Millis = Millis(2_000);
 
-/// A daemon that was last heard of longer ago than this counts as dead.
+/// A daemon whose last heartbeat is older than this counts as dead.
 pub const DEAD_AFTER: Millis = Millis(5_000);
 
 /// A dead daemon is forgotten after this time, so that daemons of boxes replaced every day do not
 /// accumulate.
 pub const FORGET_AFTER: Millis = Millis(600_000);
 
-/// A gap of this length between two of its own ticks tells a daemon that it was paused.
+/// A gap of this length between two of its own ticks shows a daemon that it was paused.
 pub const PAUSE_GAP: Millis = Millis(1_500);
 
 /// The state of one daemon, as gossiped by others.
@@ -66,11 +66,11 @@
 /// Whether a daemon is considered alive by another one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Liveness {
-    /// It was heard of recently.
+    /// Its last heartbeat is recent.
     Alive,
-    /// It has not been heard of for longer than [`SUSPECT_AFTER`].
+    /// Its last heartbeat is older than [`SUSPECT_AFTER`].
     Suspect,
-    /// It has not been heard of for longer than [`DEAD_AFTER`].
+    /// Its last heartbeat is older than [`DEAD_AFTER`].
     Dead,
 }
 
@@ -241,8 +241,8 @@
         before.chain(std::iter::once((&self.own, Millis(0)))).chain(after)
     }
 
-    /// Lists the daemons that hold the same configurations as this one, and when each was last
-    /// heard of.
+    /// Lists the daemons that hold the same configurations as this one, and the time of the last
+    /// heartbeat of each.
     pub fn agreement_times(&self) -> impl Iterator<Item = (&NodeId, Millis)> {
         let same =
             self.members.values().filter(|member| member.heartbeat.config == self.own.config);
--- a/crates/cherrystand_core/src/nodes/store_outage.rs
+++ b/crates/cherrystand_core/src/nodes/store_outage.rs
@@ -14,9 +14,9 @@
 
 /// Tracks when the store answered, and until when entries that it no longer lists are retained.
 ///
-/// A daemon that was paused cannot tell: what it did not receive meanwhile is no silence of the
-/// store, and a call that timed out meanwhile is no failure of it. A daemon that was cut off cannot
-/// tell either, but a peer that was connected all the time can.
+/// A daemon that was paused can't detect an outage: what it did not receive meanwhile is no silence
+/// of the store, and a call that timed out meanwhile is no failure of it. Neither can a daemon that
+/// was cut off, but a peer that was connected all the time can.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct StoreOutage {
     running_time: RunningTime,
@@ -64,7 +64,7 @@
         self.answering_since = answering_since;
     }
 
-    /// Records that the store did not answer; returns whether that tells anything about the store.
+    /// Records that the store did not answer; returns whether that is evidence of an outage.
     pub fn record_failure(&mut self, now: Millis) -> bool {
         self.running_time.record(now);
         let was_paused = self.last_answer.is_some_and(|(at, running_time)| {
--- a/crates/cherrystand_core/src/nodes/store_reachability.rs
+++ b/crates/cherrystand_core/src/nodes/store_reachability.rs
@@ -12,7 +12,7 @@
 /// After this time without an update from the store, peers' copies of its state are used.
 const SILENT_AFTER: Millis = Millis(1_500);
 
-/// Tracks when the store was last heard from, directly or through a peer.
+/// Tracks when the store's state was last read, by the daemon or by the peer that it reads from.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct StoreReachability {
     last_update: Option<Millis>,
@@ -47,7 +47,8 @@
         self.last_update.map(|last_update| now.since(last_update))
     }
 
-    /// Tells whether nothing has been heard from the store for long.
+    /// Returns whether the store's state was never read, or last read longer ago than
+    /// [`SILENT_AFTER`].
     pub fn is_silent(&self, now: Millis) -> bool {
         self.age(now).is_none_or(|age| age > SILENT_AFTER)
     }
--- a/crates/cherrystand_core/src/nodes/tombstones.rs
+++ b/crates/cherrystand_core/src/nodes/tombstones.rs
@@ -11,7 +11,7 @@
 /// Remembers the revisions at which keys were deleted, so that no older copy brings them back.
 ///
 /// Of two written values the one with the later revision wins. A deletion needs a revision as well:
-/// without it a copy from before, or from a peer that has not heard of the deletion, would count as
+/// without it a copy from before, or from a peer that does not know of the deletion, would count as
 /// new.
 #[derive(Clone, Debug)]
 pub struct Tombstones<K> {
--- a/crates/cherrystand_core/src/requests/circuit_breaker.rs
+++ b/crates/cherrystand_core/src/requests/circuit_breaker.rs
@@ -33,7 +33,7 @@
         *self = Self::default();
     }
 
-    /// Records that an attempt ended without telling anything about the endpoint.
+    /// Records that an attempt ended without evidence for or against the endpoint.
     pub fn record_abandoned(&mut self) {
         self.probe_in_flight = false;
     }
--- a/crates/cherrystand_core/src/requests/endpoint_backpressure.rs
+++ b/crates/cherrystand_core/src/requests/endpoint_backpressure.rs
@@ -123,7 +123,7 @@
         let limit = (f64::from(in_flight.saturating_sub(1)) * DECREASE_FACTOR).max(1.0);
         let fresh = Backoff { until, window: INITIAL_WINDOW, in_flight: 0, limit };
         let backoff = self.backoffs.entry(id.clone()).or_insert(fresh);
-        // Refusals of other requests that were in flight tell nothing more about the limit.
+        // Refusals of other requests that were in flight say nothing more about the limit.
         if now >= backoff.until {
             backoff.limit = limit;
         }
--- a/crates/cherrystand_core/src/requests/endpoint_rate_limits.rs
+++ b/crates/cherrystand_core/src/requests/endpoint_rate_limits.rs
@@ -50,11 +50,11 @@
 pub struct RateLimitStep<K> {
     /// The messages to send, each with the endpoint that it is about.
     pub messages: Vec<(RateLimitRecipient, K, RateLimitMessage)>,
-    /// Whether this node was granted permits, or was told that there are none for now.
+    /// Whether this node was granted permits, or got the answer that there are none for now.
     pub has_permits: bool,
 }
 
-/// What an answer tells about its endpoint's rate limit.
+/// What an answer says about its endpoint's rate limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ObservedRateLimit {
     /// The limit; `None` if the answer names none.
@@ -118,7 +118,7 @@
         self.endpoints.get(id).and_then(RateLimitedEndpoint::limit)
     }
 
-    /// Sets whether an endpoint is cold, as the endpoint itself tells this node.
+    /// Sets whether an endpoint is cold, as its own answers to this node state.
     pub fn set_cold_period(&mut self, id: &K, cold: Option<ColdPeriod>) {
         let cold = cold.filter(|cold| cold.rate.as_f64() < UNLIMITED_FROM);
         if cold.is_some() {
--- a/crates/cherrystand_core/src/requests/known_rate_limit.rs
+++ b/crates/cherrystand_core/src/requests/known_rate_limit.rs
@@ -6,7 +6,7 @@
 /// endpoint may name it in only some of its answers.
 const HOLD_TIME: Millis = Millis(1_000);
 
-/// How long it is remembered that a limit was lifted, to tell nodes that do not know it yet.
+/// How long it is remembered that a limit was lifted, to inform nodes that do not know it yet.
 const LIFTED_TTL: Millis = Millis(10_000);
 
 /// After this time without any report the limit of an endpoint is forgotten.
--- a/crates/cherrystand_core/src/requests/rate_limit_message.rs
+++ b/crates/cherrystand_core/src/requests/rate_limit_message.rs
@@ -10,7 +10,7 @@
     /// The requests per second that it takes from all daemons together; `None` if it no longer
     /// names a limit.
     pub limit: Option<RequestRate>,
-    /// The time since that was heard.
+    /// The time since the endpoint's answer that states it.
     pub age: Millis,
     /// The rest of the endpoint's cold period, if it is cold.
     pub cold: Option<ColdPeriodUpdate>,
--- a/crates/cherrystand_core/src/site/attempt_ledger.rs
+++ b/crates/cherrystand_core/src/site/attempt_ledger.rs
@@ -1,4 +1,4 @@
-//! Tracks the attempts of one request and what the caller is told if all of them fail.
+//! Tracks the attempts of one request and the answer to the caller if all of them fail.
 
 use crate::{AttemptEnd, Millis, Outcome, Route};
 
@@ -7,7 +7,7 @@
 /// Once a third endpoint rejects a request, the shortage is general and a fourth would share it.
 const MAX_ATTEMPTS_SENT: u32 = 3;
 
-/// What a caller is told about a request that no endpoint answered.
+/// The answer to a caller whose request no endpoint answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FinalFailure {
     /// No endpoint executed it, and none will: the caller can safely retry.
@@ -73,7 +73,7 @@
         may_execute_again && has_executions_left && self.sent < MAX_ATTEMPTS_SENT && now < deadline
     }
 
-    /// Returns what the caller is told if no attempt produced an answer.
+    /// Returns the answer to the caller if no attempt produced one.
     ///
     /// All attempts count: one that certainly did not execute the request says nothing about
     /// another that may have.
--- a/crates/cherrystand_core/src/site/capacity_planner.rs
+++ b/crates/cherrystand_core/src/site/capacity_planner.rs
@@ -95,9 +95,9 @@
     /// Records the current load, and returns the changes to make.
     ///
     /// One domain changes at a time, or two if neither change alone gains anything, as when a
-    /// domain that has restarted can serve sooner what another one gives up. Every model keeps at
-    /// least one domain, and a domain changes only to a model that its boxes already hold, so that
-    /// nothing has to be loaded.
+    /// domain that has restarted can sooner serve the model that another one stops serving. Every
+    /// model keeps at least one domain, and a domain changes only to a model that its boxes already
+    /// hold, so that nothing has to be loaded.
     pub fn step(
         &mut self,
         now: Millis,
--- a/crates/cherrystand_core/src/site/domain_draft.rs
+++ b/crates/cherrystand_core/src/site/domain_draft.rs
@@ -265,7 +265,7 @@
         self.changed = true;
     }
 
-    /// Removes a replica from the record, and notes the reason.
+    /// Removes a replica from the record, and adds the reason for the log.
     pub(crate) fn remove(&mut self, replica: &ReplicaId, why: &str) {
         self.release_boxes(replica);
         self.changed = true;
--- a/crates/cherrystand_core/src/site/domain_former_assignments.rs
+++ b/crates/cherrystand_core/src/site/domain_former_assignments.rs
@@ -42,9 +42,9 @@
 
     /// Returns the box that has to leave its replica before `site_box` may join another one.
     ///
-    /// If the leader responds, it is told to leave, which frees all its members at once. A leader
-    /// that doesn't respond may be cut off and still serve, which can't be told from a crash here;
-    /// each of its members then leaves by itself.
+    /// If the leader responds, it is ordered to leave, which frees all its members at once. A
+    /// leader that doesn't respond may be cut off and still serve, which can't be distinguished
+    /// from a crash here; each of its members then leaves by itself.
     pub(crate) fn blocking_box(&self, site_box: &'a SiteBox) -> Option<&'a SiteBox> {
         let member = site_box.member.as_ref()?;
         if self.replica_has_ended(&site_box.id, member) {
--- a/crates/cherrystand_core/src/site/homes.rs
+++ b/crates/cherrystand_core/src/site/homes.rs
@@ -80,8 +80,8 @@
 /// large as the share that can be reassigned.
 const DOMAINS_PER_PRELOADED: usize = 5;
 
-/// Returns, for some of the domains, the model that their hosts preload besides their home model,
-/// so that these domains can be reassigned without a load.
+/// Returns, for some of the domains, the model that their hosts preload in addition to their home
+/// model, so that these domains can be reassigned without a load.
 ///
 /// Source: docs/design/0016-work-that-shifted.md.
 pub fn second_models(
--- a/crates/cherrystand_core/src/site/load_balancer_limits.rs
+++ b/crates/cherrystand_core/src/site/load_balancer_limits.rs
@@ -6,11 +6,11 @@
     SeededRng, SendPermit, TargetKey,
 };
 
-/// When a caller is told to retry if all endpoints are at their limits; streams take 0.3 to 2 s.
+/// The time after which a caller may retry if all endpoints are at their limits; streams take 0.3
+/// to 2 s.
 const SATURATED_RETRY_AFTER: Millis = Millis(300);
 
-/// Bounds of the time after which a caller is told to retry if all endpoints lie in evacuated
-/// zones.
+/// Bounds of the time after which a caller may retry if all endpoints lie in evacuated zones.
 ///
 /// Within them it is the time since the evacuation, as nobody knows how long that will last.
 const EVACUATED_RETRY_BOUNDS: (Millis, Millis) = (Millis(500), Millis(30_000));
--- a/crates/cherrystand_core/src/site/peer_loads.rs
+++ b/crates/cherrystand_core/src/site/peer_loads.rs
@@ -103,9 +103,9 @@
 
     /// Removes expired reports; each peer reports once in `rounds` rounds.
     pub fn remove_expired(&mut self, rounds: usize, now: Millis) {
-        let life = Millis(NODE_TTL.0 * rounds.max(1) as u64);
+        let ttl = Millis(NODE_TTL.0 * rounds.max(1) as u64);
         let existing = self.nodes.len() + self.zones.len();
-        self.nodes.retain(|_, report| now.since(report.at) < life);
+        self.nodes.retain(|_, report| now.since(report.at) < ttl);
         self.zones.retain(|_, report| now.since(report.at) < ZONE_TTL);
         self.changed |= self.nodes.len() + self.zones.len() != existing;
         self.last_seen.retain(|_, at| now.since(*at) < PROGRESS_TTL);
--- a/crates/cherrystand_core/src/site/policy.rs
+++ b/crates/cherrystand_core/src/site/policy.rs
@@ -30,7 +30,7 @@
     /// Whether requests that are likely to be late are queued behind those that can still be in
     /// time.
     pub defer_late: bool,
-    /// Whether peers are told what this daemon has in flight.
+    /// Whether this daemon reports to peers what it has in flight.
     pub tell_loads: bool,
     /// Whether peers are asked before a replica is considered stalled.
     pub ask_peers: bool,
@@ -71,7 +71,7 @@
             retry_share: true,
             readers: true,
             // When all daemons start at once, 60 daemons list 225 boxes each as fast as readers
-            // would tell them (0.42 s); the lists of 75 daemons and 1,000 boxes, at 670 bytes a
+            // would send them (0.42 s); the lists of 75 daemons and 1,000 boxes, at 670 bytes a
             // box, keep the store's link of 1 Gbit/s busy for 0.4 s.
             note_readers_from: 75_000,
         }
--- a/crates/cherrystand_core/src/site/stall_evidence.rs
+++ b/crates/cherrystand_core/src/site/stall_evidence.rs
@@ -6,7 +6,7 @@
 /// The silence beyond the engine's longest predicted one after which a replica counts as stalled.
 pub const STALL_MARGIN: Millis = Millis(100);
 
-/// The longest silence that a node attributes to itself if it hears from neither peers nor any
+/// The longest silence that a node attributes to itself if it receives nothing from peers or any
 /// other replica. A link of 20 Mbit/s is saturated for that long by 3.7 MB.
 const MAX_NODE_PAUSE: Millis = Millis(1_500);
 
@@ -55,7 +55,7 @@
 }
 
 impl StallEvidence {
-    /// Returns whether the replica is stalled, as far as this node can tell.
+    /// Returns whether the replica is stalled, as far as this node knows.
     pub fn is_stalled(&self) -> bool {
         match self.peers {
             PeerProgress::Seen | PeerProgress::AskedJustNow => false,
--- a/crates/cherrystand_core/tests/endpoint_backpressure.rs
+++ b/crates/cherrystand_core/tests/endpoint_backpressure.rs
@@ -161,7 +161,7 @@
     for case in cases {
         let (id, mut backpressure) = (first_incarnation(), EndpointBackpressure::default());
         backpressure.record_backoff(&id, Millis(1_000), case.in_flight, NOW);
-        // Other requests in flight are turned away as well, which tells nothing more.
+        // Other requests in flight are refused as well, which is no further evidence.
         backpressure.record_backoff(&id, Millis(900), 2, NOW + Millis(50));
         (0..case.answers).for_each(|_| backpressure.record_answer(&id, over));
         let is_closed = |in_flight| backpressure.state(&id, in_flight, over).is_closed();
--- a/crates/cherrystand_core/tests/endpoint_rate_limits.rs
+++ b/crates/cherrystand_core/tests/endpoint_rate_limits.rs
@@ -115,7 +115,8 @@
     assert_eq!(limits.limit(&first), Some(rate(3.5)));
     limits.handle_message(peer(1), &first, heard(None, Millis(0)), NOW + Millis(1_500));
     assert_eq!(limits.limit(&first), None);
-    // A node that asks for permits and does not know that the limit was lifted is told.
+    // A node that asks for permits and does not know that the limit was lifted gets an answer that
+    // says so.
     let report = RateLimitReport { limit: Some(rate(3.5)), age: Millis(3_000), cold: None };
     let ask = RateLimitMessage::Ask { report, number: 1, want: 1, lasts: Millis(10) };
     limits.handle_message(peer(2), &first, ask, NOW + Millis(2_000));
--- a/crates/cherrystand_core/tests/fan_out.rs
+++ b/crates/cherrystand_core/tests/fan_out.rs
@@ -27,8 +27,8 @@
     (most, sent, reached.len())
 }
 
-/// Guards against a sender that is overloaded: a daemon with 0.12 of a core told each of 984 others
-/// directly that a replica had left, for each event of hundreds.
+/// Guards against a sender that is overloaded: a daemon with 0.12 of a core reported directly to
+/// each of 984 others that a replica had left, for each event of hundreds.
 #[test]
 fn messages_per_daemon_grow_with_the_square_root_of_the_fleet() {
     for others in [0, 1, 8, 29, 64, 65, 99, 299, 984, 1_999] {
--- a/crates/cherrystand_core/tests/lent_retries.rs
+++ b/crates/cherrystand_core/tests/lent_retries.rs
@@ -129,17 +129,17 @@
         let address_of = (lender != node).then(|| address(lender));
         let owner_of = |_: &usize| RateLimitOwner { address: address_of, share: 1.0 };
         self.pools[node].reassign_owners(now, owner_of);
-        for (to, _, news) in self.pools[node].step(now, owner_of).messages {
+        for (to, _, message) in self.pools[node].step(now, owner_of).messages {
             let RateLimitRecipient::Node(to) = to else { continue };
             let delay = Millis(self.rng.below(2) as u64 * STEP.0);
             let to = usize::from(to.port()) - 1_000;
-            self.in_transit.entry(now + STEP + delay).or_default().push((node, to, news));
+            self.in_transit.entry(now + STEP + delay).or_default().push((node, to, message));
         }
     }
 
     fn arrive(&mut self, now: Millis) {
-        for (from, to, news) in self.in_transit.remove(&now).unwrap_or_default() {
-            self.pools[to].handle_message(address(from), &0, news, now);
+        for (from, to, message) in self.in_transit.remove(&now).unwrap_or_default() {
+            self.pools[to].handle_message(address(from), &0, message, now);
             self.step(to, now);
         }
         for (node, since) in std::mem::take(&mut self.waiting) {
--- a/crates/cherrystand_core/tests/lost_replicas.rs
+++ b/crates/cherrystand_core/tests/lost_replicas.rs
@@ -133,8 +133,8 @@
     for case in cases {
         let view = view(case.leader, case.silent);
         assert_eq!(view.is_lost(&BoxId::new(case.asked)), case.is_lost, "{}", case.name);
-        // Peers are told only of replicas that serve according to their entries but have silent
-        // members.
+        // The only replicas reported to peers are those that serve according to their entries but
+        // have silent members.
         let is_reported = case.is_lost && case.asked == "a" && case.leader == open;
         assert_eq!(view.lost_leaders() == [BoxId::new("a")], is_reported, "{}", case.name);
     }
--- a/crates/cherrystand_core/tests/rate_limit_simulation.rs
+++ b/crates/cherrystand_core/tests/rate_limit_simulation.rs
@@ -447,7 +447,7 @@
     }
 }
 
-/// Half of the nodes reach neither the store nor a reader of it, so the owner tells them.
+/// Half of the nodes reach neither the store nor a reader of it, so the owner informs them.
 #[test]
 fn nodes_without_store_learn_of_a_cold_endpoint_from_the_owner() {
     let cold = Cold { known_within: Millis(500), never_percent: 50, owner_announces: true };
--- a/crates/cherrystand_core/tests/site_requests.rs
+++ b/crates/cherrystand_core/tests/site_requests.rs
@@ -288,7 +288,8 @@
 
 /// Guards against starts of requests hiding a stall. A replica whose member had died took requests
 /// for 3.7 s: each daemon had few requests there, and whenever one started at a daemon that had
-/// none, it counted as progress. The daemons reported it to each other as a sign of life.
+/// none, it counted as progress. The daemons reported it to each other as evidence that it was
+/// alive.
 #[test]
 fn the_start_of_a_request_is_no_progress_of_its_replica() {
     let mut balancer = LoadBalancer::default();
--- a/crates/cherrystandd/benches/slopes.rs
+++ b/crates/cherrystandd/benches/slopes.rs
@@ -245,8 +245,8 @@
         let micros = average_micros(50, || {
             beat += 1;
             for number in 1..members {
-                let news = Heartbeat { beat, ..heartbeat(number) };
-                membership.merge_heartbeat(news, Millis(0), Millis(beat));
+                let newer = Heartbeat { beat, ..heartbeat(number) };
+                membership.merge_heartbeat(newer, Millis(0), Millis(beat));
             }
         });
         println!(
--- a/crates/cherrystandd/src/duties/prober.rs
+++ b/crates/cherrystandd/src/duties/prober.rs
@@ -32,7 +32,7 @@
     }
 
     /// Drops the observations of boxes that are not in `boxes`, and adds an empty one for each new
-    /// box, which counts as heard from now.
+    /// box, which counts as having answered now.
     pub(crate) fn keep_only(&self, boxes: &[BoxId]) {
         let now = self.cx.clock.now();
         let mut observations = self.observations.borrow_mut();
--- a/crates/cherrystandd/src/operator/change.rs
+++ b/crates/cherrystandd/src/operator/change.rs
@@ -18,7 +18,7 @@
 pub struct WorkspaceChange<'a, K> {
     /// The store.
     pub store: &'a K,
-    /// The id of the write, by which the record tells whether it took effect.
+    /// The id of the write, by which the record shows whether it took effect.
     pub write_id: WriteId,
     /// The boxes in the inventory.
     pub fleet: &'a Fleet,
--- a/crates/cherrystandd/src/site/box_queries.rs
+++ b/crates/cherrystandd/src/site/box_queries.rs
@@ -72,7 +72,7 @@
     }
 
     /// Returns a listed box that is not silent and not a member of the replica of `doubted`. It is
-    /// probed to tell a fault of `doubted` from one of this node.
+    /// probed to distinguish a fault of `doubted` from one of this node.
     pub(crate) fn pick_witness(&self, doubted: &SiteBox) -> Option<Arc<SiteBox>> {
         let replica =
             |site_box: &SiteBox| site_box.member.as_ref().map(|member| member.replica.clone());
--- a/crates/cherrystandd/src/site/change_sharing.rs
+++ b/crates/cherrystandd/src/site/change_sharing.rs
@@ -107,8 +107,9 @@
     wait: Millis,
     config: Revision,
 ) -> Result<ChangeUpdate, StatusCode> {
-    let life = control.incarnation();
-    let after = cursor.filter(|cursor| cursor.incarnation == life).map(|cursor| cursor.count);
+    let incarnation = control.incarnation();
+    let after =
+        cursor.filter(|cursor| cursor.incarnation == incarnation).map(|cursor| cursor.count);
     let began = control.now();
     let until = began + wait.min(MAX_WAIT);
     // A node that reads the store itself will have a fresh state soon, and otherwise the peer would
--- a/crates/cherrystandd/src/site/control.rs
+++ b/crates/cherrystandd/src/site/control.rs
@@ -354,8 +354,8 @@
     }
 
     /// Counts the bytes of changes sent to a peer or read from one.
-    pub(crate) fn count_changes(&self, way: &str, news: &ChangeUpdate, bytes: usize) {
-        let kind = match (news.config.is_some(), news.whole) {
+    pub(crate) fn count_changes(&self, way: &str, update: &ChangeUpdate, bytes: usize) {
+        let kind = match (update.config.is_some(), update.whole) {
             (_, true) => "whole-lists",
             (true, false) => "configuration",
             (false, false) => "changes",
--- a/crates/cherrystandd/src/site/crash_watch.rs
+++ b/crates/cherrystandd/src/site/crash_watch.rs
@@ -136,7 +136,8 @@
     }
 
     /// Records a peer's report of a crashed box; this node's own requests there count as well.
-    /// Returns the peer's requests that this node served recently, which the peer is told in turn.
+    /// Returns the peer's requests that this node served recently, which are reported back to the
+    /// peer.
     pub(crate) fn peer_reported_crash(
         &self,
         incarnation: &BoxId,
@@ -224,7 +225,8 @@
         }
     }
 
-    /// Counts requests of this node that were running on a box as it crashed, and tells peers.
+    /// Counts requests of this node that were running on a box as it crashed, and reports them to
+    /// peers.
     fn record_crash(&self, incarnation: &BoxId, requests: Vec<Fingerprint>) {
         self.cx.metrics.answers_ended_with_box.inc_by(requests.len() as u64);
         self.last_crash_at.set(Some(self.cx.clock.now()));
--- a/crates/cherrystandd/src/site/endpoint_signals.rs
+++ b/crates/cherrystandd/src/site/endpoint_signals.rs
@@ -81,9 +81,10 @@
             AdvertisedLimit::PerSecond(limit) => Some(limit),
             AdvertisedLimit::Unreadable => return self.signal_log.invalid_limit(&attempt.target),
         };
-        let heard = ObservedRateLimit { limit, request_sent_at: attempt.started_at };
+        let observed = ObservedRateLimit { limit, request_sent_at: attempt.started_at };
         let mut balancer = self.balancer.borrow_mut();
-        let is_new = balancer.rate_limits_mut().record_answer(&attempt.target, heard, self.now());
+        let is_new =
+            balancer.rate_limits_mut().record_answer(&attempt.target, observed, self.now());
         self.signal_log.limit(&attempt.target, limit, is_new);
         if is_new {
             self.loads.limits_due.notify_one();
--- a/crates/cherrystandd/src/site/event_stream.rs
+++ b/crates/cherrystandd/src/site/event_stream.rs
@@ -49,7 +49,7 @@
 }
 
 /// Forwards one answer to a caller. If the answer stays incomplete, the connection is closed
-/// without its proper end, which tells the caller.
+/// without its proper end, by which the caller detects it.
 ///
 /// The answer of a stalled replica stays open while another replica is asked to resume after the
 /// last event. The first of the two that brings the next event continues, and the other one is
--- a/crates/cherrystandd/src/site/frontend.rs
+++ b/crates/cherrystandd/src/site/frontend.rs
@@ -46,7 +46,7 @@
 /// What a check of the replica of an open attempt shows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ReplicaHealth {
-    /// It makes progress, as far as this node can tell.
+    /// It makes progress, as far as this node knows.
     Progressing,
     /// It is stalled and may resume at any moment.
     Stalled,
--- a/crates/cherrystandd/src/site/limit_exchange.rs
+++ b/crates/cherrystandd/src/site/limit_exchange.rs
@@ -1,4 +1,4 @@
-//! Sharing rate limits of endpoints, and lent retries, with the other daemons.
+//! Sharing rate limits of endpoints with the other daemons, and lending each other retries.
 //!
 //! Source: docs/design/0022-limits.md.
 
--- a/crates/cherrystandd/src/site/request.rs
+++ b/crates/cherrystandd/src/site/request.rs
@@ -185,7 +185,7 @@
 
 /// Reads a body completely, up to `max_bytes`, as far as memory allows.
 ///
-/// A caller may take any time to send it. If there is no memory for it, the caller is told to
+/// A caller may take any time to send it. If there is no memory for it, the caller is asked to
 /// retry; nothing of its request has run.
 pub(crate) async fn read_body(
     mut body: Incoming,
--- a/crates/cherrystandd/src/site/signal_log.rs
+++ b/crates/cherrystandd/src/site/signal_log.rs
@@ -26,12 +26,12 @@
 
     /// Logs that a replica refused a request, and which backoff it asked for.
     pub(crate) fn refused(&self, id: &BoxId, headers: &AnswerHeaders, until: Option<Millis>) {
-        let rest = match headers.requested_backoff {
+        let requested = match headers.requested_backoff {
             RequestedBackoff::None => "none",
             RequestedBackoff::After(_) => "asked",
             RequestedBackoff::Unreadable => "unreadable",
         };
-        self.metrics.endpoint_refusals.with_label_values(&[rest]).inc();
+        self.metrics.endpoint_refusals.with_label_values(&[requested]).inc();
         let now = self.clock.now();
         if headers.requested_backoff == RequestedBackoff::None {
             return;
@@ -39,7 +39,7 @@
         let Some(left_out) = self.admit() else { return };
         let rest_ms = until.map_or(0, |until| until.since(now).0);
         log::info!(
-            target_box = id.as_str(), rest = rest, rest_ms = rest_ms, left_out = left_out;
+            target_box = id.as_str(), rest = requested, rest_ms = rest_ms, left_out = left_out;
             "a replica turned a request away and asks for rest"
         );
     }
--- a/crates/cherrystandd/src/site/site_state.rs
+++ b/crates/cherrystandd/src/site/site_state.rs
@@ -186,23 +186,23 @@
     pub(crate) fn apply_peer_changes(
         &mut self,
         source: ChangeSource,
-        news: &ChangeUpdate,
+        update: &ChangeUpdate,
         batch: &ChangesSince,
         now: Millis,
     ) {
-        let steady_since = now - news.answering_for;
-        self.store_outage.record_peer_answer(now - news.store_age, steady_since, now);
-        if news.whole {
-            return self.apply_snapshot(source, &batch.records, news.revision, now);
+        let steady_since = now - update.answering_for;
+        self.store_outage.record_peer_answer(now - update.store_age, steady_since, now);
+        if update.whole {
+            return self.apply_snapshot(source, &batch.records, update.revision, now);
         }
         self.source = source;
         for record in &batch.records {
             self.apply_record(record, now);
         }
         for name in &batch.gone {
-            self.remove_box(name, news.revision, now);
+            self.remove_box(name, update.revision, now);
         }
-        self.revision = self.revision.max(news.revision);
+        self.revision = self.revision.max(update.revision);
     }
 
     fn apply_records(&mut self, list: &[Document], revision: Revision, now: Millis) {
--- a/crates/cherrystandd/src/site/store_watch.rs
+++ b/crates/cherrystandd/src/site/store_watch.rs
@@ -178,8 +178,8 @@
     }
 }
 
-/// Asks peers whether the store was out at all. This daemon cannot tell an outage from its own loss
-/// of connection.
+/// Asks peers whether the store was out at all. This daemon can't distinguish an outage from its
+/// own loss of connection.
 async fn confirm_outage(control: &Control, silence: Millis) {
     for _ in 0..MAX_WITNESSES {
         let Some((node, peer)) = control.peers.random_peer() else { return };
