--- a/crates/cherrystandd/src/operator/error.rs
+++ b/crates/cherrystandd/src/operator/error.rs
@@ -25,13 +25,13 @@
         "the platform did not answer; the change may be in force: look at `cherrystand history`"
     )]
     OutcomeUnknown,
-    /// This daemon hears too few others to accept a change.
+    /// This daemon has contact with too few others to accept a change.
     #[error(
-        "this daemon hears {reachable} of {total} daemons and needs more than half to accept a \
+        "this daemon reaches {reachable} of {total} daemons and needs more than half to accept a \
          change; ask another one or wait"
     )]
     TooFewDaemons {
-        /// How many daemons it hears, including itself.
+        /// How many daemons it has contact with, including itself.
         reachable: usize,
         /// How many daemons there are.
         total: usize,
