--- a/crates/cherrystand_core/src/nodes/freshness.rs
+++ b/crates/cherrystand_core/src/nodes/freshness.rs
@@ -99,7 +99,7 @@
         if by_platform {
             return ServeBy::Platform;
         }
-        if self.last_platform_read.is_some() && self.hears_from_majority(now) {
+        if self.last_platform_read.is_some() && self.has_majority(now) {
             return ServeBy::Majority;
         }
         if self.last_platform_read.is_none() && now.since(self.started) <= FRESH_FOR {
@@ -110,22 +110,23 @@
 
     /// Tells whether this node may try to get a change accepted.
     pub fn may_accept(&self, now: Millis) -> bool {
-        self.hears_from_majority(now)
+        self.has_majority(now)
     }
 
-    /// Returns how many of the expected daemons were heard from recently, including this one, and
-    /// how many are expected.
-    pub fn heard_of_expected(&self, now: Millis) -> (usize, usize) {
+    /// Returns how many of the expected daemons recently held the same configurations as this one,
+    /// including this one, and how many are expected.
+    pub fn reachable_daemons(&self, now: Millis) -> (usize, usize) {
         let fresh = |node: &NodeId| {
-            let heard = self.agreed_at.get(node);
-            node == &self.own || heard.is_some_and(|heard| now.since(*heard) <= FRESH_FOR)
+            let agreed_at = self.agreed_at.get(node);
+            node == &self.own
+                || agreed_at.is_some_and(|agreed_at| now.since(*agreed_at) <= FRESH_FOR)
         };
-        let heard = self.expected.iter().filter(|node| fresh(node)).count();
-        (heard, self.expected.len())
+        let reachable = self.expected.iter().filter(|node| fresh(node)).count();
+        (reachable, self.expected.len())
     }
 
-    fn hears_from_majority(&self, now: Millis) -> bool {
-        let (heard, all) = self.heard_of_expected(now);
-        heard * 2 > all
+    fn has_majority(&self, now: Millis) -> bool {
+        let (reachable, all) = self.reachable_daemons(now);
+        reachable * 2 > all
     }
 }
--- a/crates/cherrystand_core/src/requests/endpoint_rate_limits.rs
+++ b/crates/cherrystand_core/src/requests/endpoint_rate_limits.rs
@@ -142,7 +142,7 @@
         let limit = observed.limit.filter(|limit| limit.as_f64() < UNLIMITED_FROM);
         // An answer without a limit is only known to be as recent as the sending of its request.
         let age = if limit.is_some() { Millis(0) } else { now.since(observed.request_sent_at) };
-        let report = RateLimitReport { limit, age, ..RateLimitReport::UNHEARD };
+        let report = RateLimitReport { limit, age, ..RateLimitReport::NO_LIMIT };
         let is_new = self.merge_report(id, report, observed.request_sent_at, now);
         if is_new {
             self.to_announce.push((id.clone(), report));
@@ -218,7 +218,7 @@
         message: RateLimitMessage,
         now: Millis,
     ) {
-        if let RateLimitMessage::Heard(report)
+        if let RateLimitMessage::Report(report)
         | RateLimitMessage::Ask { report, .. }
         | RateLimitMessage::Give { report, .. } = message
         {
@@ -232,13 +232,13 @@
                 self.replies.push((
                     RateLimitRecipient::Node(from),
                     id.clone(),
-                    RateLimitMessage::Heard(report),
+                    RateLimitMessage::Report(report),
                 ));
             }
             return;
         }
         match message {
-            RateLimitMessage::Heard(_) => {}
+            RateLimitMessage::Report(_) => {}
             RateLimitMessage::Ask { .. } | RateLimitMessage::Return { .. }
                 if endpoint.owner.is_none() =>
             {
@@ -276,7 +276,7 @@
     ) -> RateLimitStep<K> {
         let announced = std::mem::take(&mut self.to_announce).into_iter();
         let announced = announced
-            .map(|(id, report)| (RateLimitRecipient::All, id, RateLimitMessage::Heard(report)));
+            .map(|(id, report)| (RateLimitRecipient::All, id, RateLimitMessage::Report(report)));
         let mut has_permits = false;
         let mut messages: Vec<_> = announced.chain(std::mem::take(&mut self.replies)).collect();
         self.endpoints.retain(|_, endpoint| {
--- a/crates/cherrystand_core/src/requests/known_rate_limit.rs
+++ b/crates/cherrystand_core/src/requests/known_rate_limit.rs
@@ -82,11 +82,11 @@
     pub(crate) fn report(&self, now: Millis) -> RateLimitReport {
         match (self.is_lifted(), self.last_unnamed) {
             (true, Some(last_unnamed)) => {
-                RateLimitReport { age: now.since(last_unnamed), ..RateLimitReport::UNHEARD }
+                RateLimitReport { age: now.since(last_unnamed), ..RateLimitReport::NO_LIMIT }
             }
             _ => {
                 let (limit, age) = (Some(self.limit), now.since(self.last_named));
-                RateLimitReport { limit, age, ..RateLimitReport::UNHEARD }
+                RateLimitReport { limit, age, ..RateLimitReport::NO_LIMIT }
             }
         }
     }
--- a/crates/cherrystand_core/src/requests/rate_limit_message.rs
+++ b/crates/cherrystand_core/src/requests/rate_limit_message.rs
@@ -18,14 +18,15 @@
 
 impl RateLimitReport {
     /// The report about an endpoint that has never named a limit.
-    pub(crate) const UNHEARD: Self = Self { limit: None, age: Millis(u64::MAX), cold: None };
+    pub(crate) const NO_LIMIT: Self = Self { limit: None, age: Millis(u64::MAX), cold: None };
 }
 
 /// A message about one endpoint's rate limit. It may be lost, delayed, duplicated or reordered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RateLimitMessage {
     /// Reports a limit.
-    Heard(RateLimitReport),
+    #[serde(rename = "Heard")]
+    Report(RateLimitReport),
     /// Requests permits from the owner of the limit, or repeats a request under the same number.
     Ask {
         /// What the requester knows about the limit.
--- a/crates/cherrystand_core/src/requests/rate_limited_endpoint.rs
+++ b/crates/cherrystand_core/src/requests/rate_limited_endpoint.rs
@@ -54,7 +54,7 @@
     pub(super) fn report(&self, now: Millis) -> RateLimitReport {
         let named_limit = self
             .named_limit
-            .map_or(RateLimitReport::UNHEARD, |named_limit| named_limit.report(now));
+            .map_or(RateLimitReport::NO_LIMIT, |named_limit| named_limit.report(now));
         RateLimitReport { cold: self.cold.map(|cold| cold.to_update(now)), ..named_limit }
     }
 
@@ -93,7 +93,7 @@
         let cold = self.cold.filter(|_| self.ledger.is_some())?;
         let is_new = cold.until.since(self.cold_announced_until) > MIN_COLD_EXTENSION;
         self.cold_announced_until = cold.until.max(self.cold_announced_until);
-        is_new.then(|| RateLimitMessage::Heard(self.report(now)))
+        is_new.then(|| RateLimitMessage::Report(self.report(now)))
     }
 
     /// Tells whether neither this node nor another has an open request for permits.
@@ -182,7 +182,7 @@
                 ledger.handle_return(from, number, used, now);
                 None
             }
-            RateLimitMessage::Heard(_) | RateLimitMessage::Give { .. } => None,
+            RateLimitMessage::Report(_) | RateLimitMessage::Give { .. } => None,
         }
     }
 }
--- a/crates/cherrystand_core/tests/endpoint_rate_limits.rs
+++ b/crates/cherrystand_core/tests/endpoint_rate_limits.rs
@@ -105,15 +105,15 @@
     let (first, second) =
         (BoxId::new("i-1").with_incarnation(7), BoxId::new("i-1").with_incarnation(8));
     let mut limits = EndpointRateLimits::default();
-    let heard = |limit, age| RateLimitMessage::Heard(RateLimitReport { limit, age, cold: None });
-    limits.handle_message(peer(1), &first, heard(Some(rate(3.5)), Millis(100)), NOW);
+    let report = |limit, age| RateLimitMessage::Report(RateLimitReport { limit, age, cold: None });
+    limits.handle_message(peer(1), &first, report(Some(rate(3.5)), Millis(100)), NOW);
     assert_eq!((limits.limit(&first), limits.limit(&second)), (Some(rate(3.5)), None));
     assert_eq!(limits.permit_wait(&second, NOW), None);
     assert!(limits.take_permit(&second, NOW) && !limits.take_permit(&first, NOW));
     // An older report that there is no limit does not lift it, a newer one does.
-    limits.handle_message(peer(1), &first, heard(None, Millis(5_000)), NOW + Millis(500));
+    limits.handle_message(peer(1), &first, report(None, Millis(5_000)), NOW + Millis(500));
     assert_eq!(limits.limit(&first), Some(rate(3.5)));
-    limits.handle_message(peer(1), &first, heard(None, Millis(0)), NOW + Millis(1_500));
+    limits.handle_message(peer(1), &first, report(None, Millis(0)), NOW + Millis(1_500));
     assert_eq!(limits.limit(&first), None);
     // A node that asks for permits and does not know that the limit was lifted gets an answer that
     // says so.
@@ -123,7 +123,7 @@
     let out = limits.step(NOW + Millis(2_000), |_| OWN).messages;
     let is_answer = |(to, _, message): &(RateLimitRecipient, BoxId, RateLimitMessage)| {
         *to == RateLimitRecipient::Node(peer(2))
-            && matches!(message, RateLimitMessage::Heard(RateLimitReport { limit: None, .. }))
+            && matches!(message, RateLimitMessage::Report(RateLimitReport { limit: None, .. }))
     };
     assert!(out.iter().any(is_answer), "{out:?}");
 }
--- a/crates/cherrystandd/src/operator/api.rs
+++ b/crates/cherrystandd/src/operator/api.rs
@@ -61,7 +61,7 @@
         let operator = operator.unwrap_or("unnamed");
         let view = self.cx.current_view();
         if !view.may_accept {
-            let (reachable, total) = view.heard_of_expected;
+            let (reachable, total) = view.reachable_daemons;
             return Err(OperatorError::TooFewDaemons { reachable, total });
         }
         let current_boxes = view.formed_replicas().boxes();
--- a/crates/cherrystandd/src/operator/status.rs
+++ b/crates/cherrystandd/src/operator/status.rs
@@ -18,14 +18,14 @@
 }
 
 fn node(view: &View) -> Value {
-    let (heard, expected) = view.heard_of_expected;
+    let (reachable, expected) = view.reachable_daemons;
     json!({
         "node": view.own.node,
         "zone": view.own.zone,
         "incarnation": view.own.incarnation,
         "serves_by": format!("{:?}", view.serve_by),
         "may_accept": view.may_accept,
-        "heard": heard,
+        "heard": reachable,
         "expected": expected,
         "platform_age_ms": view.platform_age.map(|age| age.0),
     })
--- a/crates/cherrystandd/src/state/node_state.rs
+++ b/crates/cherrystandd/src/state/node_state.rs
@@ -132,7 +132,7 @@
             made_at: now,
             serve_by: self.freshness.serve_by(now),
             may_accept: self.freshness.may_accept(now),
-            heard_of_expected: self.freshness.heard_of_expected(now),
+            reachable_daemons: self.freshness.reachable_daemons(now),
             majority_agrees: self.freshness.is_majority(self.membership.agreeing()),
             platform_age: self.freshness.platform_age(now),
             members: members.map(|(heartbeat, liveness)| (heartbeat.clone(), liveness)).collect(),
--- a/crates/cherrystandd/src/state/view.rs
+++ b/crates/cherrystandd/src/state/view.rs
@@ -32,7 +32,7 @@
     /// Whether the daemon may try to get a change of configuration accepted.
     pub may_accept: bool,
     /// How many of the expected daemons were heard from recently, and how many are expected.
-    pub heard_of_expected: (usize, usize),
+    pub reachable_daemons: (usize, usize),
     /// Whether a majority of the daemons holds the same configurations as this one.
     pub majority_agrees: bool,
     /// The time since this daemon or a peer that it heard from last read the platform.
@@ -59,7 +59,7 @@
             own: initial_heartbeat(settings),
             serve_by: ServeBy::NotYet,
             may_accept: false,
-            heard_of_expected: (1, 1),
+            reachable_daemons: (1, 1),
             majority_agrees: false,
             platform_age: None,
             members: Vec::new(),
--- a/crates/cherrystandd/tests/whole_path.rs
+++ b/crates/cherrystandd/tests/whole_path.rs
@@ -158,8 +158,8 @@
             let answer = cluster.send_model_request(number, "still there", 2, false).await;
             assert_eq!(answer.expect("an answer").status(), StatusCode::OK);
         }
-        let hears_both = || async { cluster.reachable_daemons(0).await == 2 };
-        cluster.wait_until("the daemons hear each other", hears_both).await;
+        let reaches_both = || async { cluster.reachable_daemons(0).await == 2 };
+        cluster.wait_until("the daemons reach each other", reaches_both).await;
     });
 }
 
