--- a/crates/cherrystand_testkit/src/site/box_answers.rs
+++ b/crates/cherrystand_testkit/src/site/box_answers.rs
@@ -1,4 +1,4 @@
-//! How boxes of the stand-in answer requests, questions and orders.
+//! How boxes of the stand-in answer requests, liveness probes and orders.
 
 use std::collections::BTreeMap;
 use std::pin::Pin;
@@ -22,13 +22,13 @@
 
 pub(super) type Answer = Response<AnswerBody>;
 
-/// How many events a stream has.
+/// Number of events in a stream.
 pub const EVENTS: u64 = 40;
-/// The time between two events.
+/// Time between two events.
 const EVENT_INTERVAL: Duration = Duration::from_millis(20);
 
-/// With this the body of a request begins that ends the box that runs it; how many events of it the box
-/// makes before follows, or nothing where it ends before its answer.
+/// Prefix of the body of a request that crashes the box that runs it. The number of events that the box sends before
+/// the crash follows; without a number the box crashes before it answers.
 pub const CRASHES: &str = "crashes after ";
 
 impl SiteStandIn {
@@ -104,7 +104,7 @@
         if !meant || (service == "models" && !leads) {
             return plain_answer(StatusCode::MISDIRECTED_REQUEST, "");
         }
-        // A caller whose body does not come whole has left.
+        // An incomplete body means that the caller has disconnected.
         let body = req.into_body().collect().await.map(|body| body.to_bytes()).unwrap_or_default();
         let body = String::from_utf8_lossy(&body).into_owned();
         self.state.borrow_mut().arrivals[arrival].body.clone_from(&body);
@@ -130,8 +130,8 @@
             BoxMode::Fails => plain_answer(StatusCode::INTERNAL_SERVER_ERROR, "failed"),
             _ if service == "models" => {
                 let first = last.map_or(0, |id| id + 1);
-                let ends = crash_after.flatten().map(|events| (first + events, body));
-                self.stream(id, &request, first, ends)
+                let crash = crash_after.flatten().map(|events| (first + events, body));
+                self.stream(id, &request, first, crash)
             }
             _ => plain_answer(StatusCode::OK, &format!("answer to {request}")),
         };
@@ -142,7 +142,7 @@
         answer
     }
 
-    /// Tells whether a box turns a request away.
+    /// Tells whether a box refuses a request without running it.
     pub(super) fn should_refuse(&self, id: &str, request: &str) -> bool {
         let mut state = self.state.borrow_mut();
         let Some(site_box) = state.boxes.get_mut(id) else { return false };
@@ -157,7 +157,7 @@
         sheds || site_box.mode == BoxMode::Sheds
     }
 
-    /// Makes a box's answer to a request that it turns away.
+    /// Builds a box's answer to a request that it refuses.
     pub(super) fn refusal(&self, id: &str, request: &str) -> Answer {
         let wishes =
             self.state.borrow().boxes.get(id).map(|site_box| site_box.wishes).unwrap_or_default();
@@ -181,7 +181,7 @@
         self.state.borrow_mut().signals.push(sent);
     }
 
-    /// Returns the limit that a box names in its next answer, where it does.
+    /// Returns the rate limit that a box advertises in its next answer, if it does.
     fn limit_in_answer(&self, id: &str, status: StatusCode) -> Option<&'static str> {
         let mut state = self.state.borrow_mut();
         let site_box = state.boxes.get_mut(id)?;
@@ -194,15 +194,15 @@
         site_box.wishes.limit.filter(|_| says)
     }
 
-    /// Notes that a box broke off an answer that nobody read.
+    /// Records that a box aborted an answer that was not read.
     fn record_unread_abort(&self, id: &str) {
         self.state.borrow_mut().unread_aborts.push(id.to_owned());
     }
 
-    /// Returns how much longer a box is cold, where it says so in its answers.
+    /// Returns how much longer a box is cold, if it reports that in its answers.
     fn cold_time_in_answer(&self, id: &str) -> Option<Duration> {
         let cold = self.state.borrow().boxes.get(id)?.cold;
-        let (until, _) = cold.filter(|(_, told)| *told == ColdReport::Answers)?;
+        let (until, _) = cold.filter(|(_, report)| *report == ColdReport::Answers)?;
         let left = until.saturating_duration_since(Instant::now());
         (!left.is_zero()).then_some(left)
     }
@@ -215,13 +215,14 @@
         self.state.borrow().boxes.get(id).map(|site_box| site_box.start_ms)
     }
 
-    /// Makes a stream from an event on; `ends` is where its body ends the box.
+    /// Builds a stream that starts at event `first`. `crash` holds the event at which the request crashes the box,
+    /// and the request's body.
     pub(super) fn stream(
         &self,
         id: &str,
         request: &str,
         first: u64,
-        ends: Option<(u64, String)>,
+        crash: Option<(u64, String)>,
     ) -> Answer {
         let (site, id, request) = (self.clone(), id.to_owned(), request.to_owned());
         let start = self.start_of(&id);
@@ -230,16 +231,16 @@
             self.state.borrow().boxes.get(&id).map(|site_box| site_box.wishes).unwrap_or_default();
         let padding = "x".repeat(wishes.event_bytes);
         let events = stream::unfold((first, Instant::now()), move |(number, made)| {
-            // It is worked on until its last event.
+            // The request counts as active until its last event.
             let _working = &working;
             let (site, id, request) = (site.clone(), id.clone(), request.clone());
-            let (ends, padding) = (ends.clone(), padding.clone());
+            let (crash, padding) = (crash.clone(), padding.clone());
             async move {
                 if wishes.cuts_unread.is_some_and(|unread| made.elapsed() > unread) {
                     site.record_unread_abort(&id);
                     return Some((Err(std::io::ErrorKind::ConnectionReset.into()), (EVENTS, made)));
                 }
-                if let Some((_, body)) = ends.filter(|(event, _)| number >= *event) {
+                if let Some((_, body)) = crash.filter(|(event, _)| number >= *event) {
                     return site.crash(&id, &body).await;
                 }
                 if number >= EVENTS {
@@ -253,7 +254,7 @@
                     tokio::time::sleep(EVENT_INTERVAL).await;
                 }
                 if site.start_of(&id) != start {
-                    // Its connections ended with its life.
+                    // The connections of a box close when its incarnation ends.
                     return Some((Err(std::io::ErrorKind::ConnectionReset.into()), (EVENTS, made)));
                 }
                 let event = format!("id: {number}\ndata: {request} {number}{padding}\n\n");
@@ -277,13 +278,13 @@
     answer
 }
 
-/// Makes an answer whose body breaks off at once.
+/// Builds an answer whose body is interrupted at once.
 fn interrupted_answer() -> Answer {
     let failed = stream::once(async { Err(std::io::ErrorKind::ConnectionReset.into()) });
     Response::new(Box::pin(StreamBody::new(failed)))
 }
 
-/// Tells whether a call names this box, or none.
+/// Tells whether a call is addressed to this box, or names no box.
 fn is_addressed_to(req: &Request<Incoming>, id: &str) -> bool {
     req.headers().get("cherrystand-expect-instance").is_none_or(|meant| meant == id)
 }
--- a/crates/cherrystand_testkit/src/site/box_orders.rs
+++ b/crates/cherrystand_testkit/src/site/box_orders.rs
@@ -1,4 +1,4 @@
-//! How boxes of the stand-in follow orders, and what must never come of them.
+//! How boxes of the stand-in carry out orders, and the checks for violations of the platform's rules.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 use crate::site::site_box::Membership;
 use crate::site::site_stand_in::SiteStandIn;
 
-/// How long a join takes.
+/// How long a box takes to join a replica.
 const JOIN_TIME: Duration = Duration::from_millis(30);
 
 impl SiteStandIn {
@@ -79,7 +79,7 @@
         StatusCode::ACCEPTED
     }
 
-    /// Notes a join that a box would take out of a replica whose leader serves.
+    /// Records a violation if a join takes a box out of a replica whose leader still serves.
     pub(super) fn check_join(&self, id: &str, name: &str, epoch: u64) {
         let mut state = self.state.borrow_mut();
         let Some(site_box) = state.boxes.get(id) else { return };
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Notes a request that a leader runs though some member of its replica was never ready.
+    /// Records a violation if a leader runs a request although a member of its replica was never ready.
     pub(super) fn check_run(&self, leader: &str) {
         let mut state = self.state.borrow_mut();
         let Some(group) = state.boxes.get(leader).and_then(|site_box| site_box.membership.clone())
@@ -130,7 +130,7 @@
         self.write_own_entry(id);
     }
 
-    /// Tells whether the replica that a box leads has all its members.
+    /// Tells whether the replica that a box leads still has all its members.
     pub(super) fn is_complete(&self, leader: &str) -> bool {
         let state = self.state.borrow();
         let Some(group) = state.boxes.get(leader).and_then(|site_box| site_box.membership.clone())
--- a/crates/cherrystand_testkit/src/site/box_wishes.rs
+++ b/crates/cherrystand_testkit/src/site/box_wishes.rs
@@ -1,26 +1,26 @@
-//! What boxes ask of the daemons that send to them, and whether they got it.
+//! Signals that boxes send to daemons in their answers, and the check that daemons follow them.
 
 use std::time::{Duration, Instant};
 
 use crate::Arrival;
 
-/// Whom a box turns away.
+/// Which requests a box refuses.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Sheds {
-    /// Nobody.
+    /// None.
     #[default]
     None,
-    /// Everybody.
+    /// All.
     All,
     /// Every other request.
     EverySecond,
-    /// Whoever comes while it works on so many requests.
+    /// Those that arrive while it works on this many requests.
     Beyond(usize),
-    /// The requests of one daemon, by how their ids begin.
+    /// Those of one daemon, recognized by the prefix of their ids.
     From(&'static str),
 }
 
-/// Which answers of a box name its limit.
+/// Which answers of a box advertise its rate limit.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LimitIn {
     /// All.
@@ -28,92 +28,95 @@
     All,
     /// Every other one.
     EverySecond,
-    /// Those to requests that it serves.
+    /// Those with a success status.
     Served,
 }
 
-/// What a box asks of daemons.
+/// What a box tells daemons in its answers, and how it treats requests.
+///
+/// Fault schedules print this type.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct BoxWishes {
-    /// Whom it turns away, without running the request.
+    /// Which requests it refuses without running them.
     pub sheds: Sheds,
-    /// What it says of rest as it does, as the header has it.
+    /// The `retry-after` header of its refusals.
     pub rest: Option<&'static str>,
-    /// Whether it says in all its answers that it leaves; its entry says nothing of it.
+    /// Whether all its answers say that it leaves; its entry doesn't.
     pub leaves: bool,
-    /// The request that it names as it turns one away, where it is another one.
+    /// The request id in its refusals, if it differs from the id of the refused request.
     pub names: Option<&'static str>,
-    /// The requests a second that it says in its answers it takes, as the header has it.
+    /// The limit of requests per second in the `server-limit` header of its answers.
     pub limit: Option<&'static str>,
-    /// Which answers say so.
+    /// Which answers have that header.
     pub limit_in: LimitIn,
-    /// How many bytes each event of its streams has beside what names it.
+    /// Number of padding bytes in each event of its streams.
     pub event_bytes: usize,
-    /// Whether its answers lack its seal.
+    /// Whether its answers lack the seal that identifies it.
     pub unsealed: bool,
-    /// After how long it breaks off an answer that stays unread.
+    /// Time after which it aborts an answer that is not read.
     pub cuts_unread: Option<Duration>,
 }
 
 impl BoxWishes {
-    /// Wishes of a box that turns requests away and asks for rest.
+    /// A box that refuses requests and asks for backoff.
     pub fn rest(sheds: Sheds, rest: &'static str) -> Self {
         Self { sheds, rest: Some(rest), ..Self::default() }
     }
 
-    /// Wishes of a box that names how many requests a second it takes.
+    /// A box that advertises a limit of requests per second.
     pub fn limit(limit: &'static str) -> Self {
         Self { limit: Some(limit), ..Self::default() }
     }
 
-    /// Wishes of a box whose streams are large, and which breaks them off where nobody reads them.
+    /// A box whose streams are large, and which aborts them if they are not read.
     pub fn large_events(event_bytes: usize, cuts_unread: Option<Duration>) -> Self {
         Self { event_bytes, cuts_unread, ..Self::default() }
     }
 
-    /// Wishes of a box that leaves.
+    /// A box that says it leaves.
     pub fn leaving() -> Self {
         Self { leaves: true, ..Self::default() }
     }
 }
 
-/// What a box told a daemon in an answer.
+/// A signal that a box sends to a daemon in an answer.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Signal {
-    /// It wants nothing for so long.
+    /// It asks not to be sent requests for this long.
     Backoff(Duration),
     /// It leaves.
     Leaving,
-    /// It takes so many requests a second from all daemons together.
+    /// It takes this many requests per second from all daemons together.
     RateLimit(f64),
 }
 
-/// A wish in an answer.
+/// A signal that was sent in an answer.
 #[derive(Clone, Debug)]
 pub struct SentSignal {
     /// The request that was answered.
     pub request: String,
     /// The box.
     pub target: String,
-    /// When its life began, in Unix milliseconds.
+    /// The incarnation of the box: when it started, in Unix milliseconds.
     pub incarnation: u64,
     /// When it answered.
     pub at: Instant,
-    /// What it asked for.
+    /// What it signalled.
     pub signal: Signal,
 }
 
-/// Requests that were already on their way as a box asked for rest arrive within this time.
+/// Time within which requests that were already on their way may arrive after a box asked for backoff.
 const BACKOFF_DELAY: Duration = Duration::from_millis(500);
 
-/// How many requests of one daemon may reach a box within a rest.
+/// Maximum number of requests of one daemon that may reach a box during backoff.
 const MAX_REQUESTS_IN_BACKOFF: usize = 2;
 
-/// Within this time nothing new reaches a box that leaves.
+/// Time after which no new request may reach a box that said it leaves.
 const LEAVING_DELAY: Duration = Duration::from_millis(2_000);
 
-/// Names each wish that a daemon did not follow; `daemon_of` finds the daemon of a request, where its
-/// daemon counts at that moment.
+/// Describes each signal that a daemon ignored.
+///
+/// `daemon_of` returns the daemon of a request, or nothing if that daemon is excused at that time.
 pub fn ignored_signals<D: PartialEq>(
     signals: &[SentSignal],
     arrivals: &[Arrival],
@@ -126,7 +129,7 @@
                 (sent.at + BACKOFF_DELAY, Some(sent.at + rest), MAX_REQUESTS_IN_BACKOFF)
             }
             Signal::Leaving => (sent.at + LEAVING_DELAY, None, 0),
-            // Of all daemons together: `exceeded_limits`.
+            // Limits hold for all daemons together: `exceeded_limits` checks them.
             Signal::RateLimit(_) => return None,
         };
         let late = arrivals.iter().filter(|arrival| {
--- a/crates/cherrystand_testkit/src/site/fake_site_domain.rs
+++ b/crates/cherrystand_testkit/src/site/fake_site_domain.rs
@@ -1,7 +1,7 @@
-//! A domain whose boxes follow the published rules of the users' platform, on virtual time.
+//! A simulated domain whose boxes follow the published rules of the users' platform, on virtual time.
 //!
-//! It notes what must never happen: a box that joins while the leader of a replica that it has not
-//! left serves, and a replica that serves though a member was never ready.
+//! It records violations: a box that joins another replica while the leader of a replica that it has not left serves,
+//! and a replica that opens although a member was never ready.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,25 +12,25 @@
 
 use crate::site::site_box::FIRST_START_MS;
 
-/// How long a box stays listed after it fell silent.
+/// How long a box stays listed after the store last heard from it.
 const ENTRY_TTL: Millis = Millis(3_600);
 
-/// How long a replica stands still before it is broken.
+/// How long a replica is stalled before it breaks.
 const STALL_TIMEOUT: Millis = Millis(4_000);
 
-/// How long a join takes that loads from the host.
+/// How long a join takes if the model is staged on the host.
 const STAGED_JOIN_TIME: Millis = Millis(1_600);
 
-/// How long a join takes of a box whose memory holds the model since its last one.
+/// How long a join takes if the box still has the model in memory.
 const LOADED_JOIN_TIME: Millis = Millis(200);
 
-/// How long a load from the weight store takes.
+/// How long it takes to load a model from the weight store.
 const WEIGHT_LOAD_TIME: Millis = Millis(16_000);
 
 /// How long a replica takes to open.
 const OPEN_TIME: Millis = Millis(300);
 
-/// A membership as the box itself knows it.
+/// A membership in a replica, as the box itself knows it.
 #[derive(Clone, Debug, PartialEq)]
 struct Membership {
     replica: String,
@@ -38,55 +38,55 @@
     members: Vec<BoxId>,
     rank: u32,
     state: MemberState,
-    /// When it is ready, or open.
+    /// When the current transition, joining or opening, ends.
     due: Millis,
-    /// Since when the replica has stood still.
+    /// Since when the replica has been stalled.
     stalled_since: Option<Millis>,
 }
 
-/// A box and its engine.
+/// The state of a box and its engine.
 #[derive(Clone, Debug)]
 struct FakeMember {
     alive: bool,
-    /// When its life started.
+    /// Its incarnation: when it started, in Unix milliseconds.
     start_ms: u64,
-    /// How many orders it took in it.
+    /// Number of orders that it took in this incarnation.
     orders_taken: u64,
-    /// Cut off from the store and from orders, while requests still reach it.
+    /// Whether it is partitioned from the store and gets no orders, while requests still reach it.
     disconnected: bool,
-    /// Cut off from the store alone, while orders and requests reach it.
+    /// Whether it is partitioned from the store alone.
     disconnected_from_store: bool,
-    /// When it was last heard by the store.
+    /// When the store last heard from it.
     last_heard: Millis,
     staged: Option<String>,
     /// The model of its last replica.
     loaded: Option<String>,
     staging: Option<(String, Millis)>,
     highest_epoch: Epoch,
-    /// The highest fence seen.
+    /// The highest fence token that it has seen.
     fence: u64,
     membership: Option<Membership>,
-    /// What the store last heard.
+    /// The membership that it last reported to the store.
     reported: Option<Member>,
 }
 
-/// A fabric domain on virtual time.
+/// A simulated fabric domain on virtual time.
 #[derive(Clone, Debug)]
 pub struct FakeSiteDomain {
     domain: DomainId,
     now: Millis,
     boxes: BTreeMap<BoxId, FakeMember>,
-    /// Which members have ever been ready, by replica, epoch and list.
+    /// Which members have ever been ready, by replica, epoch and list of members.
     ever_ready: BTreeSet<(String, Epoch, Vec<BoxId>, BoxId)>,
-    /// Orders that will be carried out later.
+    /// Delayed orders, with the time of execution and the fence token.
     delayed: Vec<(Millis, MemberOrder, u64)>,
-    /// What must never happen and did.
+    /// Descriptions of violated rules of the platform.
     pub violations: Vec<String>,
-    /// The longest time that a replica took requests though a member had started again.
+    /// The longest time for which a replica accepted requests although a member had restarted.
     pub longest_incomplete: Millis,
-    /// Whether boxes tell when they started.
+    /// Whether boxes report when they started.
     reports_starts: bool,
-    /// Replicas of which a member started again, and since when.
+    /// Replicas a member of which has restarted, and when.
     restarted: BTreeMap<(String, Epoch), Millis>,
     boxes_added: usize,
 }
@@ -112,7 +112,7 @@
         domain
     }
 
-    /// Returns the time.
+    /// Returns the virtual time.
     pub fn now(&self) -> Millis {
         self.now
     }
@@ -129,7 +129,7 @@
         self.boxes.insert(id, self.new_box());
     }
 
-    /// A box as it starts now, which holds and knows nothing.
+    /// Creates the state of a box that starts now.
     fn new_box(&self) -> FakeMember {
         FakeMember {
             alive: true,
@@ -148,19 +148,19 @@
         }
     }
 
-    /// Has boxes tell when they started from now on.
+    /// Has boxes report when they started from now on.
     pub fn report_starts(&mut self) {
         self.reports_starts = true;
     }
 
-    /// Lets a box start again under its name, empty; the last join that it took, carried out late, may
-    /// reach it in its new life.
+    /// Restarts a box under its name without state. With `last_join_again` the last join that it had taken is carried
+    /// out late, in the new incarnation.
     pub fn restart(&mut self, number: usize, last_join_again: bool) {
-        let fresh = self.new_box();
+        let new_box = self.new_box();
         let now = self.now;
         let Some(member) = self.box_mut(number).filter(|member| member.alive) else { return };
         let before =
-            std::mem::replace(member, FakeMember { start_ms: fresh.start_ms + 1, ..fresh });
+            std::mem::replace(member, FakeMember { start_ms: new_box.start_ms + 1, ..new_box });
         let Some(membership) = before.membership else { return };
         self.restarted.insert((membership.replica.clone(), membership.epoch), now);
         if let Some(member) = self.box_mut(number).filter(|_| last_join_again) {
@@ -185,28 +185,28 @@
         self.boxes.values_mut().nth(number % count)
     }
 
-    /// Lets a box die for good.
+    /// Stops a box for good.
     pub fn kill(&mut self, number: usize) {
         if let Some(member) = self.box_mut(number) {
             member.alive = false;
         }
     }
 
-    /// Cuts a box off from the store and from orders, or heals that.
+    /// Partitions a box from the store and from orders, or ends the partition.
     pub fn set_disconnected(&mut self, number: usize, disconnected: bool) {
         if let Some(member) = self.box_mut(number) {
             member.disconnected = disconnected;
         }
     }
 
-    /// Cuts a box off from the store alone.
+    /// Partitions a box from the store alone.
     pub fn disconnect_from_store(&mut self, number: usize) {
         if let Some(member) = self.box_mut(number) {
             member.disconnected_from_store = true;
         }
     }
 
-    /// Heals every cut.
+    /// Ends all partitions.
     pub fn reconnect_all(&mut self) {
         for member in self.boxes.values_mut() {
             member.disconnected = false;
@@ -228,18 +228,18 @@
         gone.map(|(id, member)| self.entry(id, member)).collect()
     }
 
-    /// Returns the boxes that do not answer when they are asked.
+    /// Returns the boxes that do not answer probes.
     pub fn silent(&self) -> BTreeSet<BoxId> {
         let silent = self.boxes.iter().filter(|(_, member)| !member.alive || member.disconnected);
         silent.map(|(name, member)| self.id_of(name, member)).collect()
     }
 
-    /// Counts the boxes that live.
+    /// Returns the number of boxes that run.
     pub fn alive_count(&self) -> usize {
         self.boxes.values().filter(|member| member.alive).count()
     }
 
-    /// Counts the replicas that serve with all their members.
+    /// Returns the number of replicas that serve with all their members.
     pub fn serving_count(&self) -> usize {
         let leaders = self.boxes.values().filter_map(|member| {
             let membership =
@@ -283,7 +283,7 @@
             })
     }
 
-    /// Lets time pass.
+    /// Advances the virtual time.
     pub fn advance_time(&mut self, span: Millis) {
         self.now = self.now + span;
         let now = self.now;
@@ -323,8 +323,8 @@
                 ));
             }
             let serves = matches!(membership.state, MemberState::Open | MemberState::Closing);
-            let torn = self.restarted.get(&(membership.replica.clone(), membership.epoch));
-            if let Some(since) = torn.filter(|_| serves && membership.rank == 0) {
+            let restarted = self.restarted.get(&(membership.replica.clone(), membership.epoch));
+            if let Some(since) = restarted.filter(|_| serves && membership.rank == 0) {
                 self.longest_incomplete = self.longest_incomplete.max(now.since(*since));
             }
             if serves && self.is_complete(membership) {
@@ -347,7 +347,7 @@
         self.boxes.insert(id.clone(), member);
     }
 
-    /// Takes an order under a fence; with a delay it gets no answer and is carried out that much
+    /// Sends an order with a fence token to its box. With a delay the order gets no answer and is executed that much
     /// later.
     pub fn order(&mut self, order: &MemberOrder, fence: u64, delay: Option<Millis>) -> OrderEnd {
         let order = &without_incarnations(order);
@@ -453,7 +453,7 @@
         OrderEnd::Taken
     }
 
-    /// Tells whether the leader of a replica is open or closing, or stands still unbroken.
+    /// Tells whether the leader of a replica is open or closing, even if the replica is stalled but not yet broken.
     fn is_leader_serving(&self, left: &Membership) -> bool {
         self.boxes.values().filter(|member| member.alive).any(|member| {
             member.membership.as_ref().is_some_and(|membership| {
@@ -489,7 +489,7 @@
     }
 }
 
-/// Returns an order as the wire carries it, which names boxes and no lives.
+/// Returns an order as it is sent, which names boxes without their incarnations.
 fn without_incarnations(order: &MemberOrder) -> MemberOrder {
     let name = |id: &BoxId| BoxId::new(id.name());
     let mut sent = order.clone();
--- a/crates/cherrystand_testkit/src/site/limit_checks.rs
+++ b/crates/cherrystand_testkit/src/site/limit_checks.rs
@@ -1,34 +1,34 @@
-//! Whether boxes that named how many requests they take got no more.
+//! The check that boxes get no more requests than the rate limits that they advertise.
 
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
 
 use crate::{Arrival, SentSignal, Signal};
 
-/// The span over which arrivals are counted.
+/// The time window over which arrivals are counted.
 const WINDOW: Duration = Duration::from_secs(4);
 
-/// The platform counts from this time after a box first named its limit.
+/// Time after a box first advertised a limit until the platform starts to count.
 const LIMIT_GRACE: Duration = Duration::from_secs(3);
 
-/// The platform counts the daemons that were told this long ago.
+/// Time after which the platform assumes that a daemon knows a limit that it was sent.
 const KNOWN_AFTER: Duration = Duration::from_millis(500);
 
-/// Within this time after a box first named its limit all daemons follow it.
+/// Time within which all daemons follow a limit after a box first advertised it.
 const SPREAD_TIME: Duration = Duration::from_secs(1);
 
-/// Says which bound arrivals are held to.
+/// The bound that arrivals are checked against.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LimitBound {
-    /// The platform's: one and a half times what the limit allows, and five, from the daemons that were told.
+    /// The platform's: 1.5 times the limit plus five requests, from the daemons that know the limit.
     Platform,
-    /// The system's own while nothing fails: what the limit allows, and two, from all daemons.
+    /// The system's own while nothing fails: the limit plus two requests, from all daemons.
     Own,
 }
 
-/// Names each box that got more than it had said it takes, with the worst span of each.
+/// Describes each box that got more requests than its limit, with the window that exceeds it most.
 ///
-/// `daemon_of` finds the daemon of a request, where its daemon counts at that moment.
+/// `daemon_of` returns the daemon of a request, or nothing if that daemon is excused at that time.
 pub fn exceeded_limits<D: Ord>(
     signals: &[SentSignal],
     arrivals: &[Arrival],
@@ -59,8 +59,8 @@
     })
 }
 
-/// Returns by how much the arrivals of the span that end at a time exceed what is allowed, their number and that
-/// figure; nothing where the bound does not hold yet, or not any more.
+/// Returns by how much the arrivals in the window that ends at `end` exceed the allowed number, their number, and the
+/// allowed number. Returns nothing while the bound does not apply.
 fn excess<D: Ord>(
     signals: &[(&SentSignal, f64)],
     arrivals: &[&Arrival],
@@ -88,7 +88,7 @@
         arrival.at > start && arrival.at <= end && (bound == LimitBound::Own || is_informed)
     };
     let count = arrivals.iter().filter(is_counted).count();
-    // A limit that changes within the span, or shortly before, allows what its highest value does.
+    // If the limit changes within the window or shortly before, the highest value counts.
     let until = signals.iter().filter(|(sent, _)| sent.at <= end);
     let (before, within): (Vec<_>, Vec<_>) =
         until.partition(|(sent, _)| sent.at + LIMIT_GRACE < start);
--- a/crates/cherrystand_testkit/src/site/metadata_stand_in.rs
+++ b/crates/cherrystand_testkit/src/site/metadata_stand_in.rs
@@ -1,4 +1,4 @@
-//! Stands in for the users' metadata store.
+//! A stand-in for the users' metadata store.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -14,10 +14,10 @@
 
 use crate::http::{FullBody, empty, json as json_answer, query_number, read_json};
 
-/// How often a watch that waits looks for changes.
+/// How often a waiting watch checks for changes.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// One change, as watches tell it.
+/// A change of a key, as watches report it.
 #[derive(Clone, Debug)]
 struct Change {
     key: String,
@@ -25,7 +25,7 @@
     value: Option<String>,
 }
 
-/// What a copy of the store holds.
+/// A backup of the store.
 #[derive(Clone, Debug)]
 struct Backup {
     revision: u64,
@@ -34,51 +34,53 @@
 
 #[derive(Debug, Default)]
 struct State {
-    /// How long the pages of a list are, and what is wrong with them.
+    /// The length of the pages of a list, and the fault in them.
     pages: Option<(usize, PageFault)>,
     revision: u64,
     items: BTreeMap<String, (u64, String)>,
     changes: Vec<Change>,
-    /// Changes up to this revision are dropped_up_to.
+    /// The change history up to this revision is lost.
     dropped_up_to: u64,
-    /// What the next writes get: done without an answer.
+    /// Number of coming writes that are applied but not answered.
     dropped_answers: u32,
-    /// Items that are written right after they were first asked for and found missing.
+    /// Items that are written right after a read finds them missing.
     after_miss: BTreeMap<String, String>,
     calls: u64,
-    /// How often the store came back from a copy, told in all answers once it did.
+    /// How often the store was restored from a backup. Answers report it unless it is zero.
     era: u64,
-    /// The copy that it comes back from.
+    /// The backup that `restore` uses.
     backup: Option<Backup>,
 }
 
-/// A store that all nodes share; each node may be given a door of its own.
+/// A store that all nodes share. Each node can be given an address of its own, with a mode of its own.
 #[derive(Clone, Debug, Default)]
 pub struct MetadataStandIn {
     state: Rc<RefCell<State>>,
 }
 
-/// Says how one door to the store behaves.
+/// How the store treats calls on one address.
+///
+/// Fault schedules print the variants by name.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum StoreMode {
-    /// It answers.
+    /// It answers them.
     #[default]
     Open,
-    /// It turns calls away.
+    /// It refuses them as unavailable.
     Busy,
     /// It never answers.
     Silent,
 }
 
-/// What is wrong with the pages of a list.
+/// A fault in the pages of a list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum PageFault {
-    /// Nothing.
+    /// None.
     #[default]
     None,
-    /// Each page is the first one again.
+    /// Each page repeats the first one.
     Repeats,
-    /// A page that others should follow holds nothing.
+    /// A page that should have items, and be followed by others, is empty.
     Empty,
 }
 
@@ -103,7 +105,7 @@
 }
 
 impl MetadataStandIn {
-    /// Writes an item, whose value is in base64 already.
+    /// Writes an item whose value is already encoded in base64.
     pub fn put(&self, key: &str, value: String) {
         let mut state = self.state.borrow_mut();
         state.revision += 1;
@@ -112,12 +114,12 @@
         state.changes.push(Change { key: key.to_owned(), revision, value: Some(value) });
     }
 
-    /// Tells whether an item is there.
+    /// Tells whether an item exists.
     pub fn contains(&self, key: &str) -> bool {
         self.state.borrow().items.contains_key(key)
     }
 
-    /// Returns the text of an item that is there.
+    /// Returns the decoded text of an item, if it exists.
     pub fn read(&self, key: &str) -> Option<String> {
         let state = self.state.borrow();
         let (_, value) = state.items.get(key)?;
@@ -125,7 +127,7 @@
         String::from_utf8(bytes).ok()
     }
 
-    /// Takes an item away.
+    /// Removes an item.
     pub fn remove(&self, key: &str) {
         let mut state = self.state.borrow_mut();
         if state.items.remove(key).is_some() {
@@ -135,27 +137,26 @@
         }
     }
 
-    /// Forgets the history, so that watches from before have to read anew.
+    /// Drops the change history, so that watches of earlier revisions must read everything again.
     pub fn drop_history(&self) {
         let mut state = self.state.borrow_mut();
         state.dropped_up_to = state.revision;
         state.changes.clear();
     }
 
-    /// Returns the keys below a prefix.
+    /// Returns the keys under a prefix.
     pub fn keys(&self, prefix: &str) -> Vec<String> {
         let state = self.state.borrow();
         state.items.keys().filter(|key| key.starts_with(prefix)).cloned().collect()
     }
 
-    /// Copies everything as it is, for a drill.
+    /// Makes a backup of the current items and revision.
     pub fn back_up(&self) {
         let mut state = self.state.borrow_mut();
         state.backup = Some(Backup { revision: state.revision, items: state.items.clone() });
     }
 
-    /// Comes back from the copy kept: what was written since is gone, revisions are given out again, and the era
-    /// rises. Watches begin anew.
+    /// Restores the backup: later writes are lost, revisions are reused, and the era rises. Watches must start again.
     pub fn restore(&self) {
         let mut state = self.state.borrow_mut();
         let Some(Backup { revision, items }) = state.backup.clone() else { return };
@@ -164,17 +165,17 @@
         state.era += 1;
     }
 
-    /// Lets the next writes be done and not answered.
+    /// Has the next writes applied but not answered.
     pub fn drop_next_answers(&self, count: u32) {
         self.state.borrow_mut().dropped_answers = count;
     }
 
-    /// Returns how many calls came.
+    /// Returns the number of calls received.
     pub fn call_count(&self) -> u64 {
         self.state.borrow().calls
     }
 
-    /// Answers one call that came through a door, and tells the era once it is not the first.
+    /// Answers one call, and reports the era if the store was ever restored.
     pub async fn handle(self, mode: StoreMode, req: Request<Incoming>) -> Response<FullBody> {
         let state = self.state.clone();
         let mut answer = self.answer(mode, req).await;
@@ -210,7 +211,7 @@
         }
     }
 
-    /// Writes an item as soon as somebody has found it missing.
+    /// Writes an item as soon as a read has found it missing.
     pub fn put_after_miss(&self, key: &str, value: String) {
         self.state.borrow_mut().after_miss.insert(key.to_owned(), value);
     }
@@ -224,7 +225,7 @@
         empty(StatusCode::NOT_FOUND)
     }
 
-    /// Writes the items below a prefix that were to come once they were found missing.
+    /// Writes the items under a prefix that `put_after_miss` has registered.
     fn put_after_missed_read(&self, prefix: &str) {
         let mut late = std::mem::take(&mut self.state.borrow_mut().after_miss);
         late.retain(|key, value| {
@@ -237,7 +238,7 @@
         self.state.borrow_mut().after_miss.extend(late);
     }
 
-    /// Lists in pages from now on, with a fault in all but the first.
+    /// Splits lists into pages from now on, with a fault in all pages but the first.
     pub fn set_paging(&self, length: usize, fault: PageFault) {
         self.state.borrow_mut().pages = Some((length, fault));
     }
--- a/crates/cherrystand_testkit/src/site/site_box.rs
+++ b/crates/cherrystand_testkit/src/site/site_box.rs
@@ -1,4 +1,4 @@
-//! One box of the stand-in for a site, and all that is noted of boxes.
+//! The state of a box in the stand-in for a site, and what is recorded of all boxes.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -8,33 +8,35 @@
 use crate::site::box_wishes::{BoxWishes, SentSignal};
 use crate::site::metadata_stand_in::StoreMode;
 
-/// When boxes started, in Unix milliseconds.
+/// The time at which boxes first start, in Unix milliseconds.
 pub(crate) const FIRST_START_MS: u64 = 1_790_000_000_000;
 
-/// What a box does with requests.
+/// How a box treats requests.
+///
+/// Fault schedules print the variants by name.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum BoxMode {
-    /// It serves.
+    /// It serves them.
     #[default]
     Well,
-    /// It says and does nothing, as without power.
+    /// It neither answers nor does anything, as without power.
     Dark,
     /// It refuses every request without running it.
     Sheds,
-    /// It runs every request and cuts the connection instead of an answer.
+    /// It runs every request and then closes the connection instead of answering.
     LosesAnswers,
-    /// It fails every request.
+    /// It answers every request with an error.
     Fails,
-    /// It answers questions and orders, and makes no event of any stream for now.
+    /// It answers probes and orders, but starts no answer and sends no event of a stream.
     Pauses,
 }
 
-/// Says how a box that is cold tells so.
+/// How a cold box reports that it is cold.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ColdReport {
-    /// By its entry, at once.
+    /// In its entry, at once.
     Entry,
-    /// In its answers alone.
+    /// Only in its answers.
     Answers,
     /// Not at all.
     Nowhere,
@@ -49,39 +51,39 @@
 }
 
 pub(super) struct SiteBoxState {
-    /// Where it says that it is reached.
+    /// The address in its entry.
     pub(super) address: SocketAddr,
-    /// Where it listens.
+    /// The address that it listens on.
     pub(super) listen_address: SocketAddr,
     pub(super) service: &'static str,
     pub(super) zone: &'static str,
-    /// Until when it is cold, and whether its entry tells so.
+    /// Until when it is cold, and how it reports that.
     pub(super) cold: Option<(Instant, ColdReport)>,
     pub(super) mode: BoxMode,
-    /// Whether its entry says that it leaves.
+    /// Whether its entry says that it is draining.
     pub(super) draining: bool,
     pub(super) wishes: BoxWishes,
-    /// How many requests came that it could turn away.
+    /// Number of requests that it has decided to run or refuse.
     pub(super) requests: usize,
-    /// How many answers it gave.
+    /// Number of answers that it has sent.
     pub(super) answers: usize,
-    /// Membership by each request that it works on.
+    /// Each stream that it works on holds a reference; the count tells how many there are.
     pub(super) active: Rc<()>,
-    /// When it started, in Unix milliseconds.
+    /// Its incarnation: when it started, in Unix milliseconds.
     pub(super) start_ms: u64,
     pub(super) staged: Option<String>,
     pub(super) membership: Option<Membership>,
     pub(super) highest_epoch: u64,
-    /// The highest fence seen.
+    /// The highest fence token that it has seen.
     pub(super) fence: u64,
-    /// Requests run, by id, and the event each began after.
+    /// The ids of the requests that it ran, and the last event that the caller had received of each.
     pub(super) runs: Vec<(String, Option<u64>)>,
-    /// Tenants and headers that reached it.
+    /// The headers of the requests that it ran.
     pub(super) request_headers: Vec<BTreeMap<String, String>>,
 }
 
 impl SiteBoxState {
-    /// A box as it starts, which holds and knows nothing.
+    /// Creates the state of a box that has just started.
     pub(super) fn new(address: SocketAddr, service: &'static str, zone: &'static str) -> Self {
         Self {
             address,
@@ -110,38 +112,38 @@
 pub(super) struct SiteState {
     pub(super) boxes: BTreeMap<String, SiteBoxState>,
     pub(super) store_modes: BTreeMap<usize, StoreMode>,
-    /// Whether nothing that boxes say arrives for now.
+    /// Whether all answers of boxes are held back.
     pub(super) holds_answers: bool,
-    /// Whether boxes tell when they started.
+    /// Whether entries of boxes report when they started.
     pub(super) reports_starts: bool,
-    /// Replicas of which a member started again: nothing moves in them.
+    /// Replicas a member of which restarted, by group and epoch: their streams make no progress.
     pub(super) restarted: BTreeSet<(String, u64)>,
-    /// Which members have ever been ready, by replica and epoch.
+    /// Which members have ever been ready, by group and epoch.
     pub(super) ever_ready: BTreeSet<(String, u64, String)>,
-    /// What must never happen and did.
+    /// Descriptions of violated rules of the platform.
     pub(super) violations: Vec<String>,
     /// Every request that reached a box, run or not.
     pub(super) arrivals: Vec<Arrival>,
-    /// What boxes asked of daemons in their answers.
+    /// The signals that boxes sent to daemons in their answers.
     pub(super) signals: Vec<SentSignal>,
-    /// Boxes that have the address of an earlier one, by the id of that one.
+    /// Boxes that took over the address of another one, by the id of that one.
     pub(super) successors: BTreeMap<String, String>,
-    /// Orders that were refused: the box, the operation and the status.
+    /// The refused orders: box, operation and status.
     pub(super) refused_orders: Vec<(String, String, u16)>,
-    /// Boxes that broke off an answer which nobody read, each as often as it did.
+    /// The boxes that aborted an unread answer, once for each such answer.
     pub(super) unread_aborts: Vec<String>,
-    /// Boxes that ended by a request, in their order.
+    /// The crashes of boxes by requests, oldest first.
     pub(super) crashes: Vec<Crash>,
 }
 
-/// A box that a request ended.
+/// The crash of a box by a request.
 #[derive(Clone, Debug)]
 pub struct Crash {
     /// The body of the request.
     pub body: String,
     /// The box.
     pub target: String,
-    /// When it ended.
+    /// When it crashed.
     pub at: Instant,
 }
 
@@ -150,13 +152,13 @@
 pub struct Arrival {
     /// The request's id.
     pub request: String,
-    /// Its body, once that came whole.
+    /// Its body, once that was received completely.
     pub body: String,
     /// The box.
     pub target: String,
-    /// When the life of the box began that it reached, in Unix milliseconds; nothing where another box
-    /// was meant.
+    /// The incarnation of the box that it reached, as the start time in Unix milliseconds; nothing if the request was
+    /// meant for another box.
     pub incarnation: Option<u64>,
-    /// When it came.
+    /// When it arrived.
     pub at: Instant,
 }
--- a/crates/cherrystand_testkit/src/site/site_setup.rs
+++ b/crates/cherrystand_testkit/src/site/site_setup.rs
@@ -1,4 +1,4 @@
-//! What daemons, operators and callers of a site are told, and what callers get.
+//! Settings of daemons, the configuration of a site, and the stream that callers expect.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -8,42 +8,42 @@
 
 use crate::EVENTS;
 
-/// How long a daemon that stops keeps taking requests, in milliseconds.
+/// How long a daemon accepts requests after it was asked to stop, in milliseconds.
 const LINGER_MS: u64 = 300;
 
-/// How long a planned stop may take, in milliseconds.
+/// Maximum duration of a planned stop, in milliseconds.
 const GRACE_MS: u64 = 8_000;
 
-/// Repeats for each request, over all daemons.
+/// Allowed retries per request, over all daemons.
 pub(crate) const RETRY_RATIO: f64 = 0.2;
 
-/// The window that slides over repeats, in seconds.
+/// Length of the sliding window over which retries are counted, in seconds.
 pub(crate) const RETRY_WINDOW_S: u64 = 10;
 
-/// The settings of one daemon before a site; they are displayed as their file.
+/// The settings of one daemon of a site; `Display` writes them as a settings file.
 #[derive(Clone, Debug)]
 pub struct NodeSettings {
     /// Its name.
     pub name: String,
-    /// The peers that it gets in touch with first.
+    /// The peers that it contacts first.
     pub seeds: Vec<SocketAddr>,
-    /// Where callers reach it.
+    /// The address for callers.
     pub callers: SocketAddr,
-    /// Where it says whether it is ready.
+    /// The address of its readiness page.
     pub ready: SocketAddr,
-    /// Where operators reach it.
+    /// The address for operators.
     pub operators: SocketAddr,
-    /// Where peers reach it.
+    /// The address for peers.
     pub peers: SocketAddr,
-    /// Where peers read changes.
+    /// The address at which peers read changes.
     pub changes: SocketAddr,
-    /// Where it reaches the store.
+    /// The address of the store.
     pub store: SocketAddr,
-    /// Whether all daemons start for the first time.
+    /// Whether all daemons of the site start for the first time.
     pub first_start: bool,
-    /// Repeats in one window beyond the share of requests, over all daemons.
+    /// Allowed retries in one window beyond the share of requests, over all daemons.
     pub retry_slack: f64,
-    /// By how much a signal moves its clock on, in milliseconds, as a suspension does; 0 for none.
+    /// By how much a signal advances its clock to simulate a suspension, in milliseconds; 0 for none.
     pub suspended_ms: u64,
 }
 
@@ -74,8 +74,7 @@
     }
 }
 
-/// Makes a configuration with a route to streams, one to calls that run once and one to calls that
-/// may be repeated.
+/// Builds a configuration with a route for streams, one for non-idempotent requests and one for idempotent requests.
 pub fn site_config<K: Serialize>(
     version: u64,
     call_prefix: &str,
@@ -106,7 +105,7 @@
     })
 }
 
-/// Returns the body of a whole stream that answers a request.
+/// Returns the body of the complete stream that answers a request.
 pub fn whole_stream(request: &str) -> String {
     (0..EVENTS).map(|number| format!("id: {number}\ndata: {request} {number}\n\n")).collect()
 }
--- a/crates/cherrystand_testkit/src/site/site_stand_in.rs
+++ b/crates/cherrystand_testkit/src/site/site_stand_in.rs
@@ -1,4 +1,4 @@
-//! Stands in for a whole site: its store, boxes with engines, and plain endpoints.
+//! A stand-in for a whole site: its store, boxes with engines, and plain endpoints.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -22,31 +22,31 @@
     Arrival, BoxMode, ColdReport, Crash, Membership, SiteBoxState, SiteState,
 };
 
-/// How often what is held up looks whether it may go on.
+/// How often a held answer checks whether it may be sent.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// The availability zone of boxes that are added without one.
 const DEFAULT_ZONE: &str = "z1";
 
-/// The prefix of the keys under which boxes tell of themselves.
+/// The key prefix of the entries of boxes.
 const ENTRY_PREFIX: &str = "servers/";
 
-/// How long a box is away that a request ended.
+/// How long a box is down after a request crashed it.
 const CRASH_DOWNTIME: Duration = Duration::from_millis(1_200);
 
-/// A site on loopback addresses; it runs on the test's own thread.
+/// A site on loopback addresses that runs on the thread of the test.
 #[derive(Clone)]
 pub struct SiteStandIn {
     /// The store.
     pub store: MetadataStandIn,
     pub(super) state: Rc<RefCell<SiteState>>,
     tasks: Rc<RefCell<Vec<JoinHandle<()>>>>,
-    /// What serves each box; the connections to it end with it.
+    /// The task that serves each box; aborting it closes the connections to the box.
     box_tasks: Rc<RefCell<BTreeMap<String, JoinHandle<()>>>>,
 }
 
 impl SiteStandIn {
-    /// Creates a site with nothing in it.
+    /// Creates a site without boxes and with an empty store.
     pub fn new() -> Self {
         Self {
             store: MetadataStandIn::default(),
@@ -56,11 +56,11 @@
         }
     }
 
-    /// Opens a door to the store and returns its address.
+    /// Opens another address of the store, with a mode of its own, and returns it.
     ///
     /// # Errors
     ///
-    /// Returns an error where no address can be listened at.
+    /// Returns an error if no loopback address can be listened on.
     pub async fn open_store(&self) -> std::io::Result<SocketAddr> {
         let listener = TcpListener::bind(("127.0.0.1", 0)).await?;
         let address = listener.local_addr()?;
@@ -68,43 +68,43 @@
         self.state.borrow_mut().store_modes.insert(number, StoreMode::Open);
         let site = self.clone();
         let serving = serve(listener, move |req| {
-            let door = site.state.borrow().store_modes.get(&number).copied().unwrap_or_default();
+            let mode = site.state.borrow().store_modes.get(&number).copied().unwrap_or_default();
             let store = site.store.clone();
-            async move { store.handle(door, req).await.map(full_body) }
+            async move { store.handle(mode, req).await.map(full_body) }
         });
         self.tasks.borrow_mut().push(serving);
         Ok(address)
     }
 
-    /// Says how a door behaves from now on.
-    pub fn set_store_mode(&self, number: usize, door: StoreMode) {
-        self.state.borrow_mut().store_modes.insert(number, door);
+    /// Sets how the store treats calls on one of its addresses, numbered in the order of opening.
+    pub fn set_store_mode(&self, number: usize, mode: StoreMode) {
+        self.state.borrow_mut().store_modes.insert(number, mode);
     }
 
-    /// Puts a configuration in force.
+    /// Writes a configuration to the store.
     pub fn configure(&self, config: &Value) {
         self.store.put("op/config", STANDARD.encode(config.to_string()));
     }
 
-    /// Puts a configuration in force right after somebody found that there is none.
+    /// Writes a configuration right after a read has found that there is none.
     pub fn configure_after_miss(&self, config: &Value) {
         self.store.put_after_miss("op/config", STANDARD.encode(config.to_string()));
     }
 
-    /// Adds a box, or a plain endpoint, of a service and lists it.
+    /// Adds a box or plain endpoint of a service, and writes its entry.
     ///
     /// # Errors
     ///
-    /// Returns an error where no address can be listened at.
+    /// Returns an error if no loopback address can be listened on.
     pub async fn add_box(&self, id: &str, service: &'static str) -> std::io::Result<()> {
         self.add_box_in(DEFAULT_ZONE, id, service).await
     }
 
-    /// The same in an availability zone, each of which has a domain of its own.
+    /// Adds a box as `add_box` does, in an availability zone. Each zone has a domain of its own.
     ///
     /// # Errors
     ///
-    /// Returns an error where no address can be listened at.
+    /// Returns an error if no loopback address can be listened on.
     pub async fn add_box_in(
         &self,
         zone: &'static str,
@@ -128,24 +128,23 @@
         self.box_tasks.borrow_mut().insert(id.to_owned(), serving);
     }
 
-    /// Ends a box by a request: its connections close, new ones are refused, and it says nothing until
-    /// it starts again under its id.
+    /// Crashes a box by a request: its connections close, and new ones are refused until it restarts under its id.
     pub(super) async fn crash<T>(&self, id: &str, body: &str) -> T {
         let crash = Crash { body: body.to_owned(), target: id.to_owned(), at: Instant::now() };
         self.state.borrow_mut().crashes.push(crash);
         let (site, id) = (self.clone(), id.to_owned());
         let start = self.start_of(&id);
         tokio::task::spawn_local(async move {
-            // Another request may have ended it in the same moment, and has it come back.
+            // Another request may have crashed the box at the same time, and then restarts it.
             let Some(serving) = site.box_tasks.borrow_mut().remove(&id) else { return };
             serving.abort();
             tokio::time::sleep(CRASH_DOWNTIME).await;
             let listens =
                 site.state.borrow().boxes.get(&id).map(|site_box| site_box.listen_address);
             let Some(listens) = listens else { return };
-            // Nobody else has the address meanwhile.
+            // No other socket is bound to the address meanwhile.
             let listener = TcpListener::bind(listens).await.expect("the box's address");
-            // Another fault may have started it again meanwhile.
+            // Another fault may have restarted the box meanwhile.
             if site.start_of(&id) == start {
                 site.restart(&id, false);
             }
@@ -154,39 +153,39 @@
         std::future::pending().await
     }
 
-    /// Returns the boxes that requests ended, in their order.
+    /// Returns the crashes of boxes by requests, oldest first.
     pub fn crashes(&self) -> Vec<Crash> {
         self.state.borrow().crashes.clone()
     }
 
-    /// Changes what a box does.
+    /// Sets how a box treats requests.
     pub fn set_mode(&self, id: &str, mode: BoxMode) {
         if let Some(site_box) = self.state.borrow_mut().boxes.get_mut(id) {
             site_box.mode = mode;
         }
     }
 
-    /// Has a box be cold for a while.
-    pub fn turn_cold(&self, id: &str, lasts: Duration, told: ColdReport) {
+    /// Makes a box cold for a while.
+    pub fn turn_cold(&self, id: &str, duration: Duration, report: ColdReport) {
         if let Some(site_box) = self.state.borrow_mut().boxes.get_mut(id) {
-            site_box.cold = Some((Instant::now() + lasts, told));
+            site_box.cold = Some((Instant::now() + duration, report));
         }
-        if told == ColdReport::Entry {
+        if report == ColdReport::Entry {
             self.write_own_entry(id);
         }
     }
 
-    /// Empties an availability zone; the value may be anything.
+    /// Evacuates an availability zone; the key's value may be anything.
     pub fn evacuate(&self, zone: &str, value: &[u8]) {
         self.store.put(&format!("op/evacuate/{zone}"), STANDARD.encode(value));
     }
 
-    /// Takes an availability zone back.
+    /// Ends the evacuation of an availability zone.
     pub fn end_evacuation(&self, zone: &str) {
         self.store.remove(&format!("op/evacuate/{zone}"));
     }
 
-    /// Returns the boxes that broke off an answer which nobody read, each as often as it did.
+    /// Returns the boxes that aborted an unread answer, once for each such answer.
     pub fn unread_aborts(&self) -> Vec<String> {
         self.state.borrow().unread_aborts.clone()
     }
@@ -198,19 +197,19 @@
         boxes.map(|(id, _)| id.clone()).collect()
     }
 
-    /// Changes what a box asks of daemons, for as long as its life lasts.
+    /// Sets what a box tells daemons in its answers, until it restarts.
     pub fn set_wishes(&self, id: &str, wishes: BoxWishes) {
         if let Some(site_box) = self.state.borrow_mut().boxes.get_mut(id) {
             site_box.wishes = wishes;
         }
     }
 
-    /// Returns what boxes asked of daemons in their answers.
+    /// Returns the signals that boxes sent to daemons in their answers.
     pub fn signals(&self) -> Vec<SentSignal> {
         self.state.borrow().signals.clone()
     }
 
-    /// Holds up all that boxes say, as a link does that is full, or lets it through again.
+    /// Holds back all answers of boxes, as a congested link does, or lets them through again.
     pub fn hold_answers(&self, held: bool) {
         self.state.borrow_mut().holds_answers = held;
     }
@@ -221,7 +220,7 @@
         }
     }
 
-    /// Has a box's entry say that it leaves, while it serves on.
+    /// Marks a box as draining in its entry while it keeps serving.
     pub fn drain(&self, id: &str) {
         if let Some(site_box) = self.state.borrow_mut().boxes.get_mut(id) {
             site_box.draining = true;
@@ -229,28 +228,28 @@
         self.write_own_entry(id);
     }
 
-    /// Returns the boxes that are listed.
+    /// Returns the boxes that have an entry in the store.
     pub fn listed(&self) -> Vec<String> {
         let keys = self.store.keys(ENTRY_PREFIX).into_iter();
         keys.filter_map(|key| key.strip_prefix(ENTRY_PREFIX).map(str::to_owned)).collect()
     }
 
-    /// Lists a box again as it is.
+    /// Writes the entry of a box again in its current state.
     pub fn list(&self, id: &str) {
         self.write_own_entry(id);
     }
 
-    /// Takes a box out of the list.
+    /// Removes the entry of a box.
     pub fn unlist(&self, id: &str) {
         self.store.remove(&format!("servers/{id}"));
     }
 
-    /// Returns where a box is reached.
+    /// Returns the address in the entry of a box.
     pub fn address_of(&self, id: &str) -> Option<SocketAddr> {
         self.state.borrow().boxes.get(id).map(|site_box| site_box.address)
     }
 
-    /// Has a box tell another address from now on, as one that stands behind a link.
+    /// Sets the address in the entry of a box, such as that of a link in front of it.
     pub fn set_address(&self, id: &str, address: SocketAddr) {
         if let Some(site_box) = self.state.borrow_mut().boxes.get_mut(id) {
             site_box.address = address;
@@ -258,15 +257,15 @@
         self.write_own_entry(id);
     }
 
-    /// Has boxes tell when they started from now on.
+    /// Has entries of boxes report when they started from now on.
     pub fn report_starts(&self) {
         self.state.borrow_mut().reports_starts = true;
         let ids: Vec<String> = self.state.borrow().boxes.keys().cloned().collect();
         ids.iter().for_each(|id| self.write_own_entry(id));
     }
 
-    /// Has a box start again under its id, empty, and tell so at once; the last join that it took may
-    /// be carried out late, in its new life.
+    /// Restarts a box under its id without state, and writes its entry at once. With `last_join_again` the last join
+    /// that it had taken is carried out late, in the new incarnation.
     pub fn restart(&self, id: &str, last_join_again: bool) {
         let mut state = self.state.borrow_mut();
         let Some(before) = state.boxes.remove(id) else { return };
@@ -287,13 +286,13 @@
         self.write_own_entry(id);
     }
 
-    /// Writes any bytes where a box tells of itself.
+    /// Overwrites the entry of a box with any bytes.
     pub fn write_entry(&self, id: &str, value: &[u8]) {
         self.store.put(&format!("servers/{id}"), STANDARD.encode(value));
     }
 
-    /// Has a box start again under another id, at its address and empty; its old entry stays and the
-    /// new one is not listed, as behind a cut from the store.
+    /// Restarts a box without state under another id at the same address. The old entry stays and no new one is
+    /// written, as if the box were partitioned from the store.
     pub fn restart_as(&self, id: &str, new_id: &str) {
         let mut state = self.state.borrow_mut();
         let Some(old) = state.boxes.remove(id) else { return };
@@ -302,22 +301,22 @@
         state.successors.insert(id.to_owned(), new_id.to_owned());
     }
 
-    /// Returns the orders that were refused: the box, the operation and the status.
+    /// Returns the refused orders: box, operation and status.
     pub fn refused_orders(&self) -> Vec<(String, String, u16)> {
         self.state.borrow().refused_orders.clone()
     }
 
-    /// Returns what must never happen and did.
+    /// Returns descriptions of violated rules of the platform.
     pub fn violations(&self) -> Vec<String> {
         self.state.borrow().violations.clone()
     }
 
-    /// Returns every request that reached a box.
+    /// Returns every request that reached a box, run or not.
     pub fn arrivals(&self) -> Vec<Arrival> {
         self.state.borrow().arrivals.clone()
     }
 
-    /// Returns the leaders that serve and the members of each.
+    /// Returns the leaders that serve, with the members of their replicas.
     pub fn leaders(&self) -> BTreeMap<String, Vec<String>> {
         let state = self.state.borrow();
         let leads = |(id, site_box): (&String, &SiteBoxState)| {
@@ -327,17 +326,17 @@
         state.boxes.iter().filter_map(leads).collect()
     }
 
-    /// Returns how many replicas serve with all their members.
+    /// Returns the number of replicas that serve with all their members.
     pub fn complete_replicas(&self) -> usize {
         self.leaders().keys().filter(|leader| self.is_complete(leader)).count()
     }
 
-    /// Tells whether a box holds a model on its host.
+    /// Tells whether a box has a model staged on its host.
     pub fn has_staged(&self, id: &str) -> bool {
         self.state.borrow().boxes.get(id).is_some_and(|site_box| site_box.staged.is_some())
     }
 
-    /// Returns who ran a request, and after which event each run began.
+    /// Returns the boxes that ran a request, and the last event that the caller had received before each run.
     pub fn runs_of(&self, request: &str) -> Vec<(String, Option<u64>)> {
         let state = self.state.borrow();
         let runs = state.boxes.iter().flat_map(|(id, site_box)| {
@@ -347,13 +346,13 @@
         runs.collect()
     }
 
-    /// Returns the heads of requests that reached any box.
+    /// Returns the headers of all requests that boxes ran.
     pub fn request_headers(&self) -> Vec<BTreeMap<String, String>> {
         let state = self.state.borrow();
         state.boxes.values().flat_map(|site_box| site_box.request_headers.clone()).collect()
     }
 
-    /// Writes what a box tells of itself.
+    /// Writes the entry of a box.
     pub(super) fn write_own_entry(&self, id: &str) {
         let state = self.state.borrow();
         let Some(site_box) = state.boxes.get(id) else { return };
@@ -361,7 +360,7 @@
             let rank = group.members.iter().position(|member| member == id);
             json!({"name": group.group, "epoch": group.epoch, "rank": rank, "state": group.state})
         });
-        let cold = site_box.cold.filter(|(_, told)| *told == ColdReport::Entry);
+        let cold = site_box.cold.filter(|(_, report)| *report == ColdReport::Entry);
         let cold_left = cold.map(|(until, _)| until.saturating_duration_since(Instant::now()));
         let cold_left = cold_left.unwrap_or_default().as_millis() as u64;
         let readiness = if site_box.draining { "draining" } else { "ready" };
