--- a/crates/cherrystand_testkit/src/site/box_orders.rs
+++ b/crates/cherrystand_testkit/src/site/box_orders.rs
@@ -94,7 +94,10 @@
         let another = last.group != name || last.epoch != epoch;
         let answers = leader.is_some_and(|leader| leader.mode != BoxMode::Dark);
         if leads && another && answers {
-            let fault = format!("{id} joined {name} {epoch} out of {} {}", last.group, last.epoch);
+            let fault = format!(
+                "{id} joined {name} under epoch {epoch} without leaving {} under epoch {}",
+                last.group, last.epoch
+            );
             state.violations.push(fault);
         }
     }
@@ -111,7 +114,7 @@
         };
         if let Some(id) = group.members.iter().find(|id| !was_ready(id)) {
             let fault =
-                format!("{leader} ran a request, and {id} was never ready in {}", group.group);
+                format!("{leader} ran a request although {id} was never ready in {}", group.group);
             state.violations.push(fault);
         }
     }
--- a/crates/cherrystand_testkit/src/site/box_wishes.rs
+++ b/crates/cherrystand_testkit/src/site/box_wishes.rs
@@ -141,7 +141,12 @@
         });
         let late = late.count();
         let (id, signal) = (&sent.target, sent.signal);
-        (late > most).then(|| format!("{id} told {}: {signal:?}, and got {late}", sent.request))
+        (late > most).then(|| {
+            format!(
+                "{id} sent {signal:?} in its answer to {}, and got {late} requests",
+                sent.request
+            )
+        })
     });
     violations.collect()
 }
--- a/crates/cherrystand_testkit/src/site/fake_site_domain.rs
+++ b/crates/cherrystand_testkit/src/site/fake_site_domain.rs
@@ -426,7 +426,7 @@
             && self.is_leader_serving(left)
         {
             self.violations.push(format!(
-                "{} joined {} under {} out of {} under {}",
+                "{} joined {} under {} without leaving {} under {}",
                 order.target, order.replica, order.epoch, left.replica, left.epoch
             ));
         }
@@ -481,7 +481,7 @@
         });
         if let Some(id) = never {
             self.violations
-                .push(format!("{} opened though {id} was never ready", membership.replica));
+                .push(format!("{} opened although {id} was never ready", membership.replica));
         }
         membership.state = MemberState::Open;
         membership.due = self.now + OPEN_TIME;
--- a/crates/cherrystand_testkit/tests/soak_checks.rs
+++ b/crates/cherrystand_testkit/tests/soak_checks.rs
@@ -248,9 +248,13 @@
                 record.disturbances.push(interval);
             },
         ),
-        case("sent three times during backoff", Some("Backoff(10s), and got 3"), &|record, _| {
-            signal_sent(record, Signal::Backoff(Duration::from_secs(10)));
-        }),
+        case(
+            "sent three times during backoff",
+            Some("Backoff(10s) in its answer to r1, and got 3"),
+            &|record, _| {
+                signal_sent(record, Signal::Backoff(Duration::from_secs(10)));
+            },
+        ),
         case("sent twice during backoff", None, &|record, _| {
             signal_sent(record, Signal::Backoff(Duration::from_secs(10)));
             record.arrivals.truncate(2);
@@ -272,7 +276,7 @@
         }),
         case(
             "sent to a leaving box while another daemon was suspended",
-            Some("Leaving, and got 3"),
+            Some("Leaving in its answer to r1, and got 3"),
             &|record, began| {
                 signal_sent(record, Signal::Leaving);
                 let since = began + Duration::from_secs(57);
@@ -290,7 +294,7 @@
             });
         }),
         case("violation detected by a box", Some("joined"), &|record, _| {
-            record.box_faults.push("i-1 joined out of another".to_owned());
+            record.box_faults.push("i-1 joined one replica without leaving another".to_owned());
         }),
     ];
     for case in cases {
