--- a/crates/cherrystand_core/src/lib.rs
+++ b/crates/cherrystand_core/src/lib.rs
@@ -185,7 +185,7 @@
 pub use nodes::rate_limit_owner::rate_limit_owner_of;
 pub use nodes::reader_list::{ListedReader, ReaderList, ReaderListPublisher};
 pub use nodes::readers::{
-    READERS_PER_ZONE, Source, SourceSelector, all_readers, branches_of, poll_interval,
+    READERS_PER_ZONE, Source, SourceSelector, all_readers, distributors_of, poll_interval,
     poll_interval_of, readers_of, watch_interval,
 };
 pub use nodes::relays::{
--- a/crates/cherrystand_core/src/nodes/propagation_budget.rs
+++ b/crates/cherrystand_core/src/nodes/propagation_budget.rs
@@ -7,10 +7,11 @@
 /// Splits the longest time that may pass between a change in the store and its being known
 /// everywhere.
 ///
-/// A change goes from the store to the reader of a zone, in a large zone from there to a branch,
-/// and then to everybody else. Any of them, and any connection between them, can fail without
-/// notice at any moment. Timeouts that were chosen separately added up to more than the bound, so
-/// all of them are derived here, and [`PropagationBudget::worst_case_delay`] adds them up.
+/// A change goes from the store to the reader of a zone, in a large zone from there to a
+/// distributor, and then to everybody else. Any of them, and any connection between them, can fail
+/// without notice at any moment. Timeouts that were chosen separately added up to more than the
+/// bound, so all of them are derived here, and [`PropagationBudget::worst_case_delay`] adds them
+/// up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PropagationBudget {
     bound: Millis,
@@ -49,7 +50,7 @@
     /// The bound if none is configured.
     pub const DEFAULT_BOUND: Millis = Millis(2_000);
 
-    /// The smallest bound that can be kept, also when branches are used.
+    /// The smallest bound that can be kept, also when distributors are used.
     pub const MIN_BOUND: Millis = Millis(2_000);
 
     /// The minimum time between two watches; changes that follow each other faster arrive together.
@@ -115,10 +116,10 @@
     }
 
     /// Returns the largest possible age of a daemon's knowledge while one fault lasts and the store
-    /// is healthy; `has_branches` says whether the zone is large enough to use branches.
-    pub fn worst_case_delay(self, fault: PropagationFault, has_branches: bool) -> Millis {
+    /// is healthy; `has_distributors` says whether the zone is large enough to use distributors.
+    pub fn worst_case_delay(self, fault: PropagationFault, has_distributors: bool) -> Millis {
         let hop = Self::MAX_POLL_INTERVAL.max(self.max_pause()) + Self::HOP_LATENCY;
-        let below = if has_branches { hop + hop } else { hop };
+        let below = if has_distributors { hop + hop } else { hop };
         // A daemon whose source knows nothing fresh asks the next one at once: the second reader,
         // which asks the store, or the store itself.
         let next = Self::HOP_LATENCY + Self::HOP_LATENCY;
--- a/crates/cherrystand_core/src/nodes/readers.rs
+++ b/crates/cherrystand_core/src/nodes/readers.rs
@@ -10,11 +10,11 @@
 pub const READERS_PER_ZONE: usize = 2;
 
 /// Up to this many daemons of a zone all read from its reader; in a larger zone most read from a
-/// branch.
+/// distributor.
 const MAX_DIRECT: usize = 40;
 
-/// How many branches a daemon tries before it reads from the readers themselves.
-const MAX_BRANCHES_TRIED: usize = 2;
+/// How many distributors a daemon tries before it reads from the readers themselves.
+const MAX_DISTRIBUTORS_TRIED: usize = 2;
 
 /// How long a peer is avoided as a source after it failed.
 const FAILURE_AVOID_TIME: Millis = Millis(2_000);
@@ -52,16 +52,16 @@
 }
 
 /// Returns the minimum time between two polls by one daemon of its source: none for a reader, since
-/// few poll there, by the number of branches for a branch, and by the size of the zone for all
-/// others.
+/// few poll there, by the number of distributors for a distributor, and by the size of the zone for
+/// all others.
 pub fn poll_interval_of(own: &Heartbeat, alive: &[&Heartbeat]) -> Millis {
     let is_own = |beat: &&Heartbeat| beat.node == own.node;
     if readers_of(&own.zone, alive).iter().any(is_own) {
         return Millis(0);
     }
-    let branches = branches_of(&own.zone, alive);
-    match branches.iter().any(is_own) {
-        true => poll_interval_for(branches.len()),
+    let distributors = distributors_of(&own.zone, alive);
+    match distributors.iter().any(is_own) {
+        true => poll_interval_for(distributors.len()),
         false => poll_interval(&own.zone, alive),
     }
 }
@@ -89,37 +89,37 @@
     readers
 }
 
-/// Returns the branches of a large zone: the daemons that read from its reader and pass the changes
-/// on to all others. There are as many of them as each has daemons to answer. A small zone has
-/// none.
+/// Returns the distributors of a large zone: the daemons that read from its reader and pass the
+/// changes on to all others. There are as many of them as each has daemons to answer. A small zone
+/// has none.
 ///
 /// A reader that answered its whole zone itself would send each change as often as there are
 /// daemons, and the number of changes grows with the daemons as well. Daemons that the store turns
-/// away may be branches, since branches do not read it.
-pub fn branches_of<'a>(zone: &ZoneId, alive: &[&'a Heartbeat]) -> Vec<&'a Heartbeat> {
+/// away may be distributors, since distributors do not read it.
+pub fn distributors_of<'a>(zone: &ZoneId, alive: &[&'a Heartbeat]) -> Vec<&'a Heartbeat> {
     let able = |beat: &Heartbeat| beat.serving && beat.changes.is_some();
-    let mut branches = rank_in_zone("read", zone, alive, able);
-    if branches.len() <= MAX_DIRECT {
+    let mut distributors = rank_in_zone("read", zone, alive, able);
+    if distributors.len() <= MAX_DIRECT {
         return Vec::new();
     }
-    let count = (branches.len() as f64).sqrt().ceil() as usize;
+    let count = (distributors.len() as f64).sqrt().ceil() as usize;
     let readers = readers_of(zone, alive);
-    branches.retain(|beat| !readers.iter().any(|reader| reader.node == beat.node));
-    branches.truncate(count);
-    branches
+    distributors.retain(|beat| !readers.iter().any(|reader| reader.node == beat.node));
+    distributors.truncate(count);
+    distributors
 }
 
-/// Returns the branches that a daemon reads from in rank order; none for a branch itself.
+/// Returns the distributors that a daemon reads from in rank order; none for a distributor itself.
 ///
-/// Each daemon ranks the branches separately, so that when a branch joins or leaves only its own
-/// daemons move.
-fn branches_for<'a>(own: &Heartbeat, alive: &[&'a Heartbeat]) -> Vec<&'a Heartbeat> {
-    let branches = branches_of(&own.zone, alive);
-    if branches.iter().any(|beat| beat.node == own.node) {
+/// Each daemon ranks the distributors separately, so that when a distributor joins or leaves only
+/// its own daemons move.
+fn distributors_for<'a>(own: &Heartbeat, alive: &[&'a Heartbeat]) -> Vec<&'a Heartbeat> {
+    let distributors = distributors_of(&own.zone, alive);
+    if distributors.iter().any(|beat| beat.node == own.node) {
         return Vec::new();
     }
-    let mut ranked = rank_by_hash(&format!("branch/{}", own.node), branches);
-    ranked.truncate(MAX_BRANCHES_TRIED);
+    let mut ranked = rank_by_hash(&format!("branch/{}", own.node), distributors);
+    ranked.truncate(MAX_DISTRIBUTORS_TRIED);
     ranked
 }
 
@@ -131,9 +131,9 @@
 /// Selects where one daemon reads.
 ///
 /// The first reader of a zone reads the store, the second one reads from the first, and everybody
-/// else reads from the first of them that does not fail, in a large zone preferably from a branch.
-/// If all of these fail, a daemon reads the store itself; one that the store turns away tries the
-/// readers of other zones before that.
+/// else reads from the first of them that does not fail, in a large zone preferably from a
+/// distributor. If all of these fail, a daemon reads the store itself; one that the store turns
+/// away tries the readers of other zones before that.
 #[derive(Clone, Debug, Default)]
 pub struct SourceSelector {
     avoided_until: BTreeMap<NodeId, Millis>,
@@ -151,7 +151,7 @@
         let mut near = readers_of(&own.zone, alive);
         match near.iter().position(|beat| beat.node == own.node) {
             Some(rank) => near.truncate(rank),
-            None => _ = near.splice(0..0, branches_for(own, alive)),
+            None => _ = near.splice(0..0, distributors_for(own, alive)),
         }
         let far = if own.decides { Vec::new() } else { all_readers(alive) };
         let usable = |beat: &&Heartbeat| {
--- a/crates/cherrystand_core/tests/propagation_budget.rs
+++ b/crates/cherrystand_core/tests/propagation_budget.rs
@@ -11,10 +11,10 @@
     for bound in [2_000, 3_000, 4_000, 5_000, 17_000].map(Millis) {
         let budget = PropagationBudget::new(bound);
         for fault in PropagationFault::ALL {
-            for has_branches in [false, true] {
-                let longest = budget.worst_case_delay(fault, has_branches);
-                println!("{bound:?} {fault:?}, branches {has_branches}: {longest:?}");
-                assert!(longest < bound, "{bound:?} {fault:?} {has_branches}: {longest:?}");
+            for has_distributors in [false, true] {
+                let longest = budget.worst_case_delay(fault, has_distributors);
+                println!("{bound:?} {fault:?}, distributors {has_distributors}: {longest:?}");
+                assert!(longest < bound, "{bound:?} {fault:?} {has_distributors}: {longest:?}");
             }
         }
     }
--- a/crates/cherrystand_core/tests/readers.rs
+++ b/crates/cherrystand_core/tests/readers.rs
@@ -9,7 +9,7 @@
 use cherrystand_core::{
     BoxId, ChangeLog, ChangesSince, Document, Heartbeat, Millis, READERS_PER_ZONE, RELAYS_PER_ZONE,
     Revision, RunningTime, Source, SourceSelector, StoreOutage, StoreReachability, ZoneId,
-    branches_of, poll_interval, readers_of, relays_of, watch_interval,
+    distributors_of, poll_interval, readers_of, relays_of, watch_interval,
 };
 use support::heartbeat;
 
@@ -373,7 +373,7 @@
         println!("{per_zone} daemons: {most} read from one, {} are read from", followers.len());
         assert!(most <= bound, "{per_zone}: {most}");
         assert_eq!(sources.values().filter(|source| source.is_none()).count(), 1, "{per_zone}");
-        // No daemon is further from the store than reader, branch, daemon.
+        // No daemon is further from the store than reader, distributor, daemon.
         for own in sources.keys() {
             let mut at = own;
             let mut steps = 0;
@@ -393,31 +393,31 @@
     let alive: Vec<&Heartbeat> = beats.iter().collect();
     let before = sources(&alive);
     let zone = ZoneId::new("a");
-    let (readers, branches) = (readers_of(&zone, &alive), branches_of(&zone, &alive));
-    assert_eq!(branches.len(), 15);
+    let (readers, distributors) = (readers_of(&zone, &alive), distributors_of(&zone, &alive));
+    assert_eq!(distributors.len(), 15);
     for (number, beat) in beats.iter().enumerate() {
         let own = beat.node.as_str().to_owned();
         let left: Vec<&Heartbeat> = alive.iter().copied().filter(|other| *other != beat).collect();
         let after = sources(&left);
         let read_from_it = before.values().flatten().filter(|source| **source == own).count();
         let moved = after.iter().filter(|(name, source)| before[*name] != **source).count();
-        // If a reader or a branch leaves, the next daemon in rank takes its place, and some of the
-        // others move.
-        let is_source = branches.contains(&beat) || readers.contains(&beat);
+        // If a reader or a distributor leaves, the next daemon in rank takes its place, and some of
+        // the others move.
+        let is_source = distributors.contains(&beat) || readers.contains(&beat);
         let bound = if is_source { read_from_it + 3 * 15 } else { 0 };
         assert!(moved <= bound, "{number}: {moved} moved, {read_from_it} read from it");
     }
 }
 
-/// A daemon whose branches fail reads from the readers; the store is read by those left without a
-/// source.
+/// A daemon whose distributors fail reads from the readers; the store is read by those left without
+/// a source.
 #[test]
-fn daemons_fall_back_to_readers_when_branches_fail() {
+fn daemons_fall_back_to_readers_when_distributors_fail() {
     let beats: Vec<Heartbeat> = (0..100).map(|number| zone_beat(number, "a", true, true)).collect();
     let alive: Vec<&Heartbeat> = beats.iter().collect();
     let zone = ZoneId::new("a");
-    let (readers, branches) = (readers_of(&zone, &alive), branches_of(&zone, &alive));
-    let is_follower = |beat: &&&Heartbeat| !readers.contains(beat) && !branches.contains(beat);
+    let (readers, distributors) = (readers_of(&zone, &alive), distributors_of(&zone, &alive));
+    let is_follower = |beat: &&&Heartbeat| !readers.contains(beat) && !distributors.contains(beat);
     let own = alive.iter().find(is_follower).expect("a follower");
     let mut selector = SourceSelector::default();
     let mut tried = Vec::new();
@@ -426,6 +426,6 @@
         tried.push(peer);
     }
     assert_eq!(tried.len(), 4);
-    assert!(tried[..2].iter().all(|peer| branches.contains(peer)));
+    assert!(tried[..2].iter().all(|peer| distributors.contains(peer)));
     assert_eq!(tried[2..], readers[..]);
 }
