--- a/crates/cherrystand_testkit/src/site/box_answers.rs
+++ b/crates/cherrystand_testkit/src/site/box_answers.rs
@@ -43,9 +43,9 @@
         let mut answer = self.handle(id, req).await;
         if let Some(limit) = self.limit_in_answer(id, answer.status()) {
             set_header(&mut answer, "server-limit", limit);
-            let named = limit.parse().ok().filter(|limit: &f64| *limit >= 0.0);
+            let limit_per_s = limit.parse().ok().filter(|limit: &f64| *limit >= 0.0);
             let request = request.as_ref().and_then(|request| request.to_str().ok());
-            if let Some((limit, request)) = named.zip(request) {
+            if let Some((limit, request)) = limit_per_s.zip(request) {
                 self.record_signal(id, request, Signal::RateLimit(limit));
             }
         }
@@ -76,17 +76,18 @@
     }
 
     pub(super) async fn run_request(&self, id: &str, req: Request<Incoming>) -> Answer {
-        let head: BTreeMap<String, String> = req
+        let headers: BTreeMap<String, String> = req
             .headers()
             .iter()
             .map(|(name, value)| {
                 (name.to_string(), String::from_utf8_lossy(value.as_bytes()).into_owned())
             })
             .collect();
-        let request = head.get("cherrystand-request-id").cloned().unwrap_or_default();
-        let meant = head.get("cherrystand-expect-instance").is_some_and(|meant| meant == id);
-        let last: Option<u64> = head.get("last-event-id").and_then(|id| id.parse().ok());
-        let (service, leads) = {
+        let request = headers.get("cherrystand-request-id").cloned().unwrap_or_default();
+        let is_addressed =
+            headers.get("cherrystand-expect-instance").is_some_and(|meant| meant == id);
+        let last: Option<u64> = headers.get("last-event-id").and_then(|id| id.parse().ok());
+        let (service, is_leader) = {
             let state = self.state.borrow();
             let site_box = &state.boxes[id];
             let open = site_box.membership.as_ref().is_some_and(|group| group.state == "open");
@@ -96,12 +97,12 @@
             request: request.clone(),
             body: String::new(),
             target: id.to_owned(),
-            incarnation: self.start_of(id).filter(|_| meant),
+            incarnation: self.start_of(id).filter(|_| is_addressed),
             at: Instant::now(),
         };
         self.state.borrow_mut().arrivals.push(arrival);
         let arrival = self.state.borrow().arrivals.len() - 1;
-        if !meant || (service == "models" && !leads) {
+        if !is_addressed || (service == "models" && !is_leader) {
             return plain_answer(StatusCode::MISDIRECTED_REQUEST, "");
         }
         // An incomplete body means that the caller has disconnected.
@@ -116,7 +117,7 @@
         }
         if let Some(site_box) = self.state.borrow_mut().boxes.get_mut(id) {
             site_box.runs.push((request.clone(), last));
-            site_box.request_headers.push(head);
+            site_box.request_headers.push(headers);
         }
         let crash_after = body.strip_prefix(CRASHES).map(|events| events.parse::<u64>().ok());
         if crash_after == Some(None) {
@@ -147,14 +148,14 @@
         let mut state = self.state.borrow_mut();
         let Some(site_box) = state.boxes.get_mut(id) else { return false };
         site_box.requests += 1;
-        let sheds = match site_box.wishes.sheds {
+        let is_shed = match site_box.wishes.sheds {
             Sheds::None => false,
             Sheds::All => true,
             Sheds::EverySecond => site_box.requests.is_multiple_of(2),
             Sheds::Beyond(most) => Rc::strong_count(&site_box.active) > most,
             Sheds::From(daemon) => request.starts_with(daemon),
         };
-        sheds || site_box.mode == BoxMode::Sheds
+        is_shed || site_box.mode == BoxMode::Sheds
     }
 
     /// Builds a box's answer to a request that it refuses.
@@ -164,11 +165,12 @@
         let mut answer = plain_answer(StatusCode::SERVICE_UNAVAILABLE, "");
         set_header(&mut answer, "cherrystand-not-executed", "1");
         set_header(&mut answer, "cherrystand-request-id", wishes.names.unwrap_or(request));
-        if let Some(rest) = wishes.rest {
-            set_header(&mut answer, "retry-after", rest);
-            let secs = rest.parse().ok().and_then(|secs| Duration::try_from_secs_f64(secs).ok());
-            if let Some(rest) = secs {
-                self.record_signal(id, request, Signal::Backoff(rest));
+        if let Some(retry_after) = wishes.rest {
+            set_header(&mut answer, "retry-after", retry_after);
+            let secs =
+                retry_after.parse().ok().and_then(|secs| Duration::try_from_secs_f64(secs).ok());
+            if let Some(backoff) = secs {
+                self.record_signal(id, request, Signal::Backoff(backoff));
             }
         }
         answer
@@ -186,12 +188,12 @@
         let mut state = self.state.borrow_mut();
         let site_box = state.boxes.get_mut(id)?;
         site_box.answers += 1;
-        let says = match site_box.wishes.limit_in {
+        let is_advertised = match site_box.wishes.limit_in {
             LimitIn::All => true,
             LimitIn::EverySecond => site_box.answers.is_multiple_of(2),
             LimitIn::Served => status.is_success(),
         };
-        site_box.wishes.limit.filter(|_| says)
+        site_box.wishes.limit.filter(|_| is_advertised)
     }
 
     /// Records that a box aborted an answer that was not read.
@@ -203,8 +205,8 @@
     fn cold_time_in_answer(&self, id: &str) -> Option<Duration> {
         let cold = self.state.borrow().boxes.get(id)?.cold;
         let (until, _) = cold.filter(|(_, report)| *report == ColdReport::Answers)?;
-        let left = until.saturating_duration_since(Instant::now());
-        (!left.is_zero()).then_some(left)
+        let remaining = until.saturating_duration_since(Instant::now());
+        (!remaining.is_zero()).then_some(remaining)
     }
 
     pub(super) fn is_leaving(&self, id: &str) -> bool {
@@ -226,19 +228,22 @@
     ) -> Answer {
         let (site, id, request) = (self.clone(), id.to_owned(), request.to_owned());
         let start = self.start_of(&id);
-        let working = self.state.borrow().boxes.get(&id).map(|site_box| site_box.active.clone());
+        let active = self.state.borrow().boxes.get(&id).map(|site_box| site_box.active.clone());
         let wishes =
             self.state.borrow().boxes.get(&id).map(|site_box| site_box.wishes).unwrap_or_default();
         let padding = "x".repeat(wishes.event_bytes);
-        let events = stream::unfold((first, Instant::now()), move |(number, made)| {
+        let events = stream::unfold((first, Instant::now()), move |(number, sent_at)| {
             // The request counts as active until its last event.
-            let _working = &working;
+            let _active = &active;
             let (site, id, request) = (site.clone(), id.clone(), request.clone());
             let (crash, padding) = (crash.clone(), padding.clone());
             async move {
-                if wishes.cuts_unread.is_some_and(|unread| made.elapsed() > unread) {
+                if wishes.cuts_unread.is_some_and(|unread| sent_at.elapsed() > unread) {
                     site.record_unread_abort(&id);
-                    return Some((Err(std::io::ErrorKind::ConnectionReset.into()), (EVENTS, made)));
+                    return Some((
+                        Err(std::io::ErrorKind::ConnectionReset.into()),
+                        (EVENTS, sent_at),
+                    ));
                 }
                 if let Some((_, body)) = crash.filter(|(event, _)| number >= *event) {
                     return site.crash(&id, &body).await;
@@ -255,7 +260,10 @@
                 }
                 if site.start_of(&id) != start {
                     // The connections of a box close when its incarnation ends.
-                    return Some((Err(std::io::ErrorKind::ConnectionReset.into()), (EVENTS, made)));
+                    return Some((
+                        Err(std::io::ErrorKind::ConnectionReset.into()),
+                        (EVENTS, sent_at),
+                    ));
                 }
                 let event = format!("id: {number}\ndata: {request} {number}{padding}\n\n");
                 let frame = Frame::data(Bytes::from(event));
--- a/crates/cherrystand_testkit/src/site/box_orders.rs
+++ b/crates/cherrystand_testkit/src/site/box_orders.rs
@@ -69,9 +69,9 @@
             _ if !in_group => return StatusCode::CONFLICT,
             "leave" => site_box.membership = None,
             "open" | "close" => {
-                let opens = order["operation"] == "open";
+                let is_open = order["operation"] == "open";
                 if let Some(group) = site_box.membership.as_mut() {
-                    group.state = if opens { "open" } else { "ready" };
+                    group.state = if is_open { "open" } else { "ready" };
                 }
             }
             _ => return StatusCode::BAD_REQUEST,
@@ -88,17 +88,18 @@
             return;
         };
         let leader = last.members.first().and_then(|leader| state.boxes.get(leader));
-        let leads = leader.and_then(|leader| leader.membership.as_ref()).is_some_and(|group| {
-            group.group == last.group && group.epoch == last.epoch && group.state == "open"
-        });
-        let another = last.group != name || last.epoch != epoch;
-        let answers = leader.is_some_and(|leader| leader.mode != BoxMode::Dark);
-        if leads && another && answers {
-            let fault = format!(
+        let is_serving =
+            leader.and_then(|leader| leader.membership.as_ref()).is_some_and(|group| {
+                group.group == last.group && group.epoch == last.epoch && group.state == "open"
+            });
+        let is_other = last.group != name || last.epoch != epoch;
+        let is_reachable = leader.is_some_and(|leader| leader.mode != BoxMode::Dark);
+        if is_serving && is_other && is_reachable {
+            let violation = format!(
                 "{id} joined {name} under epoch {epoch} without leaving {} under epoch {}",
                 last.group, last.epoch
             );
-            state.violations.push(fault);
+            state.violations.push(violation);
         }
     }
 
@@ -113,9 +114,9 @@
             state.ever_ready.contains(&(group.group.clone(), group.epoch, id.clone()))
         };
         if let Some(id) = group.members.iter().find(|id| !was_ready(id)) {
-            let fault =
+            let violation =
                 format!("{leader} ran a request although {id} was never ready in {}", group.group);
-            state.violations.push(fault);
+            state.violations.push(violation);
         }
     }
 
@@ -126,8 +127,8 @@
             && let Some(group) = site_box.membership.as_mut().filter(|group| group.epoch == epoch)
         {
             group.state = "ready";
-            let place = (group.group.clone(), epoch, id.to_owned());
-            state.ever_ready.insert(place);
+            let member = (group.group.clone(), epoch, id.to_owned());
+            state.ever_ready.insert(member);
         }
         drop(state);
         self.write_own_entry(id);
--- a/crates/cherrystand_testkit/src/site/box_wishes.rs
+++ b/crates/cherrystand_testkit/src/site/box_wishes.rs
@@ -125,8 +125,8 @@
     let violations = signals.iter().filter_map(|sent| {
         let daemon = daemon_of(&sent.request, sent.at)?;
         let (from, until, most) = match sent.signal {
-            Signal::Backoff(rest) => {
-                (sent.at + BACKOFF_DELAY, Some(sent.at + rest), MAX_REQUESTS_IN_BACKOFF)
+            Signal::Backoff(backoff) => {
+                (sent.at + BACKOFF_DELAY, Some(sent.at + backoff), MAX_REQUESTS_IN_BACKOFF)
             }
             Signal::Leaving => (sent.at + LEAVING_DELAY, None, 0),
             // Limits hold for all daemons together: `exceeded_limits` checks them.
--- a/crates/cherrystand_testkit/src/site/fake_site_domain.rs
+++ b/crates/cherrystand_testkit/src/site/fake_site_domain.rs
@@ -153,9 +153,9 @@
         self.reports_starts = true;
     }
 
-    /// Restarts a box under its name without state. With `last_join_again` the last join that it had taken is carried
+    /// Restarts a box under its name without state. With `repeat_last_join` the last join that it had taken is carried
     /// out late, in the new incarnation.
-    pub fn restart(&mut self, number: usize, last_join_again: bool) {
+    pub fn restart(&mut self, number: usize, repeat_last_join: bool) {
         let new_box = self.new_box();
         let now = self.now;
         let Some(member) = self.box_mut(number).filter(|member| member.alive) else { return };
@@ -163,7 +163,7 @@
             std::mem::replace(member, FakeMember { start_ms: new_box.start_ms + 1, ..new_box });
         let Some(membership) = before.membership else { return };
         self.restarted.insert((membership.replica.clone(), membership.epoch), now);
-        if let Some(member) = self.box_mut(number).filter(|_| last_join_again) {
+        if let Some(member) = self.box_mut(number).filter(|_| repeat_last_join) {
             member.loaded = before.loaded;
             member.highest_epoch = membership.epoch;
             member.orders_taken = 1;
@@ -223,9 +223,9 @@
 
     /// Returns the boxes that are not listed any more.
     pub fn departed(&self) -> Vec<SiteBox> {
-        let gone =
+        let departed =
             self.boxes.iter().filter(|(_, member)| self.now.since(member.last_heard) >= ENTRY_TTL);
-        gone.map(|(id, member)| self.entry(id, member)).collect()
+        departed.map(|(id, member)| self.entry(id, member)).collect()
     }
 
     /// Returns the boxes that do not answer probes.
@@ -413,12 +413,12 @@
         model: &str,
         members: &[BoxId],
     ) -> OrderEnd {
-        let same = member.membership.as_ref().filter(|membership| is_for(membership, order));
-        let other_list = same.is_some_and(|membership| membership.members != members);
+        let current = member.membership.as_ref().filter(|membership| is_for(membership, order));
+        let other_list = current.is_some_and(|membership| membership.members != members);
         if order.epoch < member.highest_epoch || other_list {
             return OrderEnd::Fenced;
         }
-        if same.is_some() {
+        if current.is_some() {
             return OrderEnd::Taken;
         }
         if let Some(left) = &member.membership
@@ -430,7 +430,7 @@
                 order.target, order.replica, order.epoch, left.replica, left.epoch
             ));
         }
-        let took = if member.loaded.as_deref() == Some(model) {
+        let join_time = if member.loaded.as_deref() == Some(model) {
             LOADED_JOIN_TIME
         } else if member.staged.as_deref() == Some(model) {
             STAGED_JOIN_TIME
@@ -447,7 +447,7 @@
             members: members.to_vec(),
             rank: rank as u32,
             state: MemberState::Joining,
-            due: self.now + took,
+            due: self.now + join_time,
             stalled_since: None,
         });
         OrderEnd::Taken
@@ -474,12 +474,12 @@
         if membership.state != MemberState::Ready || membership.rank != 0 {
             return OrderEnd::Unfit;
         }
-        let never = membership.members.iter().find(|id| {
+        let missing = membership.members.iter().find(|id| {
             let list = membership.members.clone();
             let key = (membership.replica.clone(), membership.epoch, list, (*id).clone());
             !self.ever_ready.contains(&key)
         });
-        if let Some(id) = never {
+        if let Some(id) = missing {
             self.violations
                 .push(format!("{} opened although {id} was never ready", membership.replica));
         }
--- a/crates/cherrystand_testkit/src/site/metadata_stand_in.rs
+++ b/crates/cherrystand_testkit/src/site/metadata_stand_in.rs
@@ -42,7 +42,7 @@
     /// The change history up to this revision is lost.
     dropped_up_to: u64,
     /// Number of coming writes that are applied but not answered.
-    dropped_answers: u32,
+    answers_to_drop: u32,
     /// Items that are written right after a read finds them missing.
     after_miss: BTreeMap<String, String>,
     calls: u64,
@@ -167,7 +167,7 @@
 
     /// Has the next writes applied but not answered.
     pub fn drop_next_answers(&self, count: u32) {
-        self.state.borrow_mut().dropped_answers = count;
+        self.state.borrow_mut().answers_to_drop = count;
     }
 
     /// Returns the number of calls received.
@@ -227,15 +227,15 @@
 
     /// Writes the items under a prefix that `put_after_miss` has registered.
     fn put_after_missed_read(&self, prefix: &str) {
-        let mut late = std::mem::take(&mut self.state.borrow_mut().after_miss);
-        late.retain(|key, value| {
+        let mut pending = std::mem::take(&mut self.state.borrow_mut().after_miss);
+        pending.retain(|key, value| {
             let is_missed = key.starts_with(prefix);
             if is_missed {
                 self.put(key, std::mem::take(value));
             }
             !is_missed
         });
-        self.state.borrow_mut().after_miss.extend(late);
+        self.state.borrow_mut().after_miss.extend(pending);
     }
 
     /// Splits lists into pages from now on, with a fault in all pages but the first.
@@ -304,8 +304,8 @@
         }
         let drop_answer = {
             let mut state = self.state.borrow_mut();
-            let drop_answer = state.dropped_answers > 0;
-            state.dropped_answers = state.dropped_answers.saturating_sub(1);
+            let drop_answer = state.answers_to_drop > 0;
+            state.answers_to_drop = state.answers_to_drop.saturating_sub(1);
             drop_answer
         };
         if drop_answer {
--- a/crates/cherrystand_testkit/src/site/site_box.rs
+++ b/crates/cherrystand_testkit/src/site/site_box.rs
@@ -109,7 +109,7 @@
 }
 
 #[derive(Default)]
-pub(super) struct SiteState {
+pub(super) struct StandInState {
     pub(super) boxes: BTreeMap<String, SiteBoxState>,
     pub(super) store_modes: BTreeMap<usize, StoreMode>,
     /// Whether all answers of boxes are held back.
--- a/crates/cherrystand_testkit/src/site/site_stand_in.rs
+++ b/crates/cherrystand_testkit/src/site/site_stand_in.rs
@@ -19,7 +19,7 @@
 use crate::site::box_wishes::{BoxWishes, SentSignal};
 use crate::site::metadata_stand_in::{MetadataStandIn, StoreMode};
 use crate::site::site_box::{
-    Arrival, BoxMode, ColdReport, Crash, Membership, SiteBoxState, SiteState,
+    Arrival, BoxMode, ColdReport, Crash, Membership, SiteBoxState, StandInState,
 };
 
 /// How often a held answer checks whether it may be sent.
@@ -39,7 +39,7 @@
 pub struct SiteStandIn {
     /// The store.
     pub store: MetadataStandIn,
-    pub(super) state: Rc<RefCell<SiteState>>,
+    pub(super) state: Rc<RefCell<StandInState>>,
     tasks: Rc<RefCell<Vec<JoinHandle<()>>>>,
     /// The task that serves each box; aborting it closes the connections to the box.
     box_tasks: Rc<RefCell<BTreeMap<String, JoinHandle<()>>>>,
@@ -139,11 +139,11 @@
             let Some(serving) = site.box_tasks.borrow_mut().remove(&id) else { return };
             serving.abort();
             tokio::time::sleep(CRASH_DOWNTIME).await;
-            let listens =
+            let address =
                 site.state.borrow().boxes.get(&id).map(|site_box| site_box.listen_address);
-            let Some(listens) = listens else { return };
+            let Some(address) = address else { return };
             // No other socket is bound to the address meanwhile.
-            let listener = TcpListener::bind(listens).await.expect("the box's address");
+            let listener = TcpListener::bind(address).await.expect("the box's address");
             // Another fault may have restarted the box meanwhile.
             if site.start_of(&id) == start {
                 site.restart(&id, false);
@@ -264,24 +264,24 @@
         ids.iter().for_each(|id| self.write_own_entry(id));
     }
 
-    /// Restarts a box under its id without state, and writes its entry at once. With `last_join_again` the last join
+    /// Restarts a box under its id without state, and writes its entry at once. With `repeat_last_join` the last join
     /// that it had taken is carried out late, in the new incarnation.
-    pub fn restart(&self, id: &str, last_join_again: bool) {
+    pub fn restart(&self, id: &str, repeat_last_join: bool) {
         let mut state = self.state.borrow_mut();
         let Some(before) = state.boxes.remove(id) else { return };
-        let mut fresh = SiteBoxState::new(before.address, before.service, before.zone);
-        fresh.listen_address = before.listen_address;
-        fresh.start_ms = before.start_ms + 1;
-        (fresh.runs, fresh.request_headers) = (before.runs, before.request_headers);
+        let mut new_box = SiteBoxState::new(before.address, before.service, before.zone);
+        new_box.listen_address = before.listen_address;
+        new_box.start_ms = before.start_ms + 1;
+        (new_box.runs, new_box.request_headers) = (before.runs, before.request_headers);
         if let Some(group) = before.membership {
             state.restarted.insert((group.group.clone(), group.epoch));
-            if last_join_again {
-                fresh.staged = before.staged;
-                fresh.highest_epoch = group.epoch;
-                fresh.membership = Some(Membership { state: "ready", ..group });
+            if repeat_last_join {
+                new_box.staged = before.staged;
+                new_box.highest_epoch = group.epoch;
+                new_box.membership = Some(Membership { state: "ready", ..group });
             }
         }
-        state.boxes.insert(id.to_owned(), fresh);
+        state.boxes.insert(id.to_owned(), new_box);
         drop(state);
         self.write_own_entry(id);
     }
--- a/crates/cherrystand_testkit/src/soak/run.rs
+++ b/crates/cherrystand_testkit/src/soak/run.rs
@@ -236,16 +236,16 @@
 
     /// Waits until every daemon serves every kind of call; returns false on timeout.
     async fn wait_until_serving(&self) -> bool {
-        let until = Instant::now() + SERVING_TIMEOUT;
+        let deadline = Instant::now() + SERVING_TIMEOUT;
         let addresses: Vec<_> = self.daemons.borrow().iter().map(Daemon::caller_address).collect();
-        for (daemon, at) in addresses.into_iter().enumerate() {
-            for call in [CallKind::Once, CallKind::Repeatable, CallKind::Stream] {
+        for (daemon, address) in addresses.into_iter().enumerate() {
+            for kind in [CallKind::Once, CallKind::Repeatable, CallKind::Stream] {
                 loop {
-                    let outcome = self.callers.send(daemon, at, call).await;
+                    let outcome = self.callers.send(daemon, address, kind).await;
                     if outcome == Some(CallOutcome::Whole(StatusCode::OK)) {
                         break;
                     }
-                    if Instant::now() > until {
+                    if Instant::now() > deadline {
                         return false;
                     }
                     tokio::time::sleep(Duration::from_millis(100)).await;
@@ -261,9 +261,9 @@
         let duration = Duration::from_millis(fault.duration.0);
         let disturbance = self.begin_disturbance(fault.kind);
         match fault.kind {
-            FaultKind::Box(number, mood) => {
+            FaultKind::Box(number, mode) => {
                 let id = &self.boxes[number].0;
-                self.site.set_mode(id, mood);
+                self.site.set_mode(id, mode);
                 tokio::time::sleep(duration).await;
                 self.site.set_mode(id, BoxMode::Well);
             }
@@ -272,8 +272,8 @@
             }
             FaultKind::BoxCut(number) => self.boxes[number].1.reset_connections(),
             FaultKind::Unlisted(number) => self.unlist(&self.boxes[number].0, duration).await,
-            FaultKind::Restarted(number, joins_again) => {
-                self.site.restart(&self.boxes[number].0, joins_again);
+            FaultKind::Restarted(number, repeat_last_join) => {
+                self.site.restart(&self.boxes[number].0, repeat_last_join);
                 tokio::time::sleep(duration).await;
             }
             FaultKind::Wishes(number, wishes) => {
@@ -303,17 +303,17 @@
                 tokio::time::sleep(duration).await;
                 self.site.list(id);
             }
-            FaultKind::Door(number, door) => {
-                self.site.set_store_mode(number, door);
+            FaultKind::Door(number, mode) => {
+                self.site.set_store_mode(number, mode);
                 tokio::time::sleep(duration).await;
                 self.site.set_store_mode(number, StoreMode::Open);
             }
             FaultKind::StoreLink(number, mode) => {
                 disturb_link(&self.store_links[number], mode, duration).await
             }
-            FaultKind::StoreOut(door) => {
+            FaultKind::StoreOut(mode) => {
                 (0..self.store_links.len())
-                    .for_each(|number| self.site.set_store_mode(number, door));
+                    .for_each(|number| self.site.set_store_mode(number, mode));
                 tokio::time::sleep(duration).await;
                 (0..self.store_links.len())
                     .for_each(|number| self.site.set_store_mode(number, StoreMode::Open));
@@ -450,13 +450,13 @@
         // Another fault may restart the daemon between two checks: a new incarnation means that the stop is complete.
         let incarnation = self.daemons.borrow()[number].incarnation();
         self.daemons.borrow()[number].signal("TERM");
-        let until = Instant::now() + STOP_TIMEOUT;
+        let deadline = Instant::now() + STOP_TIMEOUT;
         let is_running = || {
             let daemon = &mut self.daemons.borrow_mut()[number];
             daemon.incarnation() == incarnation && !daemon.has_ended()
         };
         while is_running() {
-            if Instant::now() > until {
+            if Instant::now() > deadline {
                 self.daemons.borrow_mut()[number].kill();
             }
             tokio::time::sleep(Duration::from_millis(20)).await;
