--- a/crates/cherrystandd/src/state/routes.rs
+++ b/crates/cherrystandd/src/state/routes.rs
@@ -122,17 +122,22 @@
 
     fn replicas_in(&self, record: &DomainRecord, group: &GroupId) -> Vec<RouteTarget> {
         let replicas = record.replicas.iter();
-        let ready = replicas
-            .filter(|(replica, state)| &replica.group == group && state.phase == Phase::Ready);
+        let ready = replicas.filter(|(replica, assignment)| {
+            &replica.group == group && assignment.phase == Phase::Ready
+        });
         ready
-            .filter_map(|(replica, state)| {
-                let load =
-                    self.evidence.load_if_whole(&record.domain, replica, state.epoch, self.now);
-                let leader = self.fleet.get(state.boxes.first()?)?;
+            .filter_map(|(replica, assignment)| {
+                let load = self.evidence.load_if_whole(
+                    &record.domain,
+                    replica,
+                    assignment.epoch,
+                    self.now,
+                );
+                let leader = self.fleet.get(assignment.boxes.first()?)?;
                 Some(RouteTarget {
                     address: leader.address,
                     near: &leader.zone == self.own_zone,
-                    replica: Some((replica.clone(), state.epoch)),
+                    replica: Some((replica.clone(), assignment.epoch)),
                     load: Some(load?),
                     max_limit: MAX_REPLICA_REQUESTS,
                 })
