--- a/crates/cherrystandd/src/claim_writer.rs
+++ b/crates/cherrystandd/src/claim_writer.rs
@@ -13,7 +13,7 @@
 /// The time for which one batch is retried: half of the time within which a claim must be used.
 const WRITE_TIMEOUT: Duration = Duration::from_millis(CLAIM_USE_TIMEOUT.0 / 2);
 
-/// The pause between two tries.
+/// The pause between two attempts to write a batch.
 const RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Writes claims to one record of a key-value service and caches that record.
@@ -35,8 +35,8 @@
 
     /// Writes a batch under one write id, retrying until it is stored or the timeout expires.
     ///
-    /// Returns the answers, or `None` if it is unknown whether the batch was stored. No call of the
-    /// batch may run then: its claims, if they were stored, stay unused.
+    /// Returns the answers, or `None` if it is unknown whether the batch was stored. In that case none of
+    /// its calls may run. If the claims were stored after all, they stay unused.
     ///
     /// A write whose answer was lost is retried with the same expected revision, so that at most one
     /// of the two takes effect. If the first one did, its write id is found in the record.
--- a/crates/cherrystandd/src/claims.rs
+++ b/crates/cherrystandd/src/claims.rs
@@ -1,11 +1,11 @@
-//! Sends the relay's claims on calls to the claims duty.
+//! Claims on calls that must run at most once, which the relay requests from the claims duty.
 
 use cherrystand_core::{ClaimRequest, ClaimResponse, IdempotencyKey, Outcome};
 use tokio::sync::oneshot;
 
 use crate::DutyContext;
 
-/// Asks the claims duty for one change to a claim.
+/// A request to the claims duty for one change to a claim.
 #[derive(Debug)]
 pub(crate) struct ClaimMessage {
     /// The requested change.
@@ -14,7 +14,8 @@
     pub(crate) answer: Option<oneshot::Sender<ClaimResponse>>,
 }
 
-/// Claims a call. Returns `None` if the platform does not answer in time.
+/// Claims the call with the given key. Returns `None` if the platform does not answer in time, or if the
+/// claims duty has too many requests waiting.
 pub(crate) async fn acquire(cx: &DutyContext, key: IdempotencyKey) -> Option<ClaimResponse> {
     let (tx, rx) = oneshot::channel();
     let message = ClaimMessage { request: ClaimRequest::Acquire(key), answer: Some(tx) };
@@ -32,8 +33,9 @@
     send(cx, ClaimRequest::Complete(key, outcome));
 }
 
-/// Sends a change without waiting for the answer. If it is lost, the claim stays without an outcome
-/// and a repeated call is answered with `unknown`, which is safe but tells the caller less.
+/// Sends a change without waiting for the answer. If the change is lost, the claim stays without an
+/// outcome and a repeated call is answered with `unknown`. That is safe, but the caller does not learn
+/// whether the call ran.
 fn send(cx: &DutyContext, request: ClaimRequest) {
     let message = ClaimMessage { request, answer: None };
     if cx.claims.try_send(message).is_err() {
--- a/crates/cherrystandd/src/clock.rs
+++ b/crates/cherrystandd/src/clock.rs
@@ -6,7 +6,7 @@
 use cherrystand_platform::since_boot;
 
 /// The longest single sleep while waiting for a point in time. Timers stop while the machine is
-/// suspended, so a wait whose end falls into a suspension ends at most this much too late.
+/// suspended, so a wait that should have ended during a suspension ends at most this long after it.
 pub(crate) const MAX_SLEEP: Duration = Duration::from_millis(200);
 
 /// Measures the time since the daemon's start. It advances while the daemon is paused and while its
--- a/crates/cherrystandd/src/config_versions.rs
+++ b/crates/cherrystandd/src/config_versions.rs
@@ -1,4 +1,4 @@
-//! The last versions of the configuration, which several duties read and send to peers.
+//! The latest versions of the configuration, which several duties read and send to peers.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
@@ -7,7 +7,8 @@
 
 use crate::Metrics;
 
-/// Shares the versions between the duties of one daemon, so that each version is packed only once.
+/// Shares the latest versions of the configuration between the duties of one daemon, so that each version
+/// is packed only once.
 #[derive(Clone)]
 pub(crate) struct ConfigVersions {
     versions: Arc<Mutex<ConfigHistory>>,
@@ -50,7 +51,8 @@
     ///
     /// # Errors
     ///
-    /// Returns an [`UnpackError`], and counts it, if the version cannot be unpacked with those held here.
+    /// Returns an [`UnpackError`], and counts it, if the version cannot be unpacked with the versions
+    /// held here.
     pub(crate) fn unpack(&self, key: &str, packed: &PackedBody) -> Result<Document, UnpackError> {
         match self.versions().unpack(packed) {
             Ok(body) => Ok(Document { key: Arc::from(key), revision: packed.revision, body }),
--- a/crates/cherrystandd/src/duty_context.rs
+++ b/crates/cherrystandd/src/duty_context.rs
@@ -23,7 +23,7 @@
     Running,
     /// The daemon reports that it is not ready and finishes the requests in flight.
     Draining,
-    /// All duties end now.
+    /// All duties end immediately.
     Stopped,
 }
 
@@ -100,7 +100,7 @@
     pub(crate) model_loads: watch::Receiver<Arc<ModelLoads>>,
     /// Publishes `model_loads`; used by the request path.
     pub(crate) publish_model_loads: Arc<watch::Sender<Arc<ModelLoads>>>,
-    /// What this node adds to the store's record of requests suspected of crashing boxes.
+    /// The entries that this daemon adds to the store's record of requests suspected of crashing boxes.
     pub(crate) suspects: watch::Receiver<Arc<SuspectRecord>>,
     /// Publishes `suspects`; used by the request path.
     pub(crate) publish_suspects: Arc<watch::Sender<Arc<SuspectRecord>>>,
@@ -185,8 +185,8 @@
 
     /// Sends an event to the state duty, or drops and counts it if the channel is full.
     ///
-    /// A dropped event is made up for later: records by comparison with a peer, evidence by the next
-    /// probe.
+    /// A dropped event is not lost for good: its records arrive with the next comparison with a peer, its
+    /// evidence with the next probe.
     pub(crate) fn send_to_state(&self, event: StateEvent) {
         if self.state.try_send(event).is_err() {
             self.metrics.ring_full.with_label_values(&["state"]).inc();
--- a/crates/cherrystandd/src/kernel.rs
+++ b/crates/cherrystandd/src/kernel.rs
@@ -36,7 +36,7 @@
     pub name: &'static str,
     /// The deployments in which it runs.
     pub scope: DutyScope,
-    /// Runs the duty until the stop phase of its context ends it.
+    /// Runs the duty until its context's stop phase tells it to end.
     pub run: fn(DutyContext) -> Result<(), DutyError>,
 }
 
@@ -101,7 +101,7 @@
     outcome
 }
 
-/// Stops the daemon when dropped, unless the duty has succeeded. This covers panics too.
+/// Stops the daemon when dropped, unless the duty has succeeded. A duty that panics drops it too.
 struct StopOnFailure {
     stop: Arc<watch::Sender<StopPhase>>,
     succeeded: bool,
--- a/crates/cherrystandd/src/keys.rs
+++ b/crates/cherrystandd/src/keys.rs
@@ -18,7 +18,8 @@
 /// outside the key-value service.
 pub(crate) const INVENTORY: &str = "platform/inventory";
 
-/// The prefix of the copies that daemons exchange in deployments with configured routes.
+/// The prefix of the records that daemons exchange in deployments with configured routes. They are
+/// copies of records that operators write to the store.
 pub(crate) const SITE_RECORDS: &str = "site/";
 
 /// The key of the copy of the operators' configuration.
@@ -30,7 +31,7 @@
 /// The prefix of the claims on calls.
 const CLAIMS: &str = "cherrystand/claims/";
 
-/// The prefix of the lists of daemons that read the store; only a daemon that starts reads them.
+/// The prefix of the lists of daemons that read the store. A daemon reads these lists only at its start.
 const READERS: &str = "cherrystand/readers/";
 
 /// Returns the key of the list of a zone's readers.
--- a/crates/cherrystandd/src/metrics.rs
+++ b/crates/cherrystandd/src/metrics.rs
@@ -41,13 +41,13 @@
     pub stream_ends: IntCounterVec,
     /// Answers cut off by the crash of the box that produced them.
     pub answers_ended_with_box: IntCounter,
-    /// Requests that are refused because every replica that ran them crashed.
+    /// Requests refused because every replica that ran them crashed.
     pub requests_refused_for_ends: IntGauge,
     /// Requests in flight.
     pub in_flight: IntGauge,
     /// Time to the first byte of an answer, in seconds.
     pub first_byte: Histogram,
-    /// Claims on calls, by answer.
+    /// Changes to claims on calls, by answer.
     pub claims: IntCounterVec,
     /// Calls to the platform, by duty and result.
     pub platform_calls: IntCounterVec,
--- a/crates/cherrystandd/src/settings.rs
+++ b/crates/cherrystandd/src/settings.rs
@@ -10,14 +10,14 @@
 };
 use serde::Deserialize;
 
-/// The bytes of bodies that a daemon buffers at most if its memory size is not set.
+/// The maximum size of all buffered bodies if the daemon's memory size is not set, in bytes.
 const DEFAULT_BUFFER_BYTES: usize = 32 << 20;
 
 /// The daemon buffers bodies in at most this fraction (1/n) of its memory. Its state and the buffers of
 /// connections each need as much.
 const BUFFER_MEMORY_DIVISOR: usize = 4;
 
-/// The highest bandwidth accepted for a box's link, in Mbit/s.
+/// The highest bandwidth accepted for the machine's network link, in Mbit/s.
 const MAX_LINK_MBPS: f64 = 1_000_000.0;
 
 /// The settings that one daemon reads at its start.
@@ -40,7 +40,7 @@
     /// Limits on the load that the daemon accepts.
     #[serde(default)]
     pub limits: Limits,
-    /// The behaviour of boxes and the weight store, for planning repairs.
+    /// The behaviour of boxes and the weight store, from which the cost of repairs is estimated.
     #[serde(default)]
     pub repair: Repair,
     /// The daemon's shutdown.
@@ -50,7 +50,7 @@
     /// workspaces through the daemon.
     #[serde(default)]
     pub site: Option<SiteSettings>,
-    /// The strategies for decisions in deployments with configured routes.
+    /// Switches for decisions in deployments with configured routes.
     #[serde(default)]
     pub policy: Policy,
     /// Settings for tests only, which a release build rejects.
@@ -83,9 +83,9 @@
     pub grace_ms: u64,
     /// Retries allowed per request, over all daemons.
     pub retry_ratio: f64,
-    /// Retries allowed beyond that ratio in one window, over all daemons.
+    /// Retries allowed in one window beyond `retry_ratio`, over all daemons.
     pub retry_slack: f64,
-    /// The sliding window for both, in seconds.
+    /// The sliding window for `retry_ratio` and `retry_slack`, in seconds.
     pub retry_window_s: u64,
     /// The time within which all daemons stop sending to an endpoint that is leaving, in
     /// milliseconds.
@@ -154,13 +154,13 @@
 pub struct Limits {
     /// The maximum number of concurrent requests of all classes.
     pub requests: u32,
-    /// The number of those that are reserved for consent requests.
+    /// The number of concurrent requests reserved for the class `consent`.
     pub consent_requests: u32,
-    /// The share of the rest that batch requests may use, in percent.
+    /// The share of the unreserved requests that the class `batch` may use, in percent.
     pub batch_percent: u32,
     /// The largest body of a request, in bytes.
     pub body_bytes: usize,
-    /// The bandwidth of the box's link, in Mbit/s; 0 if unknown.
+    /// The bandwidth of the machine's network link, in Mbit/s; 0 if unknown.
     pub link_mbps: f64,
     /// The memory that the daemon may use, in MB; 0 if unknown.
     pub memory_mb: usize,
@@ -187,7 +187,7 @@
 }
 
 impl Limits {
-    /// Returns how many bytes of bodies the daemon buffers at most.
+    /// Returns the maximum size of all buffered bodies, in bytes.
     pub fn max_buffer_bytes(&self) -> usize {
         match self.memory_mb {
             0 => DEFAULT_BUFFER_BYTES,
--- a/crates/cherrystandd/src/state/event.rs
+++ b/crates/cherrystandd/src/state/event.rs
@@ -16,9 +16,9 @@
     PeerNews {
         /// The news.
         news: News,
-        /// When the peer was asked, on the daemon's clock.
+        /// When the question was sent to the peer, on the daemon's clock.
         asked_at: Millis,
-        /// Receives the next question to the peer, if there is one.
+        /// Receives the next question to send to the peer, if there is one.
         next: oneshot::Sender<Option<Question>>,
     },
     /// A peer compared its records with those of this daemon.
@@ -32,16 +32,17 @@
     },
     /// Records were read from the platform or written to it.
     Records(Vec<Document>),
-    /// The platform answered, so all its records are known as of the time of the question.
+    /// The platform answered, so all its records are known up to the time of the request.
     PlatformRead {
-        /// When the platform was asked, on the daemon's clock.
+        /// When the request was sent to the platform, on the daemon's clock.
         asked_at: Millis,
     },
     /// The platform's box list was read.
     Inventory(Inventory),
-    /// Replicas were probed.
+    /// Probes of replicas returned evidence of their state.
     Evidence(Vec<ReplicaEvidence>),
-    /// Whether this daemon may decide for domains, which requires that the platform answers it.
+    /// Whether this daemon may control domains. It may not while the platform does not answer it, and
+    /// peers then take its domains over.
     MayDecide(bool),
     /// The daemon has begun its shutdown.
     Draining,
--- a/crates/cherrystandd/src/state/node_state.rs
+++ b/crates/cherrystandd/src/state/node_state.rs
@@ -15,7 +15,7 @@
 use crate::keys;
 use crate::state::{StateEvent, Versioned, View, build_routes};
 
-/// The size at which a message between daemons is full, in bytes of records.
+/// No more records are added to a message between daemons once their bodies have this size, in bytes.
 const RECORD_BYTES_PER_MESSAGE: usize = 1 << 20;
 
 /// The state of one daemon. It does no I/O, and its callers pass in the time.
@@ -53,8 +53,10 @@
         }
     }
 
-    /// Increments the heartbeat and returns whether the daemon was paused. What it knew of replicas and
-    /// of the configuration's age before a pause expires by its own age.
+    /// Increments the heartbeat and returns whether the daemon was paused.
+    ///
+    /// After a pause, evidence of replicas and the time of the last contact with the platform need no
+    /// reset: both expire by age.
     pub(crate) fn tick(&mut self, now: Millis) -> bool {
         // The published ages have to be updated with each heartbeat.
         self.changed = true;
@@ -110,8 +112,8 @@
 
     /// Returns whether anything changed since the last call that has to be published at once.
     ///
-    /// Heartbeats and questions of peers alone do not count. One of 59 daemons is asked about 85 times a
-    /// second, and would publish an unchanged view as often.
+    /// A peer's question or newer heartbeat does not count on its own. In a deployment of 59 daemons each
+    /// one receives about 85 questions a second, and would publish an unchanged view as often.
     pub(crate) fn take_changed(&mut self) -> bool {
         std::mem::take(&mut self.changed)
     }
@@ -186,7 +188,7 @@
 
     /// Applies a peer's news, and returns whether its records differ from those held here.
     ///
-    /// The time since the peer was asked is added to all ages in its answer.
+    /// The time since the question was sent is added to all ages in the peer's answer.
     fn apply_news(&mut self, news: News, asked_at: Millis, now: Millis) -> bool {
         let elapsed = now.since(asked_at);
         self.changed |= self.membership.merge_digest(news.members, elapsed, now);
@@ -207,15 +209,16 @@
         differs
     }
 
-    /// Returns the versions held here, without the configuration's if its full text is requested.
+    /// Returns the versions held here. Leaves out that of the configuration if its full text has to be
+    /// requested, so that the peer sends it whole.
     fn held_versions(&self) -> Vec<Version> {
         let mut versions = self.documents.versions();
         versions.retain(|(key, _)| !(self.request_full_config && &**key == keys::SITE_CONFIG));
         versions
     }
 
-    /// Returns the versions held here of the records of which a peer that holds `peer_versions` has newer
-    /// ones.
+    /// Returns the records to request from a peer that holds newer versions of them, each with the
+    /// version held here. `peer_versions` are the versions of the peer.
     fn wanted_versions(&self, peer_versions: &[Version]) -> Vec<Version> {
         let mut wanted = self.documents.older_than(peer_versions);
         let wants_full = |key: &str| self.request_full_config && key == keys::SITE_CONFIG;
@@ -330,7 +333,7 @@
     }
 }
 
-/// Returns the first records, up to the size of one message.
+/// Returns the first of the given records, until they reach the size limit of one message.
 fn limit_to_message(records: impl Iterator<Item = Document>) -> Vec<Document> {
     let mut bytes = 0;
     let mut records_to_send = Vec::new();
--- a/crates/cherrystandd/src/state/routes.rs
+++ b/crates/cherrystandd/src/state/routes.rs
@@ -11,7 +11,7 @@
 
 use crate::state::Versioned;
 
-/// The upper bound of one node's concurrent requests to a model replica.
+/// The upper bound of one daemon's concurrent requests to a model replica.
 const MAX_REPLICA_REQUESTS: u32 = 256;
 
 /// A group of endpoints that serve the same requests.
@@ -49,13 +49,13 @@
 pub(crate) struct RouteTarget {
     /// The address that the endpoint listens on.
     pub address: SocketAddr,
-    /// Whether the endpoint is in the node's own zone.
+    /// Whether the endpoint is in the daemon's own availability zone.
     pub near: bool,
-    /// The replica and the epoch that requests are sent to; `None` for the endpoints of services.
+    /// The replica and the epoch of its assignment; `None` for the endpoints of services.
     pub replica: Option<(ReplicaId, Epoch)>,
-    /// The number of requests in flight that the endpoint reports, if it does.
+    /// The number of requests in flight that the endpoint reported; `None` for the endpoints of services.
     pub load: Option<u32>,
-    /// The upper bound of this node's concurrent requests to the endpoint.
+    /// The upper bound of this daemon's concurrent requests to the endpoint.
     pub max_limit: u32,
 }
 
--- a/crates/cherrystandd/src/state/view.rs
+++ b/crates/cherrystandd/src/state/view.rs
@@ -11,7 +11,7 @@
 use crate::state::RouteGroup;
 use crate::{Settings, clock};
 
-/// A record and the revision at which it was read.
+/// A parsed record and its revision in the store.
 #[derive(Clone, Debug)]
 pub(crate) struct Versioned<T> {
     /// The revision of the record in the store.
@@ -31,7 +31,8 @@
     pub serve_by: ServeBy,
     /// Whether the daemon may try to get a change of configuration accepted.
     pub may_accept: bool,
-    /// How many of the expected daemons were heard from recently, and how many are expected.
+    /// How many of the expected daemons recently held the same configurations as this one, itself
+    /// included, and how many are expected.
     pub reachable_daemons: (usize, usize),
     /// Whether a majority of the daemons holds the same configurations as this one.
     pub majority_agrees: bool,
@@ -85,8 +86,8 @@
 
 /// Returns the first heartbeat of a daemon that starts now.
 ///
-/// The wall clock gives the number of its incarnation, since a box without a disk cannot store the
-/// last one.
+/// The incarnation number is the wall-clock time, since a machine without a disk cannot store the number
+/// of the last incarnation.
 pub(crate) fn initial_heartbeat(settings: &Settings) -> Heartbeat {
     Heartbeat {
         node: settings.node.clone(),
--- a/crates/cherrystandd/src/store_freshness.rs
+++ b/crates/cherrystandd/src/store_freshness.rs
@@ -7,20 +7,22 @@
 
 use crate::site::ChangeSource;
 
-/// Tracks the time as of which a daemon's copy of the store's records is complete, and the source of
-/// the last update.
+/// Tracks up to which time a daemon's copy of the store's records is complete, and which source the last
+/// update came from.
 ///
 /// It is updated on every answer, even one without changes, so that the age grows as soon as answers
-/// stop. A view could not serve for this, because it is published only when something changed.
+/// stop. A [`SiteView`](cherrystand_core::SiteView) cannot hold it, because views are published only when
+/// something changed.
 #[derive(Debug, Default)]
 pub(crate) struct StoreFreshness {
-    /// In milliseconds on the daemon's clock; 0 before the first update.
+    /// The time up to which the copy is complete, in milliseconds on the daemon's clock; 0 before the
+    /// first update.
     as_of: AtomicU64,
     source: Mutex<ChangeSource>,
 }
 
 impl StoreFreshness {
-    /// Records that the copy is complete as of a time, and which source the update came from.
+    /// Records that the copy is complete up to a time, and which source the update came from.
     pub(crate) fn record_update(&self, as_of: Millis, source: &ChangeSource) {
         self.as_of.store(as_of.0, Ordering::Relaxed);
         // Each change is a single assignment, so a thread that panicked left no partial state.
