--- a/crates/cherrystand_core/src/nodes/propagation_budget.rs
+++ b/crates/cherrystand_core/src/nodes/propagation_budget.rs
@@ -132,8 +132,8 @@
                 Self::MAX_POLL_INTERVAL + self.peer_timeout() + next + below
             }
             PropagationFault::StoreUnresponsive => {
-                let given_up = self.watch_timeout() + Self::STORE_TIMEOUT;
-                given_up + Self::SOURCE_CHECK_INTERVAL + next
+                let failed_after = self.watch_timeout() + Self::STORE_TIMEOUT;
+                failed_after + Self::SOURCE_CHECK_INTERVAL + next
             }
         }
     }
--- a/crates/cherrystandd/tests/failures.rs
+++ b/crates/cherrystandd/tests/failures.rs
@@ -37,8 +37,8 @@
             let is_repaired = || async {
                 let answer =
                     cluster.send_model_request(daemon, "again", 2, false).await.expect("an answer");
-                let told = answer.headers()["cherrystand-outcome"].clone();
-                assert!(told == "ran" || told == "not-run", "{told:?}");
+                let outcome = answer.headers()["cherrystand-outcome"].clone();
+                assert!(outcome == "ran" || outcome == "not-run", "{outcome:?}");
                 answer.status() == StatusCode::OK
             };
             cluster.wait_until("the replica is repaired", is_repaired).await;
@@ -242,8 +242,8 @@
         );
         for daemon in &cluster.daemons {
             let again = cluster.send(daemon.callers, Method::POST, "/consent/s", &headers, "once");
-            let told = again.await.expect("an answer").outcome_and_reason();
-            assert_eq!(told, ("unknown".to_owned(), "key-in-use".to_owned()));
+            let answered = again.await.expect("an answer").outcome_and_reason();
+            assert_eq!(answered, ("unknown".to_owned(), "key-in-use".to_owned()));
         }
         tokio::time::sleep(Duration::from_secs(3)).await;
         let ran = cluster.service_executions().await.get("story").copied().unwrap_or(0);
@@ -267,8 +267,8 @@
         for daemon in &cluster.daemons {
             let again =
                 cluster.send(daemon.callers, Method::POST, "/consent/d", &key, "once").await;
-            let told = again.expect("an answer").outcome_and_reason();
-            assert_eq!(told, ("unknown".to_owned(), "key-in-use".to_owned()));
+            let answered = again.expect("an answer").outcome_and_reason();
+            assert_eq!(answered, ("unknown".to_owned(), "key-in-use".to_owned()));
         }
         tokio::time::sleep(Duration::from_secs(2)).await;
         let ran = cluster.service_executions().await.get("delivery").copied().unwrap_or(0);
@@ -315,15 +315,15 @@
             let short_deadline = [key, ("cherrystand-deadline-ms", "500")];
             let second =
                 cluster.send(to, Method::POST, "/consent/t", &short_deadline, "once").await;
-            let told = second.expect("an answer").outcome_and_reason();
-            assert_eq!(told, ("not-run".to_owned(), "keys-out-of-reach".to_owned()));
+            let answered = second.expect("an answer").outcome_and_reason();
+            assert_eq!(answered, ("not-run".to_owned(), "keys-out-of-reach".to_owned()));
             cluster.set(cluster.platform.address, json!({"down": false})).await;
             tokio::time::sleep(Duration::from_secs(3)).await;
             let elsewhere = cluster.daemons[1].callers;
             let third =
                 cluster.send(elsewhere, Method::POST, "/consent/t", &short_deadline, "once").await;
-            let told = third.expect("an answer").outcome_and_reason();
-            assert_eq!(told, ("unknown".to_owned(), "key-in-use".to_owned()));
+            let answered = third.expect("an answer").outcome_and_reason();
+            assert_eq!(answered, ("unknown".to_owned(), "key-in-use".to_owned()));
         };
         let (first, ()) = tokio::join!(first, others);
         assert_eq!(first.expect("an answer").status, StatusCode::OK);
@@ -348,12 +348,12 @@
             assert_eq!(check(number).await.status, StatusCode::OK, "check {number}");
         }
         let turned_away = async |at| {
-            let told = cluster.send(at, Method::GET, "/control/turned-away", &[], "").await;
-            serde_json::from_slice::<u32>(&told.expect("a count").body).expect("a count")
+            let count = cluster.send(at, Method::GET, "/control/turned-away", &[], "").await;
+            serde_json::from_slice::<u32>(&count.expect("a count").body).expect("a count")
         };
         // Two calls may already be on their way when it asks.
         assert!(turned_away(backing_off).await <= 2, "{}", turned_away(backing_off).await);
-        // If all endpoints back off, callers are refused at once and told when to retry.
+        // If all endpoints back off, callers are refused at once and get a retry time.
         for service in &cluster.services {
             cluster.set(service.address, json!({"rest": "60"})).await;
         }
--- a/crates/cherrystandd/tests/limits.rs
+++ b/crates/cherrystandd/tests/limits.rs
@@ -25,9 +25,12 @@
 
 /// Lists the boxes that got more requests than they had named.
 fn violations(site: &Site) -> Vec<String> {
-    let (told, arrivals) = (site.stand_in.signals(), site.stand_in.arrivals());
+    let (signals, arrivals) = (site.stand_in.signals(), site.stand_in.arrivals());
     let bounds = [LimitBound::Platform, LimitBound::Own];
-    bounds.iter().flat_map(|bound| exceeded_limits(&told, &arrivals, *bound, daemon_of)).collect()
+    bounds
+        .iter()
+        .flat_map(|bound| exceeded_limits(&signals, &arrivals, *bound, daemon_of))
+        .collect()
 }
 
 /// Returns the boxes that serve a path.
@@ -219,8 +222,8 @@
             let final_count = arrivals.iter().filter(|arrival| arrival.target == "a-1");
             let final_count =
                 final_count.filter(|arrival| arrival.at + COUNTED_PERIOD >= ended).count();
-            let (told, mut wrong) = (site.stand_in.signals(), Vec::new());
-            wrong.extend(exceeded_limits(&told, &arrivals, LimitBound::Platform, daemon_of));
+            let (signals, mut wrong) = (site.stand_in.signals(), Vec::new());
+            wrong.extend(exceeded_limits(&signals, &arrivals, LimitBound::Platform, daemon_of));
             if !case.final_count.contains(&final_count) {
                 wrong.push(format!("{final_count} at the end, expected {:?}", case.final_count));
             }
--- a/crates/cherrystandd/tests/whole_path.rs
+++ b/crates/cherrystandd/tests/whole_path.rs
@@ -129,8 +129,8 @@
                 cluster.send(daemon, case.method, case.path, case.headers, &case.body).await;
             let answer = answer.expect(case.name);
             assert_eq!(answer.status.as_u16(), case.status, "{}: {answer:?}", case.name);
-            let told = (String::from("not-run"), case.reason.to_owned());
-            assert_eq!(answer.outcome_and_reason(), told, "{}", case.name);
+            let expected = (String::from("not-run"), case.reason.to_owned());
+            assert_eq!(answer.outcome_and_reason(), expected, "{}", case.name);
         }
         assert!(cluster.service_executions().await.is_empty());
     });
@@ -177,8 +177,8 @@
         };
         for daemon in 0..3 {
             let is_recorded = || async {
-                let told = resend(daemon).await.expect("an answer").outcome_and_reason();
-                told == ("ran".to_owned(), "key-in-use".to_owned())
+                let answered = resend(daemon).await.expect("an answer").outcome_and_reason();
+                answered == ("ran".to_owned(), "key-in-use".to_owned())
             };
             cluster.wait_until("the claim says that the call ran", is_recorded).await;
         }
--- a/crates/cherrystandd/tests/wishes.rs
+++ b/crates/cherrystandd/tests/wishes.rs
@@ -156,8 +156,8 @@
     });
 }
 
-/// When every replica was in backoff, a caller was told to retry after 0.3 s, came back to the same
-/// replicas and was refused again, each time after three of them were tried.
+/// When every replica was in backoff, a caller was asked to retry after 0.3 s, came back to the
+/// same replicas and was refused again, each time after three of them were tried.
 #[test]
 fn callers_are_refused_at_once_with_a_retry_after_while_all_replicas_are_in_backoff() {
     support::run(async {
@@ -167,14 +167,14 @@
             site.stand_in.set_wishes(leader, BoxWishes::rest(Sheds::All, "2"));
         }
         let asked = send_requests(&site.nodes, MODEL_PATH).await;
-        let told = site.stand_in.signals();
+        let signals = site.stand_in.signals();
         let backoff_end = |target: &String, asked: &CallerRequest| {
-            let own = told.iter().filter(|told| &told.target == target);
-            let own = own.filter(|told| {
-                daemon_of(&told.request, told.at) == daemon_of(&asked.id, asked.sent_at)
+            let own = signals.iter().filter(|sent| &sent.target == target);
+            let own = own.filter(|sent| {
+                daemon_of(&sent.request, sent.at) == daemon_of(&asked.id, asked.sent_at)
             });
-            let ends = own.filter_map(|told| match told.signal {
-                Signal::Backoff(rest) if told.at < asked.sent_at => Some(told.at + rest),
+            let ends = own.filter_map(|sent| match sent.signal {
+                Signal::Backoff(backoff) if sent.at < asked.sent_at => Some(sent.at + backoff),
                 _ => None,
             });
             ends.max().filter(|end| *end > asked.sent_at)
@@ -217,7 +217,7 @@
         site.stand_in.set_wishes("a-1", foreign_signals);
         wait_until("a-1 has answered with signals for another request", async || {
             send_request(node, SERVICE_PATH, "n0-lied".to_owned()).await;
-            site.stand_in.signals().iter().any(|told| told.target == "a-1")
+            site.stand_in.signals().iter().any(|sent| sent.target == "a-1")
         })
         .await;
         site.stand_in.set_wishes("a-1", BoxWishes::default());
@@ -294,7 +294,7 @@
             site.stand_in.set_wishes(leaving, wishes);
             let asked = send_requests(&site.nodes, case.path).await;
             let mut wrong = violations(&site);
-            if !site.stand_in.signals().iter().any(|told| told.signal == Signal::Leaving) {
+            if !site.stand_in.signals().iter().any(|sent| sent.signal == Signal::Leaving) {
                 wrong.push("it never announced that it leaves".to_owned());
             }
             // A stop that a box announces costs callers nothing.
