--- a/crates/cherrystand_core/src/control/explanation.rs
+++ b/crates/cherrystand_core/src/control/explanation.rs
@@ -37,7 +37,7 @@
     LoadTurn,
     /// Every member acknowledged the epoch.
     AllAcknowledged,
-    /// Members were not heard from in time, or came back without their weights.
+    /// Members did not answer in time, or came back without their weights.
     MembersLost {
         /// Those members.
         boxes: Vec<BoxId>,
--- a/crates/cherrystand_core/src/control/lifecycle.rs
+++ b/crates/cherrystand_core/src/control/lifecycle.rs
@@ -76,7 +76,7 @@
     }
 }
 
-/// Puts a replica back into service that was complete all the time, as after a false alarm.
+/// Puts a replica back into service if all its members turn out to serve, as after a false alarm.
 pub(crate) fn advance_broken(
     change: &mut DomainChange<'_>,
     context: ReplicaContext<'_>,
--- a/crates/cherrystand_core/src/nodes/change_log.rs
+++ b/crates/cherrystand_core/src/nodes/change_log.rs
@@ -37,7 +37,7 @@
 }
 
 impl ChangesSince {
-    /// Tells whether nothing changed.
+    /// Returns whether nothing changed.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty() && self.gone.is_empty()
     }
@@ -67,7 +67,7 @@
         self.count
     }
 
-    /// Tells whether all changes after the first `count` are still kept.
+    /// Returns whether all changes after the first `count` are still kept.
     pub fn has_all_since(&self, count: u64) -> bool {
         self.index_after(count).is_some()
     }
--- a/crates/cherrystand_core/src/nodes/freshness.rs
+++ b/crates/cherrystand_core/src/nodes/freshness.rs
@@ -40,7 +40,7 @@
 }
 
 impl ServeBy {
-    /// Tells whether the node may take requests.
+    /// Returns whether the node may take requests.
     pub fn may_serve(self) -> bool {
         matches!(self, Self::Platform | Self::Majority)
     }
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Tells whether the given daemons are a majority of those expected.
+    /// Returns whether the given daemons are a majority of those expected.
     pub fn is_majority<'a>(&self, nodes: impl IntoIterator<Item = &'a NodeId>) -> bool {
         let expected = nodes.into_iter().filter(|node| self.expected.contains(node)).count();
         expected * 2 > self.expected.len()
@@ -108,7 +108,7 @@
         ServeBy::CutOff
     }
 
-    /// Tells whether this node may try to get a change accepted.
+    /// Returns whether this node may try to get a change accepted.
     pub fn may_accept(&self, now: Millis) -> bool {
         self.has_majority(now)
     }
--- a/crates/cherrystand_core/src/nodes/liveness_probe.rs
+++ b/crates/cherrystand_core/src/nodes/liveness_probe.rs
@@ -102,7 +102,7 @@
     }
 }
 
-/// Tells whether a probe that was not answered within `timeout` shows that the box is silent.
+/// Returns whether a probe that was not answered within `timeout` shows that the box is silent.
 fn is_silent(started: Millis, timeout: Millis, now: Millis, calls: &CallHistory) -> bool {
     let waited = now.since(started);
     if waited > timeout + MAX_TIMER_DELAY {
--- a/crates/cherrystand_core/src/nodes/relays.rs
+++ b/crates/cherrystand_core/src/nodes/relays.rs
@@ -24,7 +24,7 @@
     relays
 }
 
-/// Tells whether a daemon is a relay of its zone; `alive` has to include it.
+/// Returns whether a daemon is a relay of its zone; `alive` has to include it.
 pub fn is_relay(own: &Heartbeat, alive: &[&Heartbeat]) -> bool {
     relays_of(&own.zone, alive).iter().any(|beat| beat.node == own.node)
 }
--- a/crates/cherrystand_core/src/nodes/store_outage.rs
+++ b/crates/cherrystand_core/src/nodes/store_outage.rs
@@ -103,7 +103,7 @@
         self.last_answer.map_or(Millis(0), |_| now.since(self.answering_since))
     }
 
-    /// Tells whether entries that the store no longer lists are retained, since it may have lost
+    /// Returns whether entries that the store no longer lists are retained, since it may have lost
     /// them.
     pub fn keeps_unlisted(&self, now: Millis) -> bool {
         now < self.retains_until
--- a/crates/cherrystand_core/src/nodes/store_reachability.rs
+++ b/crates/cherrystand_core/src/nodes/store_reachability.rs
@@ -37,7 +37,7 @@
         self.last_update = Some(at);
     }
 
-    /// Tells whether the last call of the daemon itself to the store failed.
+    /// Returns whether the last call of the daemon itself to the store failed.
     pub fn is_failing(&self) -> bool {
         self.is_failing
     }
@@ -53,7 +53,7 @@
         self.age(now).is_none_or(|age| age > SILENT_AFTER)
     }
 
-    /// Tells whether the daemon has had fresh knowledge of the store for long enough to make
+    /// Returns whether the daemon has had fresh knowledge of the store for long enough to make
     /// decisions; has to be called at each step.
     pub fn may_decide(&mut self, now: Millis) -> bool {
         let fresh = self.age(now).is_some_and(|age| age <= MAX_STORE_AGE) && !self.is_failing;
--- a/crates/cherrystand_core/src/nodes/tombstones.rs
+++ b/crates/cherrystand_core/src/nodes/tombstones.rs
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Tells whether a value of this revision has been deleted since.
+    /// Returns whether a value of this revision has been deleted since.
     pub fn hides(&self, key: &K, revision: Revision) -> bool {
         self.deleted_at.get(key).is_some_and(|deleted_at| *deleted_at >= revision)
     }
--- a/crates/cherrystand_core/src/requests/circuit_breaker.rs
+++ b/crates/cherrystand_core/src/requests/circuit_breaker.rs
@@ -18,7 +18,7 @@
 }
 
 impl CircuitBreaker {
-    /// Tells whether a request may be sent to the endpoint now.
+    /// Returns whether a request may be sent to the endpoint now.
     pub fn allows(&self, now: Millis) -> bool {
         self.failures == 0 || (now >= self.open_until && !self.probe_in_flight)
     }
--- a/crates/cherrystand_core/src/requests/endpoint_backpressure.rs
+++ b/crates/cherrystand_core/src/requests/endpoint_backpressure.rs
@@ -47,12 +47,12 @@
     BackingOff(Millis),
     /// Operators evacuated its availability zone at the given time.
     Evacuated(Millis),
-    /// It has announced that it is shutting down.
+    /// It has announced that it is leaving.
     Leaving,
 }
 
 impl BackpressureState {
-    /// Tells whether the endpoint must not be sent any request now.
+    /// Returns whether the endpoint must not be sent any request now.
     pub fn is_closed(self) -> bool {
         !matches!(self, Self::Open | Self::Recovering)
     }
@@ -108,9 +108,8 @@
 impl<K: Ord + Clone> EndpointBackpressure<K> {
     /// Records that an endpoint asked for a backoff just now, and returns when the backoff ends.
     ///
-    /// `in_flight` counts this node's requests there, including the one that was turned away.
-    /// Neither a later request for a shorter backoff nor an answer to a request in flight shortens
-    /// a backoff.
+    /// `in_flight` counts this node's requests there, including the one that was refused. Neither a
+    /// later request for a shorter backoff nor an answer to a request in flight shortens a backoff.
     pub fn record_backoff(
         &mut self,
         id: &K,
@@ -132,12 +131,12 @@
         backoff.until
     }
 
-    /// Records that an endpoint is shutting down; returns whether that is new.
+    /// Records that an endpoint is leaving; returns whether that is new.
     pub fn record_leaving(&mut self, id: &K) -> bool {
         self.leaving.insert(id)
     }
 
-    /// Tells whether an endpoint has announced that it is shutting down.
+    /// Returns whether an endpoint has announced that it is leaving.
     pub fn is_leaving(&self, id: &K) -> bool {
         self.leaving.contains(id)
     }
--- a/crates/cherrystand_core/src/requests/endpoint_rate_limits.rs
+++ b/crates/cherrystand_core/src/requests/endpoint_rate_limits.rs
@@ -96,7 +96,7 @@
         Self { burst: Some(permits), ..Self::default() }
     }
 
-    /// Tells whether no permits are being requested or granted.
+    /// Returns whether no permits are being requested or granted.
     pub fn is_idle(&self) -> bool {
         let nothing_queued = self.to_announce.is_empty() && self.replies.is_empty();
         nothing_queued && self.endpoints.values().all(RateLimitedEndpoint::is_idle)
@@ -108,7 +108,7 @@
         self.last_request_number = number;
     }
 
-    /// Tells whether no endpoint has a rate limit.
+    /// Returns whether no endpoint has a rate limit.
     pub fn is_empty(&self) -> bool {
         self.endpoints.is_empty()
     }
@@ -173,8 +173,8 @@
         self.endpoints.get_mut(id).filter(|endpoint| endpoint.limit().is_some())
     }
 
-    /// Tells whether a request may be sent now: `None` if the endpoint has no rate limit, `Ok` if a
-    /// permit is available, else about when one will be.
+    /// Returns whether a request may be sent now: `None` if the endpoint has no rate limit, `Ok` if
+    /// a permit is available, else about when one will be.
     pub fn permit_wait(&self, id: &K, now: Millis) -> Option<Result<(), Millis>> {
         let endpoint = self.limited(id)?;
         let rate = endpoint.rate();
@@ -184,7 +184,7 @@
         }
     }
 
-    /// Tells whether a permit for an endpoint may arrive at any moment.
+    /// Returns whether a permit for an endpoint may arrive at any moment.
     pub fn may_get_permit(&self, id: &K) -> bool {
         self.limited(id).is_some_and(|endpoint| endpoint.permits.may_arrive())
     }
--- a/crates/cherrystand_core/src/requests/known_rate_limit.rs
+++ b/crates/cherrystand_core/src/requests/known_rate_limit.rs
@@ -65,7 +65,7 @@
         self.is_lifted() && !was_lifted
     }
 
-    /// Tells whether nothing about the limit is worth remembering any longer.
+    /// Returns whether nothing about the limit is worth remembering any longer.
     pub(crate) fn is_expired(&self, now: Millis) -> bool {
         match self.last_unnamed.filter(|_| self.is_lifted()) {
             Some(last_unnamed) => now.since(last_unnamed) >= LIFTED_TTL,
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Tells whether the endpoint no longer names a limit.
+    /// Returns whether the endpoint no longer names a limit.
     pub(crate) fn is_lifted(&self) -> bool {
         self.last_unnamed.is_some_and(|last_unnamed| last_unnamed >= self.last_named + HOLD_TIME)
     }
--- a/crates/cherrystand_core/src/requests/leaving_incarnations.rs
+++ b/crates/cherrystand_core/src/requests/leaving_incarnations.rs
@@ -1,4 +1,4 @@
-//! Endpoints that have announced that they are shutting down.
+//! Endpoints that are leaving: they have announced that they are shutting down.
 
 use std::collections::{BTreeSet, VecDeque};
 
@@ -6,8 +6,8 @@
 /// MB, and with 1,900 boxes restarted or replaced a day they reach back eight days.
 const MAX_REMEMBERED: usize = 16_384;
 
-/// Remembers which incarnations of endpoints are leaving. Once an incarnation has announced that,
-/// it is sent nothing new, whatever its entry in the store says later.
+/// Remembers which incarnations of endpoints are leaving. Once an incarnation has announced that it
+/// is leaving, it is sent no new requests, whatever its entry in the store says later.
 #[derive(Clone, Debug)]
 pub struct LeavingIncarnations<K> {
     incarnations: BTreeSet<K>,
@@ -36,12 +36,12 @@
         true
     }
 
-    /// Tells whether an endpoint is leaving.
+    /// Returns whether an endpoint is leaving.
     pub fn contains(&self, id: &K) -> bool {
         self.incarnations.contains(id)
     }
 
-    /// Tells whether no endpoint is leaving.
+    /// Returns whether no endpoint is leaving.
     pub fn is_empty(&self) -> bool {
         self.incarnations.is_empty()
     }
--- a/crates/cherrystand_core/src/requests/outcome.rs
+++ b/crates/cherrystand_core/src/requests/outcome.rs
@@ -104,7 +104,7 @@
         }
     }
 
-    /// Tells whether the end counts as a failure of the endpoint.
+    /// Returns whether the end counts as a failure of the endpoint.
     pub fn is_endpoint_failure(self) -> bool {
         !matches!(self, Self::CallerDisconnected | Self::Answered | Self::Refused)
     }
--- a/crates/cherrystand_core/src/requests/rate_limit_ledger.rs
+++ b/crates/cherrystand_core/src/requests/rate_limit_ledger.rs
@@ -79,7 +79,7 @@
         Self { permits, updated_at: now, queue: Vec::new(), outstanding: VecDeque::new(), burst }
     }
 
-    /// Tells whether no request waits and no permit that may be returned is outstanding.
+    /// Returns whether no request waits and no permit that may be returned is outstanding.
     pub(crate) fn is_idle(&self) -> bool {
         self.outstanding.is_empty() && self.queue.iter().all(QueuedRequest::is_served)
     }
--- a/crates/cherrystand_core/src/requests/rate_limit_permits.rs
+++ b/crates/cherrystand_core/src/requests/rate_limit_permits.rs
@@ -107,17 +107,17 @@
         self.open_demand = Some(now);
     }
 
-    /// Tells whether no request is open and there is no demand.
+    /// Returns whether no request is open and there is no demand.
     pub(crate) fn is_idle(&self) -> bool {
         self.pending.is_none() && self.open_demand.is_none()
     }
 
-    /// Tells whether demands are frequent enough to use a permit before it expires.
+    /// Returns whether demands are frequent enough to use a permit before it expires.
     fn is_busy(&self, rate: f64) -> bool {
         self.mean_gap_ms <= permit_ttl(rate).0 as f64
     }
 
-    /// Tells whether a permit may arrive at any moment.
+    /// Returns whether a permit may arrive at any moment.
     pub(crate) fn may_arrive(&self) -> bool {
         self.open_demand.is_some()
             && self
@@ -125,7 +125,7 @@
                 .is_none_or(|pending| !pending.is_answered || pending.used >= pending.want)
     }
 
-    /// Tells whether a permit is available.
+    /// Returns whether a permit is available.
     pub(crate) fn has_permit(&self, rate: f64, now: Millis) -> bool {
         self.pending.is_some_and(|pending| {
             pending.unused() > 0 && now < pending.granted_at + permit_ttl(rate)
@@ -165,7 +165,7 @@
         }
     }
 
-    /// Tells whether permits, or the answer that there are none for now, have arrived since the
+    /// Returns whether permits, or the answer that there are none for now, have arrived since the
     /// last call.
     pub(crate) fn take_new_answer(&mut self) -> bool {
         std::mem::take(&mut self.has_new_answer)
--- a/crates/cherrystand_core/src/requests/rate_limited_endpoint.rs
+++ b/crates/cherrystand_core/src/requests/rate_limited_endpoint.rs
@@ -96,12 +96,12 @@
         is_new.then(|| RateLimitMessage::Report(self.report(now)))
     }
 
-    /// Tells whether neither this node nor another has an open request for permits.
+    /// Returns whether neither this node nor another has an open request for permits.
     pub(super) fn is_idle(&self) -> bool {
         self.permits.is_idle() && self.ledger.as_ref().is_none_or(RateLimitLedger::is_idle)
     }
 
-    /// Tells whether nothing about it is worth remembering any longer.
+    /// Returns whether nothing about it is worth remembering any longer.
     pub(super) fn is_expired(&self, now: Millis) -> bool {
         self.cold.is_none()
             && self.named_limit.is_none_or(|named_limit| named_limit.is_expired(now))
--- a/crates/cherrystand_core/src/requests/send_permit.rs
+++ b/crates/cherrystand_core/src/requests/send_permit.rs
@@ -16,7 +16,7 @@
         Self { is_after_backoff }
     }
 
-    /// Tells whether the endpoint's backoff has just ended, in which case its answer has to be
+    /// Returns whether the endpoint's backoff has just ended, in which case its answer has to be
     /// reported.
     pub fn is_after_backoff(&self) -> bool {
         self.is_after_backoff
--- a/crates/cherrystand_core/src/site/formation.rs
+++ b/crates/cherrystand_core/src/site/formation.rs
@@ -34,7 +34,7 @@
 /// probes take. Boxes that are lost together then cause one formation instead of one each.
 const MAX_PROBE_WAIT: Millis = Millis(450);
 
-/// Why replicas are given up when their domain is assigned to another model.
+/// Why replicas are removed when their domain is assigned to another model.
 const HOME_CHANGED: &str = "the domain is for another model now";
 
 /// How long a leader may take to drain before it is ordered to leave.
@@ -246,7 +246,7 @@
         }
     }
 
-    /// Gives up a replica whose domain has another home model, once it has drained.
+    /// Removes a replica whose domain has another home model, once it has drained.
     fn give_up_for_home(
         &mut self,
         draft: &mut DomainDraft<'_>,
--- a/crates/cherrystand_core/src/site/site_view.rs
+++ b/crates/cherrystand_core/src/site/site_view.rs
@@ -156,7 +156,7 @@
         Some(ColdPeriod { rate: service.cold?.rate, until })
     }
 
-    /// Returns whether a box may serve: it is not about to leave and not silent.
+    /// Returns whether a box may serve: it is neither leaving nor silent.
     fn is_usable(&self, site_box: &SiteBox) -> bool {
         !site_box.leaving && !self.silent.contains(&site_box.id)
     }
--- a/crates/cherrystand_core/src/site/stall_evidence.rs
+++ b/crates/cherrystand_core/src/site/stall_evidence.rs
@@ -60,8 +60,8 @@
         match self.peers {
             PeerProgress::Seen | PeerProgress::AskedJustNow => false,
             PeerProgress::NotSeen | PeerProgress::NotAsked => true,
-            // Without word from peers, the cause is this node's own pause unless another replica
-            // makes progress.
+            // If no peer answered, the cause is assumed to be this node's own pause unless another
+            // replica makes progress.
             PeerProgress::NoAnswer => {
                 self.silence > MAX_NODE_PAUSE || self.others_progressed.unwrap_or(true)
             }
--- a/crates/cherrystand_core/src/site/suspect.rs
+++ b/crates/cherrystand_core/src/site/suspect.rs
@@ -46,7 +46,8 @@
 /// a replica for little gain.
 ///
 /// With the regular delay, a request that all callers of a service send identically was refused for
-/// 6 s beside two requests that crash replicas, and for a minute if both trials ran on one replica.
+/// 6 s alongside two requests that crash replicas, and for a minute if both trials ran on one
+/// replica.
 const EARLY_TRIAL_DELAY: Millis = Millis(1_000);
 
 /// A request refused within this time is taken to be still arriving and may be tried.
--- a/crates/cherrystand_core/tests/backoff_simulation.rs
+++ b/crates/cherrystand_core/tests/backoff_simulation.rs
@@ -94,8 +94,7 @@
         }
     }
 
-    /// Returns how many requests a daemon has at a replica, if its algorithm takes that into
-    /// account.
+    /// Returns how many requests a daemon has at a replica, if its algorithm depends on that.
     fn own_in_flight(&self, node: usize, replica: usize) -> u32 {
         let own_in_flight =
             self.in_flight.iter().filter(|(by, at, _, _)| (*by, *at) == (node, replica));
--- a/crates/cherrystand_core/tests/crash_suspects.rs
+++ b/crates/cherrystand_core/tests/crash_suspects.rs
@@ -303,7 +303,8 @@
 }
 
 /// Attempts in flight are cancelled only for a request that nothing else explains. A harmless
-/// request that is always in flight beside one that crashes boxes would otherwise lose its answers.
+/// request that is always in flight alongside one that crashes boxes would otherwise lose its
+/// answers.
 #[test]
 fn a_request_is_the_sole_cause_if_no_other_shares_all_its_crashes() {
     const OTHER: Fingerprint = Fingerprint(8);
--- a/crates/cherrystand_core/tests/crash_trials.rs
+++ b/crates/cherrystand_core/tests/crash_trials.rs
@@ -1,4 +1,4 @@
-//! Simulates whether harmless requests are served again beside requests that crash each replica
+//! Simulates whether harmless requests are served again alongside requests that crash each replica
 //! that runs them.
 
 use std::collections::BTreeMap;
--- a/crates/cherrystandd/src/site/box_calls.rs
+++ b/crates/cherrystandd/src/site/box_calls.rs
@@ -17,7 +17,8 @@
 /// The timeout of an order.
 const ORDER_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// How many witnesses are called beside a box that may be gone; one of them may be dead as well.
+/// How many witnesses are called at the same time as a box that may be gone; one of them may be
+/// dead as well.
 const WITNESS_COUNT: usize = 2;
 
 /// The minimum time between two probes of a box for the same reason.
--- a/crates/cherrystandd/src/site/frontend.rs
+++ b/crates/cherrystandd/src/site/frontend.rs
@@ -153,9 +153,9 @@
         newest
     }
 
-    /// Tells peers which replica leaders this node has found to be lost. Through the store alone
-    /// they would learn of a leader that lost power after 3.6 s, and of one whose member did after
-    /// 4 s.
+    /// Reports to peers which replica leaders this node has found to be lost. Through the store
+    /// alone they would learn of a leader that lost power after 3.6 s, and of one whose member did
+    /// after 4 s.
     fn announce_lost_leaders(&self, before: &SiteView, newest: &SiteView) {
         let known = before.lost_leaders();
         let lost = newest.lost_leaders().into_iter().filter(|leader| !known.contains(leader));
--- a/crates/cherrystandd/src/site/load_exchange.rs
+++ b/crates/cherrystandd/src/site/load_exchange.rs
@@ -79,13 +79,14 @@
         Self { lent_retries: RefCell::new(lent_retries), ..Self::default() }
     }
 
-    /// Tells peers at once that a replica is stalled.
+    /// Reports to peers at once that a replica is stalled.
     pub(crate) fn announce_stalled(&self, leader: BoxId) {
         self.stalled.borrow_mut().push(leader);
         self.urgent.notify_one();
     }
 
-    /// Tells peers at once that a leader has stopped serving, before they learn it from the store.
+    /// Reports to peers at once that a leader has stopped serving, before they learn it from the
+    /// store.
     pub(crate) fn announce_stopped(&self, leader: BoxId, now: Millis) {
         self.record_stopped(&leader, now);
         self.stopped.borrow_mut().push(leader);
--- a/crates/cherrystandd/tests/crashing_requests.rs
+++ b/crates/cherrystandd/tests/crashing_requests.rs
@@ -20,7 +20,7 @@
 const REQUEST_PERIOD: Duration = Duration::from_secs(7);
 const REQUEST_INTERVAL: Duration = Duration::from_millis(200);
 
-/// When its caller gives up an attempt.
+/// When its caller abandons an attempt.
 const CALLER_TIMEOUT: Duration = Duration::from_millis(600);
 
 /// After this many crashes a request is refused.
@@ -44,7 +44,7 @@
         let answer = tokio::time::timeout(CALLER_TIMEOUT, stream(node, &id, body)).await;
         if let Ok(answer) = answer {
             assert_ne!(answer.text(), whole_stream(&id), "it crashes whatever runs it");
-            // A request that ran is not answered as not run, and its caller isn't told to retry.
+            // A request that ran is not answered as not run, and its caller isn't asked to retry.
             let not_run_statuses = [StatusCode::SERVICE_UNAVAILABLE, StatusCode::TOO_MANY_REQUESTS];
             let refused_at_once = answer.header("retry-after").is_empty();
             assert!(
--- a/crates/cherrystandd/tests/large_configuration.rs
+++ b/crates/cherrystandd/tests/large_configuration.rs
@@ -4,7 +4,7 @@
 //! versions per second, the readers of the zones sent each version in full, 0.4 MB to each of
 //! twenty peers. Their links of 20 Mbit/s were saturated for seconds, the calls that waited behind
 //! timed out after 200 to 250 ms, and 83 healthy boxes were declared dead, so that replicas that
-//! served were given up. With small versions it was 13 boxes. All 188 such verdicts came from four
+//! served were removed. With small versions it was 13 boxes. All 188 such verdicts came from four
 //! readers, at times when no call begun after the probe had been answered either.
 #![allow(clippy::disallowed_methods, reason = "the machine of a test is not suspended")]
 
--- a/crates/cherrystandd/tests/site.rs
+++ b/crates/cherrystandd/tests/site.rs
@@ -223,7 +223,7 @@
 /// Two callers got half a stream each, seconds before their deadlines, although both replicas that
 /// were sent the request were alive and working. The first had been silent for longer than its
 /// engine can take, so its answer was dropped and a second replica was tried; that one was slow too
-/// and was given up in the same way, with no attempt left.
+/// and was abandoned in the same way, with no attempt left.
 ///
 /// On days on which 4 in 10 replicas become eight times slower, 13 and 9 streams ended like this,
 /// all with two boxes tried, no attempt left, 4 to 7 s left, and silences 40 to 80 ms above the
@@ -335,7 +335,8 @@
     let cases = [
         Case { name: "the leader", daemons: 1, rank: 0 },
         Case { name: "a member", daemons: 1, rank: 1 },
-        // Only one daemon decides for the domain and probes; the other one is told.
+        // Only one daemon decides for the domain and probes; the other one learns the result from
+        // it.
         Case { name: "the leader, two daemons", daemons: 2, rank: 0 },
         Case { name: "a member, two daemons", daemons: 2, rank: 1 },
     ];
@@ -423,7 +424,7 @@
     support::run(async {
         let all = cases.into_iter().map(|case| async move {
             let site = Site::serving_with_start_times(2).await;
-            // Boxes report their starts from now on, so that incarnations can be told apart, and
+            // Boxes report their starts from now on, so that incarnations can be distinguished, and
             // keep serving.
             assert_eq!(site.stand_in.complete_replicas(), 2, "{}", case.name);
             let (leader, members) = site.stand_in.leaders().pop_first().expect("a leader");
@@ -577,7 +578,7 @@
             let site = Site::serving(1).await;
             let node = &site.nodes[0];
             site.stand_in.set_mode("a-1", case.mood);
-            // Enough requests that some reach the endpoint with the mood: with 12 requests and two
+            // Enough requests that some reach the endpoint in that mode: with 12 requests and two
             // endpoints chosen at random, none did in 85 of 400,000 draws.
             let mut reached = false;
             for attempt in 0..32 {
--- a/crates/cherrystandd/tests/slow_readers.rs
+++ b/crates/cherrystandd/tests/slow_readers.rs
@@ -35,8 +35,8 @@
     call_at(node.operators, "GET", "/metrics", &[], "").await.text()
 }
 
-/// If a replica breaks off an answer because its caller didn't read it, the replica isn't blamed,
-/// no other replica does the same work again, and the replica keeps serving others.
+/// If a replica breaks off an answer because its caller didn't read it, the replica doesn't count
+/// as failed, no other replica does the same work again, and the replica keeps serving others.
 #[test]
 fn an_answer_cut_because_of_a_slow_caller_is_no_failure_of_the_replica() {
     /// Streams of 32 MB, more than connections buffer.
--- a/crates/cherrystandd/tests/soak.rs
+++ b/crates/cherrystandd/tests/soak.rs
@@ -17,11 +17,11 @@
 /// - 2 again: 3 of 3,548 streams were served, because trials of the crashing request and of the
 ///   streams met at one replica. Only one request is on trial at a time.
 /// - 4 again, and 402: a request crashed a box 40 ms after a planned stop of a daemon began, and the
-///   check blamed the stop for the box's other streams. The daemon's log showed that the answer of
-///   the crashing request and theirs ended in the same millisecond.
+///   check attributed the end of the box's other streams to the stop. The daemon's log showed that
+///   the answer of the crashing request and theirs ended in the same millisecond.
 const CRASH_SEEDS: [u64; 4] = [1, 2, 4, 402];
 
-/// Seeds with boxes that ask for a backoff or announce that they leave.
+/// Seeds with boxes that ask for a backoff or announce that they are leaving.
 const SIGNAL_SEEDS: [u64; 2] = [2, 301];
 
 /// Seeds with boxes that announce rate limits.
--- a/crates/cherrystandd/tests/suspensions.rs
+++ b/crates/cherrystandd/tests/suspensions.rs
@@ -16,8 +16,8 @@
 /// How long after the machine resumes everything that waits may take to notice the suspension.
 const NOTICE_LIMIT: Duration = Duration::from_millis(1_000);
 
-/// Guards against a clock that stops while the machine is suspended: a request whose caller had
-/// given up was held for the rest of its timeout and occupied a slot of a replica.
+/// Guards against a clock that stops while the machine is suspended: a request that its caller had
+/// abandoned was held for the rest of its timeout and occupied a slot of a replica.
 #[test]
 fn suspended_time_counts_toward_the_request_timeout() {
     struct Case {
