--- a/crates/cherrystand_testkit/src/bin/cherrystand_load.rs
+++ b/crates/cherrystand_testkit/src/bin/cherrystand_load.rs
@@ -23,13 +23,13 @@
     /// requests per second
     #[argh(option, default = "100")]
     rate: u64,
-    /// for how many seconds
+    /// duration in seconds
     #[argh(option, default = "10")]
     seconds: u64,
-    /// the model to ask for
+    /// name of the requested model
     #[argh(option, default = "String::from(\"captioner\")")]
     model: String,
-    /// what the lines printed begin with
+    /// name at the start of the summary line
     #[argh(option, default = "String::from(\"load\")")]
     name: String,
 }
--- a/crates/cherrystand_testkit/src/bin/cherrystand_soak.rs
+++ b/crates/cherrystand_testkit/src/bin/cherrystand_soak.rs
@@ -18,44 +18,45 @@
 /// The number of the first rate limit fault, higher than all numbers of the general schedule.
 const FIRST_LIMIT_NUMBER: usize = 1_000;
 
-/// Plays faults, drawn from a seed, on real daemons, and checks what callers and boxes see.
+/// Injects faults drawn from a seed into real daemons, and checks what callers and boxes observe.
 #[derive(FromArgs)]
 struct Args {
     /// the seed
     #[argh(option)]
     seed: u64,
-    /// milliseconds in which faults strike
+    /// time during which faults are injected, in milliseconds
     #[argh(option, default = "DEFAULT_SPAN.0")]
     span_ms: u64,
-    /// how many daemons run
+    /// number of daemons
     #[argh(option, default = "3")]
     daemons: usize,
-    /// play only the fault with this number; may be given several times
+    /// inject only the fault with this number; may be given several times
     #[argh(option)]
     only: Vec<usize>,
-    /// where settings and logs go; kept where a promise is broken
+    /// directory for settings and logs; it is kept if a check fails
     #[argh(option)]
     dir: Option<PathBuf>,
-    /// boxes tell when they started, start again under their ids, and other writers overwrite what they
-    /// tell
+    /// boxes report their start times and restart under the same ids, and other writers overwrite
+    /// their entries
     #[argh(switch, long = "lives")]
     restarts: bool,
-    /// a request comes all the while that ends each box that runs it
+    /// a request that crashes every box that runs it is sent throughout the run
     #[argh(switch)]
     crashes: bool,
-    /// boxes ask for rest or say that they leave, in their answers
+    /// boxes ask for backoff or announce in their answers that they are draining
     #[argh(switch, long = "wishes")]
     box_signals: bool,
-    /// boxes name how many requests a second they take, in their answers
+    /// boxes advertise a rate limit in requests per second in their answers
     #[argh(switch, long = "limits")]
     rate_limits: bool,
-    /// operators empty one of two availability zones and take it back, and boxes turn cold
+    /// operators evacuate one of two availability zones and put it back into service, and boxes
+    /// become cold
     #[argh(switch, long = "zones")]
     zone_faults: bool,
-    /// the store comes back from copies some seconds old
+    /// the store is restored from backups some seconds old
     #[argh(switch, long = "drills")]
     store_restores: bool,
-    /// print the schedule and end
+    /// print the schedule and exit
     #[argh(switch)]
     schedule: bool,
 }
@@ -108,14 +109,14 @@
 }
 
 fn run(setup: &SoakSetup, faults: &[Fault]) -> eyre::Result<ExitCode> {
-    std::fs::create_dir_all(&setup.dir).wrap_err("making a directory for logs")?;
+    std::fs::create_dir_all(&setup.dir).wrap_err("creating a directory for logs")?;
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
         .wrap_err("starting the runtime")?;
     let local = tokio::task::LocalSet::new();
     let outcome =
-        local.block_on(&runtime, run_soak(setup, faults)).wrap_err("playing the faults")?;
+        local.block_on(&runtime, run_soak(setup, faults)).wrap_err("injecting the faults")?;
     outcome.outcome_counts.iter().for_each(|(outcome, count)| println!("  {count:>5} {outcome}"));
     outcome.violations.iter().for_each(|violation| println!("BROKEN {violation}"));
     println!("seed {}: {} broken", setup.seed, outcome.violations.len());
--- a/crates/cherrystand_testkit/src/bin/cherrystand_standin.rs
+++ b/crates/cherrystand_testkit/src/bin/cherrystand_standin.rs
@@ -10,7 +10,7 @@
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 
-/// Stands in for something outside the system, for tests and demonstrations.
+/// Stands in for an external system, for tests and demonstrations.
 #[derive(FromArgs)]
 struct Args {
     #[argh(subcommand)]
@@ -25,14 +25,14 @@
     Service(ServiceArgs),
 }
 
-/// the platform's key-value service, box list and weight store
+/// the platform's key-value service, inventory and weight store
 #[derive(FromArgs)]
 #[argh(subcommand, name = "platform")]
 struct PlatformArgs {
     /// address to listen at
     #[argh(option)]
     listen: SocketAddr,
-    /// file with the list of boxes and daemons, in JSON
+    /// JSON file with the inventory of boxes and daemons
     #[argh(option)]
     inventory: Option<PathBuf>,
 }
@@ -44,10 +44,10 @@
     /// address to listen at
     #[argh(option)]
     listen: SocketAddr,
-    /// address of the platform's stand-in
+    /// address of the platform stand-in
     #[argh(option)]
     platform: SocketAddr,
-    /// follow orders of any epoch
+    /// accept orders of any epoch
     #[argh(switch, long = "obeys-anyone")]
     accepts_any_epoch: bool,
 }
@@ -108,5 +108,5 @@
     };
     let text =
         std::fs::read_to_string(&path).wrap_err_with(|| format!("reading {}", path.display()))?;
-    serde_json::from_str(&text).wrap_err_with(|| format!("{} is not a list", path.display()))
+    serde_json::from_str(&text).wrap_err_with(|| format!("{} is not an inventory", path.display()))
 }
