--- a/crates/cherrystand_core/src/counters.rs
+++ b/crates/cherrystand_core/src/counters.rs
@@ -47,8 +47,8 @@
     Incarnation
 );
 
-/// When something was written to the platform's store, or the state of the store as of which it is
-/// known.
+/// The point in the history of the platform's store at which something was written, or as of which
+/// it is known.
 ///
 /// The store's own number increases only within one era, so revisions are ordered by era first.
 /// Only the store's client creates revisions from the store's numbers, so that bare numbers are
--- a/crates/cherrystand_core/src/nodes/store_outage.rs
+++ b/crates/cherrystand_core/src/nodes/store_outage.rs
@@ -14,9 +14,9 @@
 
 /// Tracks when the store answered, and until when entries that it no longer lists are retained.
 ///
-/// A daemon that was paused can't detect an outage: what it did not receive meanwhile is no silence
-/// of the store, and a call that timed out meanwhile is no failure of it. Neither can a daemon that
-/// was cut off, but a peer that was connected all the time can.
+/// A daemon that was paused can't detect an outage: answers that it missed during the pause don't
+/// mean that the store was silent, and calls that timed out during it don't mean that the store
+/// failed. Neither can a daemon that was cut off, but a peer that was connected all the time can.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct StoreOutage {
     running_time: RunningTime,
