--- a/crates/cherrystand_testkit/src/domain/fake_domain.rs
+++ b/crates/cherrystand_testkit/src/domain/fake_domain.rs
@@ -223,14 +223,14 @@
     /// Returns whether a replica can actually serve: the record has it as ready, and every member is
     /// running and ready for the replica's epoch.
     pub fn is_serving(&self, replica: &ReplicaId) -> bool {
-        let Some(held) = self.record.replicas.get(replica) else {
+        let Some(assignment) = self.record.replicas.get(replica) else {
             return false;
         };
         let ready = |id: &BoxId| {
             let fake = &self.boxes[id];
-            fake.is_running && fake.epoch == held.epoch && fake.state == EngineState::Ready
+            fake.is_running && fake.epoch == assignment.epoch && fake.state == EngineState::Ready
         };
-        held.phase == Phase::Ready && held.boxes.iter().all(ready)
+        assignment.phase == Phase::Ready && assignment.boxes.iter().all(ready)
     }
 
     fn run_boxes(&mut self) {
@@ -253,15 +253,16 @@
     /// Breaks replicas as their leaders do: a leader reports a formed replica as broken once a member
     /// is down or has another epoch.
     fn break_incomplete_replicas(&mut self) {
-        for held in self.record.replicas.values() {
-            let gone = |id: &BoxId| {
+        for assignment in self.record.replicas.values() {
+            let is_missing = |id: &BoxId| {
                 let fake = &self.boxes[id];
-                !fake.is_running || fake.epoch != held.epoch
+                !fake.is_running || fake.epoch != assignment.epoch
             };
-            let is_broken = held.phase == Phase::Ready && held.boxes.iter().any(gone);
-            let leader = held.boxes.first().and_then(|id| self.boxes.get_mut(id));
+            let is_broken =
+                assignment.phase == Phase::Ready && assignment.boxes.iter().any(is_missing);
+            let leader = assignment.boxes.first().and_then(|id| self.boxes.get_mut(id));
             if let Some(leader) = leader.filter(|_| is_broken)
-                && leader.epoch == held.epoch
+                && leader.epoch == assignment.epoch
             {
                 leader.state = EngineState::Broken;
                 leader.in_flight = 0;
@@ -365,8 +366,9 @@
                 continue;
             }
             self.losses.down_secs += step;
-            if let Some(held) = self.record.replicas.get(&desired.replica) {
-                let healthy = held.boxes.iter().filter(|id| self.boxes[*id].is_running).count();
+            if let Some(assignment) = self.record.replicas.get(&desired.replica) {
+                let healthy =
+                    assignment.boxes.iter().filter(|id| self.boxes[*id].is_running).count();
                 self.losses.stranded_secs += step * healthy as f64;
             }
         }
--- a/crates/cherrystand_testkit/src/engine/running_request.rs
+++ b/crates/cherrystand_testkit/src/engine/running_request.rs
@@ -69,8 +69,8 @@
         let (tx, rx) = mpsc::channel(BUFFERED_TOKENS);
         tokio::task::spawn_local(self.send_events(tx));
         let mut answer = Response::new(receiver_body(rx));
-        let kind = hyper::header::HeaderValue::from_static("text/event-stream");
-        answer.headers_mut().insert(hyper::header::CONTENT_TYPE, kind);
+        let content_type = hyper::header::HeaderValue::from_static("text/event-stream");
+        answer.headers_mut().insert(hyper::header::CONTENT_TYPE, content_type);
         answer
     }
 
--- a/crates/cherrystand_testkit/src/http.rs
+++ b/crates/cherrystand_testkit/src/http.rs
@@ -16,8 +16,8 @@
     let text = serde_json::to_vec(value).unwrap_or_default();
     let mut answer = Response::new(Full::new(Bytes::from(text)));
     *answer.status_mut() = status;
-    let kind = hyper::header::HeaderValue::from_static("application/json");
-    answer.headers_mut().insert(hyper::header::CONTENT_TYPE, kind);
+    let content_type = hyper::header::HeaderValue::from_static("application/json");
+    answer.headers_mut().insert(hyper::header::CONTENT_TYPE, content_type);
     answer
 }
 
