--- a/crates/cherrystand_cli/src/render.rs
+++ b/crates/cherrystand_cli/src/render.rs
@@ -79,7 +79,7 @@
 fn status(value: &Value) -> String {
     let node = &value["node"];
     let mut text = format!(
-        "state as seen by {} ({}): serves by {}, receives heartbeats of {} of {} daemons\n\n",
+        "as known by {} ({}): serves by {}, hears {} of {} daemons\n\n",
         field(node, "node"),
         field(node, "zone"),
         field(node, "serves_by").to_lowercase(),
